--- a/toucanpin/scheduling/choosing.py
+++ b/toucanpin/scheduling/choosing.py
@@ -15,14 +15,14 @@
 from toucanpin.scheduling.cell import Cell, Group, LiveJob, Now
 from toucanpin.scheduling.crashing import count_watched
 from toucanpin.scheduling.evacuating import list_open
-from toucanpin.scheduling.heat import Heat
 from toucanpin.scheduling.job import Step
-from toucanpin.scheduling.prediction import heat_worker, predict_rise, predict_share
+from toucanpin.scheduling.prediction import estimate_utilization, predict_rise, predict_share
 from toucanpin.scheduling.progress import Doubt
 from toucanpin.scheduling.reserving import leaves_reserve
 from toucanpin.scheduling.sharing import Sharing
 from toucanpin.scheduling.shortage import Shortage
 from toucanpin.scheduling.trust import is_trusted
+from toucanpin.scheduling.utilization import WorkerUtilization
 from toucanpin.scheduling.worker import Worker, count_places, has_room
 
 __all__ = [
@@ -44,7 +44,7 @@
 FULL = 1.05  # of a worker's cores in use: more tasks that fill would only slow each other
 OTHER_IMAGE = 1.5  # weight of each other image that serves on a worker
 NO_RESERVE = 20.0  # weight of a place that takes reserved cores
-HEAT_PERIOD = 0.2  # s for which a sum counts; loads are measured as often
+UTILIZATION_MAX_AGE_S = 0.2  # s for which a sum counts; loads are measured as often
 OTHER_WATCHED = 1.0  # weight of each other task that is watched, for one that is watched itself
 AT_STAKE = 10.0  # weight of a whole worker's cores in use for a task that may crash it
 BESIDE_FILLING = 1.0  # weight against serving beside a worker full of what fills
@@ -74,22 +74,22 @@
     _brief: Shortage = field(default_factory=Shortage)
     _lasting: Shortage = field(default_factory=Shortage)
 
-    def heat(self, worker: Worker) -> Heat:
+    def utilization(self, worker: Worker) -> WorkerUtilization:
         """
         Return how a worker fares.
 
         Summed up in each round, this took most of a turn on a few hundred workers.
         """
         now = self.now.steady
-        if worker.heat is None or now > worker.heat_at + HEAT_PERIOD:
-            worker.heat = heat_worker(self.sharing, worker, planned=True)
+        if worker.heat is None or now > worker.heat_at + UTILIZATION_MAX_AGE_S:
+            worker.heat = estimate_utilization(self.sharing, worker, planned=True)
             worker.heat_at = now
         return worker.heat
 
     def is_crowded(self, worker: Worker, cpu: int) -> bool:
         """Tell whether a worker's cores are in use, so that what fills would only be slowed."""
-        heat = self.heat(worker)
-        return heat.cores + cpu > FULL * heat.whole
+        utilization = self.utilization(worker)
+        return utilization.used + cpu > FULL * utilization.capacity
 
     def shortage(self, lasting: bool) -> Shortage:
         """Return what found no room; brief tasks leave out workers that are kept for large ones."""
@@ -275,15 +275,15 @@
 def _weigh_filling(round_: Round, worker: Worker, step: Step) -> float | None:
     """Return the cost of a place for a task that fills, None if it would do harm there."""
     sharing = round_.sharing
-    heat = round_.heat(worker)
-    asked = (heat.cores + step.cpu) / heat.whole
+    utilization = round_.utilization(worker)
+    asked = (utilization.used + step.cpu) / utilization.capacity
     cost = asked if asked <= 1.0 else 1.0 + CROWDED * (asked - 1.0)
-    if not heat.served:
+    if not utilization.services:
         return cost
-    pressure = predict_share(sharing, heat, step.image, step.cpu)
+    pressure = predict_share(sharing, utilization, step.image, step.cpu)
     if pressure > TOO_HOT:
         return None
-    rise = predict_rise(sharing, heat, step.image, step.cpu)
+    rise = predict_rise(sharing, utilization, step.image, step.cpu)
     return cost + HARM * max(0.0, pressure + rise - SAFE)
 
 
--- a/toucanpin/scheduling/pacing.py
+++ b/toucanpin/scheduling/pacing.py
@@ -12,7 +12,7 @@
 from toucanpin.scheduling.learning import FRESH, measure_loads
 from toucanpin.scheduling.orders import PaceOrder
 from toucanpin.scheduling.prediction import (
-    heat_worker,
+    estimate_utilization,
     measure_use,
     predict_rise,
     predict_rise_of,
@@ -92,9 +92,9 @@
     cell: Cell, fillers: list[Run], wholly: bool, sharing: Sharing, worker: Worker, now: Now
 ) -> None:
     """Have what fills leave a worker, or stand still there."""
-    heat = heat_worker(sharing, worker, planned=True)
+    utilization = estimate_utilization(sharing, worker, planned=True)
     for run in fillers:
-        rise = predict_rise(sharing, heat, run.step.image, run.step.cpu)
+        rise = predict_rise(sharing, utilization, run.step.image, run.step.cpu)
         if not wholly and rise < SLIGHT / 2:
             continue
         if run.step.checkpoints:
@@ -159,7 +159,10 @@
             more = run.step.cpu * (wanted - max(0, run.pace)) // 100
             if more <= 0:
                 break
-            if predict_share(sharing, heat_worker(sharing, worker), run.step.image, more) < AIM:
+            if (
+                predict_share(sharing, estimate_utilization(sharing, worker), run.step.image, more)
+                < AIM
+            ):
                 _set_pace(cell, run, wanted, now)
                 break
 
@@ -175,10 +178,10 @@
             continue
         if not has_room(other, run.step):
             continue
-        heat = heat_worker(sharing, other, planned=True)
-        if heat.cores + run.step.cpu >= CROWD * heat.whole:
+        utilization = estimate_utilization(sharing, other, planned=True)
+        if utilization.used + run.step.cpu >= CROWD * utilization.capacity:
             continue
-        if predict_share(sharing, heat, run.step.image, run.step.cpu) < BETTER:
+        if predict_share(sharing, utilization, run.step.image, run.step.cpu) < BETTER:
             return True
     return False
 
--- a/toucanpin/scheduling/prediction.py
+++ b/toucanpin/scheduling/prediction.py
@@ -7,14 +7,22 @@
 
 from __future__ import annotations
 
-from toucanpin.scheduling.heat import Heat, Served
 from toucanpin.scheduling.sharing import Sharing
+from toucanpin.scheduling.utilization import ServiceUtilization, WorkerUtilization
 from toucanpin.scheduling.worker import Run, Worker
 
-__all__ = ["heat_worker", "measure_use", "predict_rise", "predict_rise_of", "predict_share"]
+__all__ = [
+    "estimate_utilization",
+    "measure_use",
+    "predict_rise",
+    "predict_rise_of",
+    "predict_share",
+]
 
 
-def heat_worker(sharing: Sharing, worker: Worker, planned: bool = False) -> Heat:
+def estimate_utilization(
+    sharing: Sharing, worker: Worker, planned: bool = False
+) -> WorkerUtilization:
     """
     Sum up a worker as it is.
 
@@ -38,24 +46,26 @@
         if run.step.fills:
             amounts[run.step.image] = amounts.get(run.step.image, 0.0) + used / whole
     served = tuple(_sum_up(sharing, run, amounts, planned) for run in hottest.values())
-    return Heat(whole, cores, served)
+    return WorkerUtilization(whole, cores, served)
 
 
-def predict_share(sharing: Sharing, heat: Heat, image: str, cpu: float) -> float:
+def predict_share(
+    sharing: Sharing, utilization: WorkerUtilization, image: str, cpu: float
+) -> float:
     """Return the highest utilization with ``cpu`` of an image more, as a share of its limit."""
     highest = 0.0
-    for served in heat.served:
-        rise = served.load * sharing.effect(served.image, image) * cpu / heat.whole
-        share = (max(served.expected, served.measured) + rise) / served.limit
+    for service in utilization.services:
+        rise = service.load * sharing.effect(service.image, image) * cpu / utilization.capacity
+        share = (max(service.expected, service.measured) + rise) / service.limit
         highest = max(highest, share)
     return highest
 
 
-def predict_rise(sharing: Sharing, heat: Heat, image: str, cpu: float) -> float:
+def predict_rise(sharing: Sharing, utilization: WorkerUtilization, image: str, cpu: float) -> float:
     """Return the most that ``cpu`` of an image add to a serving task's utilization."""
     highest = 0.0
-    for served in heat.served:
-        rise = served.load * sharing.effect(served.image, image) * cpu / heat.whole
+    for service in utilization.services:
+        rise = service.load * sharing.effect(service.image, image) * cpu / utilization.capacity
         highest = max(highest, rise)
     return highest
 
@@ -77,8 +87,12 @@
     return run.measure or run.step.cpu
 
 
-def _sum_up(sharing: Sharing, run: Run, amounts: dict[str, float], planned: bool) -> Served:
+def _sum_up(
+    sharing: Sharing, run: Run, amounts: dict[str, float], planned: bool
+) -> ServiceUtilization:
     image = run.step.image
     growth = sum(share * sharing.effect(image, filling) for filling, share in amounts.items())
     load = sharing.planned_load(run) if planned else sharing.load(run)
-    return Served(image, load, load * (1 + growth), sharing.utilization(run), sharing.limit(run))
+    return ServiceUtilization(
+        image, load, load * (1 + growth), sharing.utilization(run), sharing.limit(run)
+    )
--- a/toucanpin/scheduling/tests/test_sharing.py
+++ b/toucanpin/scheduling/tests/test_sharing.py
@@ -11,7 +11,7 @@
 from toucanpin.scheduling.learning import MOST_SAMPLES, learn_effects, measure_loads
 from toucanpin.scheduling.orders import PaceOrder, StopOrder, WorkerEntry
 from toucanpin.scheduling.pacing import OVER_TOO_LONG, control_pace
-from toucanpin.scheduling.prediction import heat_worker, predict_share
+from toucanpin.scheduling.prediction import estimate_utilization, predict_share
 from toucanpin.scheduling.sharing import (
     AHEAD,
     CAUTION,
@@ -124,9 +124,9 @@
         self._add("w0", "s", SERVES, 0, _tail(0.4))
         self._observe(10.0)
         worker = self.cell.workers["w0"]
-        heat = heat_worker(self.sharing, worker)
-        alone = predict_share(self.sharing, heat, "batch", 0)
-        beside = predict_share(self.sharing, heat, "batch", 6_000)
+        utilization = estimate_utilization(self.sharing, worker)
+        alone = predict_share(self.sharing, utilization, "batch", 0)
+        beside = predict_share(self.sharing, utilization, "batch", 6_000)
         self.assertGreater(beside, alone)
 
     def test_a_harmful_task_that_can_resume_leaves(self) -> None:
--- a/toucanpin/scheduling/tests/test_turns.py
+++ b/toucanpin/scheduling/tests/test_turns.py
@@ -149,7 +149,9 @@
         place_tasks(self.fleet.cell, self.fleet.sharing, self.fleet.now())
         self.fleet.time += 0.01
         self._submit_fill("g1")
-        with patch.object(choosing, "heat_worker", wraps=choosing.heat_worker) as counted:
+        with patch.object(
+            choosing, "estimate_utilization", wraps=choosing.estimate_utilization
+        ) as counted:
             place_tasks(self.fleet.cell, self.fleet.sharing, self.fleet.now())
         self.assertEqual(0, counted.call_count)
 
@@ -158,7 +160,9 @@
         place_tasks(self.fleet.cell, self.fleet.sharing, self.fleet.now())
         self.fleet.time += 0.25
         self._submit_fill("g1")
-        with patch.object(choosing, "heat_worker", wraps=choosing.heat_worker) as counted:
+        with patch.object(
+            choosing, "estimate_utilization", wraps=choosing.estimate_utilization
+        ) as counted:
             place_tasks(self.fleet.cell, self.fleet.sharing, self.fleet.now())
         self.assertEqual(WORKERS, counted.call_count)
 
@@ -179,7 +183,9 @@
             place_tasks(self.fleet.cell, self.fleet.sharing, self.fleet.now())
             self.fleet.time += rest / 4
         turns = 40
-        with patch.object(choosing, "heat_worker", wraps=choosing.heat_worker) as counted:
+        with patch.object(
+            choosing, "estimate_utilization", wraps=choosing.estimate_utilization
+        ) as counted:
             for _ in range(turns):
                 self.fleet.time += rest / 4
                 place_tasks(self.fleet.cell, self.fleet.sharing, self.fleet.now())
--- a/toucanpin/scheduling/heat.py
+++ b/toucanpin/scheduling/utilization.py
@@ -9,11 +9,11 @@
 
 from dataclasses import dataclass
 
-__all__ = ["Heat", "Served"]
+__all__ = ["ServiceUtilization", "WorkerUtilization"]
 
 
 @dataclass(frozen=True, slots=True)
-class Served:
+class ServiceUtilization:
     """
     Hold how one serving job fares on a worker.
 
@@ -29,9 +29,9 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Heat:
+class WorkerUtilization:
     """Hold the cores of a worker, those in use, and how its serving jobs fare."""
 
-    whole: int
-    cores: float
-    served: tuple[Served, ...]
+    capacity: int
+    used: float
+    services: tuple[ServiceUtilization, ...]
--- a/toucanpin/scheduling/worker.py
+++ b/toucanpin/scheduling/worker.py
@@ -10,10 +10,10 @@
 import enum
 from dataclasses import dataclass, field
 
-from toucanpin.scheduling.heat import Heat
 from toucanpin.scheduling.job import Step, TaskKey
 from toucanpin.scheduling.orders import WorkerEntry
 from toucanpin.scheduling.progress import Doubt
+from toucanpin.scheduling.utilization import WorkerUtilization
 
 __all__ = [
     "Phase",
@@ -120,7 +120,7 @@
     yielding: dict[int, int] = field(default_factory=dict)  # by priority, of what may be stopped
     leaving: int = 0  # of what is being stopped
     # How it fares, as summed up at ``heat_at``, until something comes, goes or is measured.
-    heat: Heat | None = None
+    heat: WorkerUtilization | None = None
     heat_at: float = 0.0
 
     @property
