--- a/scenarios/control.py
+++ b/scenarios/control.py
@@ -17,7 +17,7 @@
 from toucanpin.placement.actions import Answer
 from toucanpin.placement.controller import release_all, take_turn
 from toucanpin.placement.queue import shape_cells
-from toucanpin.placement.records import Life
+from toucanpin.placement.records import ControllerId
 from toucanpin.placement.state import ControlState, View
 from toucanpin.placement.submission import Submission, cancel_job, submit_job
 
@@ -32,7 +32,7 @@
 
     def __init__(self, around: Surroundings, name: str, life: int, site: str) -> None:
         super().__init__(around, name, life, site)
-        self.state = ControlState(Life(name, life))
+        self.state = ControlState(ControllerId(name, life))
         self._draining = False
         self.after(around.kernel.random.uniform(0.0, TURN), self._turn)
 
@@ -97,11 +97,13 @@
             find = self.around.workers.get
             poll_worker(self, each.host.name, find, each.poll, partial(keep, place))
 
-    def _ask_standstill(self, holder: Life, peers: tuple[Life, ...], answer: Reply) -> None:
+    def _ask_standstill(
+        self, holder: ControllerId, peers: tuple[ControllerId, ...], answer: Reply
+    ) -> None:
         """Ask peers for their promise and answer when the last has answered."""
-        outcomes: dict[Life, bool] = {}
+        outcomes: dict[ControllerId, bool] = {}
 
-        def keep(peer: Life, outcome: object) -> None:
+        def keep(peer: ControllerId, outcome: object) -> None:
             """Keep one peer's word."""
             outcomes[peer] = outcome is True
             if len(outcomes) == len(peers):
@@ -111,7 +113,7 @@
             promise = partial(self._promise, peer, holder)
             self.call(peer.process, promise, partial(keep, peer), timeout=PROMISE_TIMEOUT)
 
-    def _promise(self, peer: Life, holder: Life) -> bool | Loss:
+    def _promise(self, peer: ControllerId, holder: ControllerId) -> bool | Loss:
         """Let a peer decide on a promise, if it is still in the life that was asked."""
         match self.around.peers.get(peer.process):
             case Control(state=state) as control if state.life == peer:
--- a/toucanpin/daemon/control.py
+++ b/toucanpin/daemon/control.py
@@ -31,7 +31,7 @@
 from toucanpin.placement.interfering import InterferingPlacement
 from toucanpin.placement.leases import Terms
 from toucanpin.placement.policy import Policy
-from toucanpin.placement.records import Life
+from toucanpin.placement.records import ControllerId
 from toucanpin.placement.state import ControlState, Pace, View
 from toucanpin.platform.ports import HostList, ListedHost, Report, Table, WorkerFault, Workers
 
@@ -43,7 +43,7 @@
 POLL_WAIT = 0.5
 STOP_STEP = 0.05
 
-AskPeers = Callable[[Life, tuple[Life, ...]], frozenset[Life]]
+AskPeers = Callable[[ControllerId, tuple[ControllerId, ...]], frozenset[ControllerId]]
 
 log = Logger("toucanpin.control")
 
@@ -111,7 +111,7 @@
         turn: float = TURN,
     ) -> None:
         """Connect the ports; nothing is asked before `start`."""
-        life = Life(process, incarnation)
+        life = ControllerId(process, incarnation)
         advice = policy or InterferingPlacement()
         self.state = ControlState(life, terms or Terms(), pace or Pace(), advice)
         self._table = table
@@ -149,7 +149,7 @@
         """Tell whether this process has authority and knows the host list."""
         return bool(self._listed) and self.state.authority.holds(time.monotonic())
 
-    def answer_standstill(self, holder: Life) -> bool:
+    def answer_standstill(self, holder: ControllerId) -> bool:
         """Promise not to fence a holder for one term, or refuse."""
         with self._lock:
             return self.state.watch.answer_standstill(holder, time.monotonic())
--- a/toucanpin/daemon/standstill.py
+++ b/toucanpin/daemon/standstill.py
@@ -15,7 +15,7 @@
 from toucanpin.daemon.gossip import Gossip
 from toucanpin.membership.incarnation import read_life
 from toucanpin.membership.member import Member
-from toucanpin.placement.records import Life
+from toucanpin.placement.records import ControllerId
 from toucanpin.wire.client import InnerClient
 from toucanpin.wire.messages import Envelope, Standstill, StandstillAnswer
 from toucanpin.wire.server import Handler
@@ -38,12 +38,14 @@
         self._client = client
         self._pool = ThreadPoolExecutor(MAX_CALLS, thread_name_prefix="standstill")
 
-    def ask_peers(self, holder: Life, peers: tuple[Life, ...]) -> frozenset[Life]:
+    def ask_peers(
+        self, holder: ControllerId, peers: tuple[ControllerId, ...]
+    ) -> frozenset[ControllerId]:
         """Return the peers that promise not to fence the holder."""
         answers = self._pool.map(lambda peer: self._ask(holder, peer), peers)
         return frozenset(peer for peer, promised in zip(peers, answers, strict=True) if promised)
 
-    def make_handler(self, answer: Callable[[Life], bool]) -> Handler:
+    def make_handler(self, answer: Callable[[ControllerId], bool]) -> Handler:
         """Build the handler that answers other processes."""
         term = self._term
 
@@ -56,12 +58,12 @@
             # taker could then start the same task elsewhere.
             if message.seconds > term:
                 return StandstillAnswer(False, f"terms differ: {message.seconds} s, here {term} s")
-            promised = answer(Life(envelope.sender, read_life(envelope.incarnation)))
+            promised = answer(ControllerId(envelope.sender, read_life(envelope.incarnation)))
             return StandstillAnswer(promised)
 
         return handle
 
-    def _ask(self, holder: Life, peer: Life) -> bool:
+    def _ask(self, holder: ControllerId, peer: ControllerId) -> bool:
         """Ask one life of a peer; a later life of the same name made no promise for it."""
         member = self._find(peer)
         if member is None:
@@ -76,7 +78,7 @@
                         )
         return False
 
-    def _find(self, peer: Life) -> Member | None:
+    def _find(self, peer: ControllerId) -> Member | None:
         """Find the member that is the peer."""
         for member in self._gossip.members():
             if member.name == peer.process and member.life == peer.incarnation:
--- a/toucanpin/placement/actions.py
+++ b/toucanpin/placement/actions.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 from typing import Any, TypeVar
 
-from toucanpin.placement.records import Life
+from toucanpin.placement.records import ControllerId
 from toucanpin.platform.ports import ListedHost, Poll, Transaction
 
 __all__ = [
@@ -72,8 +72,8 @@
 class AskStandstill:
     """Ask peers not to fence ``holder``; answered with the frozenset of lives that promised."""
 
-    holder: Life
-    peers: tuple[Life, ...]
+    holder: ControllerId
+    peers: tuple[ControllerId, ...]
 
 
 @dataclass(frozen=True, slots=True)
--- a/toucanpin/placement/authority.py
+++ b/toucanpin/placement/authority.py
@@ -20,7 +20,7 @@
 
 from toucanpin.placement.actions import AskStandstill, Commit, Decision, Note
 from toucanpin.placement.leases import Terms
-from toucanpin.placement.records import AuthorityRow, Life, authority_key, decode, encode
+from toucanpin.placement.records import AuthorityRow, ControllerId, authority_key, decode, encode
 from toucanpin.platform.ports import (
     ABSENT,
     Committed,
@@ -40,7 +40,7 @@
 class Authority:
     """Keep this life's own row and the end of what it may grant."""
 
-    def __init__(self, life: Life, terms: Terms) -> None:
+    def __init__(self, life: ControllerId, terms: Terms) -> None:
         """Start without authority."""
         self.life = life
         self.terms = terms
@@ -51,13 +51,15 @@
         self._renewal = 0
         self._renewed = 0.0
         self._next = 0.0
-        self._rosters: frozenset[Life] = frozenset()
+        self._rosters: frozenset[ControllerId] = frozenset()
 
     def holds(self, now: float) -> bool:
         """Tell whether leases may be granted."""
         return not self.fenced and now < self.until
 
-    def renew(self, now: float, roster: tuple[Life, ...], ceded: dict[str, int]) -> Decision[bool]:
+    def renew(
+        self, now: float, roster: tuple[ControllerId, ...], ceded: dict[str, int]
+    ) -> Decision[bool]:
         """
         Renew the row when it is due; go on by standstill promises if the table is out.
 
@@ -112,7 +114,7 @@
         limit = self._renewed + self.terms.long_hold
         if self.fenced or self._version == ABSENT or now >= self.until or now >= limit:
             return
-        promised: frozenset[Life] = frozenset()
+        promised: frozenset[ControllerId] = frozenset()
         if peers:
             answer = yield AskStandstill(self.life, peers)
             promised = answer.value
@@ -149,15 +151,15 @@
     are under way are therefore marked before the transaction is sent.
     """
 
-    def __init__(self, life: Life, terms: Terms) -> None:
+    def __init__(self, life: ControllerId, terms: Terms) -> None:
         """Start without having seen any row."""
         self.life = life
         self.terms = terms
         self.table_answers = False
         self.read_at = 0.0
-        self._seen: dict[Life, Seen] = {}
-        self._promised: dict[Life, float] = {}
-        self._fencing: dict[Life, int] = {}
+        self._seen: dict[ControllerId, Seen] = {}
+        self._promised: dict[ControllerId, float] = {}
+        self._fencing: dict[ControllerId, int] = {}
 
     def observe(self, rows: Iterable[Row], now: float) -> None:
         """Take in rows read at or before ``now``."""
@@ -167,17 +169,17 @@
             if seen is None or seen.version < row.version:
                 self._seen[stored.holder] = Seen(stored, row.version, now)
 
-    def unchanged(self, life: Life, now: float) -> float | None:
+    def unchanged(self, life: ControllerId, now: float) -> float | None:
         """Return for how many seconds a life's row has stood unchanged, None if never seen."""
         seen = self._seen.get(life)
         return None if seen is None else now - seen.since
 
-    def is_over(self, life: Life) -> bool:
+    def is_over(self, life: ControllerId) -> bool:
         """Tell whether a life's row says that it grants nothing any more."""
         seen = self._seen.get(life)
         return seen is not None and (seen.row.fenced or seen.row.released)
 
-    def has_ended(self, life: Life, cell: str, epoch: int, now: float) -> bool:
+    def has_ended(self, life: ControllerId, cell: str, epoch: int, now: float) -> bool:
         """Tell whether a life can certainly not renew a lease of a cell at an epoch any more."""
         seen = self._seen.get(life)
         if seen is None:
@@ -189,7 +191,7 @@
         # The long hold bounds every chain of promises, so it needs no place on the roster.
         return now - seen.since >= self.terms.stretch(self.terms.long_hold)
 
-    def may_fence(self, life: Life, now: float) -> bool:
+    def may_fence(self, life: ControllerId, now: float) -> bool:
         """Tell whether a life's authority has ended as far as this member of its roster knows."""
         seen = self._seen.get(life)
         if seen is None or seen.row.fenced or self.life not in seen.row.roster:
@@ -198,7 +200,7 @@
             return False
         return now - seen.since >= self.terms.stretch(self.terms.authority)
 
-    def fence(self, life: Life, now: float) -> Decision[None]:
+    def fence(self, life: ControllerId, now: float) -> Decision[None]:
         """Mark a life's row as fenced if it still stands as it was seen."""
         if not self.may_fence(life, now):
             return
@@ -221,7 +223,9 @@
             case Result(tag="error", error=Unavailable()):
                 del self._fencing[life]
 
-    def find_remains(self, now: float, there: frozenset[Life]) -> tuple[tuple[Life, int], ...]:
+    def find_remains(
+        self, now: float, there: frozenset[ControllerId]
+    ) -> tuple[tuple[ControllerId, int], ...]:
         """Return the lives, with the versions of their rows, that are gone for good."""
         gone = ((life, seen) for life, seen in self._seen.items() if life not in there)
         return tuple((life, seen.version) for life, seen in gone if self._is_gone(seen, now))
@@ -232,13 +236,13 @@
             wait = self.terms.authority
         return now - seen.since >= self.terms.stretch(wait)
 
-    def forget(self, life: Life) -> None:
+    def forget(self, life: ControllerId) -> None:
         """Drop a life whose row was deleted."""
         self._seen.pop(life, None)
         self._promised.pop(life, None)
         self._fencing.pop(life, None)
 
-    def answer_standstill(self, holder: Life, now: float) -> bool:
+    def answer_standstill(self, holder: ControllerId, now: float) -> bool:
         """Promise not to fence a holder for one term, unless the table can be read here."""
         seen = self._seen.get(holder)
         if self.table_answers or self._is_fencing(holder) or (seen and seen.row.fenced):
@@ -247,7 +251,7 @@
         self._promised[holder] = max(until, self._promised.get(holder, 0.0))
         return True
 
-    def _is_fencing(self, holder: Life) -> bool:
+    def _is_fencing(self, holder: ControllerId) -> bool:
         version = self._fencing.get(holder)
         if version is None:
             return False
--- a/toucanpin/placement/cells.py
+++ b/toucanpin/placement/cells.py
@@ -14,7 +14,7 @@
 from toucanpin.placement.authority import Watch
 from toucanpin.placement.leases import NO_GRANT, Grant, Terms, compute_grant
 from toucanpin.placement.queue import TaskQueue
-from toucanpin.placement.records import CellRow, Life, TaskRecord, WorkerRow, cell_key
+from toucanpin.placement.records import CellRow, ControllerId, TaskRecord, WorkerRow, cell_key
 from toucanpin.platform.ports import HostRole, ListedHost, Report, Size, TaskReport
 
 __all__ = ["Cell", "StopReason", "WorkerLife", "WorkerLink", "address_worker"]
@@ -196,7 +196,7 @@
             return False
         return not self.open_owners(watch, now)
 
-    def open_owners(self, watch: Watch, now: float) -> tuple[tuple[Life, int], ...]:
+    def open_owners(self, watch: Watch, now: float) -> tuple[tuple[ControllerId, int], ...]:
         """Return the earlier owners whose authority isn't proven to have ended."""
         return tuple(
             (life, epoch)
--- a/toucanpin/placement/ownership.py
+++ b/toucanpin/placement/ownership.py
@@ -24,7 +24,7 @@
     STANDING_PREFIX,
     CancelRow,
     CellRow,
-    Life,
+    ControllerId,
     QueueRow,
     StandingRow,
     WorkerRow,
@@ -166,7 +166,9 @@
             yield from _take(state, view, name, stored)
 
 
-def _is_free(state: ControlState, row: CellRow, lives: tuple[Life, ...], now: float) -> bool:
+def _is_free(
+    state: ControlState, row: CellRow, lives: tuple[ControllerId, ...], now: float
+) -> bool:
     """Tell whether a cell may be taken from its owner without disturbing a live one."""
     owner = row.owner
     if owner is None or owner == state.life:
--- a/toucanpin/placement/records.py
+++ b/toucanpin/placement/records.py
@@ -46,7 +46,7 @@
 JOB_PREFIX = "job/"
 
 
-class Life(msgspec.Struct, frozen=True, order=True):
+class ControllerId(msgspec.Struct, frozen=True, order=True):
     """Name one life of a process: its name and incarnation."""
 
     process: str
@@ -142,10 +142,10 @@
     """
 
     epoch: int
-    owner: Life | None
+    owner: ControllerId | None
     workers: dict[str, WorkerRow]
     tasks: dict[str, TaskRecord]
-    unproven: tuple[tuple[Life, int], ...] = ()
+    unproven: tuple[tuple[ControllerId, int], ...] = ()
 
 
 class JobRow(msgspec.Struct, frozen=True, omit_defaults=True):
@@ -183,9 +183,9 @@
     ``ceded`` holds the last own epoch of cells that are lost and whose own leases have all ended.
     """
 
-    holder: Life
+    holder: ControllerId
     renewal: int
-    roster: tuple[Life, ...]
+    roster: tuple[ControllerId, ...]
     fenced: bool = False
     released: bool = False
     ceded: dict[str, int] = {}
@@ -206,7 +206,7 @@
     return msgspec.json.decode(value, type=kind)
 
 
-def authority_key(life: Life) -> str:
+def authority_key(life: ControllerId) -> str:
     """Return the key of a life's authority row."""
     return f"{AUTHORITY_PREFIX}{life.process}/{life.incarnation}"
 
--- a/toucanpin/placement/state.py
+++ b/toucanpin/placement/state.py
@@ -17,7 +17,7 @@
 from toucanpin.placement.leases import Terms
 from toucanpin.placement.policy import Guarded, Policy, TightestFit
 from toucanpin.placement.queue import CellShape, name_cell, rank, shape_cells
-from toucanpin.placement.records import CellRow, Life, StandingRow
+from toucanpin.placement.records import CellRow, ControllerId, StandingRow
 from toucanpin.placement.writing import TableHealth
 from toucanpin.platform.ports import HostRole, ListedHost
 
@@ -74,11 +74,11 @@
             cells.setdefault(name_cell(host), []).append(host)
         return cells
 
-    def lives(self) -> tuple[Life, ...]:
+    def lives(self) -> tuple[ControllerId, ...]:
         """Return the control processes that membership believes to be there, suspects too."""
         return self._list_lives((Standing.ALIVE, Standing.SUSPECT))
 
-    def answering(self) -> tuple[Life, ...]:
+    def answering(self) -> tuple[ControllerId, ...]:
         """
         Return the control processes that are heard of.
 
@@ -87,9 +87,9 @@
         """
         return self._list_lives((Standing.ALIVE,))
 
-    def _list_lives(self, standings: tuple[Standing, ...]) -> tuple[Life, ...]:
+    def _list_lives(self, standings: tuple[Standing, ...]) -> tuple[ControllerId, ...]:
         chosen = (it for it in self.members if it.role == CONTROL_ROLE and it.standing in standings)
-        return tuple(sorted(Life(it.name, it.life) for it in chosen))
+        return tuple(sorted(ControllerId(it.name, it.life) for it in chosen))
 
 
 @dataclass(slots=True)
@@ -104,7 +104,7 @@
 class ControlState:
     """Hold one control process's authority, its cells and what it read of the others."""
 
-    life: Life
+    life: ControllerId
     terms: Terms = field(default_factory=Terms)
     pace: Pace = field(default_factory=Pace)
     policy: Policy = field(default_factory=TightestFit)
@@ -145,7 +145,7 @@
         self.sequence += 1
         return self.sequence
 
-    def prefers(self, cell: str, lives: tuple[Life, ...]) -> Life:
+    def prefers(self, cell: str, lives: tuple[ControllerId, ...]) -> ControllerId:
         """Return the life that should own a cell among those believed to be there."""
         names = {it.process: it for it in (*lives, self.life)}
         return names[max(names, key=lambda name: rank(cell, name))]
@@ -160,7 +160,7 @@
         quiet = self.terms.take_after + self.terms.renew_every
         return self.health.well_since > 0 and now < self.health.well_since + quiet
 
-    def able_lives(self, view: View) -> tuple[Life, ...]:
+    def able_lives(self, view: View) -> tuple[ControllerId, ...]:
         """
         Return the lives that may own cells: heard of, and renewing their authority.
 
@@ -172,7 +172,7 @@
             return lives
         return tuple(it for it in lives if self._renews(it, view.now))
 
-    def _renews(self, life: Life, now: float) -> bool:
+    def _renews(self, life: ControllerId, now: float) -> bool:
         unchanged = self.watch.unchanged(life, now)
         if unchanged is None or self.watch.is_over(life):
             return False
--- a/toucanpin/placement/tests/world.py
+++ b/toucanpin/placement/tests/world.py
@@ -36,7 +36,7 @@
 from toucanpin.placement.leases import Terms
 from toucanpin.placement.ledger import fits, used_by_worker
 from toucanpin.placement.queue import shape_cells
-from toucanpin.placement.records import CellRow, JobRow, JobState, Life, decode
+from toucanpin.placement.records import CellRow, ControllerId, JobRow, JobState, decode
 from toucanpin.placement.state import ControlState, Pace, View
 from toucanpin.placement.submission import Submission, submit_job
 from toucanpin.placement.tests.skew import Clock, SkewedCore
@@ -58,7 +58,7 @@
 class Process:
     """Run the turns of one control process, one action at a time."""
 
-    def __init__(self, world: World, life: Life) -> None:
+    def __init__(self, world: World, life: ControllerId) -> None:
         self.world = world
         self.life = life
         self.state = ControlState(life, TERMS, PACE)
@@ -161,7 +161,7 @@
 
     def add_process(self, name: str, incarnation: int) -> Process:
         """Start a control process; a second life takes the place of the first."""
-        process = self.processes[name] = Process(self, Life(name, incarnation))
+        process = self.processes[name] = Process(self, ControllerId(name, incarnation))
         return process
 
     def view(self, asker: Process) -> View:
@@ -201,7 +201,7 @@
             return Error(WorkerFault("cut off", False))
         return self.workers.poll(asked.host, asked.poll)
 
-    def _ask(self, process: Process, holder: Life, peer: Life) -> bool:
+    def _ask(self, process: Process, holder: ControllerId, peer: ControllerId) -> bool:
         other = self.processes.get(peer.process)
         if other is None or other.life != peer or other.killed_at is not None or other.paused:
             return False
--- a/toucanpin/placement/writing.py
+++ b/toucanpin/placement/writing.py
@@ -19,9 +19,9 @@
 from toucanpin.placement.lifecycle import Change
 from toucanpin.placement.records import (
     CellRow,
+    ControllerId,
     JobRow,
     JobState,
-    Life,
     QueueRow,
     WorkerRow,
     decode,
@@ -121,7 +121,7 @@
     changes: Sequence[Change] = (),
     workers: Mapping[str, WorkerRow | None] | None = None,
     epoch: int | None = None,
-    unproven: tuple[tuple[Life, int], ...] | None = None,
+    unproven: tuple[tuple[ControllerId, int], ...] | None = None,
 ) -> Decision[bool]:
     """
     Commit all changes of one group with the cell's row; tell whether that surely happened.
@@ -163,7 +163,7 @@
     changes: Sequence[Change],
     workers: Mapping[str, WorkerRow | None] | None,
     epoch: int | None,
-    unproven: tuple[tuple[Life, int], ...] | None,
+    unproven: tuple[tuple[ControllerId, int], ...] | None,
 ) -> CellRow:
     tasks = dict(row.tasks)
     for change in changes:
