--- a/toucanpin/placement/cells.py
+++ b/toucanpin/placement/cells.py
@@ -32,7 +32,7 @@
 
 
 @dataclass(slots=True)
-class WorkerLife:
+class WorkerIncarnation:
     """
     Bound the leases of one incarnation of a worker.
 
@@ -40,7 +40,7 @@
     once it has accepted a poll of this owner, since when it refuses those of earlier owners.
     """
 
-    ends: float = 0.0
+    lease_end: float = 0.0
     reached: bool = False
 
 
@@ -57,16 +57,16 @@
     next_poll: float = 0.0
     renewed: float = 0.0
     lapsed: bool = True
-    lives: dict[str, WorkerLife] = field(default_factory=dict)
+    incarnations: dict[str, WorkerIncarnation] = field(default_factory=dict)
     tasks: dict[tuple[str, int], TaskReport] = field(default_factory=dict)
     shares: dict[tuple[str, int], float] = field(default_factory=dict)
     unsent: set[tuple[str, int]] = field(default_factory=set)
     sampled: dict[str, float] = field(default_factory=dict)
     quarantined_at: float = 0.0
 
-    def life(self, incarnation: str) -> WorkerLife:
+    def incarnation_state(self, incarnation: str) -> WorkerIncarnation:
         """Return the bound of one incarnation."""
-        return self.lives.setdefault(incarnation, WorkerLife())
+        return self.incarnations.setdefault(incarnation, WorkerIncarnation())
 
     def limit(self, task: str, attempt: int, share: float) -> None:
         """Have an attempt limited to a share in the next poll and in each that is due later."""
@@ -78,14 +78,14 @@
         if not self.incarnation:
             return NO_GRANT
         grant = compute_grant(self.clock, self.received, until, terms)
-        life = self.life(self.incarnation)
-        life.ends = max(life.ends, grant.ends)
+        state = self.incarnation_state(self.incarnation)
+        state.lease_end = max(state.lease_end, grant.ends)
         return grant
 
     def take_report(self, report: Report, received: float) -> None:
         """Take in a report whose poll was accepted."""
         self.take_clock(report, received)
-        self.life(report.incarnation).reached = True
+        self.incarnation_state(report.incarnation).reached = True
         self.lapsed = report.lapsed
         self.tasks = {(it.task, it.attempt): it for it in report.tasks}
         self.shares = {key: it for key, it in self.shares.items() if key in self.tasks}
@@ -175,8 +175,8 @@
 
     def grants_end(self) -> float:
         """Return when every lease that was granted here has ended, on the own clock."""
-        lives = (life for link in self.links.values() for life in link.lives.values())
-        return max((life.ends for life in lives), default=0.0)
+        incarnations = (it for link in self.links.values() for it in link.incarnations.values())
+        return max((it.lease_end for it in incarnations), default=0.0)
 
     def has_stopped(self, worker: str, incarnation: str, watch: Watch, now: float) -> bool:
         """
@@ -185,10 +185,10 @@
         Nobody can have renewed its lease for a whole term: our own grants have ended, and if it has
         not refused earlier owners since we came, their authority has ended too.
         """
-        life = self.link(worker).life(incarnation)
-        if now < life.ends:
+        state = self.link(worker).incarnation_state(incarnation)
+        if now < state.lease_end:
             return False
-        return life.reached or self.is_proven(watch, now)
+        return state.reached or self.is_proven(watch, now)
 
     def is_proven(self, watch: Watch, now: float) -> bool:
         """Tell whether no earlier owner can renew a lease here."""
--- a/toucanpin/placement/placing.py
+++ b/toucanpin/placement/placing.py
@@ -142,7 +142,7 @@
 
 def _is_ready(link: WorkerLink, now: float, poll: float) -> bool:
     heard = not link.failed and link.incarnation and now - link.received <= 3 * poll
-    return bool(heard) and link.life(link.incarnation).reached
+    return bool(heard) and link.incarnation_state(link.incarnation).reached
 
 
 def choose_places(state: ControlState, cell: Cell, view: View, quotas: Quotas) -> Iterator[Change]:
--- a/toucanpin/placement/tests/test_owners.py
+++ b/toucanpin/placement/tests/test_owners.py
@@ -3,7 +3,7 @@
 import unittest
 
 from toucanpin.placement.actions import Commit, Note
-from toucanpin.placement.cells import WorkerLife
+from toucanpin.placement.cells import WorkerIncarnation
 from toucanpin.placement.queue import rank
 from toucanpin.placement.records import JobState
 from toucanpin.placement.tests.helpers import (
@@ -254,11 +254,11 @@
         (name,) = world.running("enc")
         cell = next(it for it in owner.state.cells.values() if name in it.row.workers)
         link = cell.link(name)
-        link.lives["1"] = WorkerLife(ends=world.now + 5, reached=True)
+        link.incarnations["1"] = WorkerIncarnation(lease_end=world.now + 5, reached=True)
         watch = owner.state.watch
         self.assertFalse(cell.has_stopped(name, "1", watch, world.now))
         self.assertTrue(cell.has_stopped(name, "1", watch, world.now + 5))
-        link.lives["1"] = WorkerLife(ends=0.0, reached=False)
+        link.incarnations["1"] = WorkerIncarnation(lease_end=0.0, reached=False)
         cell.released_bound = world.now + 7
         self.assertFalse(cell.has_stopped(name, "1", watch, world.now + 5))
         self.assertTrue(cell.has_stopped(name, "1", watch, world.now + 7))
