--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -215,7 +215,7 @@
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
     # Everything is read and reported anew, so the state is built under the measurement.
-    process = meter.world.add_process(meter.process.life.process, 2)
+    process = meter.world.add_process(meter.process.controller_id.process, 2)
     meter.process.killed_at = meter.world.now
     meter.process = process
     for _ in range(hosts // HOSTS_EACH_RACK // 8 + 60):
--- a/scenarios/control.py
+++ b/scenarios/control.py
@@ -116,7 +116,7 @@
     def _promise(self, peer: ControllerId, holder: ControllerId) -> bool | Loss:
         """Let a peer decide on a promise, if it is still in the life that was asked."""
         match self.around.peers.get(peer.process):
-            case Control(state=state) as control if state.life == peer:
+            case Control(state=state) as control if state.controller_id == peer:
                 return state.watch.answer_standstill(holder, control.read_clock())
             case _:
                 return Loss("another life", sent=True)
--- a/toucanpin/placement/authority.py
+++ b/toucanpin/placement/authority.py
@@ -40,9 +40,9 @@
 class Authority:
     """Keep this life's own row and the end of what it may grant."""
 
-    def __init__(self, life: ControllerId, terms: Terms) -> None:
+    def __init__(self, controller_id: ControllerId, terms: Terms) -> None:
         """Start without authority."""
-        self.life = life
+        self.controller_id = controller_id
         self.terms = terms
         self.until = 0.0
         self.fenced = False
@@ -68,9 +68,12 @@
         if now < self._next:
             return False
         self._renewal += 1
-        row = AuthorityRow(self.life, self._renewal, roster, ceded=ceded)
-        token = f"{self.life.process}/{self.life.incarnation}/renew/{self._renewal}"
-        write = Write(authority_key(self.life), self._version, encode(row))
+        row = AuthorityRow(self.controller_id, self._renewal, roster, ceded=ceded)
+        token = (
+            f"{self.controller_id.process}/{self.controller_id.incarnation}/"
+            f"renew/{self._renewal}"
+        )
+        write = Write(authority_key(self.controller_id), self._version, encode(row))
         # A write whose answer is lost may take effect, also later: until a renewal surely succeeds
         # the lives of every roster that may stand in the row have to promise.
         self._rosters |= frozenset(roster)
@@ -106,17 +109,17 @@
             if stored.fenced:
                 self.fenced = True
                 self.until = 0.0
-                yield Note("authority.fenced", {}, self.life.process)
+                yield Note("authority.fenced", {}, self.controller_id.process)
 
     def _stand_still(self, now: float) -> Decision[None]:
         """Go on for a term if every life that could fence us has promised not to."""
-        peers = tuple(sorted(self._rosters - {self.life}))
+        peers = tuple(sorted(self._rosters - {self.controller_id}))
         limit = self._renewed + self.terms.long_hold
         if self.fenced or self._version == ABSENT or now >= self.until or now >= limit:
             return
         promised: frozenset[ControllerId] = frozenset()
         if peers:
-            answer = yield AskStandstill(self.life, peers)
+            answer = yield AskStandstill(self.controller_id, peers)
             promised = answer.value
         if promised >= frozenset(peers):
             # Counted from before the question, the promise began later and ends later for them.
@@ -128,9 +131,9 @@
     def release(self) -> Decision[None]:
         """Give up all authority, after the cells were released."""
         self.until = 0.0
-        row = AuthorityRow(self.life, self._renewal + 1, (), released=True)
-        write = Write(authority_key(self.life), self._version, encode(row))
-        token = f"{self.life.process}/{self.life.incarnation}/release"
+        row = AuthorityRow(self.controller_id, self._renewal + 1, (), released=True)
+        write = Write(authority_key(self.controller_id), self._version, encode(row))
+        token = f"{self.controller_id.process}/{self.controller_id.incarnation}/release"
         yield Commit(Transaction(token, (write,)))
 
 
@@ -151,9 +154,9 @@
     are under way are therefore marked before the transaction is sent.
     """
 
-    def __init__(self, life: ControllerId, terms: Terms) -> None:
+    def __init__(self, controller_id: ControllerId, terms: Terms) -> None:
         """Start without having seen any row."""
-        self.life = life
+        self.controller_id = controller_id
         self.terms = terms
         self.table_answers = False
         self.read_at = 0.0
@@ -169,19 +172,19 @@
             if seen is None or seen.version < row.version:
                 self._seen[stored.holder] = Seen(stored, row.version, now)
 
-    def unchanged(self, life: ControllerId, now: float) -> float | None:
+    def unchanged(self, controller: ControllerId, now: float) -> float | None:
         """Return for how many seconds a life's row has stood unchanged, None if never seen."""
-        seen = self._seen.get(life)
+        seen = self._seen.get(controller)
         return None if seen is None else now - seen.since
 
-    def is_over(self, life: ControllerId) -> bool:
+    def is_over(self, controller: ControllerId) -> bool:
         """Tell whether a life's row says that it grants nothing any more."""
-        seen = self._seen.get(life)
+        seen = self._seen.get(controller)
         return seen is not None and (seen.row.fenced or seen.row.released)
 
-    def has_ended(self, life: ControllerId, cell: str, epoch: int, now: float) -> bool:
+    def has_ended(self, controller: ControllerId, cell: str, epoch: int, now: float) -> bool:
         """Tell whether a life can certainly not renew a lease of a cell at an epoch any more."""
-        seen = self._seen.get(life)
+        seen = self._seen.get(controller)
         if seen is None:
             return False
         if seen.row.fenced or seen.row.ceded.get(cell, 0) >= epoch:
@@ -191,44 +194,51 @@
         # The long hold bounds every chain of promises, so it needs no place on the roster.
         return now - seen.since >= self.terms.stretch(self.terms.long_hold)
 
-    def may_fence(self, life: ControllerId, now: float) -> bool:
+    def may_fence(self, controller: ControllerId, now: float) -> bool:
         """Tell whether a life's authority has ended as far as this member of its roster knows."""
-        seen = self._seen.get(life)
-        if seen is None or seen.row.fenced or self.life not in seen.row.roster:
+        seen = self._seen.get(controller)
+        if seen is None or seen.row.fenced or self.controller_id not in seen.row.roster:
             return False
-        if now < self._promised.get(life, 0.0):
+        if now < self._promised.get(controller, 0.0):
             return False
         return now - seen.since >= self.terms.stretch(self.terms.authority)
 
-    def fence(self, life: ControllerId, now: float) -> Decision[None]:
+    def fence(self, controller: ControllerId, now: float) -> Decision[None]:
         """Mark a life's row as fenced if it still stands as it was seen."""
-        if not self.may_fence(life, now):
+        if not self.may_fence(controller, now):
             return
-        seen = self._seen[life]
+        seen = self._seen[controller]
         fenced = AuthorityRow(
-            life, seen.row.renewal, seen.row.roster, fenced=True, ceded=seen.row.ceded
+            controller, seen.row.renewal, seen.row.roster, fenced=True, ceded=seen.row.ceded
+        )
+        token = (
+            f"{self.controller_id.process}/{self.controller_id.incarnation}/"
+            f"fence/{controller.process}/{seen.version}"
         )
-        token = f"{self.life.process}/{self.life.incarnation}/fence/{life.process}/{seen.version}"
-        write = Write(authority_key(life), seen.version, encode(fenced))
+        write = Write(authority_key(controller), seen.version, encode(fenced))
         # A promise given while this write is under way, or after its answer was lost, would be
         # broken by the write: the mark stays until the row is seen at another version.
-        self._fencing[life] = seen.version
+        self._fencing[controller] = seen.version
         answer = yield Commit(Transaction(token, (write,)))
         match answer.value:
             case Result(tag="ok", ok=Committed(version)):
-                self._seen[life] = Seen(fenced, version, answer.now)
-                yield Note("authority.fence", {}, life.process)
+                self._seen[controller] = Seen(fenced, version, answer.now)
+                yield Note("authority.fence", {}, controller.process)
             case Result(tag="error", error=Conflict(rows)):
                 self.observe((row for row in rows if row.version != ABSENT), answer.now)
             case Result(tag="error", error=Unavailable()):
-                del self._fencing[life]
+                del self._fencing[controller]
 
     def find_remains(
         self, now: float, there: frozenset[ControllerId]
     ) -> tuple[tuple[ControllerId, int], ...]:
         """Return the lives, with the versions of their rows, that are gone for good."""
-        gone = ((life, seen) for life, seen in self._seen.items() if life not in there)
-        return tuple((life, seen.version) for life, seen in gone if self._is_gone(seen, now))
+        gone = (
+            (controller, seen) for controller, seen in self._seen.items() if controller not in there
+        )
+        return tuple(
+            (controller, seen.version) for controller, seen in gone if self._is_gone(seen, now)
+        )
 
     def _is_gone(self, seen: Seen, now: float) -> bool:
         wait = self.terms.long_hold
@@ -236,11 +246,11 @@
             wait = self.terms.authority
         return now - seen.since >= self.terms.stretch(wait)
 
-    def forget(self, life: ControllerId) -> None:
+    def forget(self, controller: ControllerId) -> None:
         """Drop a life whose row was deleted."""
-        self._seen.pop(life, None)
-        self._promised.pop(life, None)
-        self._fencing.pop(life, None)
+        self._seen.pop(controller, None)
+        self._promised.pop(controller, None)
+        self._fencing.pop(controller, None)
 
     def answer_standstill(self, holder: ControllerId, now: float) -> bool:
         """Promise not to fence a holder for one term, unless the table can be read here."""
--- a/toucanpin/placement/cells.py
+++ b/toucanpin/placement/cells.py
@@ -17,7 +17,7 @@
 from toucanpin.placement.records import CellRow, ControllerId, TaskRecord, WorkerRow, cell_key
 from toucanpin.platform.ports import HostRole, ListedHost, Report, Size, TaskReport
 
-__all__ = ["Cell", "StopReason", "WorkerLife", "WorkerLink", "address_worker"]
+__all__ = ["Cell", "StopReason", "WorkerIncarnation", "WorkerLink", "address_worker"]
 
 MAX_DOUBLINGS = 16
 
@@ -199,9 +199,9 @@
     def open_owners(self, watch: Watch, now: float) -> tuple[tuple[ControllerId, int], ...]:
         """Return the earlier owners whose authority isn't proven to have ended."""
         return tuple(
-            (life, epoch)
-            for life, epoch in self.row.unproven
-            if not watch.has_ended(life, self.name, epoch, now)
+            (controller, epoch)
+            for controller, epoch in self.row.unproven
+            if not watch.has_ended(controller, self.name, epoch, now)
         )
 
 
--- a/toucanpin/placement/controller.py
+++ b/toucanpin/placement/controller.py
@@ -76,10 +76,15 @@
     that is on it can prove the end before the long hold.
     """
     rows = (stored.row for stored in state.stored.values())
-    owners = {life for row in rows for life, _ in row.unproven if life != state.life}
-    for life in sorted(owners):
+    owners = {
+        controller
+        for row in rows
+        for controller, _ in row.unproven
+        if controller != state.controller_id
+    }
+    for controller in sorted(owners):
         if state.health.may_commit():
-            yield from state.watch.fence(life, view.now)
+            yield from state.watch.fence(controller, view.now)
 
 
 def release_all(state: ControlState) -> Decision[None]:
--- a/toucanpin/placement/ownership.py
+++ b/toucanpin/placement/ownership.py
@@ -120,7 +120,7 @@
 
 def _adopt_row(state: ControlState, cell: Cell, stored: StoredCell) -> Decision[None]:
     """Go on from a cell's row as it stands, or let the cell go."""
-    if stored.row.owner != state.life or stored.row.epoch < cell.row.epoch:
+    if stored.row.owner != state.controller_id or stored.row.epoch < cell.row.epoch:
         yield from lose_cell(state, cell, stored.row.epoch - 1)
         return
     if stored.version != cell.version:
@@ -157,7 +157,7 @@
     listed = {shape.name for shape in view.shapes}
     used = {name for name, it in state.stored.items() if it.row.tasks or it.row.owner is not None}
     for name in sorted(listed | used):
-        if name in state.cells or state.prefers(name, able) != state.life:
+        if name in state.cells or state.prefers(name, able) != state.controller_id:
             continue
         stored = state.stored.get(name)
         if stored is not None and not _is_free(state, stored.row, lives, view.now):
@@ -171,7 +171,7 @@
 ) -> bool:
     """Tell whether a cell may be taken from its owner without disturbing a live one."""
     owner = row.owner
-    if owner is None or owner == state.life:
+    if owner is None or owner == state.controller_id:
         return True
     if state.is_quiet(now):
         return False
@@ -189,22 +189,25 @@
     """Write ourselves into a cell's row as its owner, with a higher epoch."""
     before = stored.row if stored else CellRow(0, None, {}, {})
     unproven = tuple(
-        (life, epoch)
-        for life, epoch in before.unproven
-        if not state.watch.has_ended(life, name, epoch, view.now)
+        (controller, epoch)
+        for controller, epoch in before.unproven
+        if not state.watch.has_ended(controller, name, epoch, view.now)
     )
-    if before.owner is not None and before.owner != state.life:
+    if before.owner is not None and before.owner != state.controller_id:
         unproven = (*unproven, (before.owner, before.epoch))
     row = msgspec.structs.replace(
         before,
         epoch=before.epoch + 1,
-        owner=state.life,
+        owner=state.controller_id,
         unproven=unproven,
         workers={**before.workers, **list_workers(before, view, name)},
     )
     cell = Cell(name, row, ABSENT)
     version = stored.version if stored else ABSENT
-    token = f"{name}/{row.epoch}/take/{state.life.process}/{state.life.incarnation}"
+    token = (
+        f"{name}/{row.epoch}/take/"
+        f"{state.controller_id.process}/{state.controller_id.incarnation}"
+    )
     state.health.count()
     answer = yield Commit(Transaction(token, (Write(cell.key, version, encode(row)),)))
     match answer.value:
@@ -249,18 +252,23 @@
 def collect_lives(state: ControlState, view: View) -> Decision[None]:
     """Delete the authority rows of lives that are gone and that no cell refers to."""
     rows = [stored.row for stored in state.stored.values()]
-    used = {row.owner for row in rows} | {life for row in rows for life, _ in row.unproven}
-    there = frozenset(view.lives()) | {state.life}
-    for life, version in state.watch.find_remains(view.now, there):
-        if life in used or not state.health.may_commit():
+    used = {row.owner for row in rows} | {
+        controller for row in rows for controller, _ in row.unproven
+    }
+    there = frozenset(view.lives()) | {state.controller_id}
+    for controller, version in state.watch.find_remains(view.now, there):
+        if controller in used or not state.health.may_commit():
             continue
         state.health.count()
-        write = Write(authority_key(life), version, None)
-        token = f"{state.life.process}/{state.life.incarnation}/collect/{life.process}/{version}"
+        write = Write(authority_key(controller), version, None)
+        token = (
+            f"{state.controller_id.process}/{state.controller_id.incarnation}/"
+            f"collect/{controller.process}/{version}"
+        )
         answer = yield Commit(Transaction(token, (write,)))
         match answer.value:
             case Result(tag="ok") | Result(tag="error", error=Conflict()):
-                state.watch.forget(life)
+                state.watch.forget(controller)
             case _:
                 state.health.fail()
 
@@ -300,7 +308,7 @@
     """Release the cells that another live process should own for some time now."""
     able = state.able_lives(view)
     for cell in list(state.cells.values()):
-        if state.prefers(cell.name, able) == state.life:
+        if state.prefers(cell.name, able) == state.controller_id:
             cell.unwanted_since = None
             continue
         if cell.unwanted_since is None:
@@ -309,8 +317,8 @@
             yield from release_cell(state, cell)
     for name, stored in list(state.stored.items()):
         # The answer of an earlier release was lost and the row shows that it had no effect.
-        left = stored.row.owner == state.life and name not in state.cells
-        if left and state.prefers(name, able) != state.life and state.health.may_commit():
+        left = stored.row.owner == state.controller_id and name not in state.cells
+        if left and state.prefers(name, able) != state.controller_id and state.health.may_commit():
             yield from _write_release(state, name, stored)
 
 
--- a/toucanpin/placement/placing.py
+++ b/toucanpin/placement/placing.py
@@ -318,7 +318,7 @@
     for waiting, target in moves:
         payload = cell.payloads.get(waiting.record.task, b"")
         writes.extend(lifecycle.move(cell.name, waiting, target, payload))
-    token = f"{cell.name}/move/{state.life.process}/{state.next_sequence()}"
+    token = f"{cell.name}/move/{state.controller_id.process}/{state.next_sequence()}"
     state.health.count()
     answer = yield Commit(Transaction(token, tuple(writes)))
     match answer.value:
--- a/toucanpin/placement/records.py
+++ b/toucanpin/placement/records.py
@@ -21,7 +21,7 @@
     "CellRow",
     "JobRow",
     "JobState",
-    "Life",
+    "ControllerId",
     "QueueRow",
     "StandingRow",
     "TaskRecord",
@@ -206,9 +206,9 @@
     return msgspec.json.decode(value, type=kind)
 
 
-def authority_key(life: ControllerId) -> str:
+def authority_key(controller: ControllerId) -> str:
     """Return the key of a life's authority row."""
-    return f"{AUTHORITY_PREFIX}{life.process}/{life.incarnation}"
+    return f"{AUTHORITY_PREFIX}{controller.process}/{controller.incarnation}"
 
 
 def cell_key(cell: str) -> str:
--- a/toucanpin/placement/state.py
+++ b/toucanpin/placement/state.py
@@ -104,7 +104,7 @@
 class ControlState:
     """Hold one control process's authority, its cells and what it read of the others."""
 
-    life: ControllerId
+    controller_id: ControllerId
     terms: Terms = field(default_factory=Terms)
     pace: Pace = field(default_factory=Pace)
     policy: Policy = field(default_factory=TightestFit)
@@ -126,8 +126,8 @@
 
     def __post_init__(self) -> None:
         """Build the parts that depend on this life."""
-        self.authority = Authority(self.life, self.terms)
-        self.watch = Watch(self.life, self.terms)
+        self.authority = Authority(self.controller_id, self.terms)
+        self.watch = Watch(self.controller_id, self.terms)
         self.health = TableHealth(self.pace.commits_each_turn)
         self.policy = Guarded(self.policy)
 
@@ -147,7 +147,7 @@
 
     def prefers(self, cell: str, lives: tuple[ControllerId, ...]) -> ControllerId:
         """Return the life that should own a cell among those believed to be there."""
-        names = {it.process: it for it in (*lives, self.life)}
+        names = {it.process: it for it in (*lives, self.controller_id)}
         return names[max(names, key=lambda name: rank(cell, name))]
 
     def is_quiet(self, now: float) -> bool:
@@ -172,9 +172,9 @@
             return lives
         return tuple(it for it in lives if self._renews(it, view.now))
 
-    def _renews(self, life: ControllerId, now: float) -> bool:
-        unchanged = self.watch.unchanged(life, now)
-        if unchanged is None or self.watch.is_over(life):
+    def _renews(self, controller: ControllerId, now: float) -> bool:
+        unchanged = self.watch.unchanged(controller, now)
+        if unchanged is None or self.watch.is_over(controller):
             return False
         return unchanged < self.terms.silence()
 
--- a/toucanpin/placement/tests/test_interfering.py
+++ b/toucanpin/placement/tests/test_interfering.py
@@ -171,7 +171,7 @@
         """
         world = World()
         for process in world.processes.values():
-            process.state = ControlState(process.life, TERMS, PACE, FaultyPolicy())
+            process.state = ControlState(process.controller_id, TERMS, PACE, FaultyPolicy())
         world.set_standing(2, "enc")
         world.run(2)
         world.submit("a", work=3_000)
--- a/toucanpin/placement/tests/test_life.py
+++ b/toucanpin/placement/tests/test_life.py
@@ -55,7 +55,7 @@
         match fault:
             case "kill owner":
                 owner.killed_at = world.now
-                world.add_process(owner.life.process, owner.life.incarnation + 1)
+                world.add_process(owner.controller_id.process, owner.controller_id.incarnation + 1)
             case "freeze owner":
                 owner.paused = True
                 world.run(12)
--- a/toucanpin/placement/tests/test_outages.py
+++ b/toucanpin/placement/tests/test_outages.py
@@ -56,9 +56,9 @@
         other = next(it for it in world.processes.values() if it is not owner)
         worker = world.running("enc")[0]
         for operation in TABLE:
-            world.fault(Effect.DOWN, operation, owner.life.process)
-        owner.cut_peers.add(other.life.process)
-        world.cut(other.life.process, worker)
+            world.fault(Effect.DOWN, operation, owner.controller_id.process)
+        owner.cut_peers.add(other.controller_id.process)
+        world.cut(other.controller_id.process, worker)
         world.run(40)
         self.assertEqual(len(world.running("enc")), 1)
         self.assertNotEqual(world.running("enc"), [worker])
--- a/toucanpin/placement/tests/test_owners.py
+++ b/toucanpin/placement/tests/test_owners.py
@@ -108,8 +108,8 @@
         other = next(it for it in world.processes.values() if it is not owner)
         worker = world.running("enc")[0]
         for operation in TABLE:
-            world.fault(Effect.DOWN, operation, owner.life.process)
-        world.cut(other.life.process, worker)
+            world.fault(Effect.DOWN, operation, owner.controller_id.process)
+        world.cut(other.controller_id.process, worker)
         world.run(40)
         self.assertEqual(len(world.running("enc")), 1)
         self.assertNotEqual(world.running("enc"), [worker])
@@ -148,19 +148,19 @@
             owner.step()
         owner.paused = True
         worker = world.cells()["s.r0"].tasks[status.job].worker
-        world.cut(other.life.process, worker)
+        world.cut(other.controller_id.process, worker)
         world.run(25)
         self.assertEqual(len(world.running(status.job)), 1)
         owner.paused = False
         for name in world.cores:
-            world.cut(owner.life.process, name)
+            world.cut(owner.controller_id.process, name)
         owner.finish_turn()
         world.pass_time(0.6)
         world.heal()
-        world.cut(other.life.process, worker)
-        world.cut(owner.life.process, next(it for it in world.cores if it != worker))
+        world.cut(other.controller_id.process, worker)
+        world.cut(owner.controller_id.process, next(it for it in world.cores if it != worker))
         for operation in ("read", "scan"):
-            world.fault(Effect.DOWN, operation, owner.life.process)
+            world.fault(Effect.DOWN, operation, owner.controller_id.process)
         world.run(1.75)
         self.assertTrue(owner.state.authority.holds(owner.now))
         self.assertEqual(len(world.running(status.job)), 1)
@@ -178,18 +178,18 @@
         world.run(8)
         second = world.add_process(names[1], 1)
         (worker,) = world.running("enc")
-        world.cut(second.life.process, worker)
-        world.cut(first.life.process, next(it for it in world.cores if it != worker))
+        world.cut(second.controller_id.process, worker)
+        world.cut(first.controller_id.process, next(it for it in world.cores if it != worker))
         while not (
             isinstance(first.action, Commit) and "release" in first.action.transaction.token
         ):
             world.pass_time(0.02)
             first.step()
             second.finish_turn()
-        world.fault(Effect.LOSE_AFTER, "commit", first.life.process, 1)
+        world.fault(Effect.LOSE_AFTER, "commit", first.controller_id.process, 1)
         first.step()
         for operation in TABLE:
-            world.fault(Effect.DOWN, operation, first.life.process)
+            world.fault(Effect.DOWN, operation, first.controller_id.process)
         world.run(40)
         self.assertEqual(len(world.running("enc")), 1)
         self.assertEqual(len(find_gaps(world, "enc")), 1)
--- a/toucanpin/placement/tests/test_random.py
+++ b/toucanpin/placement/tests/test_random.py
@@ -82,7 +82,7 @@
         name = f"e{process}/control"
         old = self.world.processes[name]
         old.killed_at = self.world.now
-        self.world.add_process(name, old.life.incarnation + 1)
+        self.world.add_process(name, old.controller_id.incarnation + 1)
 
     @rule(
         effect=st.sampled_from([Effect.DOWN, Effect.LOSE_AFTER, Effect.LOSE_BEFORE]),
--- a/toucanpin/placement/tests/world.py
+++ b/toucanpin/placement/tests/world.py
@@ -58,10 +58,10 @@
 class Process:
     """Run the turns of one control process, one action at a time."""
 
-    def __init__(self, world: World, life: ControllerId) -> None:
+    def __init__(self, world: World, controller_id: ControllerId) -> None:
         self.world = world
-        self.life = life
-        self.state = ControlState(life, TERMS, PACE)
+        self.controller_id = controller_id
+        self.state = ControlState(controller_id, TERMS, PACE)
         self.clock = Clock(len(world.processes) + 1)
         self.turn: Any = None
         self.action: Any = None
@@ -160,14 +160,22 @@
         self.hosts.append(host)
 
     def add_process(self, name: str, incarnation: int) -> Process:
-        """Start a control process; a second life takes the place of the first."""
+        """Start a control process; a second incarnation takes the place of the first."""
         process = self.processes[name] = Process(self, ControllerId(name, incarnation))
         return process
 
     def view(self, asker: Process) -> View:
         """Return what a process believes; the death of another is noticed after a while."""
         members = tuple(
-            Member(name, name, "s", "control", number_life(it.life.incarnation), "127.0.0.1", 1)
+            Member(
+                name,
+                name,
+                "s",
+                "control",
+                number_life(it.controller_id.incarnation),
+                "127.0.0.1",
+                1,
+            )
             for name, it in self.processes.items()
             if it.silent_since is None or self.now - it.silent_since < NOTICE
         )
@@ -175,7 +183,7 @@
 
     def perform(self, process: Process, action: Any) -> Any:
         """Carry out one action with the ports of a process."""
-        client = process.life.process
+        client = process.controller_id.process
         table = MemoryTable(self.table, self.line, client)
         match action:
             case Commit(transaction):
@@ -203,9 +211,14 @@
 
     def _ask(self, process: Process, holder: ControllerId, peer: ControllerId) -> bool:
         other = self.processes.get(peer.process)
-        if other is None or other.life != peer or other.killed_at is not None or other.paused:
+        if (
+            other is None
+            or other.controller_id != peer
+            or other.killed_at is not None
+            or other.paused
+        ):
             return False
-        if peer.process in process.cut_peers or process.life.process in other.cut_peers:
+        if peer.process in process.cut_peers or process.controller_id.process in other.cut_peers:
             return False
         return other.state.watch.answer_standstill(holder, other.now)
 
@@ -297,7 +310,7 @@
         self.workers.lost.add(name)
 
     def replace_worker(self, name: str) -> None:
-        """Start a new life of a worker that was lost."""
+        """Start a new incarnation of a worker that was lost."""
         old = self.cores[name]
         self.retired.append((old, self.dead_workers.pop(name, self.now)))
         number = list(self.cores).index(name) + 1
