--- a/tools/openapi.py
+++ b/tools/openapi.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from toucanpin.placement.inquiry import JobStatus, StandingStatus
+from toucanpin.placement.jobs import JobStatus, StandingStatus
 from toucanpin.placement.submission import Submission
 from toucanpin.verdict import Reason
 
--- a/toucanpin/daemon/jobs.py
+++ b/toucanpin/daemon/jobs.py
@@ -21,7 +21,7 @@
 from toucanpin.daemon.parts import BundleView
 from toucanpin.daemon.web import answer_refusal
 from toucanpin.placement.actions import Decision
-from toucanpin.placement.inquiry import (
+from toucanpin.placement.jobs import (
     JobFilter,
     JobStatus,
     cancel_job,
--- a/toucanpin/placement/submission.py
+++ b/toucanpin/placement/submission.py
@@ -16,7 +16,7 @@
 
 from toucanpin.bundles.schema import Bundle
 from toucanpin.placement.actions import Commit, Decision
-from toucanpin.placement.inquiry import (
+from toucanpin.placement.jobs import (
     JobStatus,
     StandingStatus,
     cancel_job,
--- a/toucanpin/placement/tests/world.py
+++ b/toucanpin/placement/tests/world.py
@@ -32,7 +32,7 @@
     Scan,
 )
 from toucanpin.placement.controller import release_all, take_turn
-from toucanpin.placement.inquiry import cancel_job
+from toucanpin.placement.jobs import cancel_job
 from toucanpin.placement.leases import Terms
 from toucanpin.placement.ledger import fits, used_by_worker
 from toucanpin.placement.queue import shape_cells
