--- a/toucanpin/daemon/control.py
+++ b/toucanpin/daemon/control.py
@@ -28,7 +28,7 @@
     WorkerPoll,
 )
 from toucanpin.placement.controller import release_all, take_turn
-from toucanpin.placement.interfering import InterferingPlacement
+from toucanpin.placement.interference_aware import InterferenceAwarePolicy
 from toucanpin.placement.leases import Terms
 from toucanpin.placement.policy import Policy
 from toucanpin.placement.records import ControllerId
@@ -112,7 +112,7 @@
     ) -> None:
         """Connect the ports; nothing is asked before `start`."""
         life = ControllerId(process, incarnation)
-        advice = policy or InterferingPlacement()
+        advice = policy or InterferenceAwarePolicy()
         self.state = ControlState(life, terms or Terms(), pace or Pace(), advice)
         self._table = table
         self._hosts = hosts
--- a/toucanpin/placement/interfering.py
+++ b/toucanpin/placement/interference_aware.py
@@ -28,10 +28,10 @@
 from toucanpin.placement.residency import HostNotes
 from toucanpin.platform.ports import Report
 
-__all__ = ["InterferingPlacement"]
+__all__ = ["InterferenceAwarePolicy"]
 
 
-class InterferingPlacement:
+class InterferenceAwarePolicy:
     """
     Choose by what a task costs the services beside it; throttle and evict what harms them.
 
--- a/toucanpin/placement/tests/test_interfering.py
+++ b/toucanpin/placement/tests/test_interference_aware.py
@@ -8,7 +8,7 @@
 from standins.work import Service
 from toucanpin.bundles.schema import Bundle, Weights
 from toucanpin.interference import Budget, Tuning
-from toucanpin.placement.interfering import InterferingPlacement
+from toucanpin.placement.interference_aware import InterferenceAwarePolicy
 from toucanpin.placement.policy import Guarded, Limit, TightestFit
 from toucanpin.placement.records import CellRow, JobState, TaskRecord
 from toucanpin.placement.residency import HostNotes
@@ -34,7 +34,7 @@
 
 def advise(process, budget: Budget | None = None) -> None:
     """Let a process place by interference."""
-    policy = InterferingPlacement(budget, Tuning(patience=PATIENCE))
+    policy = InterferenceAwarePolicy(budget, Tuning(patience=PATIENCE))
     process.state.policy = Guarded(policy)
 
 
@@ -162,7 +162,7 @@
 
     def test_workers_without_samples_are_filled_as_before(self):
         """Every task goes to the same host in the same order as by the tightest fit."""
-        self.assertEqual(self.run_jobs(InterferingPlacement()), self.run_jobs(TightestFit()))
+        self.assertEqual(self.run_jobs(InterferenceAwarePolicy()), self.run_jobs(TightestFit()))
 
     def test_faulty_policy_stops_no_renewal(self):
         """
@@ -234,7 +234,7 @@
         """Return the record of a task whose kind is its name."""
         return TaskRecord(task, task, "t", Size(4, 100), attempt=1, worker="w", incarnation="1")
 
-    def learn(self, policy: InterferingPlacement) -> None:
+    def learn(self, policy: InterferenceAwarePolicy) -> None:
         """Let nobody, then one task, then another be there for 20 s; samples come 20 s late."""
         for second in range(60):
             tasks = ((), ("noisy",), ("quiet",))[second // 20]
@@ -249,7 +249,7 @@
         The quiet job isn't blamed for samples that arrive while it runs and were taken before it
         came: worker and owner share no clock, so instants are converted.
         """
-        policy = InterferingPlacement()
+        policy = InterferenceAwarePolicy()
         self.learn(policy)
         rise = policy._learner.estimator.rise
         self.assertGreater(rise("verify", "noisy", 0.8), 1.5 * rise("verify", "quiet", 0.8))
@@ -267,7 +267,7 @@
         A job that an earlier owner throttled isn't slow for good: nobody tells the new owner by how
         much, so it begins with the whole share.
         """
-        policy = InterferingPlacement()
+        policy = InterferenceAwarePolicy()
         record = self.record("a")
         policy.observe(1.0, self.report(1_000, ("a",)), [record])
         cell = msgspec.convert(
@@ -280,7 +280,7 @@
 
     def test_standing_and_urgent_tasks_never_wait(self):
         """An encoder takes the least bad host at once where a batch task of its kind waits."""
-        policy = InterferingPlacement()
+        policy = InterferenceAwarePolicy()
         self.learn(policy)
         policy.prepare(600.0, Bundle("test", 2, weights=Weights(20.0, 0.1, 0.2)), {"w"})
         record = self.record("noisy")
@@ -296,7 +296,7 @@
         A batch task that had to wait is let in by a bundle that weighs throughput more: the new
         weights are in force with the next turn, over what was learnt before.
         """
-        policy = InterferingPlacement()
+        policy = InterferenceAwarePolicy()
         self.learn(policy)
         record = self.record("noisy")
         cell = CellRow(1, None, {}, {})
@@ -312,7 +312,7 @@
         A host that another process owned in between has other tasks and shares by now: what was
         noted of it, its avoidance too, is dropped, and memory doesn't grow with hosts that come.
         """
-        policy = InterferingPlacement()
+        policy = InterferenceAwarePolicy()
         self.learn(policy)
         policy.prepare(600.0, None, set())
         self.assertEqual(policy._hosts, {})
