--- a/scenarios/control.py
+++ b/scenarios/control.py
@@ -63,7 +63,7 @@
                 self._poll_all(polls, answer)
             case actions.AskStandstill(holder, peers):
                 self._ask_standstill(holder, peers, answer)
-            case actions.Note(kind, ids, detail):
+            case actions.RecordEvent(kind, ids, detail):
                 self.recorder.record(kind, ids, detail)
                 answer(None)
             case actions.Commit(transaction):
--- a/toucanpin/daemon/control.py
+++ b/toucanpin/daemon/control.py
@@ -23,8 +23,8 @@
     Answer,
     AskStandstill,
     Decision,
-    Note,
     PollAll,
+    RecordEvent,
     WorkerPoll,
 )
 from toucanpin.placement.controller import release_all, take_turn
@@ -190,7 +190,7 @@
                 return self._polls.poll_all(polls)
             case AskStandstill(holder, peers):
                 return self._ask_peers(holder, peers)
-            case Note(kind, ids, detail):
+            case RecordEvent(kind, ids, detail):
                 return self._events.record(kind, ids, detail)
             case _:
                 return perform_on_table(self._table, action)
--- a/toucanpin/placement/absorbing.py
+++ b/toucanpin/placement/absorbing.py
@@ -14,7 +14,7 @@
 
 from toucanpin.bundles.schema import Limits
 from toucanpin.placement import lifecycle
-from toucanpin.placement.actions import Decision, Note
+from toucanpin.placement.actions import Decision, RecordEvent
 from toucanpin.placement.cells import Cell, StopReason, WorkerLink
 from toucanpin.placement.lifecycle import Change
 from toucanpin.placement.ownership import list_workers
@@ -71,7 +71,7 @@
             return
         epoch = None
     for name in sorted(lost):
-        yield Note("worker.lost", {"host": name, "cell": cell.name})
+        yield RecordEvent("worker.lost", {"host": name, "cell": cell.name})
 
 
 def _find_lost(state: ControlState, cell: Cell, now: float) -> set[str]:
--- a/toucanpin/placement/actions.py
+++ b/toucanpin/placement/actions.py
@@ -21,7 +21,7 @@
     "AskStandstill",
     "Commit",
     "Decision",
-    "Note",
+    "RecordEvent",
     "PollAll",
     "Read",
     "Scan",
@@ -77,7 +77,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Note:
+class RecordEvent:
     """Put one event on the time line; answered with None."""
 
     kind: str
@@ -85,7 +85,7 @@
     detail: str = ""
 
 
-Action = Commit | Read | Scan | PollAll | AskStandstill | Note
+Action = Commit | Read | Scan | PollAll | AskStandstill | RecordEvent
 
 
 @dataclass(frozen=True, slots=True)
--- a/toucanpin/placement/authority.py
+++ b/toucanpin/placement/authority.py
@@ -18,7 +18,7 @@
 
 from expression import Result
 
-from toucanpin.placement.actions import AskStandstill, Commit, Decision, Note
+from toucanpin.placement.actions import AskStandstill, Commit, Decision, RecordEvent
 from toucanpin.placement.leases import Terms
 from toucanpin.placement.records import AuthorityRow, ControllerId, authority_key, decode, encode
 from toucanpin.platform.ports import (
@@ -109,7 +109,7 @@
             if stored.fenced:
                 self.fenced = True
                 self.until = 0.0
-                yield Note("authority.fenced", {}, self.controller_id.process)
+                yield RecordEvent("authority.fenced", {}, self.controller_id.process)
 
     def _stand_still(self, now: float) -> Decision[None]:
         """Go on for a term if every life that could fence us has promised not to."""
@@ -126,7 +126,7 @@
             self.until = max(self.until, min(now + self.terms.authority, limit))
         else:
             missing = ", ".join(peer.process for peer in peers if peer not in promised)
-            yield Note("authority.promise-missing", {}, missing)
+            yield RecordEvent("authority.promise-missing", {}, missing)
 
     def release(self) -> Decision[None]:
         """Give up all authority, after the cells were released."""
@@ -223,7 +223,7 @@
         match answer.value:
             case Result(tag="ok", ok=Committed(version)):
                 self._seen[controller] = Seen(fenced, version, answer.now)
-                yield Note("authority.fence", {}, controller.process)
+                yield RecordEvent("authority.fence", {}, controller.process)
             case Result(tag="error", error=Conflict(rows)):
                 self.observe((row for row in rows if row.version != ABSENT), answer.now)
             case Result(tag="error", error=Unavailable()):
--- a/toucanpin/placement/ownership.py
+++ b/toucanpin/placement/ownership.py
@@ -15,7 +15,7 @@
 import msgspec
 from expression import Result
 
-from toucanpin.placement.actions import Commit, Decision, Note, Read, Scan
+from toucanpin.placement.actions import Commit, Decision, Read, RecordEvent, Scan
 from toucanpin.placement.cells import Cell
 from toucanpin.placement.records import (
     AUTHORITY_PREFIX,
@@ -140,7 +140,7 @@
     known = state.lost.get(cell.name, (0, 0.0))
     last = max(epoch, cell.row.epoch, known[0])
     state.lost[cell.name] = (last, max(cell.grants_end(), known[1]))
-    yield Note("cell.lose", {"cell": cell.name})
+    yield RecordEvent("cell.lose", {"cell": cell.name})
 
 
 def lose_all_cells(state: ControlState) -> Decision[None]:
@@ -217,7 +217,7 @@
             # one term after the row was seen.
             cell.released_bound = answer.now + state.terms.stretch(state.terms.lease)
             state.cells[name] = cell
-            yield Note("cell.take", {"cell": name}, f"epoch {row.epoch}")
+            yield RecordEvent("cell.take", {"cell": name}, f"epoch {row.epoch}")
         case Result(tag="error", error=Conflict(rows)):
             for found in rows:
                 if found.version != ABSENT:
--- a/toucanpin/placement/placing.py
+++ b/toucanpin/placement/placing.py
@@ -14,7 +14,7 @@
 from expression import Result
 
 from toucanpin.placement import lifecycle
-from toucanpin.placement.actions import Commit, Decision, Note
+from toucanpin.placement.actions import Commit, Decision, RecordEvent
 from toucanpin.placement.cells import Cell, StopReason, WorkerLink
 from toucanpin.placement.ledger import (
     NOTHING,
@@ -80,11 +80,11 @@
                     yield _remark(cell, kind, task, detail)
 
 
-def _remark(cell: Cell, kind: str, task: str, detail: str) -> Note:
+def _remark(cell: Cell, kind: str, task: str, detail: str) -> RecordEvent:
     ids = {"cell": cell.name}
     if task:
         ids["task"] = task
-    return Note(kind, ids, detail)
+    return RecordEvent(kind, ids, detail)
 
 
 def count_teams(state: ControlState) -> dict[str, Size]:
@@ -326,7 +326,7 @@
             for waiting, target in moves:
                 cell.queue.drop(waiting.record.task)
                 ids = {"cell": cell.name, "task": waiting.record.task}
-                yield Note("task.move", ids, target)
+                yield RecordEvent("task.move", ids, target)
         case Result(tag="error", error=Conflict()):
             # A cancelled job or a row that is gone: read the whole queue anew.
             cell.scanned = 0
--- a/toucanpin/placement/polling.py
+++ b/toucanpin/placement/polling.py
@@ -13,7 +13,7 @@
 from expression import Result
 
 from toucanpin.bundles.schema import Bundle
-from toucanpin.placement.actions import Decision, Note, PollAll, Read, WorkerPoll
+from toucanpin.placement.actions import Decision, PollAll, Read, RecordEvent, WorkerPoll
 from toucanpin.placement.cells import Cell, StopReason, WorkerLink, address_worker
 from toucanpin.placement.lifecycle import name_checkpoint, name_result
 from toucanpin.placement.records import TaskRecord, payload_key
@@ -85,7 +85,9 @@
                 yield from _take_report(state, cell, link, poll, report, answer.now)
             case Result(tag="error", error=WorkerFault(detail)):
                 if not link.failed:
-                    yield Note("worker.silent", {"host": link.name, "cell": cell.name}, detail)
+                    yield RecordEvent(
+                        "worker.silent", {"host": link.name, "cell": cell.name}, detail
+                    )
                 link.failed = True
 
 
@@ -189,7 +191,9 @@
     if report.epoch > poll.epoch:
         cell.stale = True
         cell.refused = True
-        yield Note("worker.refused", {"host": link.name, "cell": cell.name}, f"{report.epoch}")
+        yield RecordEvent(
+            "worker.refused", {"host": link.name, "cell": cell.name}, f"{report.epoch}"
+        )
         return
     link.take_clock(report, now)
     link.next_poll = now
--- a/toucanpin/placement/standing.py
+++ b/toucanpin/placement/standing.py
@@ -14,7 +14,7 @@
 
 from toucanpin.bundles.schema import Bundle, StandingTask
 from toucanpin.placement import lifecycle
-from toucanpin.placement.actions import Commit, Decision, Note
+from toucanpin.placement.actions import Commit, Decision, RecordEvent
 from toucanpin.placement.cells import Cell, StopReason
 from toucanpin.placement.queue import Waiting, choose_cell
 from toucanpin.placement.records import (
@@ -112,7 +112,7 @@
     match answer.value:
         case Result(tag="ok", ok=Committed(committed)):
             state.standing[task.name] = (row, committed)
-            yield Note("standing.add", {"task": task.name, "cell": home})
+            yield RecordEvent("standing.add", {"task": task.name, "cell": home})
         case Result(tag="error", error=Conflict(rows)):
             for found in rows:
                 if found.key == standing_key(task.name) and found.version != ABSENT:
--- a/toucanpin/placement/tests/test_owners.py
+++ b/toucanpin/placement/tests/test_owners.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from toucanpin.placement.actions import Commit, Note
+from toucanpin.placement.actions import Commit, RecordEvent
 from toucanpin.placement.cells import WorkerIncarnation
 from toucanpin.placement.queue import rank
 from toucanpin.placement.records import JobState
@@ -143,7 +143,7 @@
         status = world.submit("a", work=60_000).ok
         (owner,) = [it for it in world.processes.values() if it.state.cells]
         other = next(it for it in world.processes.values() if it is not owner)
-        while not (isinstance(owner.action, Note) and owner.action.kind == "task.place"):
+        while not (isinstance(owner.action, RecordEvent) and owner.action.kind == "task.place"):
             world.pass_time(0.01)
             owner.step()
         owner.paused = True
--- a/toucanpin/placement/tests/world.py
+++ b/toucanpin/placement/tests/world.py
@@ -26,9 +26,9 @@
     Answer,
     AskStandstill,
     Commit,
-    Note,
     PollAll,
     Read,
+    RecordEvent,
     Scan,
 )
 from toucanpin.placement.controller import release_all, take_turn
@@ -139,7 +139,7 @@
         self.hosts: list[ListedHost] = []
         self.dead_workers: dict[str, float] = {}
         self.paused_workers: set[str] = set()
-        self.events: list[tuple[str, Note]] = []
+        self.events: list[tuple[str, RecordEvent]] = []
         self.ended: dict[str, JobRow] = {}
         self.processes: dict[str, Process] = {}
         self.retired: list[tuple[SkewedCore, float]] = []
@@ -196,7 +196,7 @@
                 return [self.poll(client, it) for it in polls]
             case AskStandstill(holder, peers):
                 return frozenset(it for it in peers if self._ask(process, holder, it))
-            case Note():
+            case RecordEvent():
                 self.events.append((client, action))
                 return None
 
--- a/toucanpin/placement/writing.py
+++ b/toucanpin/placement/writing.py
@@ -14,7 +14,7 @@
 from expression import Result
 
 from toucanpin.placement import ledger
-from toucanpin.placement.actions import Commit, Decision, Note
+from toucanpin.placement.actions import Commit, Decision, RecordEvent
 from toucanpin.placement.cells import Cell, StopReason
 from toucanpin.placement.lifecycle import Change
 from toucanpin.placement.records import (
@@ -203,14 +203,14 @@
             cell.cancels.pop(change.task, None)
 
 
-def _note(cell: Cell, change: Change) -> Note:
+def _note(cell: Cell, change: Change) -> RecordEvent:
     ids = {"cell": cell.name, "task": change.task}
     if change.record is not None and change.record.worker:
         ids["host"] = change.record.worker
     standing = change.kind.startswith("standing.")
     if not standing:
         ids["job"] = change.task
-    return Note(change.kind, ids, change.detail)
+    return RecordEvent(change.kind, ids, change.detail)
 
 
 def _learn(cell: Cell, rows: Sequence[Row], now: float) -> None:
