--- a/toucanpin/daemon/control.py
+++ b/toucanpin/daemon/control.py
@@ -30,7 +30,7 @@
 from toucanpin.placement.controller import release_all, take_turn
 from toucanpin.placement.interference_aware import InterferenceAwarePolicy
 from toucanpin.placement.leases import Terms
-from toucanpin.placement.policy import Policy
+from toucanpin.placement.policy import PlacementPolicy
 from toucanpin.placement.records import ControllerId
 from toucanpin.placement.state import ControlState, Pace, View
 from toucanpin.platform.ports import HostList, ListedHost, Report, Table, WorkerFault, Workers
@@ -107,7 +107,7 @@
         ask_peers: AskPeers,
         terms: Terms | None = None,
         pace: Pace | None = None,
-        policy: Policy | None = None,
+        policy: PlacementPolicy | None = None,
         turn: float = TURN,
     ) -> None:
         """Connect the ports; nothing is asked before `start`."""
--- a/toucanpin/placement/policy.py
+++ b/toucanpin/placement/policy.py
@@ -16,7 +16,7 @@
 from toucanpin.placement.records import CellRow, TaskRecord
 from toucanpin.platform.ports import Report
 
-__all__ = ["Act", "Evict", "Guarded", "Limit", "Policy", "Remark", "TightestFit"]
+__all__ = ["Act", "Evict", "Guarded", "Limit", "PlacementPolicy", "Remark", "TightestFit"]
 
 
 @dataclass(frozen=True, slots=True)
@@ -46,7 +46,7 @@
 Act = Evict | Limit | Remark
 
 
-class Policy(Protocol):
+class PlacementPolicy(Protocol):
     """Choose workers and act on what they report."""
 
     def prepare(self, now: float, bundle: Bundle | None, workers: Collection[str]) -> None:
@@ -97,7 +97,7 @@
     tightest worker is taken and nothing is done; the first fault of each turn is remarked.
     """
 
-    def __init__(self, policy: Policy) -> None:
+    def __init__(self, policy: PlacementPolicy) -> None:
         self.policy = policy
         self._fallback = TightestFit()
         self._fault = ""
--- a/toucanpin/placement/state.py
+++ b/toucanpin/placement/state.py
@@ -15,7 +15,7 @@
 from toucanpin.placement.authority import Authority, Watch
 from toucanpin.placement.cells import Cell
 from toucanpin.placement.leases import Terms
-from toucanpin.placement.policy import Guarded, Policy, TightestFit
+from toucanpin.placement.policy import Guarded, PlacementPolicy, TightestFit
 from toucanpin.placement.queue import CellShape, name_cell, rank, shape_cells
 from toucanpin.placement.records import CellRow, ControllerId, StandingRow
 from toucanpin.placement.writing import TableHealth
@@ -107,7 +107,7 @@
     controller_id: ControllerId
     terms: Terms = field(default_factory=Terms)
     pace: Pace = field(default_factory=Pace)
-    policy: Policy = field(default_factory=TightestFit)
+    policy: PlacementPolicy = field(default_factory=TightestFit)
     cells: dict[str, Cell] = field(default_factory=dict)
     stored: dict[str, StoredCell] = field(default_factory=dict)
     standing: dict[str, tuple[StandingRow, int]] = field(default_factory=dict)
