--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -20,7 +20,7 @@
 
 from toucanpin.placement.leases import Terms
 from toucanpin.placement.records import CellRow, TaskRecord, WorkerRow, encode
-from toucanpin.placement.state import Pace
+from toucanpin.placement.state import ControlOptions
 from toucanpin.platform.messages import write_poll
 from toucanpin.platform.ports import Poll, Report, Size, TaskReport, TaskState
 
@@ -217,14 +217,14 @@
     tasks = round(TARGET.tasks / TARGET.workers)
     poll = len(msgspec.json.encode(write_poll(Poll(12, "a" * 32, 1_000_000, ()))))
     report = len(msgspec.json.encode(_make_report(tasks)))
-    total = (poll + report + HTTP_HEADS) / Pace().poll / 1_000
+    total = (poll + report + HTTP_HEADS) / ControlOptions().poll / 1_000
     yield Line(
         "worker: polls and reports",
         total,
         "KB/s",
         BYTES,
         f"poll {poll} B, report of {tasks} tasks {report} B, heads {HTTP_HEADS} B (assumed), "
-        f"every {Pace().poll:.0f} s",
+        f"every {ControlOptions().poll:.0f} s",
         "one message renews the lease, carries orders and brings the report",
     )
 
--- a/toucanpin/daemon/control.py
+++ b/toucanpin/daemon/control.py
@@ -32,7 +32,7 @@
 from toucanpin.placement.leases import Terms
 from toucanpin.placement.policy import PlacementPolicy
 from toucanpin.placement.records import ControllerId
-from toucanpin.placement.state import ControlState, Pace, View
+from toucanpin.placement.state import ControlOptions, ControlState, View
 from toucanpin.platform.ports import HostList, ListedHost, Report, Table, WorkerFault, Workers
 
 __all__ = ["AskPeers", "Control"]
@@ -106,14 +106,14 @@
         events: EventSink,
         ask_peers: AskPeers,
         terms: Terms | None = None,
-        pace: Pace | None = None,
+        pace: ControlOptions | None = None,
         policy: PlacementPolicy | None = None,
         turn: float = TURN,
     ) -> None:
         """Connect the ports; nothing is asked before `start`."""
         life = ControllerId(process, incarnation)
         advice = policy or InterferenceAwarePolicy()
-        self.state = ControlState(life, terms or Terms(), pace or Pace(), advice)
+        self.state = ControlState(life, terms or Terms(), pace or ControlOptions(), advice)
         self._table = table
         self._hosts = hosts
         self._members = members
--- a/toucanpin/daemon/reading.py
+++ b/toucanpin/daemon/reading.py
@@ -20,7 +20,7 @@
 from toucanpin.daemon.settings import Settings
 from toucanpin.exception import SettingsError
 from toucanpin.placement.leases import Terms
-from toucanpin.placement.state import Pace
+from toucanpin.placement.state import ControlOptions
 
 __all__ = ["check_secret_file", "read_settings"]
 
@@ -143,7 +143,7 @@
     """Yield times that defeat each other."""
     control = settings.control
     terms = Terms(authority=control.authority_ms / MILLISECONDS)
-    shortest = int((terms.take_after + POLLS_BEFORE_LAPSE * Pace().poll) * MILLISECONDS)
+    shortest = int((terms.take_after + POLLS_BEFORE_LAPSE * ControlOptions().poll) * MILLISECONDS)
     if control.lease_ms < shortest:
         yield (
             f"control.lease_ms: {control.lease_ms} ends before a dead owner is replaced; with "
--- a/toucanpin/placement/absorbing.py
+++ b/toucanpin/placement/absorbing.py
@@ -135,8 +135,8 @@
     refused = reported.detail.startswith(REFUSED)
     ended = record.standing and reported.state in (TaskState.FAILED, TaskState.FINISHED)
     if refused or ended:
-        pace = state.pace
-        cell.pause_task(record.task, now, pace.restart_pause, pace.max_restart_pause)
+        options = state.options
+        cell.pause_task(record.task, now, options.restart_pause, options.max_restart_pause)
 
 
 def _revive(
@@ -154,7 +154,7 @@
     if worker.state is not WorkerState.QUARANTINED:
         return
     link.quarantined_at = link.quarantined_at or view.now
-    if view.now - link.quarantined_at >= state.pace.quarantine:
+    if view.now - link.quarantined_at >= state.options.quarantine:
         link.quarantined_at = 0.0
         workers[worker.name] = msgspec.structs.replace(
             worker, state=WorkerState.ACTIVE, faults=FAULTS_TO_QUARANTINE - 1
--- a/toucanpin/placement/keepalive.py
+++ b/toucanpin/placement/keepalive.py
@@ -49,7 +49,7 @@
     """Renew the leases whose workers were not polled for longer than the pace of polls."""
     if state.now < state.next_lease_check:
         return
-    state.next_lease_check = state.now + CHECK_SHARE * state.pace.poll
+    state.next_lease_check = state.now + CHECK_SHARE * state.options.poll
     due = tuple(_find_due(state))
     if not due:
         return
@@ -80,7 +80,7 @@
             continue
         for name in cell.row.workers:
             link = cell.link(name)
-            late = state.now >= max(link.next_poll, link.renewed + state.pace.poll)
+            late = state.now >= max(link.next_poll, link.renewed + state.options.poll)
             if link.incarnation and not link.failed and not link.lapsed and late:
                 yield cell, link
 
--- a/toucanpin/placement/ownership.py
+++ b/toucanpin/placement/ownership.py
@@ -313,7 +313,7 @@
             continue
         if cell.unwanted_since is None:
             cell.unwanted_since = view.now
-        if view.now - cell.unwanted_since >= state.pace.hand_over_after:
+        if view.now - cell.unwanted_since >= state.options.hand_over_after:
             yield from release_cell(state, cell)
     for name, stored in list(state.stored.items()):
         # The answer of an earlier release was lost and the row shows that it had no effect.
--- a/toucanpin/placement/placing.py
+++ b/toucanpin/placement/placing.py
@@ -135,7 +135,7 @@
         leaving = host is not None and host.leaving
         if unlisted or leaving or worker.state is not WorkerState.ACTIVE:
             continue
-        if _is_ready(link, view.now, state.pace.poll):
+        if _is_ready(link, view.now, state.options.poll):
             usable.append(name)
     return usable
 
@@ -156,7 +156,7 @@
     tries = 0
     for waiting in cell.queue.in_order():
         tries += 1
-        if not len(index) or tries > state.pace.tries_each_turn:
+        if not len(index) or tries > state.options.tries_each_turn:
             return
         record = waiting.record
         if not _may_place(cell, waiting, view.now) or not quotas.allows(record.team, record.size):
@@ -204,7 +204,7 @@
 
 
 def _wants_reserve(state: ControlState, waiting: Waiting, now: float) -> bool:
-    return waiting.record.urgent or now - waiting.since >= state.pace.reserve_after
+    return waiting.record.urgent or now - waiting.since >= state.options.reserve_after
 
 
 def _reserve(cell: Cell, record: TaskRecord, index: FreeIndex) -> None:
@@ -273,10 +273,10 @@
     state: ControlState, cell: Cell, now: float, shape: CellShape | None
 ) -> Iterator[Waiting]:
     """Yield the first waiting tasks that have waited long enough, or that can never run here."""
-    for waiting in islice(cell.queue.in_order(), state.pace.tries_each_turn):
+    for waiting in islice(cell.queue.in_order(), state.options.tries_each_turn):
         if not _may_place(cell, waiting, now):
             continue
-        patience = state.pace.move_after * 2**waiting.record.moves
+        patience = state.options.move_after * 2**waiting.record.moves
         never = shape is None or not shape.can_hold(waiting.record.size)
         if never or now - waiting.since >= patience:
             yield waiting
--- a/toucanpin/placement/polling.py
+++ b/toucanpin/placement/polling.py
@@ -70,7 +70,7 @@
             orders = tuple(_give_orders(state, cell, link, view.bundle, now))
             if now < link.next_poll and (not orders or link.failed):
                 continue
-            link.next_poll = now + state.pace.poll
+            link.next_poll = now + state.options.poll
             until = state.authority.until if state.authority.holds(now) else 0.0
             grant = link.grant(until, state.terms)
             poll = Poll(cell.row.epoch, link.incarnation, grant.lease_until, orders)
@@ -150,9 +150,9 @@
     if share is not None and (key in link.unsent or now >= link.next_poll):
         link.unsent.discard(key)
         yield Throttle(record.task, record.attempt, share)
-    due = link.sampled.setdefault(record.task, now + state.pace.checkpoint)
+    due = link.sampled.setdefault(record.task, now + state.options.checkpoint)
     if not record.standing and now >= due:
-        link.sampled[record.task] = now + state.pace.checkpoint
+        link.sampled[record.task] = now + state.options.checkpoint
         name = name_checkpoint(record.task, record.attempt, state.next_sequence())
         yield Checkpoint(record.task, record.attempt, name)
 
--- a/toucanpin/placement/state.py
+++ b/toucanpin/placement/state.py
@@ -21,13 +21,13 @@
 from toucanpin.placement.writing import TableHealth
 from toucanpin.platform.ports import HostRole, ListedHost
 
-__all__ = ["ControlState", "Pace", "View"]
+__all__ = ["ControlState", "ControlOptions", "View"]
 
 CONTROL_ROLE = "control"
 
 
 @dataclass(frozen=True, slots=True)
-class Pace:
+class ControlOptions:
     """Set the times (seconds) and bounds of a control process beside those of its leases."""
 
     poll: float = 1.0
@@ -106,7 +106,7 @@
 
     controller_id: ControllerId
     terms: Terms = field(default_factory=Terms)
-    pace: Pace = field(default_factory=Pace)
+    options: ControlOptions = field(default_factory=ControlOptions)
     policy: PlacementPolicy = field(default_factory=TightestFit)
     cells: dict[str, Cell] = field(default_factory=dict)
     stored: dict[str, StoredCell] = field(default_factory=dict)
@@ -128,7 +128,7 @@
         """Build the parts that depend on this life."""
         self.authority = Authority(self.controller_id, self.terms)
         self.watch = Watch(self.controller_id, self.terms)
-        self.health = TableHealth(self.pace.commits_each_turn)
+        self.health = TableHealth(self.options.commits_each_turn)
         self.policy = Guarded(self.policy)
 
     def in_turn(self, last: str) -> list[Cell]:
--- a/toucanpin/placement/tests/test_interference_aware.py
+++ b/toucanpin/placement/tests/test_interference_aware.py
@@ -12,9 +12,9 @@
 from toucanpin.placement.policy import Guarded, Limit, TightestFit
 from toucanpin.placement.records import CellRow, JobState, TaskRecord
 from toucanpin.placement.residency import HostNotes
-from toucanpin.placement.state import ControlState, Pace
+from toucanpin.placement.state import ControlOptions, ControlState
 from toucanpin.placement.tests.helpers import find_gaps
-from toucanpin.placement.tests.world import PACE, TERMS, World
+from toucanpin.placement.tests.world import OPTIONS, TERMS, World
 from toucanpin.platform.ports import Report, Size, TaskReport, TaskState, UsageSample
 
 LAG = 8.0
@@ -65,7 +65,9 @@
     def setUp(self):
         self.world = make_world(workers=1)
         # No other checkpoint than that of the eviction.
-        self.world.processes["e0/control"].state.pace = Pace(poll=0.5, checkpoint=1_000.0)
+        self.world.processes["e0/control"].state.options = ControlOptions(
+            poll=0.5, checkpoint=1_000.0
+        )
         add_service(self.world, "w00")
         self.world.run(20)
         self.world.submit("a", processors=4, work=60_000)
@@ -171,7 +173,7 @@
         """
         world = World()
         for process in world.processes.values():
-            process.state = ControlState(process.controller_id, TERMS, PACE, FaultyPolicy())
+            process.state = ControlState(process.controller_id, TERMS, OPTIONS, FaultyPolicy())
         world.set_standing(2, "enc")
         world.run(2)
         world.submit("a", work=3_000)
--- a/toucanpin/placement/tests/test_queue.py
+++ b/toucanpin/placement/tests/test_queue.py
@@ -11,7 +11,7 @@
 from toucanpin.placement.ledger import FreeIndex
 from toucanpin.placement.queue import CellShape, Quotas, TaskQueue, choose_cell, shape_cells
 from toucanpin.placement.records import CellRow, JobState, TaskRecord, WorkerRow
-from toucanpin.placement.state import Pace
+from toucanpin.placement.state import ControlOptions
 from toucanpin.placement.submission import name_job
 from toucanpin.placement.tests.world import World
 from toucanpin.platform.ports import Size
@@ -188,7 +188,7 @@
         world = World(racks=12, workers=1)
         world.run(3)
         process = world.processes["e0/control"]
-        process.state.pace = Pace(poll=0.1, commits_each_turn=2)
+        process.state.options = ControlOptions(poll=0.1, commits_each_turn=2)
         process.state.health.budget = 2
         for number in range(1_200):
             world.submit(str(number), work=100)
--- a/toucanpin/placement/tests/world.py
+++ b/toucanpin/placement/tests/world.py
@@ -37,14 +37,14 @@
 from toucanpin.placement.ledger import fits, used_by_worker
 from toucanpin.placement.queue import shape_cells
 from toucanpin.placement.records import CellRow, ControllerId, JobRow, JobState, decode
-from toucanpin.placement.state import ControlState, Pace, View
+from toucanpin.placement.state import ControlOptions, ControlState, View
 from toucanpin.placement.submission import Submission, submit_job
 from toucanpin.placement.tests.skew import Clock, SkewedCore
 from toucanpin.platform.ports import HostRole, ListedHost, Size, WorkerFault
 
 WORKER_SIZE = Size(8, 8_000, 1)
 TERMS = Terms(long_hold=60.0)
-PACE = Pace(poll=0.5, checkpoint=5.0, quarantine=30.0)
+OPTIONS = ControlOptions(poll=0.5, checkpoint=5.0, quarantine=30.0)
 TURN = 0.25
 NOTICE = 1.0
 ROUNDING = 2
@@ -61,7 +61,7 @@
     def __init__(self, world: World, controller_id: ControllerId) -> None:
         self.world = world
         self.controller_id = controller_id
-        self.state = ControlState(controller_id, TERMS, PACE)
+        self.state = ControlState(controller_id, TERMS, OPTIONS)
         self.clock = Clock(len(world.processes) + 1)
         self.turn: Any = None
         self.action: Any = None
