--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -18,7 +18,7 @@
 
 import msgspec
 
-from toucanpin.placement.leases import Terms
+from toucanpin.placement.leases import LeaseTerms
 from toucanpin.placement.records import CellRow, TaskRecord, WorkerRow, encode
 from toucanpin.placement.state import ControlOptions
 from toucanpin.platform.messages import write_poll
@@ -230,7 +230,7 @@
 
 
 def _compute_table(figures: Figures) -> Iterator[Line]:
-    terms = Terms()
+    terms = LeaseTerms()
     renewals = TARGET.entry_hosts / terms.renew_every
     grouped = figures.get("placement.starts_each_write.350")
     starts = TARGET.starts / grouped
--- a/toucanpin/daemon/control.py
+++ b/toucanpin/daemon/control.py
@@ -29,7 +29,7 @@
 )
 from toucanpin.placement.controller import release_all, take_turn
 from toucanpin.placement.interference_aware import InterferenceAwarePolicy
-from toucanpin.placement.leases import Terms
+from toucanpin.placement.leases import LeaseTerms
 from toucanpin.placement.policy import PlacementPolicy
 from toucanpin.placement.records import ControllerId
 from toucanpin.placement.state import ControlOptions, ControlState, View
@@ -105,7 +105,7 @@
         bundle: BundleView,
         events: EventSink,
         ask_peers: AskPeers,
-        terms: Terms | None = None,
+        terms: LeaseTerms | None = None,
         pace: ControlOptions | None = None,
         policy: PlacementPolicy | None = None,
         turn: float = TURN,
@@ -113,7 +113,7 @@
         """Connect the ports; nothing is asked before `start`."""
         life = ControllerId(process, incarnation)
         advice = policy or InterferenceAwarePolicy()
-        self.state = ControlState(life, terms or Terms(), pace or ControlOptions(), advice)
+        self.state = ControlState(life, terms or LeaseTerms(), pace or ControlOptions(), advice)
         self._table = table
         self._hosts = hosts
         self._members = members
--- a/toucanpin/daemon/reading.py
+++ b/toucanpin/daemon/reading.py
@@ -19,7 +19,7 @@
 from toucanpin.daemon.endpoint import parse_endpoint
 from toucanpin.daemon.settings import Settings
 from toucanpin.exception import SettingsError
-from toucanpin.placement.leases import Terms
+from toucanpin.placement.leases import LeaseTerms
 from toucanpin.placement.state import ControlOptions
 
 __all__ = ["check_secret_file", "read_settings"]
@@ -142,8 +142,10 @@
 def _check_times(settings: Settings) -> Iterator[str]:
     """Yield times that defeat each other."""
     control = settings.control
-    terms = Terms(authority=control.authority_ms / MILLISECONDS)
-    shortest = int((terms.take_after + POLLS_BEFORE_LAPSE * ControlOptions().poll) * MILLISECONDS)
+    terms = LeaseTerms(authority=control.authority_ms / MILLISECONDS)
+    shortest = int(
+        (terms.takeover_after + POLLS_BEFORE_LAPSE * ControlOptions().poll) * MILLISECONDS
+    )
     if control.lease_ms < shortest:
         yield (
             f"control.lease_ms: {control.lease_ms} ends before a dead owner is replaced; with "
--- a/toucanpin/daemon/root.py
+++ b/toucanpin/daemon/root.py
@@ -38,7 +38,7 @@
 from toucanpin.membership.beat import Timing
 from toucanpin.membership.incarnation import begin_incarnation, read_life
 from toucanpin.membership.member import Member
-from toucanpin.placement.leases import Terms
+from toucanpin.placement.leases import LeaseTerms
 from toucanpin.platform.http import HttpHostList, HttpObjects, HttpTable, HttpWorkers
 from toucanpin.timeline.event import Cause
 from toucanpin.timeline.recorder import Recorder
@@ -220,10 +220,10 @@
             self.bundles,
             self.recorder,
             self.standstill.ask_peers,
-            Terms(
+            LeaseTerms(
                 lease=times.lease_ms / MILLISECONDS,
                 authority=times.authority_ms / MILLISECONDS,
-                long_hold=times.hold_ms / MILLISECONDS,
+                max_authority=times.hold_ms / MILLISECONDS,
             ),
             turn=times.turn_ms / MILLISECONDS,
         )
--- a/toucanpin/placement/authority.py
+++ b/toucanpin/placement/authority.py
@@ -19,7 +19,7 @@
 from expression import Result
 
 from toucanpin.placement.actions import AskStandstill, Commit, Decision, RecordEvent
-from toucanpin.placement.leases import Terms
+from toucanpin.placement.leases import LeaseTerms
 from toucanpin.placement.records import AuthorityRow, ControllerId, authority_key, decode, encode
 from toucanpin.platform.ports import (
     ABSENT,
@@ -40,7 +40,7 @@
 class Authority:
     """Keep this life's own row and the end of what it may grant."""
 
-    def __init__(self, controller_id: ControllerId, terms: Terms) -> None:
+    def __init__(self, controller_id: ControllerId, terms: LeaseTerms) -> None:
         """Start without authority."""
         self.controller_id = controller_id
         self.terms = terms
@@ -114,7 +114,7 @@
     def _stand_still(self, now: float) -> Decision[None]:
         """Go on for a term if every life that could fence us has promised not to."""
         peers = tuple(sorted(self._rosters - {self.controller_id}))
-        limit = self._renewed + self.terms.long_hold
+        limit = self._renewed + self.terms.max_authority
         if self.fenced or self._version == ABSENT or now >= self.until or now >= limit:
             return
         promised: frozenset[ControllerId] = frozenset()
@@ -154,7 +154,7 @@
     are under way are therefore marked before the transaction is sent.
     """
 
-    def __init__(self, controller_id: ControllerId, terms: Terms) -> None:
+    def __init__(self, controller_id: ControllerId, terms: LeaseTerms) -> None:
         """Start without having seen any row."""
         self.controller_id = controller_id
         self.terms = terms
@@ -189,10 +189,10 @@
             return False
         if seen.row.fenced or seen.row.ceded.get(cell, 0) >= epoch:
             return True
-        if seen.row.released and now - seen.since >= self.terms.stretch(self.terms.lease):
+        if seen.row.released and now - seen.since >= self.terms.add_drift(self.terms.lease):
             return True
         # The long hold bounds every chain of promises, so it needs no place on the roster.
-        return now - seen.since >= self.terms.stretch(self.terms.long_hold)
+        return now - seen.since >= self.terms.add_drift(self.terms.max_authority)
 
     def may_fence(self, controller: ControllerId, now: float) -> bool:
         """Tell whether a life's authority has ended as far as this member of its roster knows."""
@@ -201,7 +201,7 @@
             return False
         if now < self._promised.get(controller, 0.0):
             return False
-        return now - seen.since >= self.terms.stretch(self.terms.authority)
+        return now - seen.since >= self.terms.add_drift(self.terms.authority)
 
     def fence(self, controller: ControllerId, now: float) -> Decision[None]:
         """Mark a life's row as fenced if it still stands as it was seen."""
@@ -241,10 +241,10 @@
         )
 
     def _is_gone(self, seen: Seen, now: float) -> bool:
-        wait = self.terms.long_hold
+        wait = self.terms.max_authority
         if seen.row.fenced or seen.row.released:
             wait = self.terms.authority
-        return now - seen.since >= self.terms.stretch(wait)
+        return now - seen.since >= self.terms.add_drift(wait)
 
     def forget(self, controller: ControllerId) -> None:
         """Drop a life whose row was deleted."""
@@ -257,7 +257,7 @@
         seen = self._seen.get(holder)
         if self.table_answers or self._is_fencing(holder) or (seen and seen.row.fenced):
             return False
-        until = now + self.terms.stretch(self.terms.authority)
+        until = now + self.terms.add_drift(self.terms.authority)
         self._promised[holder] = max(until, self._promised.get(holder, 0.0))
         return True
 
--- a/toucanpin/placement/cells.py
+++ b/toucanpin/placement/cells.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 
 from toucanpin.placement.authority import Watch
-from toucanpin.placement.leases import NO_GRANT, Grant, Terms, compute_grant
+from toucanpin.placement.leases import NO_GRANT, Grant, LeaseTerms, compute_grant
 from toucanpin.placement.queue import TaskQueue
 from toucanpin.placement.records import CellRow, ControllerId, TaskRecord, WorkerRow, cell_key
 from toucanpin.platform.ports import HostRole, ListedHost, Report, Size, TaskReport
@@ -73,7 +73,7 @@
         self.shares[(task, attempt)] = share
         self.unsent.add((task, attempt))
 
-    def grant(self, until: float, terms: Terms) -> Grant:
+    def grant(self, until: float, terms: LeaseTerms) -> Grant:
         """Return the lease to grant now, and remember its end before it is sent."""
         if not self.incarnation:
             return NO_GRANT
--- a/toucanpin/placement/leases.py
+++ b/toucanpin/placement/leases.py
@@ -10,7 +10,7 @@
 
 from dataclasses import dataclass
 
-__all__ = ["Grant", "Terms", "compute_grant"]
+__all__ = ["Grant", "LeaseTerms", "compute_grant"]
 
 MILLISECONDS = 1000
 RENEWALS_PER_TERM = 5
@@ -18,18 +18,18 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Terms:
+class LeaseTerms:
     """
     Set the times of leases and authority, in seconds; ``drift`` is a share.
 
-    ``lease`` must be well above ``take_after``, so that workers are renewed by the taker of a dead
+    ``lease`` must be well above ``takeover_after``, so that workers are renewed by the taker of a dead
     owner's cells before their leases lapse, and below ``authority``.
     """
 
     lease: float = 6.0
     authority: float = 10.0
     drift: float = 0.02
-    long_hold: float = 35 * 60.0
+    max_authority: float = 35 * 60.0
 
     @property
     def renew_every(self) -> float:
@@ -37,7 +37,7 @@
         return self.authority / RENEWALS_PER_TERM
 
     @property
-    def take_after(self) -> float:
+    def takeover_after(self) -> float:
         """
         Return how long the row of an owner that is not heard of must stand before it is taken.
 
@@ -46,11 +46,11 @@
         """
         return self.renew_every + RENEWAL_SLACK
 
-    def stretch(self, seconds: float) -> float:
+    def add_drift(self, seconds: float) -> float:
         """Return how long to wait here until ``seconds`` have surely passed on another clock."""
         return seconds * (1 + self.drift)
 
-    def silence(self) -> float:
+    def missed_renewal_after(self) -> float:
         """
         Return after which time an unchanged row shows that its owner has missed a renewal.
 
@@ -59,7 +59,7 @@
         """
         return 2 * self.renew_every
 
-    def shrink(self, seconds: float) -> float:
+    def subtract_drift(self, seconds: float) -> float:
         """Return how long another clock may run until surely no more than ``seconds`` passed."""
         return seconds / (1 + self.drift)
 
@@ -75,7 +75,7 @@
 NO_GRANT = Grant(0, 0.0)
 
 
-def compute_grant(clock: int, received: float, authority_until: float, terms: Terms) -> Grant:
+def compute_grant(clock: int, received: float, authority_until: float, terms: LeaseTerms) -> Grant:
     """
     Return the lease that may be granted after a report.
 
@@ -84,8 +84,8 @@
     The lease never outlives our authority: a taker that has waited for its end needs no word from
     the worker.
     """
-    length = min(terms.lease, terms.shrink(authority_until - received))
+    length = min(terms.lease, terms.subtract_drift(authority_until - received))
     if length <= 0:
         return NO_GRANT
     whole = int(length * MILLISECONDS)
-    return Grant(clock + whole, received + terms.stretch(whole / MILLISECONDS))
+    return Grant(clock + whole, received + terms.add_drift(whole / MILLISECONDS))
--- a/toucanpin/placement/ownership.py
+++ b/toucanpin/placement/ownership.py
@@ -181,8 +181,8 @@
     if state.watch.is_over(owner):
         return True
     if owner in lives:
-        return unchanged >= state.terms.silence()
-    return unchanged >= state.terms.take_after
+        return unchanged >= state.terms.missed_renewal_after()
+    return unchanged >= state.terms.takeover_after
 
 
 def _take(state: ControlState, view: View, name: str, stored: StoredCell | None) -> Decision[None]:
@@ -215,7 +215,7 @@
             cell.version = committed
             # Leases of an owner that released the cell, or our own of an earlier time here, end
             # one term after the row was seen.
-            cell.released_bound = answer.now + state.terms.stretch(state.terms.lease)
+            cell.released_bound = answer.now + state.terms.add_drift(state.terms.lease)
             state.cells[name] = cell
             yield RecordEvent("cell.take", {"cell": name}, f"epoch {row.epoch}")
         case Result(tag="error", error=Conflict(rows)):
--- a/toucanpin/placement/state.py
+++ b/toucanpin/placement/state.py
@@ -14,7 +14,7 @@
 from toucanpin.membership.member import Member, Standing
 from toucanpin.placement.authority import Authority, Watch
 from toucanpin.placement.cells import Cell
-from toucanpin.placement.leases import Terms
+from toucanpin.placement.leases import LeaseTerms
 from toucanpin.placement.policy import Guarded, PlacementPolicy, TightestFit
 from toucanpin.placement.queue import CellShape, name_cell, rank, shape_cells
 from toucanpin.placement.records import CellRow, ControllerId, StandingRow
@@ -105,7 +105,7 @@
     """Hold one control process's authority, its cells and what it read of the others."""
 
     controller_id: ControllerId
-    terms: Terms = field(default_factory=Terms)
+    terms: LeaseTerms = field(default_factory=LeaseTerms)
     options: ControlOptions = field(default_factory=ControlOptions)
     policy: PlacementPolicy = field(default_factory=TightestFit)
     cells: dict[str, Cell] = field(default_factory=dict)
@@ -157,7 +157,7 @@
         Every row then stands unchanged for as long as it was out; its owner gets time to renew it
         before anybody takes that for a death.
         """
-        quiet = self.terms.take_after + self.terms.renew_every
+        quiet = self.terms.takeover_after + self.terms.renew_every
         return self.health.well_since > 0 and now < self.health.well_since + quiet
 
     def able_lives(self, view: View) -> tuple[ControllerId, ...]:
@@ -176,7 +176,7 @@
         unchanged = self.watch.unchanged(controller, now)
         if unchanged is None or self.watch.is_over(controller):
             return False
-        return unchanged < self.terms.silence()
+        return unchanged < self.terms.missed_renewal_after()
 
     def ceded(self, now: float) -> dict[str, int]:
         """Return the cells that are lost and on which no own lease can be live."""
--- a/toucanpin/placement/tests/test_authority.py
+++ b/toucanpin/placement/tests/test_authority.py
@@ -6,11 +6,11 @@
 
 from toucanpin.placement.actions import Answer, AskStandstill, Commit
 from toucanpin.placement.authority import Authority, Watch
-from toucanpin.placement.leases import NO_GRANT, Terms, compute_grant
+from toucanpin.placement.leases import NO_GRANT, LeaseTerms, compute_grant
 from toucanpin.placement.records import AuthorityRow, ControllerId, authority_key, encode
 from toucanpin.platform.ports import Committed, Conflict, Row, Unavailable, Unknown
 
-TERMS = Terms(lease=5, authority=9, drift=0.02, long_hold=100)
+TERMS = LeaseTerms(lease=5, authority=9, drift=0.02, max_authority=100)
 OWNER, PEER, THIRD = ControllerId("a", 1), ControllerId("b", 1), ControllerId("c", 1)
 
 
--- a/toucanpin/placement/tests/world.py
+++ b/toucanpin/placement/tests/world.py
@@ -33,7 +33,7 @@
 )
 from toucanpin.placement.controller import release_all, take_turn
 from toucanpin.placement.jobs import cancel_job
-from toucanpin.placement.leases import Terms
+from toucanpin.placement.leases import LeaseTerms
 from toucanpin.placement.ledger import fits, used_by_worker
 from toucanpin.placement.queue import shape_cells
 from toucanpin.placement.records import CellRow, ControllerId, JobRow, JobState, decode
@@ -43,7 +43,7 @@
 from toucanpin.platform.ports import HostRole, ListedHost, Size, WorkerFault
 
 WORKER_SIZE = Size(8, 8_000, 1)
-TERMS = Terms(long_hold=60.0)
+TERMS = LeaseTerms(max_authority=60.0)
 OPTIONS = ControlOptions(poll=0.5, checkpoint=5.0, quarantine=30.0)
 TURN = 0.25
 NOTICE = 1.0
