--- a/scenarios/control.py
+++ b/scenarios/control.py
@@ -18,7 +18,7 @@
 from toucanpin.placement.controller import release_all, take_turn
 from toucanpin.placement.queue import shape_cells
 from toucanpin.placement.records import ControllerId
-from toucanpin.placement.state import ControlState, View
+from toucanpin.placement.state import ClusterView, ControlState
 from toucanpin.placement.submission import Submission, cancel_job, submit_job
 
 __all__ = ["Control"]
@@ -79,7 +79,7 @@
             finish = partial(self.end, True)
             self.drive(release_all(self.state), self.perform, lambda _: finish())
             return
-        view = View(self.read_clock(), self.hosts, self.members(), self.current())
+        view = ClusterView(self.read_clock(), self.hosts, self.members(), self.current())
         decision = take_turn(self.state, view)
         self.drive(decision, self.perform, lambda _: self.after(TURN, self._turn))
 
--- a/toucanpin/daemon/control.py
+++ b/toucanpin/daemon/control.py
@@ -32,7 +32,7 @@
 from toucanpin.placement.leases import LeaseTerms
 from toucanpin.placement.policy import PlacementPolicy
 from toucanpin.placement.records import ControllerId
-from toucanpin.placement.state import ControlOptions, ControlState, View
+from toucanpin.placement.state import ClusterView, ControlOptions, ControlState
 from toucanpin.platform.ports import HostList, ListedHost, Report, Table, WorkerFault, Workers
 
 __all__ = ["AskPeers", "Control"]
@@ -169,8 +169,8 @@
             self._stopping.wait(max(0.0, self._turn - (time.monotonic() - began)))
         self._drive(release_all(self.state))
 
-    def _view(self, now: float) -> View:
-        return View(now, self._listed, self._members.members(), self._bundle.current())
+    def _view(self, now: float) -> ClusterView:
+        return ClusterView(now, self._listed, self._members.members(), self._bundle.current())
 
     def _drive(self, decision: Decision[None]) -> None:
         """Run a decision; a step and a peer's question never overlap."""
--- a/toucanpin/placement/absorbing.py
+++ b/toucanpin/placement/absorbing.py
@@ -20,7 +20,7 @@
 from toucanpin.placement.ownership import list_workers
 from toucanpin.placement.records import TaskRecord, WorkerRow, WorkerState
 from toucanpin.placement.standing import is_removed, refresh_record
-from toucanpin.placement.state import ControlState, View
+from toucanpin.placement.state import ClusterView, ControlState
 from toucanpin.placement.writing import split_changes, write_cell
 from toucanpin.platform.ports import TaskReport, TaskState
 
@@ -30,10 +30,10 @@
 REFUSED = "refused: "
 
 
-def absorb_reports(state: ControlState, view: View) -> Decision[None]:
+def absorb_reports(state: ControlState, view: ClusterView) -> Decision[None]:
     """Commit what the reports of each cell's workers brought about."""
-    for cell in state.in_turn(state.last_absorbed):
-        if cell.stale or not state.health.may_absorb():
+    for cell in state.cells_after(state.last_absorbed):
+        if cell.stale or not state.health.may_commit_reports():
             continue
         workers = list_workers(cell.row, view, cell.name)
         lost = _find_lost(state, cell, view.now)
@@ -82,13 +82,13 @@
         records = cell.tasks_on(worker.name)
         if not records or not link.failed:
             continue
-        lives = {it.incarnation for it in records}
-        if all(cell.has_stopped(worker.name, it, state.watch, now) for it in lives):
+        incarnations = {it.incarnation for it in records}
+        if all(cell.has_stopped(worker.name, it, state.watch, now) for it in incarnations):
             lost.add(worker.name)
     return lost
 
 
-def _find_gone(cell: Cell, view: View) -> list[str]:
+def _find_gone(cell: Cell, view: ClusterView) -> list[str]:
     """Return the workers that are neither listed nor reached and hold nothing."""
     listed = view.workers
     return [
@@ -98,7 +98,7 @@
     ]
 
 
-def _requeue_all(cell: Cell, worker: WorkerRow, view: View) -> Iterator[Change]:
+def _requeue_all(cell: Cell, worker: WorkerRow, view: ClusterView) -> Iterator[Change]:
     """Let everything that was committed on a lost worker wait again, or end it."""
     for record in cell.tasks_on(worker.name):
         reported = cell.link(worker.name).tasks.get((record.task, record.attempt))
@@ -107,7 +107,11 @@
 
 
 def _absorb_worker(
-    state: ControlState, cell: Cell, worker: WorkerRow, workers: dict[str, WorkerRow], view: View
+    state: ControlState,
+    cell: Cell,
+    worker: WorkerRow,
+    workers: dict[str, WorkerRow],
+    view: ClusterView,
 ) -> Iterator[Change]:
     """Yield the changes that one worker's newest report brings."""
     link = cell.link(worker.name)
@@ -144,7 +148,7 @@
     link: WorkerLink,
     worker: WorkerRow,
     workers: dict[str, WorkerRow],
-    view: View,
+    view: ClusterView,
 ) -> None:
     """Let a worker that is back, or whose quarantine is over, receive work again."""
     if worker.state is WorkerState.LOST:
@@ -167,7 +171,7 @@
     reported: TaskReport,
     worker: WorkerRow,
     workers: dict[str, WorkerRow],
-    view: View,
+    view: ClusterView,
 ) -> Change | None:
     """Return the change that the report of one attempt brings, if any."""
     match reported.state:
@@ -199,7 +203,7 @@
 
 
 def _end_lost(
-    cell: Cell, record: TaskRecord, worker: WorkerRow, checkpoint: str, view: View
+    cell: Cell, record: TaskRecord, worker: WorkerRow, checkpoint: str, view: ClusterView
 ) -> Change:
     """Return what becomes of a task whose worker is lost, which the task may have crashed."""
     expected = worker.state is WorkerState.LEAVING or record.task in cell.stopping
@@ -209,7 +213,7 @@
     return lifecycle.lose(cell.name, record, checkpoint, limits.max_attempts)
 
 
-def _end_stopped(cell: Cell, record: TaskRecord, checkpoint: str, view: View) -> Change:
+def _end_stopped(cell: Cell, record: TaskRecord, checkpoint: str, view: ClusterView) -> Change:
     """Return what becomes of a task that has stopped without an end of its own."""
     reason = cell.stopping.get(record.task)
     if record.task in cell.cancels or record.task in cell.closed:
@@ -231,7 +235,7 @@
     reported: TaskReport,
     worker: WorkerRow,
     workers: dict[str, WorkerRow],
-    view: View,
+    view: ClusterView,
 ) -> Change:
     """Count a failure against the task or its worker, or drop a task that is cancelled."""
     if record.task in cell.stopping or record.task in cell.closed:
--- a/toucanpin/placement/controller.py
+++ b/toucanpin/placement/controller.py
@@ -23,18 +23,18 @@
 from toucanpin.placement.placing import drain_workers, follow_policy, move_tasks, place_tasks
 from toucanpin.placement.polling import fetch_payloads, poll_workers
 from toucanpin.placement.standing import reconcile_standing
-from toucanpin.placement.state import ControlState, View
+from toucanpin.placement.state import ClusterView, ControlState
 
 __all__ = ["release_all", "take_turn"]
 
 
-def take_turn(state: ControlState, view: View) -> Decision[None]:
+def take_turn(state: ControlState, view: ClusterView) -> Decision[None]:
     """Take one turn; a turn that is cut short anywhere leaves nothing to repair."""
     state.now = view.now
     yield from keep_leases(state, _take_steps(state, view))
 
 
-def _take_steps(state: ControlState, view: View) -> Decision[None]:
+def _take_steps(state: ControlState, view: ClusterView) -> Decision[None]:
     """Take the steps of a turn in their order."""
     state.health.begin_turn(view.now)
     yield from renew_authority(state, view)
@@ -56,9 +56,11 @@
     yield from poll_workers(state, view)
 
 
-def renew_authority(state: ControlState, view: View) -> Decision[None]:
+def renew_authority(state: ControlState, view: ClusterView) -> Decision[None]:
     """Renew the own row, also as the probe that tells when the table answers again."""
-    asked = yield from state.authority.renew(view.now, view.lives(), state.ceded(view.now))
+    asked = yield from state.authority.renew(
+        view.now, view.known_controllers(), state.ceded(view.now)
+    )
     if asked:
         if state.authority.answered:
             state.health.succeed(view.now)
@@ -68,7 +70,7 @@
         yield from lose_all_cells(state)
 
 
-def fence_earlier_owners(state: ControlState, view: View) -> Decision[None]:
+def fence_earlier_owners(state: ControlState, view: ClusterView) -> Decision[None]:
     """
     Prove that the authority of earlier owners has ended, of cells of ours or of others.
 
--- a/toucanpin/placement/leases.py
+++ b/toucanpin/placement/leases.py
@@ -22,8 +22,8 @@
     """
     Set the times of leases and authority, in seconds; ``drift`` is a share.
 
-    ``lease`` must be well above ``takeover_after``, so that workers are renewed by the taker of a dead
-    owner's cells before their leases lapse, and below ``authority``.
+    ``lease`` must be well above ``takeover_after``, so that the new owner of a dead owner's cells
+    renews the workers before their leases lapse, and below ``authority``.
     """
 
     lease: float = 6.0
--- a/toucanpin/placement/ownership.py
+++ b/toucanpin/placement/ownership.py
@@ -35,7 +35,7 @@
     encode,
     queue_prefix,
 )
-from toucanpin.placement.state import ControlState, StoredCell, View
+from toucanpin.placement.state import ClusterView, ControlState, StoredCell
 from toucanpin.platform.ports import (
     ABSENT,
     Committed,
@@ -150,42 +150,44 @@
     state.lost = {name: (epoch, 0.0) for name, (epoch, _) in state.lost.items()}
 
 
-def take_cells(state: ControlState, view: View) -> Decision[None]:
+def take_cells(state: ControlState, view: ClusterView) -> Decision[None]:
     """Take the cells that are ours by rendezvous and that nobody else is known to hold."""
-    lives = view.answering()
-    able = state.able_lives(view)
+    controllers = view.alive_controllers()
+    able = state.eligible_controllers(view)
     listed = {shape.name for shape in view.shapes}
     used = {name for name, it in state.stored.items() if it.row.tasks or it.row.owner is not None}
     for name in sorted(listed | used):
-        if name in state.cells or state.prefers(name, able) != state.controller_id:
+        if name in state.cells or state.preferred_owner(name, able) != state.controller_id:
             continue
         stored = state.stored.get(name)
-        if stored is not None and not _is_free(state, stored.row, lives, view.now):
+        if stored is not None and not _is_free(state, stored.row, controllers, view.now):
             continue
         if state.health.may_commit() and state.authority.holds(view.now):
             yield from _take(state, view, name, stored)
 
 
 def _is_free(
-    state: ControlState, row: CellRow, lives: tuple[ControllerId, ...], now: float
+    state: ControlState, row: CellRow, controllers: tuple[ControllerId, ...], now: float
 ) -> bool:
     """Tell whether a cell may be taken from its owner without disturbing a live one."""
     owner = row.owner
     if owner is None or owner == state.controller_id:
         return True
-    if state.is_quiet(now):
+    if state.in_grace_period(now):
         return False
     unchanged = state.watch.unchanged(owner, now)
     if unchanged is None:
         return False
     if state.watch.is_over(owner):
         return True
-    if owner in lives:
+    if owner in controllers:
         return unchanged >= state.terms.missed_renewal_after()
     return unchanged >= state.terms.takeover_after
 
 
-def _take(state: ControlState, view: View, name: str, stored: StoredCell | None) -> Decision[None]:
+def _take(
+    state: ControlState, view: ClusterView, name: str, stored: StoredCell | None
+) -> Decision[None]:
     """Write ourselves into a cell's row as its owner, with a higher epoch."""
     before = stored.row if stored else CellRow(0, None, {}, {})
     unproven = tuple(
@@ -226,7 +228,7 @@
             state.health.fail()
 
 
-def list_workers(row: CellRow, view: View, cell: str) -> dict[str, WorkerRow]:
+def list_workers(row: CellRow, view: ClusterView, cell: str) -> dict[str, WorkerRow]:
     """Return the workers of a cell whose rows differ from the host list."""
     changed: dict[str, WorkerRow] = {}
     for host in view.workers_of_cells.get(cell, ()):
@@ -249,13 +251,13 @@
     return changed
 
 
-def collect_lives(state: ControlState, view: View) -> Decision[None]:
+def collect_lives(state: ControlState, view: ClusterView) -> Decision[None]:
     """Delete the authority rows of lives that are gone and that no cell refers to."""
     rows = [stored.row for stored in state.stored.values()]
     used = {row.owner for row in rows} | {
         controller for row in rows for controller, _ in row.unproven
     }
-    there = frozenset(view.lives()) | {state.controller_id}
+    there = frozenset(view.known_controllers()) | {state.controller_id}
     for controller, version in state.watch.find_remains(view.now, there):
         if controller in used or not state.health.may_commit():
             continue
@@ -304,11 +306,11 @@
             cell.queue.drop(waiting.record.task)
 
 
-def hand_over_cells(state: ControlState, view: View) -> Decision[None]:
+def hand_over_cells(state: ControlState, view: ClusterView) -> Decision[None]:
     """Release the cells that another live process should own for some time now."""
-    able = state.able_lives(view)
+    able = state.eligible_controllers(view)
     for cell in list(state.cells.values()):
-        if state.prefers(cell.name, able) == state.controller_id:
+        if state.preferred_owner(cell.name, able) == state.controller_id:
             cell.unwanted_since = None
             continue
         if cell.unwanted_since is None:
@@ -318,7 +320,11 @@
     for name, stored in list(state.stored.items()):
         # The answer of an earlier release was lost and the row shows that it had no effect.
         left = stored.row.owner == state.controller_id and name not in state.cells
-        if left and state.prefers(name, able) != state.controller_id and state.health.may_commit():
+        if (
+            left
+            and state.preferred_owner(name, able) != state.controller_id
+            and state.health.may_commit()
+        ):
             yield from _write_release(state, name, stored)
 
 
--- a/toucanpin/placement/placing.py
+++ b/toucanpin/placement/placing.py
@@ -30,7 +30,7 @@
 from toucanpin.placement.policy import Evict, Limit, Remark
 from toucanpin.placement.queue import CellShape, Quotas, Waiting
 from toucanpin.placement.records import TaskRecord, WorkerState
-from toucanpin.placement.state import ControlState, View
+from toucanpin.placement.state import ClusterView, ControlState
 from toucanpin.placement.writing import split_changes, write_cell
 from toucanpin.platform.ports import (
     MAX_TRANSACTION_ROWS,
@@ -50,7 +50,7 @@
 MOVES_EACH_TRANSACTION = MAX_TRANSACTION_ROWS // ROWS_OF_MOVE
 
 
-def drain_workers(state: ControlState, view: View) -> None:
+def drain_workers(state: ControlState, view: ClusterView) -> None:
     """Have the tasks of leaving workers checkpointed and evicted."""
     listed = view.workers
     for cell in state.cells.values():
@@ -63,7 +63,7 @@
                 cell.ask_stop(record.task, StopReason.EVICT)
 
 
-def follow_policy(state: ControlState, view: View) -> Decision[None]:
+def follow_policy(state: ControlState, view: ClusterView) -> Decision[None]:
     """Take over what the policy wants done to running tasks."""
     owned = {name for cell in state.cells.values() for name in cell.row.workers}
     state.policy.prepare(view.now, view.bundle, owned)
@@ -98,13 +98,13 @@
     return used
 
 
-def place_tasks(state: ControlState, view: View) -> Decision[None]:
+def place_tasks(state: ControlState, view: ClusterView) -> Decision[None]:
     """Commit waiting tasks to workers, up to 63 in a transaction."""
     if not any(len(cell.queue) for cell in state.cells.values()):
         return
     teams = view.bundle.teams if view.bundle else ()
     quotas = Quotas(teams, count_teams(state) if teams else {})
-    for cell in sorted(state.in_turn(state.last_placed), key=_has_no_urgent):
+    for cell in sorted(state.cells_after(state.last_placed), key=_has_no_urgent):
         if cell.stale or not len(cell.queue) or not state.health.may_commit():
             continue
         changes = list(choose_places(state, cell, view, quotas))
@@ -119,7 +119,7 @@
     return not cell.queue.has_urgent()
 
 
-def find_usable(state: ControlState, cell: Cell, view: View) -> list[str]:
+def find_usable(state: ControlState, cell: Cell, view: ClusterView) -> list[str]:
     """
     Return the workers that may receive work now: listed, heard from, and under our lease.
 
@@ -145,7 +145,9 @@
     return bool(heard) and link.incarnation_state(link.incarnation).reached
 
 
-def choose_places(state: ControlState, cell: Cell, view: View, quotas: Quotas) -> Iterator[Change]:
+def choose_places(
+    state: ControlState, cell: Cell, view: ClusterView, quotas: Quotas
+) -> Iterator[Change]:
     """Yield the placements that the free sizes and the quotas allow, in the queue's order."""
     if not state.authority.holds(view.now):
         return
@@ -249,7 +251,7 @@
             cell.ask_stop(task, StopReason.EVICT)
 
 
-def move_tasks(state: ControlState, view: View) -> Decision[None]:
+def move_tasks(state: ControlState, view: ClusterView) -> Decision[None]:
     """Move what has waited here too long to a cell that has room, or can ever hold it."""
     if view.now < state.next_move:
         return
--- a/toucanpin/placement/polling.py
+++ b/toucanpin/placement/polling.py
@@ -17,7 +17,7 @@
 from toucanpin.placement.cells import Cell, StopReason, WorkerLink, address_worker
 from toucanpin.placement.lifecycle import name_checkpoint, name_result
 from toucanpin.placement.records import TaskRecord, payload_key
-from toucanpin.placement.state import ControlState, View
+from toucanpin.placement.state import ClusterView, ControlState
 from toucanpin.platform.ports import (
     Checkpoint,
     Forget,
@@ -35,7 +35,7 @@
 __all__ = ["fetch_payloads", "poll_workers"]
 
 
-def fetch_payloads(state: ControlState, view: View) -> Decision[None]:
+def fetch_payloads(state: ControlState, view: ClusterView) -> Decision[None]:
     """Read the payloads of committed tasks that have yet to be started."""
     for cell in state.cells.values():
         for record in cell.row.tasks.values():
@@ -56,7 +56,7 @@
     return bool(link.incarnation) and (record.task, record.attempt) not in link.tasks
 
 
-def poll_workers(state: ControlState, view: View) -> Decision[None]:
+def poll_workers(state: ControlState, view: ClusterView) -> Decision[None]:
     """Poll every worker that is due or for which there are orders, all at once."""
     now = max(view.now, state.now)
     asked: list[tuple[Cell, WorkerLink, Poll]] = []
--- a/toucanpin/placement/standing.py
+++ b/toucanpin/placement/standing.py
@@ -26,7 +26,7 @@
     queue_key,
     standing_key,
 )
-from toucanpin.placement.state import ControlState, View
+from toucanpin.placement.state import ClusterView, ControlState
 from toucanpin.placement.writing import split_changes, write_cell
 from toucanpin.platform.ports import (
     ABSENT,
@@ -79,7 +79,7 @@
     )
 
 
-def reconcile_standing(state: ControlState, view: View) -> Decision[None]:
+def reconcile_standing(state: ControlState, view: ClusterView) -> Decision[None]:
     """Insert, replace and remove standing tasks as the bundle in force says."""
     bundle = view.bundle
     if bundle is None or state.health.down:
--- a/toucanpin/placement/state.py
+++ b/toucanpin/placement/state.py
@@ -21,7 +21,7 @@
 from toucanpin.placement.writing import TableHealth
 from toucanpin.platform.ports import HostRole, ListedHost
 
-__all__ = ["ControlState", "ControlOptions", "View"]
+__all__ = ["ClusterView", "ControlOptions", "ControlState"]
 
 CONTROL_ROLE = "control"
 
@@ -43,7 +43,7 @@
 
 
 @dataclass(frozen=True)
-class View:
+class ClusterView:
     """
     Show a turn what the outside hints at; ``now`` is monotonic.
 
@@ -74,20 +74,20 @@
             cells.setdefault(name_cell(host), []).append(host)
         return cells
 
-    def lives(self) -> tuple[ControllerId, ...]:
+    def known_controllers(self) -> tuple[ControllerId, ...]:
         """Return the control processes that membership believes to be there, suspects too."""
-        return self._list_lives((Standing.ALIVE, Standing.SUSPECT))
+        return self._list_controllers((Standing.ALIVE, Standing.SUSPECT))
 
-    def answering(self) -> tuple[ControllerId, ...]:
+    def alive_controllers(self) -> tuple[ControllerId, ...]:
         """
         Return the control processes that are heard of.
 
         Cells are divided among these.  Waiting until a suspect is given up let the leases of a
         dead owner's workers lapse, and every task there stopped.
         """
-        return self._list_lives((Standing.ALIVE,))
+        return self._list_controllers((Standing.ALIVE,))
 
-    def _list_lives(self, standings: tuple[Standing, ...]) -> tuple[ControllerId, ...]:
+    def _list_controllers(self, standings: tuple[Standing, ...]) -> tuple[ControllerId, ...]:
         chosen = (it for it in self.members if it.role == CONTROL_ROLE and it.standing in standings)
         return tuple(sorted(ControllerId(it.name, it.life) for it in chosen))
 
@@ -131,7 +131,7 @@
         self.health = TableHealth(self.options.commits_each_turn)
         self.policy = Guarded(self.policy)
 
-    def in_turn(self, last: str) -> list[Cell]:
+    def cells_after(self, last: str) -> list[Cell]:
         """
         Return the cells in the order of their names, beginning after the one that was served last.
 
@@ -145,12 +145,12 @@
         self.sequence += 1
         return self.sequence
 
-    def prefers(self, cell: str, lives: tuple[ControllerId, ...]) -> ControllerId:
+    def preferred_owner(self, cell: str, controllers: tuple[ControllerId, ...]) -> ControllerId:
         """Return the life that should own a cell among those believed to be there."""
-        names = {it.process: it for it in (*lives, self.controller_id)}
+        names = {it.process: it for it in (*controllers, self.controller_id)}
         return names[max(names, key=lambda name: rank(cell, name))]
 
-    def is_quiet(self, now: float) -> bool:
+    def in_grace_period(self, now: float) -> bool:
         """
         Tell whether the table has just come back.
 
@@ -158,19 +158,19 @@
         before anybody takes that for a death.
         """
         quiet = self.terms.takeover_after + self.terms.renew_every
-        return self.health.well_since > 0 and now < self.health.well_since + quiet
+        return self.health.recovered_at > 0 and now < self.health.recovered_at + quiet
 
-    def able_lives(self, view: View) -> tuple[ControllerId, ...]:
+    def eligible_controllers(self, view: ClusterView) -> tuple[ControllerId, ...]:
         """
         Return the lives that may own cells: heard of, and renewing their authority.
 
         A process that still sends heartbeats but is cut off from the table would otherwise keep the
         claim to cells that it can't serve.
         """
-        lives = view.answering()
-        if self.is_quiet(view.now):
-            return lives
-        return tuple(it for it in lives if self._renews(it, view.now))
+        controllers = view.alive_controllers()
+        if self.in_grace_period(view.now):
+            return controllers
+        return tuple(it for it in controllers if self._renews(it, view.now))
 
     def _renews(self, controller: ControllerId, now: float) -> bool:
         unchanged = self.watch.unchanged(controller, now)
--- a/toucanpin/placement/tests/world.py
+++ b/toucanpin/placement/tests/world.py
@@ -37,7 +37,7 @@
 from toucanpin.placement.ledger import fits, used_by_worker
 from toucanpin.placement.queue import shape_cells
 from toucanpin.placement.records import CellRow, ControllerId, JobRow, JobState, decode
-from toucanpin.placement.state import ControlOptions, ControlState, View
+from toucanpin.placement.state import ClusterView, ControlOptions, ControlState
 from toucanpin.placement.submission import Submission, submit_job
 from toucanpin.placement.tests.skew import Clock, SkewedCore
 from toucanpin.platform.ports import HostRole, ListedHost, Size, WorkerFault
@@ -164,7 +164,7 @@
         process = self.processes[name] = Process(self, ControllerId(name, incarnation))
         return process
 
-    def view(self, asker: Process) -> View:
+    def view(self, asker: Process) -> ClusterView:
         """Return what a process believes; the death of another is noticed after a while."""
         members = tuple(
             Member(
@@ -179,7 +179,7 @@
             for name, it in self.processes.items()
             if it.silent_since is None or self.now - it.silent_since < NOTICE
         )
-        return View(asker.now, tuple(self.hosts), members, self.bundle)
+        return ClusterView(asker.now, tuple(self.hosts), members, self.bundle)
 
     def perform(self, process: Process, action: Any) -> Any:
         """Carry out one action with the ports of a process."""
--- a/toucanpin/placement/writing.py
+++ b/toucanpin/placement/writing.py
@@ -59,7 +59,7 @@
     def __init__(self, budget: int) -> None:
         """Start with a table that is believed to answer."""
         self.down = False
-        self.well_since = 0.0
+        self.recovered_at = 0.0
         self.commits = 0
         self.budget = budget
         self._left = budget
@@ -78,7 +78,7 @@
         """Tell whether this turn may commit once more."""
         return not self.down and self._left > 0
 
-    def may_absorb(self) -> bool:
+    def may_commit_reports(self) -> bool:
         """Tell whether this turn may commit reports once more; half is kept for placing."""
         return not self.down and self._left > self.budget // 2
 
@@ -97,7 +97,7 @@
     def succeed(self, now: float) -> None:
         """Note that the table answered."""
         if self._failures >= FAILURES_OF_OUTAGE:
-            self.well_since = now
+            self.recovered_at = now
         self._failures = 0
 
 
