--- a/scenarios/control.py
+++ b/scenarios/control.py
@@ -16,7 +16,7 @@
 from toucanpin.placement import actions
 from toucanpin.placement.actions import Answer
 from toucanpin.placement.controller import release_all, take_turn
-from toucanpin.placement.queue import shape_cells
+from toucanpin.placement.queue import list_cell_shapes
 from toucanpin.placement.records import ControllerId
 from toucanpin.placement.state import ClusterView, ControlState
 from toucanpin.placement.submission import Submission, cancel_job, submit_job
@@ -43,7 +43,7 @@
 
     def submit(self, request: Submission, key: str, reply: Reply) -> None:
         """Accept or refuse a job."""
-        shapes = shape_cells(self.hosts)
+        shapes = list_cell_shapes(self.hosts)
         decision = submit_job(request, key, shapes, self.current(), self.read_wall())
         self.drive(decision, self.perform, reply)
 
--- a/toucanpin/daemon/jobs.py
+++ b/toucanpin/daemon/jobs.py
@@ -29,7 +29,7 @@
     list_standing,
     read_status,
 )
-from toucanpin.placement.queue import shape_cells
+from toucanpin.placement.queue import list_cell_shapes
 from toucanpin.placement.submission import Submission, submit_job
 from toucanpin.platform.ports import ListedHost, Objects, Table
 from toucanpin.verdict import Reason, Refusal, Verdict
@@ -128,7 +128,7 @@
             refusal = Refusal(Verdict.NOT_RUN, Reason.BAD_REQUEST, str(error))
             raise RefusedError(refusal) from error
         key = environ.get("HTTP_IDEMPOTENCY_KEY", "").strip()
-        shapes = shape_cells(self._hosts())
+        shapes = list_cell_shapes(self._hosts())
         status = self._run(submit_job(request, key, shapes, bundle, time.time()))
         location = (("Location", f"/v1/jobs/{status.job}"),)
         return Reply(HTTPStatus.ACCEPTED, msgspec.json.encode(status), headers=location)
--- a/toucanpin/placement/queue.py
+++ b/toucanpin/placement/queue.py
@@ -24,9 +24,9 @@
     "TaskQueue",
     "Waiting",
     "choose_cell",
-    "name_cell",
-    "rank",
-    "shape_cells",
+    "cell_name",
+    "rendezvous_weight",
+    "list_cell_shapes",
 ]
 
 SECONDS_PER_PRIORITY = 60.0
@@ -145,21 +145,21 @@
         return any(fits(size, it) for it in self.sizes)
 
 
-def name_cell(host: ListedHost) -> str:
+def cell_name(host: ListedHost) -> str:
     """Return the cell of a worker: its rack, which is named within its site."""
     return f"{host.site}.{host.rack}"
 
 
-def shape_cells(hosts: Iterable[ListedHost]) -> tuple[CellShape, ...]:
+def list_cell_shapes(hosts: Iterable[ListedHost]) -> tuple[CellShape, ...]:
     """Return the cells of a host list, in order of their names."""
     sizes: dict[str, list[Size]] = {}
     for host in hosts:
         if host.role is HostRole.WORKER:
-            sizes.setdefault(name_cell(host), []).append(host.size)
+            sizes.setdefault(cell_name(host), []).append(host.size)
     return tuple(CellShape(name, tuple(sizes[name])) for name in sorted(sizes))
 
 
-def rank(key: str, name: str) -> int:
+def rendezvous_weight(key: str, name: str) -> int:
     """Return the rendezvous weight of a name for a key."""
     return xxhash.xxh3_64_intdigest(f"{key}\0{name}".encode())
 
@@ -167,4 +167,4 @@
 def choose_cell(task: str, size: Size, shapes: Iterable[CellShape]) -> str | None:
     """Return the rendezvous cell among those that can ever hold a size, None if none can."""
     able = (shape.name for shape in shapes if shape.can_hold(size))
-    return max(able, key=lambda name: rank(task, name), default=None)
+    return max(able, key=lambda name: rendezvous_weight(task, name), default=None)
--- a/toucanpin/placement/state.py
+++ b/toucanpin/placement/state.py
@@ -16,7 +16,7 @@
 from toucanpin.placement.cells import Cell
 from toucanpin.placement.leases import LeaseTerms
 from toucanpin.placement.policy import Guarded, PlacementPolicy, TightestFit
-from toucanpin.placement.queue import CellShape, name_cell, rank, shape_cells
+from toucanpin.placement.queue import CellShape, cell_name, list_cell_shapes, rendezvous_weight
 from toucanpin.placement.records import CellRow, ControllerId, StandingRow
 from toucanpin.placement.writing import TableHealth
 from toucanpin.platform.ports import HostRole, ListedHost
@@ -64,14 +64,14 @@
     @cached_property
     def shapes(self) -> tuple[CellShape, ...]:
         """Return the cells of the host list."""
-        return shape_cells(self.hosts)
+        return list_cell_shapes(self.hosts)
 
     @cached_property
     def workers_of_cells(self) -> dict[str, list[ListedHost]]:
         """Return the listed workers of each cell."""
         cells: dict[str, list[ListedHost]] = {}
         for host in self.workers.values():
-            cells.setdefault(name_cell(host), []).append(host)
+            cells.setdefault(cell_name(host), []).append(host)
         return cells
 
     def known_controllers(self) -> tuple[ControllerId, ...]:
@@ -148,7 +148,7 @@
     def preferred_owner(self, cell: str, controllers: tuple[ControllerId, ...]) -> ControllerId:
         """Return the life that should own a cell among those believed to be there."""
         names = {it.process: it for it in (*controllers, self.controller_id)}
-        return names[max(names, key=lambda name: rank(cell, name))]
+        return names[max(names, key=lambda name: rendezvous_weight(cell, name))]
 
     def in_grace_period(self, now: float) -> bool:
         """
--- a/toucanpin/placement/tests/test_owners.py
+++ b/toucanpin/placement/tests/test_owners.py
@@ -4,7 +4,7 @@
 
 from toucanpin.placement.actions import Commit, RecordEvent
 from toucanpin.placement.cells import WorkerIncarnation
-from toucanpin.placement.queue import rank
+from toucanpin.placement.queue import rendezvous_weight
 from toucanpin.placement.records import JobState
 from toucanpin.placement.tests.helpers import (
     TABLE,
@@ -172,7 +172,7 @@
         lease from the release, so the first must have stopped renewing before it asked for it.
         """
         world = World(processes=0, workers=2)
-        names = sorted(("a/control", "b/control"), key=lambda name: rank("s.r0", name))
+        names = sorted(("a/control", "b/control"), key=lambda name: rendezvous_weight("s.r0", name))
         first = world.add_process(names[0], 1)
         world.set_standing(2, "enc")
         world.run(8)
@@ -200,7 +200,7 @@
         on by the other's promise, and hands the cell over when the table is back.
         """
         world = World(processes=0, workers=2)
-        names = sorted(("a/control", "b/control"), key=lambda name: rank("s.r0", name))
+        names = sorted(("a/control", "b/control"), key=lambda name: rendezvous_weight("s.r0", name))
         first = world.add_process(names[0], 1)
         world.set_standing(2, "enc")
         world.run(8)
--- a/toucanpin/placement/tests/test_queue.py
+++ b/toucanpin/placement/tests/test_queue.py
@@ -9,7 +9,7 @@
 from toucanpin.exception import LedgerError
 from toucanpin.placement import ledger
 from toucanpin.placement.ledger import FreeIndex
-from toucanpin.placement.queue import CellShape, Quotas, TaskQueue, choose_cell, shape_cells
+from toucanpin.placement.queue import CellShape, Quotas, TaskQueue, choose_cell, list_cell_shapes
 from toucanpin.placement.records import CellRow, JobState, TaskRecord, WorkerRow
 from toucanpin.placement.state import ControlOptions
 from toucanpin.placement.submission import name_job
@@ -167,7 +167,7 @@
     def test_work_moves_to_a_cell_with_room(self):
         """What waits too long in a full cell is moved, and is still cancelled where it went."""
         world = World(racks=2, workers=1, processes=2)
-        shapes = shape_cells(world.hosts)
+        shapes = list_cell_shapes(world.hosts)
         keys = (str(number) for number in range(100))
         home = (it for it in keys if choose_cell(name_job("t", it), Size(4, 1), shapes) == "s.r0")
         for key in list(home)[:4]:
--- a/toucanpin/placement/tests/world.py
+++ b/toucanpin/placement/tests/world.py
@@ -35,7 +35,7 @@
 from toucanpin.placement.jobs import cancel_job
 from toucanpin.placement.leases import LeaseTerms
 from toucanpin.placement.ledger import fits, used_by_worker
-from toucanpin.placement.queue import shape_cells
+from toucanpin.placement.queue import list_cell_shapes
 from toucanpin.placement.records import CellRow, ControllerId, JobRow, JobState, decode
 from toucanpin.placement.state import ClusterView, ControlOptions, ControlState
 from toucanpin.placement.submission import Submission, submit_job
@@ -270,7 +270,7 @@
         request = Submission(
             "k", team, processors, memory, payload=describe_work(work, fail, use), **fields
         )
-        shapes = shape_cells(self.hosts)
+        shapes = list_cell_shapes(self.hosts)
         return self.drive(submit_job(request, key, shapes, self.bundle, self.now))
 
     def cancel(self, job: str):
