--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -20,7 +20,7 @@
 
 from toucanpin.placement.actions import Answer, Commit, PollAll
 from toucanpin.placement.controller import take_turn
-from toucanpin.placement.ledger import FreeIndex, fits, subtract
+from toucanpin.placement.ledger import FreeCapacityIndex, fits, subtract
 from toucanpin.placement.queue import TaskQueue
 from toucanpin.placement.records import TaskRecord
 from toucanpin.placement.tests.world import Process, World
@@ -63,7 +63,7 @@
 def measure_choices(hosts: int, choose: Callable[..., str | None]) -> float:
     """Return the processor seconds of one choice on hosts that are partly filled."""
     rng = Random(SEED)
-    index = FreeIndex()
+    index = FreeCapacityIndex()
     for number in range(hosts):
         index.put(f"w{number}", Size(rng.randrange(1, 65), rng.randrange(1_000, 250_000)))
     free = {f"w{number}": index.free(f"w{number}") for number in range(hosts)}
@@ -74,7 +74,7 @@
     return (time.process_time() - began) / DECISIONS
 
 
-def choose_by_index(index: FreeIndex, free: dict[str, Size], size: Size) -> str | None:
+def choose_by_index(index: FreeCapacityIndex, free: dict[str, Size], size: Size) -> str | None:
     """Choose, take and give back by the index."""
     found = index.candidates(size, 1)
     if not found:
@@ -84,7 +84,7 @@
     return found[0]
 
 
-def choose_by_search(index: FreeIndex, free: dict[str, Size], size: Size) -> str | None:
+def choose_by_search(index: FreeCapacityIndex, free: dict[str, Size], size: Size) -> str | None:
     """Choose by looking at every host."""
     able = [(it.accelerators, it.processors, name) for name, it in free.items() if fits(size, it)]
     if not able:
--- a/toucanpin/placement/ledger.py
+++ b/toucanpin/placement/ledger.py
@@ -17,7 +17,7 @@
 from toucanpin.platform.ports import Size
 
 __all__ = [
-    "FreeIndex",
+    "FreeCapacityIndex",
     "add",
     "check",
     "fits",
@@ -99,7 +99,7 @@
             raise LedgerError(f"{name} would hold {size} of {worker.size}")
 
 
-class FreeIndex:
+class FreeCapacityIndex:
     """
     Find workers with room, tightest first.
 
@@ -161,7 +161,7 @@
                 yield worker
 
     @classmethod
-    def of_cell(cls, row: CellRow, usable: Iterable[str]) -> FreeIndex:
+    def of_cell(cls, row: CellRow, usable: Iterable[str]) -> FreeCapacityIndex:
         """Build the index of a cell over the workers that may receive work now."""
         index = cls()
         used = used_by_worker(row.tasks.values())
--- a/toucanpin/placement/placing.py
+++ b/toucanpin/placement/placing.py
@@ -18,7 +18,7 @@
 from toucanpin.placement.cells import Cell, StopReason, WorkerLink
 from toucanpin.placement.ledger import (
     NOTHING,
-    FreeIndex,
+    FreeCapacityIndex,
     add,
     fits,
     smaller,
@@ -152,7 +152,7 @@
     if not state.authority.holds(view.now):
         return
     usable = find_usable(state, cell, view)
-    index = FreeIndex.of_cell(cell.row, usable)
+    index = FreeCapacityIndex.of_cell(cell.row, usable)
     _trim_to_reported(cell, usable, index)
     reserved = 0
     tries = 0
@@ -176,7 +176,7 @@
         yield lifecycle.place(cell.name, waiting, worker, cell.link(worker).incarnation)
 
 
-def _trim_to_reported(cell: Cell, usable: list[str], index: FreeIndex) -> None:
+def _trim_to_reported(cell: Cell, usable: list[str], index: FreeCapacityIndex) -> None:
     """
     Count no more on a worker than it says itself to have.
 
@@ -209,7 +209,7 @@
     return waiting.record.urgent or now - waiting.since >= state.options.reserve_after
 
 
-def _reserve(cell: Cell, record: TaskRecord, index: FreeIndex) -> None:
+def _reserve(cell: Cell, record: TaskRecord, index: FreeCapacityIndex) -> None:
     """
     Keep the emptiest worker that can ever hold a task free of others for this turn.
 
@@ -230,7 +230,7 @@
         _evict_for(cell, record, worker, free)
 
 
-def _room(index: FreeIndex, name: str) -> tuple[int, int, int, str]:
+def _room(index: FreeCapacityIndex, name: str) -> tuple[int, int, int, str]:
     free = index.free(name) or NOTHING
     return free.accelerators, free.processors, free.memory, name
 
@@ -289,7 +289,7 @@
 
     def __init__(self, state: ControlState, shapes: dict[str, CellShape]) -> None:
         """Index the workers of every listed cell."""
-        self._index = FreeIndex()
+        self._index = FreeCapacityIndex()
         self._cells: dict[str, str] = {}
         rows = {name: it.row for name, it in state.stored.items()}
         rows.update({cell.name: cell.row for cell in state.cells.values()})
--- a/toucanpin/placement/tests/test_queue.py
+++ b/toucanpin/placement/tests/test_queue.py
@@ -8,7 +8,7 @@
 from toucanpin.bundles.schema import Bundle, Team
 from toucanpin.exception import LedgerError
 from toucanpin.placement import ledger
-from toucanpin.placement.ledger import FreeIndex
+from toucanpin.placement.ledger import FreeCapacityIndex
 from toucanpin.placement.queue import CellShape, Quotas, TaskQueue, choose_cell, list_cell_shapes
 from toucanpin.placement.records import CellRow, JobState, TaskRecord, WorkerRow
 from toucanpin.placement.state import ControlOptions
@@ -40,7 +40,7 @@
     @given(st.lists(SIZES, max_size=20), SIZES, st.lists(st.integers(0, 19), max_size=10))
     def test_index_agrees_with_a_plain_search(self, free, wanted, taken):
         """The index finds a worker exactly if one has room, and the tightest of them first."""
-        index = FreeIndex()
+        index = FreeCapacityIndex()
         plain = {str(number): size for number, size in enumerate(free)}
         for name, size in plain.items():
             index.put(name, size)
