--- a/benchmarks/ablation.py
+++ b/benchmarks/ablation.py
@@ -58,7 +58,9 @@
     "all on": (),
     "order by lateness": (Off("toucanpin.scheduling.cell.judge_lateness", _always_in_time),),
     "reserve for brief tasks": (Off(f"{_CHOOSING}.RESERVE", 0.0),),
-    "a worker kept for large tasks": (Off("toucanpin.scheduling.keeping.MOST_KEPT", 0.0),),
+    "a worker kept for large tasks": (
+        Off("toucanpin.scheduling.large_tasks.MAX_RESERVED_SHARE", 0.0),
+    ),
     "preemption": (Off(f"{_PLACING}._make_room", _nothing),),
     "moving of slow and stuck tasks": (Off("benchmarks.sharing.move_tasks", _nothing),),
     "pacing and clearing": (Off("benchmarks.sharing.control_pace", _nothing),),
--- /dev/null
+++ b/toucanpin/scheduling/large_tasks.py
@@ -0,0 +1,77 @@
+"""
+LargeTaskReservation
+=======
+
+Keep workers from less urgent steps, for tasks that are too large for what is free.
+"""
+
+from __future__ import annotations
+
+import heapq
+
+from toucanpin.scheduling.cell import Cell, Group
+from toucanpin.scheduling.choosing import fits_rules
+from toucanpin.scheduling.evacuating import list_open
+from toucanpin.scheduling.job import Step
+from toucanpin.scheduling.worker import Worker
+
+__all__ = ["LargeTaskReservation"]
+
+MAX_RESERVED_SHARE = 0.12  # of the workers that are reserved for large tasks at a time
+
+
+class LargeTaskReservation:
+    """
+    Hold the workers that less urgent steps may still have in one round of placing.
+
+    Small tasks would take each core that becomes free, and a large one would wait for as long as
+    there are some.
+    """
+
+    __slots__ = ("_cell", "_min_eligible", "_by_free_cores", "eligible")
+
+    def __init__(self, cell: Cell, eligible: list[Worker]) -> None:
+        self._cell = cell
+        self._min_eligible = len(list_open(cell)) * (1 - MAX_RESERVED_SHARE)
+        self._by_free_cores: list[tuple[int, int, Worker]] = []
+        self.eligible = eligible
+
+    def reserve_for(self, group: Group, step: Step) -> None:
+        """Keep the roomiest worker that a step may have, if tasks of it still wait."""
+        if not self._cell.waiting[group] or step.fills or step.lasting or step.gang:
+            return
+        if len(self.eligible) <= self._min_eligible:
+            return
+        reserved = self._take_with_most_cores(group, step)
+        if reserved is not None:
+            self.eligible = [worker for worker in self.eligible if worker is not reserved]
+
+    def _take_with_most_cores(self, group: Group, step: Step) -> Worker | None:
+        """
+        Return the worker with most room that a step may have, the first of equals.
+
+        Rooms only shrink within a round, so one whose room is still what the heap says has most.
+        """
+        if not self._by_free_cores:
+            pairs = enumerate(self.eligible)
+            self._by_free_cores = [
+                (-_count_free_cores(worker), number, worker) for number, worker in pairs
+            ]
+            heapq.heapify(self._by_free_cores)
+        excluded: list[tuple[int, int, Worker]] = []
+        found = None
+        while self._by_free_cores and found is None:
+            room, number, worker = heapq.heappop(self._by_free_cores)
+            if room != -_count_free_cores(worker):
+                heapq.heappush(self._by_free_cores, (-_count_free_cores(worker), number, worker))
+            elif fits_rules(worker, group, step):
+                found = worker
+            else:
+                excluded.append((room, number, worker))
+        for entry in excluded:
+            heapq.heappush(self._by_free_cores, entry)
+        return found
+
+
+def _count_free_cores(worker: Worker) -> int:
+    return worker.entry.cpu - worker.cpu
--- a/toucanpin/scheduling/placing.py
+++ b/toucanpin/scheduling/placing.py
@@ -30,7 +30,7 @@
 from toucanpin.scheduling.crashing import find_doubt, is_held
 from toucanpin.scheduling.gangs import place_gang
 from toucanpin.scheduling.job import Step, TaskKey
-from toucanpin.scheduling.keeping import Keeping
+from toucanpin.scheduling.large_tasks import LargeTaskReservation
 from toucanpin.scheduling.preempting import Making, Openings
 from toucanpin.scheduling.progress import Doubt
 from toucanpin.scheduling.recalling import is_barren, note_barren, note_shortage, recall
@@ -62,7 +62,7 @@
         return
     everywhere = list_able(cell, now)
     reserve_room(cell, everywhere, now)
-    keeping = Keeping(cell, everywhere)
+    reservation = LargeTaskReservation(cell, everywhere)
     round_ = Round(sharing, now)
     making = Making()
     least_urgent = _find_least_urgent(cell)
@@ -72,7 +72,7 @@
         live = cell.jobs[group.job]
         step = live.job.steps[group.step]
         # What is kept for large tasks mustn't hold up a task that has to last.
-        allowed = everywhere if step.lasting else keeping.able
+        allowed = everywhere if step.lasting else reservation.eligible
         if live.job.advised:
             allowed = [w for w in allowed if find_ticket(cell, group, w.entry.id, now)]
         if step.same_rack:
@@ -83,7 +83,7 @@
             _place_group(cell, round_, live, group, step, allowed)
         if live.job.priority < least_urgent and not step.gang:
             _make_room(cell, live, group, step, allowed, making, now)
-        keeping.keep_for(group, step)
+        reservation.reserve_for(group, step)
         if not cell.waiting[group]:
             del cell.waiting[group]
     for group in [group for group in cell.waits if group not in cell.waiting]:
--- a/toucanpin/scheduling/tests/test_evacuating.py
+++ b/toucanpin/scheduling/tests/test_evacuating.py
@@ -12,7 +12,7 @@
     take_evacuated,
 )
 from toucanpin.scheduling.job import Step
-from toucanpin.scheduling.keeping import Keeping
+from toucanpin.scheduling.large_tasks import LargeTaskReservation
 from toucanpin.scheduling.tests.fleet import Fleet, make_job
 from toucanpin.scheduling.worker import Phase
 
@@ -123,7 +123,7 @@
         job = make_job(steps=(Step(count=1, cpu=5_000),))
         self.fleet.submit(job)
         able = [w for w in self.fleet.cell.workers.values() if w.entry.data_centre == "there"]
-        keeping = Keeping(self.fleet.cell, able)
+        reservation = LargeTaskReservation(self.fleet.cell, able)
         (group,) = self.fleet.cell.waiting
-        keeping.keep_for(group, job.steps[0])
-        self.assertEqual(len(able) - 1, len(keeping.able))
+        reservation.reserve_for(group, job.steps[0])
+        self.assertEqual(len(able) - 1, len(reservation.eligible))
--- a/toucanpin/scheduling/tests/test_turns.py
+++ b/toucanpin/scheduling/tests/test_turns.py
@@ -10,7 +10,7 @@
 from toucanpin.scheduling.cell import Group, WaitReason
 from toucanpin.scheduling.choosing import Places
 from toucanpin.scheduling.job import Step
-from toucanpin.scheduling.keeping import Keeping
+from toucanpin.scheduling.large_tasks import LargeTaskReservation
 from toucanpin.scheduling.orders import WorkerEntry
 from toucanpin.scheduling.placing import place_tasks
 from toucanpin.scheduling.recalling import BARREN
@@ -128,14 +128,14 @@
             entry = WorkerEntry(f"w{number}", "c", "a:1", "dc", True, 4_000, 8_000, 0)
             cell.workers[entry.id] = Worker(entry, cpu=1_000 + 100 * number)
             able.append(cell.workers[entry.id])
-        kept = Keeping(cell, able)
+        reservation = LargeTaskReservation(cell, able)
         group = Group("large", 0, 0)
         cell.waiting[group] = {0}
-        kept.keep_for(group, Step(cpu=3_900))
-        self.assertNotIn("w0", [worker.entry.id for worker in kept.able])
+        reservation.reserve_for(group, Step(cpu=3_900))
+        self.assertNotIn("w0", [worker.entry.id for worker in reservation.eligible])
         able[1].cpu = 4_000
-        kept.keep_for(group, Step(cpu=3_900))
-        left = [worker.entry.id for worker in kept.able]
+        reservation.reserve_for(group, Step(cpu=3_900))
+        left = [worker.entry.id for worker in reservation.eligible]
         self.assertIn("w1", left)
         self.assertNotIn("w2", left)
 
