--- a/benchmarks/ablation.py
+++ b/benchmarks/ablation.py
@@ -52,7 +52,7 @@
 
 _PLACING = "toucanpin.scheduling.placing"
 _CHOOSING = "toucanpin.scheduling.choosing"
-_SHARING = "toucanpin.scheduling.sharing"
+_SHARING = "toucanpin.scheduling.interference_model"
 _PACING = "toucanpin.scheduling.pacing"
 MECHANISMS: dict[str, tuple[Off, ...]] = {
     "all on": (),
--- a/benchmarks/sharing.py
+++ b/benchmarks/sharing.py
@@ -23,13 +23,13 @@
 from toucanpin.scheduling.gathering import gather_images
 from toucanpin.scheduling.holding import list_workers, plan_hold, take_answer
 from toucanpin.scheduling.intake import submit_job
+from toucanpin.scheduling.interference_model import InterferenceModel
 from toucanpin.scheduling.learning import learn_effects
 from toucanpin.scheduling.moving import move_tasks
 from toucanpin.scheduling.orders import End, PaceOrder, Started, StopOrder, WorkerEntry
 from toucanpin.scheduling.pacing import control_pace
 from toucanpin.scheduling.placing import place_tasks
 from toucanpin.scheduling.progress import JobState
-from toucanpin.scheduling.sharing import Sharing
 from toucanpin.scheduling.starting import plan_start, take_started, take_stopped
 from toucanpin.scheduling.worker import Phase, Run
 
@@ -70,7 +70,7 @@
         load = SITES[site]
         self.world = SharedWorld(rng, Pairs.draw(rng, 5, 9, load.heavy), 0.5, load.period)
         self.cell = Cell("c", 1, 0.0, BEGIN - LEAD)
-        self.sharing = Sharing()
+        self.sharing = InterferenceModel()
         self.time = BEGIN - LEAD - 2.0
         for number in range(load.workers):
             cpu = (64_000, 64_000, 96_000)[number % 3]
--- a/benchmarks/turns.py
+++ b/benchmarks/turns.py
@@ -26,12 +26,12 @@
 from toucanpin.scheduling.gathering import gather_images
 from toucanpin.scheduling.holding import list_workers, take_answer
 from toucanpin.scheduling.intake import begin_due, submit_job
+from toucanpin.scheduling.interference_model import InterferenceModel
 from toucanpin.scheduling.job import Job, Step, TaskKey
 from toucanpin.scheduling.moving import move_tasks
 from toucanpin.scheduling.orders import Held, Running, WorkerEntry
 from toucanpin.scheduling.pacing import control_pace
 from toucanpin.scheduling.placing import place_tasks
-from toucanpin.scheduling.sharing import Sharing
 from toucanpin.scheduling.worker import Phase, Run, Worker
 
 __all__ = ["FullFleet", "main"]
@@ -65,7 +65,7 @@
         self.load = load
         self.time = BEGIN
         self.cell = Cell("c", 1, 0.0, BEGIN)
-        self.sharing = Sharing()
+        self.sharing = InterferenceModel()
         self._rng = random.Random(SEED)
         self._count = 0
         entries = [self._make_entry(number) for number in range(load.workers)]
--- a/toucanpin/entry/cell_rows.py
+++ b/toucanpin/entry/cell_rows.py
@@ -36,10 +36,10 @@
 from toucanpin.scheduling.cell import Cell, Now
 from toucanpin.scheduling.counting import View, count_pending, encode_counts
 from toucanpin.scheduling.intake import cancel_job, restore_job, submit_job
+from toucanpin.scheduling.interference_model import InterferenceModel, LearnedModel
 from toucanpin.scheduling.job import Job, decode_job, find_job_fault
 from toucanpin.scheduling.ownership import OwnerRecord, decode_owner, encode_owner
 from toucanpin.scheduling.progress import Progress, decode_progress, fits_job
-from toucanpin.scheduling.sharing import Learned, Sharing
 
 __all__ = ["CellRows", "DeposedError", "decode_job_row"]
 
@@ -69,7 +69,7 @@
         self,
         store: Store,
         cell: Cell,
-        sharing: Sharing,
+        sharing: InterferenceModel,
         record: OwnerRecord,
         version: int,
         written_at: float,
@@ -258,8 +258,8 @@
     return decode_progress(row.value)
 
 
-def _decode_learned(row: Row) -> Learned:
-    return msgspec.msgpack.decode(row.value, type=Learned)
+def _decode_learned(row: Row) -> LearnedModel:
+    return msgspec.msgpack.decode(row.value, type=LearnedModel)
 
 
 def _decode_owner(row: Row) -> OwnerRecord:
--- a/toucanpin/entry/cell_workers.py
+++ b/toucanpin/entry/cell_workers.py
@@ -29,10 +29,10 @@
     take_clock,
     take_silence,
 )
+from toucanpin.scheduling.interference_model import InterferenceModel
 from toucanpin.scheduling.job import format_task
 from toucanpin.scheduling.learning import learn_effects
 from toucanpin.scheduling.orders import Ended, PaceOrder, Refused, StopOrder, WorkerEntry
-from toucanpin.scheduling.sharing import Sharing
 from toucanpin.scheduling.shedding import ANSWERED, Delay, Fastest
 from toucanpin.scheduling.starting import (
     Next,
@@ -60,7 +60,7 @@
     def __init__(
         self,
         cell: Cell,
-        sharing: Sharing,
+        sharing: InterferenceModel,
         clocks: Clocks,
         delay: Delay,
         spawn: Callable[[Coroutine], None],
--- a/toucanpin/entry/owner.py
+++ b/toucanpin/entry/owner.py
@@ -49,13 +49,13 @@
 from toucanpin.scheduling.gathering import gather_images
 from toucanpin.scheduling.holding import AUTHORITY, lapse_workers
 from toucanpin.scheduling.intake import begin_due, forget_ended
+from toucanpin.scheduling.interference_model import InterferenceModel
 from toucanpin.scheduling.moving import move_tasks
 from toucanpin.scheduling.orders import WorkerEntry
 from toucanpin.scheduling.ownership import RENEWAL, OwnerRecord
 from toucanpin.scheduling.pacing import control_pace
 from toucanpin.scheduling.placing import place_tasks
 from toucanpin.scheduling.settings import HostSettings
-from toucanpin.scheduling.sharing import Sharing
 from toucanpin.scheduling.shedding import Backlog, Delay, Share
 
 __all__ = ["Owner"]
@@ -108,7 +108,7 @@
         self._cell = Cell(name, record.token, horizon, confirmed)
         self._cell.stop_time = settings.bounds.stop
         self._cell.restore_time = settings.bounds.restore
-        self._sharing = Sharing()
+        self._sharing = InterferenceModel()
         self._entries = EntryReader()
         self._rows = CellRows(
             store, self._cell, self._sharing, record, version, confirmed, self._entries
--- a/toucanpin/entry/tests/test_counts.py
+++ b/toucanpin/entry/tests/test_counts.py
@@ -20,8 +20,8 @@
 from toucanpin.platform.store import Page, Store
 from toucanpin.scheduling.batches import take_batch
 from toucanpin.scheduling.cell import Cell
+from toucanpin.scheduling.interference_model import InterferenceModel
 from toucanpin.scheduling.ownership import OwnerRecord
-from toucanpin.scheduling.sharing import Sharing
 
 SILENCE = 7.0  # s for which the owner hasn't been heard of
 
@@ -131,7 +131,13 @@
         """Take the cell, read what is there, and write its counts once."""
         cell = Cell("c", 1, 0.0, 0.0)
         rows = CellRows(
-            self.store, cell, Sharing(), OwnerRecord("h", "l", 1, 0), 0, 0.0, EntryReader()
+            self.store,
+            cell,
+            InterferenceModel(),
+            OwnerRecord("h", "l", 1, 0),
+            0,
+            0.0,
+            EntryReader(),
         )
         await rows.load(self.clocks.now)
         self.assertLess(rows.written_at, steady_time())
--- a/toucanpin/entry/tests/test_following.py
+++ b/toucanpin/entry/tests/test_following.py
@@ -15,8 +15,8 @@
 from toucanpin.platform.store import MAX_PAGE, Page, Row, Store
 from toucanpin.scheduling.cell import Cell
 from toucanpin.scheduling.counting import View
+from toucanpin.scheduling.interference_model import InterferenceModel
 from toucanpin.scheduling.ownership import OwnerRecord
-from toucanpin.scheduling.sharing import Sharing
 from toucanpin.verdict import Verdict
 
 CANCEL_BOUND = 3.0  # s after a cancel is acknowledged from which on no task may start
@@ -88,7 +88,9 @@
         clocks = Clocks(store)
         cell = Cell("c", 1, 0.0, 0.0)
         entries = EntryReader()
-        rows = CellRows(store, cell, Sharing(), OwnerRecord("h", "l", 1, 0), 1, 0.0, entries)
+        rows = CellRows(
+            store, cell, InterferenceModel(), OwnerRecord("h", "l", 1, 0), 1, 0.0, entries
+        )
         rows.view = View(5, 1_000)
         jobs = CellJobs(store, clocks, cell, rows, entries, 120.0, lambda: None)
         row = Row("jobs", "elsewhere", "k", b"", 7)
--- a/toucanpin/entry/tests/test_forgetting.py
+++ b/toucanpin/entry/tests/test_forgetting.py
@@ -11,8 +11,8 @@
 from toucanpin.platform.store import Committed, Expected, Put, Store
 from toucanpin.scheduling.batches import Batch
 from toucanpin.scheduling.cell import Cell
+from toucanpin.scheduling.interference_model import InterferenceModel
 from toucanpin.scheduling.ownership import OwnerRecord
-from toucanpin.scheduling.sharing import Sharing
 
 BOUND = 5.0  # s after which a test that would hang fails
 
@@ -22,7 +22,7 @@
         self.store = _SlowParts()
         record = OwnerRecord("h", "l", 1, 0)
         cell = Cell("c", 1, 0.0, 0.0)
-        self.rows = CellRows(self.store, cell, Sharing(), record, 1, 0.0, EntryReader())
+        self.rows = CellRows(self.store, cell, InterferenceModel(), record, 1, 0.0, EntryReader())
 
     async def test_an_owner_commits_while_rows_of_old_jobs_are_dropped(self) -> None:
         """
--- a/toucanpin/entry/tests/test_loading.py
+++ b/toucanpin/entry/tests/test_loading.py
@@ -14,9 +14,9 @@
 from toucanpin.http import Answer, CallError, Client
 from toucanpin.platform.store import PAGE, Store
 from toucanpin.scheduling.cell import Cell
+from toucanpin.scheduling.interference_model import InterferenceModel
 from toucanpin.scheduling.ownership import OwnerRecord, decode_owner
 from toucanpin.scheduling.progress import JobState, Progress, encode_progress
-from toucanpin.scheduling.sharing import Sharing
 from toucanpin.verdict import Verdict
 
 RENEWALS = 8  # of an owner: more than twice the time after which a silent one is replaced
@@ -108,7 +108,7 @@
         store = Store(_Lossy(client))
         cell = Cell("c", 1, 0.0, 0.0)
         record = OwnerRecord("h", "l", 1, 0)
-        rows = CellRows(store, cell, Sharing(), record, 0, 0.0, EntryReader())
+        rows = CellRows(store, cell, InterferenceModel(), record, 0, 0.0, EntryReader())
         async with asyncio.timeout(BOUND):
             await rows.load(Clocks(store).now)
 
--- a/toucanpin/entry/tests/test_slow_takeover.py
+++ b/toucanpin/entry/tests/test_slow_takeover.py
@@ -15,8 +15,8 @@
 from toucanpin.platform.store import Page, Store
 from toucanpin.scheduling.cell import Cell, Now
 from toucanpin.scheduling.holding import LEASE
+from toucanpin.scheduling.interference_model import InterferenceModel
 from toucanpin.scheduling.ownership import OwnerRecord
-from toucanpin.scheduling.sharing import Sharing
 
 LOADING = LEASE + 1.0  # s that a new owner takes to read the cell's rows
 PART_OF_TIME = 0.05  # that reads which nobody waits for may take
@@ -69,7 +69,7 @@
         store = Store(None)  # type: ignore[arg-type]
         cell, entries = Cell("c", 1, 0.0, 0.0), EntryReader()
         record = OwnerRecord("h", "life", 1, 0)
-        rows = CellRows(store, cell, Sharing(), record, 1, 0.0, entries)
+        rows = CellRows(store, cell, InterferenceModel(), record, 1, 0.0, entries)
         jobs = CellJobs(store, Clocks(store), cell, rows, entries, 1.0, lambda: None)
         with (
             patch.object(Store, "read", pages.read),
--- a/toucanpin/scheduling/advising.py
+++ b/toucanpin/scheduling/advising.py
@@ -11,7 +11,7 @@
 
 from toucanpin.scheduling.cell import Advised, Cell, Group, Now, rank_group
 from toucanpin.scheduling.choosing import Places, Round, list_able
-from toucanpin.scheduling.sharing import Sharing
+from toucanpin.scheduling.interference_model import InterferenceModel
 from toucanpin.scheduling.worker import Worker
 
 __all__ = ["Advice", "AdviceOrder", "find_ticket", "plan_advice", "take_advice"]
@@ -46,7 +46,7 @@
     return ticket if now.steady < until - MARGIN else ""
 
 
-def plan_advice(cell: Cell, sharing: Sharing, free: int, now: Now) -> list[AdviceOrder]:
+def plan_advice(cell: Cell, model: InterferenceModel, free: int, now: Now) -> list[AdviceOrder]:
     """
     Return at most ``free`` questions that steps need now, the most urgent first.
 
@@ -56,7 +56,7 @@
     if not free:
         return orders
     able: list[Worker] | None = None
-    round_ = Round(sharing, now)
+    round_ = Round(model, now)
     for group in sorted(cell.waiting, key=lambda group: rank_group(cell, group, now)):
         live = cell.jobs[group.job]
         if not live.job.advised:
--- a/toucanpin/scheduling/choosing.py
+++ b/toucanpin/scheduling/choosing.py
@@ -15,11 +15,11 @@
 from toucanpin.scheduling.cell import Cell, Group, LiveJob, Now
 from toucanpin.scheduling.crashing import count_watched
 from toucanpin.scheduling.evacuating import list_open
+from toucanpin.scheduling.interference_model import InterferenceModel
 from toucanpin.scheduling.job import Step
 from toucanpin.scheduling.prediction import estimate_utilization, predict_rise, predict_share
 from toucanpin.scheduling.progress import Doubt
 from toucanpin.scheduling.reserving import leaves_reserve
-from toucanpin.scheduling.sharing import Sharing
 from toucanpin.scheduling.shortage import Shortage
 from toucanpin.scheduling.trust import is_trusted
 from toucanpin.scheduling.utilization import WorkerUtilization
@@ -66,7 +66,7 @@
     ``reserved`` holds by claim what found only room that is reserved for brief tasks.
     """
 
-    sharing: Sharing
+    model: InterferenceModel
     now: Now
     reserved: dict[Claim, Shortage] = field(
         default_factory=lambda: {claim: Shortage() for claim in Claim}
@@ -82,7 +82,7 @@
         """
         now = self.now.steady
         if worker.heat is None or now > worker.heat_at + UTILIZATION_MAX_AGE_S:
-            worker.heat = estimate_utilization(self.sharing, worker, planned=True)
+            worker.heat = estimate_utilization(self.model, worker, planned=True)
             worker.heat_at = now
         return worker.heat
 
@@ -274,16 +274,16 @@
 
 def _weigh_filling(round_: Round, worker: Worker, step: Step) -> float | None:
     """Return the cost of a place for a task that fills, None if it would do harm there."""
-    sharing = round_.sharing
+    model = round_.model
     utilization = round_.utilization(worker)
     asked = (utilization.used + step.cpu) / utilization.capacity
     cost = asked if asked <= 1.0 else 1.0 + CROWDED * (asked - 1.0)
     if not utilization.services:
         return cost
-    pressure = predict_share(sharing, utilization, step.image, step.cpu)
+    pressure = predict_share(model, utilization, step.image, step.cpu)
     if pressure > TOO_HOT:
         return None
-    rise = predict_rise(sharing, utilization, step.image, step.cpu)
+    rise = predict_rise(model, utilization, step.image, step.cpu)
     return cost + HARM * max(0.0, pressure + rise - SAFE)
 
 
--- a/toucanpin/scheduling/gathering.py
+++ b/toucanpin/scheduling/gathering.py
@@ -18,8 +18,8 @@
 
 from toucanpin.scheduling.cell import Cell, Group, Now, WaitReason
 from toucanpin.scheduling.choosing import fits_rules, list_able
+from toucanpin.scheduling.interference_model import InterferenceModel
 from toucanpin.scheduling.reserving import leaves_reserve
-from toucanpin.scheduling.sharing import Sharing
 from toucanpin.scheduling.stopping import count_away, stop_run
 from toucanpin.scheduling.worker import Phase, Run, Worker, has_room
 
@@ -41,7 +41,7 @@
     free: float
 
 
-def gather_images(cell: Cell, sharing: Sharing, now: Now) -> Run | None:
+def gather_images(cell: Cell, model: InterferenceModel, now: Now) -> Run | None:
     """Stop the lasting task whose move opens most cores to what waits, and return it."""
     if now.steady < cell.gathered_at + PERIOD:
         return None
@@ -50,9 +50,7 @@
         return None
     cell.gathered_at = now.steady
     sites = [_describe(worker) for worker in list_able(cell, now)]
-    best = max(
-        _list_moves(cell, sharing, sites, demand, now), key=lambda move: move[0], default=None
-    )
+    best = max(_list_moves(cell, model, sites, demand, now), key=lambda move: move[0], default=None)
     if best is None or best[0] < LEAST_GAIN:
         return None
     run = best[1]
@@ -88,7 +86,7 @@
 
 
 def _list_moves(
-    cell: Cell, sharing: Sharing, sites: list[_Site], demand: dict[str, float], now: Now
+    cell: Cell, model: InterferenceModel, sites: list[_Site], demand: dict[str, float], now: Now
 ) -> Iterable[tuple[float, Run]]:
     """Yield the cores that each possible move would open, and the task that would move."""
     for site in sites:
@@ -98,11 +96,11 @@
             if site.images.count(run.step.image) != 1 or not _may_move(cell, run, now):
                 continue
             left = [image for image in site.images if image != run.step.image]
-            gain = _open_cores(sharing, site, left, demand, run.step.cpu / 1_000)
-            gain -= _open_cores(sharing, site, site.images, demand)
+            gain = _open_cores(model, site, left, demand, run.step.cpu / 1_000)
+            gain -= _open_cores(model, site, site.images, demand)
             if gain < LEAST_GAIN:
                 continue
-            loss = _find_least_loss(sharing, sites, site, run, demand)
+            loss = _find_least_loss(model, sites, site, run, demand)
             if loss is not None:
                 yield gain - loss, run
 
@@ -116,7 +114,7 @@
 
 
 def _find_least_loss(
-    sharing: Sharing, sites: list[_Site], site: _Site, run: Run, demand: dict[str, float]
+    model: InterferenceModel, sites: list[_Site], site: _Site, run: Run, demand: dict[str, float]
 ) -> float | None:
     """Return the fewest cores that the task would shut to what waits, None if it has no place."""
     group = Group(run.task.job, run.task.occurrence, run.task.step)
@@ -129,14 +127,14 @@
             continue
         if not leaves_reserve(worker, run.step):
             continue
-        before = _open_cores(sharing, other, other.images, demand)
-        after = _open_cores(sharing, other, other.images, demand, -run.step.cpu / 1_000)
+        before = _open_cores(model, other, other.images, demand)
+        after = _open_cores(model, other, other.images, demand, -run.step.cpu / 1_000)
         least = before - after if least is None else min(least, before - after)
     return least
 
 
 def _open_cores(
-    sharing: Sharing,
+    model: InterferenceModel,
     site: _Site,
     images: Iterable[str],
     demand: dict[str, float],
@@ -147,6 +145,6 @@
     wanted = sum(
         cores
         for image, cores in demand.items()
-        if all(sharing.expected_effect(served, image) < HEAVY for served in serving)
+        if all(model.expected_effect(served, image) < HEAVY for served in serving)
     )
     return min(wanted, max(0.0, site.free + more))
--- a/toucanpin/scheduling/sharing.py
+++ b/toucanpin/scheduling/interference_model.py
@@ -22,7 +22,7 @@
 from toucanpin.scheduling.durations import Durations, Fit
 from toucanpin.scheduling.worker import Run
 
-__all__ = ["Learned", "Load", "Sharing"]
+__all__ = ["LearnedModel", "Load", "InterferenceModel"]
 
 MEMORY = 200.0  # s after which an effect is mostly forgotten
 PRIOR_EFFECT = 1.0  # of a pair never seen
@@ -52,7 +52,7 @@
     deviation: float
 
 
-class Learned(msgspec.Struct, frozen=True, array_like=True):
+class LearnedModel(msgspec.Struct, frozen=True, array_like=True):
     """
     Hold what the next owner of a cell should know: effects, each image's lowest tail, and how long
     the steps of each queue take.
@@ -87,7 +87,7 @@
     settled: bool = False
 
 
-class Sharing:
+class InterferenceModel:
     """Hold what is known of loads and of the effects between images."""
 
     __slots__ = ("_cautious", "_effects", "_lowest", "_quiet", "_regressions", "loads")
@@ -197,12 +197,12 @@
         for image in amounts:
             self._note_effect(serving, image, model)
 
-    def export(self, durations: Durations) -> Learned:
+    def export(self, durations: Durations) -> LearnedModel:
         """Return what was learned, with the durations, for the next owner."""
         lowest = {image: known.tail for image, known in self._lowest.items() if known.settled}
-        return Learned(list(self._effects.values()), lowest, durations.fits)
+        return LearnedModel(list(self._effects.values()), lowest, durations.fits)
 
-    def restore(self, learned: Learned, now: float) -> None:
+    def restore(self, learned: LearnedModel, now: float) -> None:
         """Begin with what an earlier owner has learned."""
         self._lowest = {image: _Lowest(tail, now, True) for image, tail in learned.lowest.items()}
         self._quiet.clear()
--- a/toucanpin/scheduling/learning.py
+++ b/toucanpin/scheduling/learning.py
@@ -13,7 +13,7 @@
 from __future__ import annotations
 
 from toucanpin.scheduling.cell import Cell, Now
-from toucanpin.scheduling.sharing import Sharing
+from toucanpin.scheduling.interference_model import InterferenceModel
 from toucanpin.scheduling.worker import Phase, Run, Worker
 
 __all__ = ["FRESH", "MOST_SAMPLES", "learn_effects", "measure_loads"]
@@ -30,7 +30,7 @@
 LEAST_LOAD = 0.05  # below which a factor says nothing
 
 
-def measure_loads(cell: Cell, sharing: Sharing, now: Now) -> None:
+def measure_loads(cell: Cell, model: InterferenceModel, now: Now) -> None:
     """Find the load of each serving job from its tasks' tails."""
     found: dict[str, list[tuple[float, float]]] = {}
     for worker in cell.workers.values():
@@ -40,18 +40,18 @@
         for run in worker.runs.values():
             if _is_measured(run):
                 if now.steady - run.started_at > WARM_UP:
-                    sharing.note_tail(run.step.image, run.measure, now.steady)
-                growth = _sum_growth(sharing, run.step.image, amounts)
-                value = sharing.utilization(run) / (1 + growth)
+                    model.note_tail(run.step.image, run.measure, now.steady)
+                growth = _sum_growth(model, run.step.image, amounts)
+                value = model.utilization(run) / (1 + growth)
                 found.setdefault(run.task.job, []).append((growth, value))
     for job, values in found.items():
         value, clean = _estimate_load(values)
-        sharing.note_load(job, value, clean, now.steady)
-    for job in [job for job, load in sharing.loads.items() if now.steady - load.at > FORGET]:
-        del sharing.loads[job]
+        model.note_load(job, value, clean, now.steady)
+    for job in [job for job, load in model.loads.items() if now.steady - load.at > FORGET]:
+        del model.loads[job]
 
 
-def learn_effects(sharing: Sharing, worker: Worker, workers: int, now: Now) -> None:
+def learn_effects(model: InterferenceModel, worker: Worker, workers: int, now: Now) -> None:
     """
     Learn from the newest measurements of one of so many workers.
 
@@ -67,20 +67,20 @@
     worker.learned_at = now.steady
     samples: dict[str, list[tuple[float, float]]] = {}
     for run in worker.runs.values():
-        if not _is_measured(run) or run.task.job not in sharing.loads:
+        if not _is_measured(run) or run.task.job not in model.loads:
             continue
-        load = sharing.load(run)
+        load = model.load(run)
         if load > LEAST_LOAD:
-            used = sharing.utilization(run)
+            used = model.utilization(run)
             noise = TAIL_NOISE * max(0.0, 1 - used) / load
-            if not sharing.loads[run.task.job].clean:
+            if not model.loads[run.task.job].clean:
                 noise += UNCLEAN_NOISE
             samples.setdefault(run.step.image, []).append((used / load, noise))
     for image, values in samples.items():
         count = len(values)
         factor = sum(value for value, _ in values) / count
         noise = sum(noise for _, noise in values) / count / count**0.5
-        sharing.learn(now.steady, image, factor, MODEL_NOISE * max(1.0, factor) + noise, amounts)
+        model.learn(now.steady, image, factor, MODEL_NOISE * max(1.0, factor) + noise, amounts)
 
 
 def _list_amounts(worker: Worker) -> dict[str, float]:
@@ -93,10 +93,8 @@
     return amounts
 
 
-def _sum_growth(sharing: Sharing, image: str, amounts: dict[str, float]) -> float:
-    return sum(
-        share * sharing.expected_effect(image, filling) for filling, share in amounts.items()
-    )
+def _sum_growth(model: InterferenceModel, image: str, amounts: dict[str, float]) -> float:
+    return sum(share * model.expected_effect(image, filling) for filling, share in amounts.items())
 
 
 def _estimate_load(values: list[tuple[float, float]]) -> tuple[float, bool]:
--- a/toucanpin/scheduling/pacing.py
+++ b/toucanpin/scheduling/pacing.py
@@ -9,6 +9,7 @@
 
 from toucanpin.scheduling.cell import Cell, Now
 from toucanpin.scheduling.choosing import list_able
+from toucanpin.scheduling.interference_model import InterferenceModel
 from toucanpin.scheduling.learning import FRESH, measure_loads
 from toucanpin.scheduling.orders import PaceOrder
 from toucanpin.scheduling.prediction import (
@@ -18,7 +19,6 @@
     predict_rise_of,
     predict_share,
 )
-from toucanpin.scheduling.sharing import Sharing
 from toucanpin.scheduling.stopping import stop_run
 from toucanpin.scheduling.worker import Phase, Run, Worker, has_room
 
@@ -38,20 +38,20 @@
 CROWD = 1.3  # of its cores that may be asked for there
 
 
-def control_pace(cell: Cell, sharing: Sharing, now: Now) -> None:
+def control_pace(cell: Cell, model: InterferenceModel, now: Now) -> None:
     """Adjust what fills on each worker that serves."""
     if now.steady < cell.paced_at + PERIOD:
         return
     cell.paced_at = now.steady
-    measure_loads(cell, sharing, now)
+    measure_loads(cell, model, now)
     for worker in cell.workers.values():
         # An owner that was suspended hasn't noticed any silence yet, and its measurements are old.
         fresh = now.steady - worker.answered_at <= FRESH
         if worker.fillers and worker.reached and not worker.silent and fresh:
-            _control(cell, sharing, worker, now)
+            _control(cell, model, worker, now)
 
 
-def _control(cell: Cell, sharing: Sharing, worker: Worker, now: Now) -> None:
+def _control(cell: Cell, model: InterferenceModel, worker: Worker, now: Now) -> None:
     fillers = [run for run in worker.runs.values() if run.step.fills and run.phase is Phase.RUNNING]
     if not fillers:
         return
@@ -59,18 +59,18 @@
     if over > OVER_LONG:
         # The estimates have failed here: without this a target could be missed for seconds, by
         # neighbours that are thought harmless.
-        _clear(cell, fillers, over > OVER_TOO_LONG, sharing, worker, now)
+        _clear(cell, fillers, over > OVER_TOO_LONG, model, worker, now)
         return
-    hottest = _find_hottest(sharing, worker)
+    hottest = _find_hottest(model, worker)
     if hottest is None:
         for run in fillers:
             _set_pace(cell, run, 100, now)
         return
-    reached = sharing.utilization(hottest) / sharing.limit(hottest)
+    reached = model.utilization(hottest) / model.limit(hottest)
     if reached > HIGH:
-        _slow(cell, sharing, worker, hottest, fillers, now)
+        _slow(cell, model, worker, hottest, fillers, now)
     elif reached < LOW:
-        _quicken(cell, sharing, worker, fillers, now)
+        _quicken(cell, model, worker, fillers, now)
 
 
 def _find_longest_over(worker: Worker, now: Now) -> float:
@@ -89,12 +89,12 @@
 
 
 def _clear(
-    cell: Cell, fillers: list[Run], wholly: bool, sharing: Sharing, worker: Worker, now: Now
+    cell: Cell, fillers: list[Run], wholly: bool, model: InterferenceModel, worker: Worker, now: Now
 ) -> None:
     """Have what fills leave a worker, or stand still there."""
-    utilization = estimate_utilization(sharing, worker, planned=True)
+    utilization = estimate_utilization(model, worker, planned=True)
     for run in fillers:
-        rise = predict_rise(sharing, utilization, run.step.image, run.step.cpu)
+        rise = predict_rise(model, utilization, run.step.image, run.step.cpu)
         if not wholly and rise < SLIGHT / 2:
             continue
         if run.step.checkpoints:
@@ -104,7 +104,7 @@
             _set_pace(cell, run, 0, now)
 
 
-def _find_hottest(sharing: Sharing, worker: Worker) -> Run | None:
+def _find_hottest(model: InterferenceModel, worker: Worker) -> Run | None:
     serving = (
         run
         for run in worker.runs.values()
@@ -112,21 +112,21 @@
     )
     return max(
         serving,
-        key=lambda run: sharing.utilization(run) / max(0.05, sharing.limit(run)),
+        key=lambda run: model.utilization(run) / max(0.05, model.limit(run)),
         default=None,
     )
 
 
 def _slow(
-    cell: Cell, sharing: Sharing, worker: Worker, hottest: Run, fillers: list[Run], now: Now
+    cell: Cell, model: InterferenceModel, worker: Worker, hottest: Run, fillers: list[Run], now: Now
 ) -> None:
     """Take away as much of what fills as brings the hottest task below its target."""
     if now.steady < worker.slowed_at + LAG:
         return
     worker.slowed_at = now.steady
-    excess = sharing.utilization(hottest) - AIM * sharing.limit(hottest)
+    excess = model.utilization(hottest) - AIM * model.limit(hottest)
     costs = [
-        (predict_rise_of(sharing, worker, hottest, run.step.image, measure_use(run)), run)
+        (predict_rise_of(model, worker, hottest, run.step.image, measure_use(run)), run)
         for run in fillers
     ]
     for cost, run in sorted(costs, key=lambda pair: -pair[0]):
@@ -139,16 +139,16 @@
             continue
         excess -= cost * (current - max(0, wanted)) / 100
         if _moves_freely(run) or (
-            wanted < LOWEST_PACE
-            and run.percent < 30
-            and _has_better(cell, sharing, worker, run, now)
+            wanted < LOWEST_PACE and run.percent < 30 and _has_better(cell, model, worker, run, now)
         ):
             stop_run(cell, run, "harms what serves")
         else:
             _set_pace(cell, run, max(0, wanted), now)
 
 
-def _quicken(cell: Cell, sharing: Sharing, worker: Worker, fillers: list[Run], now: Now) -> None:
+def _quicken(
+    cell: Cell, model: InterferenceModel, worker: Worker, fillers: list[Run], now: Now
+) -> None:
     """Give back what the worker can take, the task that has waited longest first."""
     if any(run.paced_at > now.steady - LAG for run in fillers):
         return
@@ -160,14 +160,14 @@
             if more <= 0:
                 break
             if (
-                predict_share(sharing, estimate_utilization(sharing, worker), run.step.image, more)
+                predict_share(model, estimate_utilization(model, worker), run.step.image, more)
                 < AIM
             ):
                 _set_pace(cell, run, wanted, now)
                 break
 
 
-def _has_better(cell: Cell, sharing: Sharing, worker: Worker, run: Run, now: Now) -> bool:
+def _has_better(cell: Cell, model: InterferenceModel, worker: Worker, run: Run, now: Now) -> bool:
     """
     Tell whether another worker could take a task without harm.
 
@@ -178,10 +178,10 @@
             continue
         if not has_room(other, run.step):
             continue
-        utilization = estimate_utilization(sharing, other, planned=True)
+        utilization = estimate_utilization(model, other, planned=True)
         if utilization.used + run.step.cpu >= CROWD * utilization.capacity:
             continue
-        if predict_share(sharing, utilization, run.step.image, run.step.cpu) < BETTER:
+        if predict_share(model, utilization, run.step.image, run.step.cpu) < BETTER:
             return True
     return False
 
--- a/toucanpin/scheduling/placing.py
+++ b/toucanpin/scheduling/placing.py
@@ -29,6 +29,7 @@
 )
 from toucanpin.scheduling.crashing import find_doubt, is_held
 from toucanpin.scheduling.gangs import place_gang
+from toucanpin.scheduling.interference_model import InterferenceModel
 from toucanpin.scheduling.job import Step, TaskKey
 from toucanpin.scheduling.large_tasks import LargeTaskReservation
 from toucanpin.scheduling.preempting import Making, Openings
@@ -36,7 +37,6 @@
 from toucanpin.scheduling.recalling import is_barren, note_barren, note_shortage, recall
 from toucanpin.scheduling.reserving import reserve_room
 from toucanpin.scheduling.retrying import list_safe, risks_attempt
-from toucanpin.scheduling.sharing import Sharing
 from toucanpin.scheduling.worker import (
     Worker,
     has_room,
@@ -51,7 +51,7 @@
 MOST_STOPS = 16  # tasks of a step that room is made for at a time
 
 
-def place_tasks(cell: Cell, sharing: Sharing, now: Now, most: int = UNBOUNDED) -> None:
+def place_tasks(cell: Cell, model: InterferenceModel, now: Now, most: int = UNBOUNDED) -> None:
     """
     Place what waits, about ``most`` tasks at a time; places count only once they are written.
 
@@ -63,7 +63,7 @@
     everywhere = list_able(cell, now)
     reserve_room(cell, everywhere, now)
     reservation = LargeTaskReservation(cell, everywhere)
-    round_ = Round(sharing, now)
+    round_ = Round(model, now)
     making = Making()
     least_urgent = _find_least_urgent(cell)
     for group in sorted(cell.waiting, key=lambda group: rank_group(cell, group, now)):
--- a/toucanpin/scheduling/prediction.py
+++ b/toucanpin/scheduling/prediction.py
@@ -7,7 +7,7 @@
 
 from __future__ import annotations
 
-from toucanpin.scheduling.sharing import Sharing
+from toucanpin.scheduling.interference_model import InterferenceModel
 from toucanpin.scheduling.utilization import ServiceUtilization, WorkerUtilization
 from toucanpin.scheduling.worker import Run, Worker
 
@@ -21,7 +21,7 @@
 
 
 def estimate_utilization(
-    sharing: Sharing, worker: Worker, planned: bool = False
+    model: InterferenceModel, worker: Worker, planned: bool = False
 ) -> WorkerUtilization:
     """
     Sum up a worker as it is.
@@ -34,7 +34,7 @@
     hottest: dict[str, Run] = {}
     for run in worker.runs.values():
         if run.step.target:
-            load = sharing.planned_load(run) if planned else sharing.load(run)
+            load = model.planned_load(run) if planned else model.load(run)
             cores += run.step.cpu * load
             other = hottest.get(run.task.job)
             # Tasks of one job fare alike, so one of them stands for all.
@@ -45,37 +45,39 @@
         cores += used
         if run.step.fills:
             amounts[run.step.image] = amounts.get(run.step.image, 0.0) + used / whole
-    served = tuple(_sum_up(sharing, run, amounts, planned) for run in hottest.values())
+    served = tuple(_sum_up(model, run, amounts, planned) for run in hottest.values())
     return WorkerUtilization(whole, cores, served)
 
 
 def predict_share(
-    sharing: Sharing, utilization: WorkerUtilization, image: str, cpu: float
+    model: InterferenceModel, utilization: WorkerUtilization, image: str, cpu: float
 ) -> float:
     """Return the highest utilization with ``cpu`` of an image more, as a share of its limit."""
     highest = 0.0
     for service in utilization.services:
-        rise = service.load * sharing.effect(service.image, image) * cpu / utilization.capacity
+        rise = service.load * model.effect(service.image, image) * cpu / utilization.capacity
         share = (max(service.expected, service.measured) + rise) / service.limit
         highest = max(highest, share)
     return highest
 
 
-def predict_rise(sharing: Sharing, utilization: WorkerUtilization, image: str, cpu: float) -> float:
+def predict_rise(
+    model: InterferenceModel, utilization: WorkerUtilization, image: str, cpu: float
+) -> float:
     """Return the most that ``cpu`` of an image add to a serving task's utilization."""
     highest = 0.0
     for service in utilization.services:
-        rise = service.load * sharing.effect(service.image, image) * cpu / utilization.capacity
+        rise = service.load * model.effect(service.image, image) * cpu / utilization.capacity
         highest = max(highest, rise)
     return highest
 
 
 def predict_rise_of(
-    sharing: Sharing, worker: Worker, serving: Run, image: str, cpu: float
+    model: InterferenceModel, worker: Worker, serving: Run, image: str, cpu: float
 ) -> float:
     """Return what ``cpu`` of an image add to the utilization of one serving task."""
-    effect = sharing.effect(serving.step.image, image)
-    return sharing.planned_load(serving) * effect * cpu / max(1, worker.entry.cpu)
+    effect = model.effect(serving.step.image, image)
+    return model.planned_load(serving) * effect * cpu / max(1, worker.entry.cpu)
 
 
 def measure_use(run: Run) -> float:
@@ -88,11 +90,11 @@
 
 
 def _sum_up(
-    sharing: Sharing, run: Run, amounts: dict[str, float], planned: bool
+    model: InterferenceModel, run: Run, amounts: dict[str, float], planned: bool
 ) -> ServiceUtilization:
     image = run.step.image
-    growth = sum(share * sharing.effect(image, filling) for filling, share in amounts.items())
-    load = sharing.planned_load(run) if planned else sharing.load(run)
+    growth = sum(share * model.effect(image, filling) for filling, share in amounts.items())
+    load = model.planned_load(run) if planned else model.load(run)
     return ServiceUtilization(
-        image, load, load * (1 + growth), sharing.utilization(run), sharing.limit(run)
+        image, load, load * (1 + growth), model.utilization(run), model.limit(run)
     )
--- a/toucanpin/scheduling/tests/fleet.py
+++ b/toucanpin/scheduling/tests/fleet.py
@@ -21,6 +21,7 @@
     take_silence,
 )
 from toucanpin.scheduling.intake import begin_due, restore_job, submit_job
+from toucanpin.scheduling.interference_model import InterferenceModel
 from toucanpin.scheduling.job import Job, Step, TaskKey
 from toucanpin.scheduling.moving import move_tasks
 from toucanpin.scheduling.orders import (
@@ -32,7 +33,6 @@
 from toucanpin.scheduling.pacing import control_pace
 from toucanpin.scheduling.placing import place_tasks
 from toucanpin.scheduling.progress import decode_progress
-from toucanpin.scheduling.sharing import Sharing
 from toucanpin.scheduling.starting import (
     Next,
     plan_start,
@@ -73,7 +73,7 @@
         self.stops: list[StopOrder] = []
         self.paces: list[PaceOrder] = []
         self.cell = self._make_cell(token)
-        self.sharing = Sharing()
+        self.model = InterferenceModel()
 
     def add_worker(
         self, name: str, cpu: int = 4_000, data_centre: str = "dc", **fields
@@ -101,7 +101,7 @@
         self.pending.clear()
         self.stops.clear()
         self.cell = self._make_cell(self.cell.token + 1)
-        self.sharing = Sharing()
+        self.model = InterferenceModel()
         for job in self.jobs.values():
             if job.id in self.rows:
                 restore_job(self.cell, job, decode_progress(self.rows[job.id]), self.now())
@@ -135,8 +135,8 @@
         give_up_crashing(self.cell, self.now())
         begin_due(self.cell, self.now())
         move_tasks(self.cell, self.now())
-        control_pace(self.cell, self.sharing, self.now())
-        place_tasks(self.cell, self.sharing, self.now())
+        control_pace(self.cell, self.model, self.now())
+        place_tasks(self.cell, self.model, self.now())
         if self.store_up:
             batch = take_batch(self.cell)
             self.rows.update(batch.records)
--- a/toucanpin/scheduling/tests/test_advising.py
+++ b/toucanpin/scheduling/tests/test_advising.py
@@ -28,10 +28,10 @@
     def _ask(self, free: int = 5) -> list[AdviceOrder]:
         for worker in self.fleet.cell.workers.values():
             worker.answered_at = self.fleet.time
-        return plan_advice(self.fleet.cell, self.fleet.sharing, free, self.fleet.now())
+        return plan_advice(self.fleet.cell, self.fleet.model, free, self.fleet.now())
 
     def test_nothing_is_placed_without_a_ticket(self) -> None:
-        place_tasks(self.fleet.cell, self.fleet.sharing, self.fleet.now())
+        place_tasks(self.fleet.cell, self.fleet.model, self.fleet.now())
         self.assertFalse(self.fleet.cell.placed)
         (order,) = self._ask()
         self.assertEqual(3, len(order.workers))
@@ -40,7 +40,7 @@
     def test_only_approved_workers_get_the_step_with_their_ticket(self) -> None:
         (order,) = self._ask()
         take_advice(self.fleet.cell, order, Advice({"w1": "t1"}, 3.0), self.fleet.now())
-        place_tasks(self.fleet.cell, self.fleet.sharing, self.fleet.now())
+        place_tasks(self.fleet.cell, self.fleet.model, self.fleet.now())
         self.assertEqual({("w1", "t1")}, {(r.worker, r.ticket) for r in self.fleet.cell.placed})
 
     def test_an_old_ticket_is_not_used(self) -> None:
--- a/toucanpin/scheduling/tests/test_failures.py
+++ b/toucanpin/scheduling/tests/test_failures.py
@@ -82,14 +82,14 @@
         fleet = Fleet()
         fleet.run(0.2)
         fleet.submit(make_job())
-        place_tasks(fleet.cell, fleet.sharing, fleet.now())
+        place_tasks(fleet.cell, fleet.model, fleet.now())
         batch = take_batch(fleet.cell)
         (run,) = apply_batch(fleet.cell, batch)
         worker = fleet.cell.workers[run.worker]
         answer = Started(0, Refused.NO_ROOM)
         self.assertIs(Next.SETTLED, take_started(fleet.cell, worker, run, answer, fleet.now()))
         self.assertIs(Phase.ENDED, run.phase)
-        place_tasks(fleet.cell, fleet.sharing, fleet.now())
+        place_tasks(fleet.cell, fleet.model, fleet.now())
         (again,) = apply_batch(fleet.cell, take_batch(fleet.cell))
         self.assertNotEqual(run.worker, again.worker)
 
--- a/toucanpin/scheduling/tests/test_gathering.py
+++ b/toucanpin/scheduling/tests/test_gathering.py
@@ -7,9 +7,9 @@
 from toucanpin.scheduling.cell import Cell, Group, Now, Wait, WaitReason, add_run
 from toucanpin.scheduling.gathering import gather_images
 from toucanpin.scheduling.intake import submit_job
+from toucanpin.scheduling.interference_model import Effect, InterferenceModel
 from toucanpin.scheduling.job import Step, TaskKey
 from toucanpin.scheduling.orders import StopOrder, WorkerEntry
-from toucanpin.scheduling.sharing import Effect, Sharing
 from toucanpin.scheduling.tests.fleet import make_job
 from toucanpin.scheduling.worker import Phase, Run, Worker
 
@@ -22,7 +22,7 @@
 class GatheringTest(unittest.TestCase):
     def setUp(self) -> None:
         self.cell = Cell("c", 1, 0.0, 100.0)
-        self.sharing = Sharing()
+        self.model = InterferenceModel()
         for name in ("w0", "w1"):
             entry = WorkerEntry(name, "c", "10.0.0.1:1", "dc", True, 64_000, 256_000, 0)
             worker = Worker(entry, reached=True, answered_at=NOW.steady)
@@ -39,7 +39,7 @@
         self.stray = self._run("w0", "feed", FEED, 3)
 
     def _learn(self, image: str, effect: float) -> None:
-        self.sharing._keep_effect(Effect(image, "batch", effect, 0.2))
+        self.model._keep_effect(Effect(image, "batch", effect, 0.2))
 
     def _run(self, worker: str, job: str, step: Step, index: int) -> Run:
         run = Run(
@@ -59,25 +59,25 @@
         Batch work waits for seconds though half of a worker is idle: one task of another image
         serves there, which it would disturb.  That image has workers of its own with room.
         """
-        self.assertIs(self.stray, gather_images(self.cell, self.sharing, NOW))
+        self.assertIs(self.stray, gather_images(self.cell, self.model, NOW))
         self.assertIsInstance(self.cell.orders[0], StopOrder)
 
     def test_nothing_moves_while_no_batch_work_waits(self) -> None:
         self.cell.waits.clear()
-        self.assertIsNone(gather_images(self.cell, self.sharing, NOW))
+        self.assertIsNone(gather_images(self.cell, self.model, NOW))
 
     def test_nothing_moves_without_a_place_beside_its_own_image(self) -> None:
         self.cell.workers["w1"].unsound = True
-        self.assertIsNone(gather_images(self.cell, self.sharing, NOW))
+        self.assertIsNone(gather_images(self.cell, self.model, NOW))
 
     def test_nothing_moves_where_the_batch_work_is_harmless(self) -> None:
         self._learn("feed", 0.3)
-        self.assertIsNone(gather_images(self.cell, self.sharing, NOW))
+        self.assertIsNone(gather_images(self.cell, self.model, NOW))
 
     def test_a_job_has_one_task_away_at_a_time(self) -> None:
         """Users of a service would lose it if its tasks were moved while others are away."""
         next(iter(self.cell.workers["w1"].runs.values())).percent = 0
-        self.assertIsNone(gather_images(self.cell, self.sharing, NOW))
+        self.assertIsNone(gather_images(self.cell, self.model, NOW))
 
 
 if __name__ == "__main__":
--- a/toucanpin/scheduling/tests/test_sharing.py
+++ b/toucanpin/scheduling/tests/test_interference_model.py
@@ -7,19 +7,19 @@
 from unittest.mock import patch
 
 from toucanpin.scheduling.cell import Cell, Now, add_run
-from toucanpin.scheduling.job import Step, TaskKey
-from toucanpin.scheduling.learning import MOST_SAMPLES, learn_effects, measure_loads
-from toucanpin.scheduling.orders import PaceOrder, StopOrder, WorkerEntry
-from toucanpin.scheduling.pacing import OVER_TOO_LONG, control_pace
-from toucanpin.scheduling.prediction import estimate_utilization, predict_share
-from toucanpin.scheduling.sharing import (
+from toucanpin.scheduling.interference_model import (
     AHEAD,
     CAUTION,
     PRIOR_DEVIATION,
     PRIOR_EFFECT,
     Effect,
-    Sharing,
+    InterferenceModel,
 )
+from toucanpin.scheduling.job import Step, TaskKey
+from toucanpin.scheduling.learning import MOST_SAMPLES, learn_effects, measure_loads
+from toucanpin.scheduling.orders import PaceOrder, StopOrder, WorkerEntry
+from toucanpin.scheduling.pacing import OVER_TOO_LONG, control_pace
+from toucanpin.scheduling.prediction import estimate_utilization, predict_share
 from toucanpin.scheduling.worker import Phase, Run, Worker
 
 SERVES = Step(cpu=10_000, lasting=True, image="web", target=50)
@@ -40,12 +40,12 @@
     return Now(steady, int(steady * 1_000), int(steady * 1_000))
 
 
-class SharingTest(unittest.TestCase):
+class InterferenceModelTest(unittest.TestCase):
     def setUp(self) -> None:
         self.cell = Cell("c", 1, 0.0, 0.0)
-        self.sharing = Sharing()
-        self.sharing.note_tail("web", QUIET / 0.775, -100.0)
-        self.sharing.note_tail("web", QUIET / 0.775, 0.0)
+        self.model = InterferenceModel()
+        self.model.note_tail("web", QUIET / 0.775, -100.0)
+        self.model.note_tail("web", QUIET / 0.775, 0.0)
         for name in ("w0", "w1"):
             entry = WorkerEntry(name, "c", "a:1", "dc", True, 60_000, 256_000, 0)
             self.cell.workers[name] = Worker(entry, reached=True)
@@ -60,9 +60,9 @@
     def _observe(self, steady: float) -> None:
         for worker in self.cell.workers.values():
             worker.answered_at = steady
-        measure_loads(self.cell, self.sharing, _now(steady))
+        measure_loads(self.cell, self.model, _now(steady))
         for worker in self.cell.workers.values():
-            learn_effects(self.sharing, worker, 1, _now(steady))
+            learn_effects(self.model, worker, 1, _now(steady))
 
     def test_an_effect_is_learned_from_a_task_of_the_same_job_without_neighbours(self) -> None:
         self._add("w0", "s", SERVES, 0, _tail(0.3))
@@ -71,7 +71,7 @@
         for turn in range(20):
             self._observe(10.0 + turn)
         # A tenth of the worker raised utilization by half: an effect of five.
-        self.assertAlmostEqual(5.0, self.sharing.effect("web", "batch"), delta=1.0)
+        self.assertAlmostEqual(5.0, self.model.effect("web", "batch"), delta=1.0)
 
     def test_a_harmless_pair_is_told_from_an_unknown_one(self) -> None:
         self._add("w0", "s", SERVES, 0, _tail(0.3))
@@ -79,9 +79,9 @@
         self._add("w1", "b", FILLS, 0, 6_000)
         for turn in range(20):
             self._observe(10.0 + turn)
-        self.assertLess(self.sharing.effect("web", "batch"), 1.0)
+        self.assertLess(self.model.effect("web", "batch"), 1.0)
         unknown = PRIOR_EFFECT + CAUTION * PRIOR_DEVIATION
-        self.assertEqual(unknown, self.sharing.effect("web", "other"))
+        self.assertEqual(unknown, self.model.effect("web", "other"))
 
     def test_learning_costs_no_more_on_thousands_of_workers(self) -> None:
         """
@@ -94,17 +94,17 @@
         self._add("w1", "b", FILLS, 0, 6_000)
         self._observe(10.0)
         workers = 5_000
-        with patch.object(Sharing, "learn", autospec=True) as learned:
+        with patch.object(InterferenceModel, "learn", autospec=True) as learned:
             for tenth in range(1, 401):
-                learn_effects(self.sharing, worker, workers, _now(10.0 + tenth / 10))
+                learn_effects(self.model, worker, workers, _now(10.0 + tenth / 10))
         self.assertLessEqual(learned.call_count * workers / 40.0, 1.1 * MOST_SAMPLES)
         self.assertGreater(learned.call_count, 0)
 
     def test_utilization_grows_beyond_full_with_the_tail(self) -> None:
         run = self._add("w0", "s", SERVES, 0, 600.0)
-        self.assertGreater(self.sharing.utilization(run), 1.0)
+        self.assertGreater(self.model.utilization(run), 1.0)
         run.measure = 5.0
-        self.assertEqual(0.0, self.sharing.utilization(run))
+        self.assertEqual(0.0, self.model.utilization(run))
 
     def test_a_trend_says_more_of_a_load_that_swings_than_any_margin(self) -> None:
         """Guards against work that fills up to what a load was, and idle cores as it falls."""
@@ -112,8 +112,8 @@
         short, idle, rises = [], [], []
         for number in range(350):
             steady = 10.0 + 0.2 * number
-            self.sharing.note_load("s", _swing(steady), True, steady)
-            planned, after = self.sharing.planned_load(run), _swing(steady + AHEAD)
+            self.model.note_load("s", _swing(steady), True, steady)
+            planned, after = self.model.planned_load(run), _swing(steady + AHEAD)
             short.append(after - planned)
             idle.append(planned - after)
             rises.append(after - _swing(steady))
@@ -124,9 +124,9 @@
         self._add("w0", "s", SERVES, 0, _tail(0.4))
         self._observe(10.0)
         worker = self.cell.workers["w0"]
-        utilization = estimate_utilization(self.sharing, worker)
-        alone = predict_share(self.sharing, utilization, "batch", 0)
-        beside = predict_share(self.sharing, utilization, "batch", 6_000)
+        utilization = estimate_utilization(self.model, worker)
+        alone = predict_share(self.model, utilization, "batch", 0)
+        beside = predict_share(self.model, utilization, "batch", 6_000)
         self.assertGreater(beside, alone)
 
     def test_a_harmful_task_that_can_resume_leaves(self) -> None:
@@ -134,7 +134,7 @@
         self._add("w1", "s", SERVES, 1, _tail(0.79))
         self._add("w1", "b", FILLS, 0, 6_000)
         self._observe(10.0)
-        control_pace(self.cell, self.sharing, _now(10.3))
+        control_pace(self.cell, self.model, _now(10.3))
         self.assertIsInstance(self.cell.orders[0], StopOrder)
 
     def test_a_harmful_task_that_cannot_resume_is_slowed(self) -> None:
@@ -144,7 +144,7 @@
         run = self._add("w1", "b", step, 0, 6_000)
         run.percent = 60
         self._observe(10.0)
-        control_pace(self.cell, self.sharing, _now(10.3))
+        control_pace(self.cell, self.model, _now(10.3))
         self.assertIsInstance(self.cell.orders[0], PaceOrder)
         self.assertLess(run.pace, 100)
 
@@ -162,7 +162,7 @@
         failing.failed_jobs = {"x", "y", "z"}
         failing.failing_until = 12.0
         self._observe(10.0)
-        control_pace(self.cell, self.sharing, _now(10.3))
+        control_pace(self.cell, self.model, _now(10.3))
         self.assertIsInstance(self.cell.orders[0], PaceOrder)
 
     def test_what_is_thought_harmless_leaves_too_before_the_limit(self) -> None:
@@ -173,11 +173,11 @@
         """
         self._add("w0", "s", SERVES, 0, _tail(0.9))
         run = self._add("w0", "b", FILLS, 0, 6_000)
-        self.sharing._keep_effect(Effect("web", "batch", 0.0, 0.1))
+        self.model._keep_effect(Effect("web", "batch", 0.0, 0.1))
         steady = 10.0
         while run.phase is Phase.RUNNING and steady < 15.0:
             self.cell.workers["w0"].answered_at = steady
-            control_pace(self.cell, self.sharing, _now(steady))
+            control_pace(self.cell, self.model, _now(steady))
             steady += 0.25
         self.assertLess(steady - 10.0, OVER_TOO_LONG + 1.0)
 
--- a/toucanpin/scheduling/tests/test_old_views.py
+++ b/toucanpin/scheduling/tests/test_old_views.py
@@ -73,11 +73,11 @@
         self.assertTrue(fleet.cell.runs["b"])
         served.measure = 101.0
         fleet.cell.workers["w0"].slowed_at = fleet.time
-        control_pace(fleet.cell, fleet.sharing, fleet.now())
+        control_pace(fleet.cell, fleet.model, fleet.now())
         fleet.time += 0.25
-        control_pace(fleet.cell, fleet.sharing, fleet.now())
+        control_pace(fleet.cell, fleet.model, fleet.now())
         fleet.time += 2.0
-        control_pace(fleet.cell, fleet.sharing, fleet.now())
+        control_pace(fleet.cell, fleet.model, fleet.now())
         stops = [order.reason for order in fleet.cell.orders if isinstance(order, StopOrder)]
         self.assertNotIn("serving task over its target", stops)
 
--- a/toucanpin/scheduling/tests/test_shedding.py
+++ b/toucanpin/scheduling/tests/test_shedding.py
@@ -77,12 +77,12 @@
 
     def test_the_most_urgent_are_placed_first(self) -> None:
         """Guards against an owner with too much to start that starts what is least urgent."""
-        place_tasks(self.cell, self.fleet.sharing, self.fleet.now(), 4)
+        place_tasks(self.cell, self.fleet.model, self.fleet.now(), 4)
         self.assertEqual({"urgent": 4}, self._count())
 
     def test_the_others_wait_for_a_later_turn(self) -> None:
         """Guards against steps that are left out for good."""
-        place_tasks(self.cell, self.fleet.sharing, self.fleet.now(), 0)
+        place_tasks(self.cell, self.fleet.model, self.fleet.now(), 0)
         self.assertFalse(self._count())
         self.fleet.run(3.0)
         self.assertTrue(all(self.fleet.state(job) == 2 for job in self.fleet.jobs))
--- a/toucanpin/scheduling/tests/test_turns.py
+++ b/toucanpin/scheduling/tests/test_turns.py
@@ -39,11 +39,11 @@
 
     def _count(self, name: str) -> int:
         """Return how often a turn calls one function of preemption."""
-        place_tasks(self.fleet.cell, self.fleet.sharing, self.fleet.now())
+        place_tasks(self.fleet.cell, self.fleet.model, self.fleet.now())
         self.fleet.time += 0.05
         original = getattr(preempting, name)
         with patch.object(preempting, name, wraps=original) as counted:
-            place_tasks(self.fleet.cell, self.fleet.sharing, self.fleet.now())
+            place_tasks(self.fleet.cell, self.fleet.model, self.fleet.now())
         return counted.call_count
 
     def _count_weighed(self) -> int:
@@ -56,7 +56,7 @@
             return original(places, number)
 
         with patch.object(Places, "_weigh", weigh):
-            place_tasks(self.fleet.cell, self.fleet.sharing, self.fleet.now())
+            place_tasks(self.fleet.cell, self.fleet.model, self.fleet.now())
         return len(weighed)
 
     def test_steps_without_room_do_not_each_weigh_all_workers(self) -> None:
@@ -114,7 +114,7 @@
             step = Step(count=4, cpu=2_000 + number, per_worker=1)
             self.fleet.submit(make_job(f"u{number:02}", (step,)))
         with patch.object(choosing, "_count_group", wraps=choosing._count_group) as counted:
-            place_tasks(self.fleet.cell, self.fleet.sharing, self.fleet.now())
+            place_tasks(self.fleet.cell, self.fleet.model, self.fleet.now())
         self.assertLessEqual(counted.call_count, WAITING)
 
     def test_the_roomiest_worker_is_kept_also_after_others_were_filled(self) -> None:
@@ -146,24 +146,24 @@
         these sums are measured five times a second, and that was most of a turn's time.
         """
         self._submit_fill("g0")
-        place_tasks(self.fleet.cell, self.fleet.sharing, self.fleet.now())
+        place_tasks(self.fleet.cell, self.fleet.model, self.fleet.now())
         self.fleet.time += 0.01
         self._submit_fill("g1")
         with patch.object(
             choosing, "estimate_utilization", wraps=choosing.estimate_utilization
         ) as counted:
-            place_tasks(self.fleet.cell, self.fleet.sharing, self.fleet.now())
+            place_tasks(self.fleet.cell, self.fleet.model, self.fleet.now())
         self.assertEqual(0, counted.call_count)
 
     def test_workers_are_summed_up_anew_when_loads_may_have_changed(self) -> None:
         self._submit_fill("g0")
-        place_tasks(self.fleet.cell, self.fleet.sharing, self.fleet.now())
+        place_tasks(self.fleet.cell, self.fleet.model, self.fleet.now())
         self.fleet.time += 0.25
         self._submit_fill("g1")
         with patch.object(
             choosing, "estimate_utilization", wraps=choosing.estimate_utilization
         ) as counted:
-            place_tasks(self.fleet.cell, self.fleet.sharing, self.fleet.now())
+            place_tasks(self.fleet.cell, self.fleet.model, self.fleet.now())
         self.assertEqual(WORKERS, counted.call_count)
 
     def _submit_fill(self, name: str) -> None:
@@ -180,7 +180,7 @@
         for number in range(3):
             fill = Step(count=4, cpu=1_500, fills=True, image=f"g{number}")
             self.fleet.submit(make_job(f"g{number}", (fill,), priority=2))
-            place_tasks(self.fleet.cell, self.fleet.sharing, self.fleet.now())
+            place_tasks(self.fleet.cell, self.fleet.model, self.fleet.now())
             self.fleet.time += rest / 4
         turns = 40
         with patch.object(
@@ -188,7 +188,7 @@
         ) as counted:
             for _ in range(turns):
                 self.fleet.time += rest / 4
-                place_tasks(self.fleet.cell, self.fleet.sharing, self.fleet.now())
+                place_tasks(self.fleet.cell, self.fleet.model, self.fleet.now())
         self.assertLessEqual(counted.call_count, (turns / 4 + 1) * WORKERS)
 
     def test_a_limit_on_each_worker_does_not_have_stops_looked_for_again(self) -> None:
@@ -220,7 +220,7 @@
         stops = len(self.fleet.cell.orders)
         original = preempting._find_victims
         with patch.object(preempting, "_find_victims", wraps=original) as counted:
-            place_tasks(self.fleet.cell, self.fleet.sharing, self.fleet.now())
+            place_tasks(self.fleet.cell, self.fleet.model, self.fleet.now())
         self.assertEqual(16, len(self.fleet.cell.orders) - stops)
         self.assertLessEqual(counted.call_count, WORKERS + 16)
 
