--- a/benchmarks/ablation.py
+++ b/benchmarks/ablation.py
@@ -69,7 +69,7 @@
     "learning by pairs": (Off("benchmarks.sharing.learn_effects", _nothing),),
     "caution about unknown pairs": (Off(f"{_SHARING}.CAUTION", 0.0),),
     "grouping of images": (Off(f"{_CHOOSING}.OTHER_IMAGE", 0.0),),
-    "gathering of strays": (Off("benchmarks.sharing.gather_images", _nothing),),
+    "gathering of strays": (Off("benchmarks.sharing.consolidate_images", _nothing),),
     "rest after no place": (Off("toucanpin.scheduling.recalling.BARREN", 0.0),),
 }
 
--- a/benchmarks/sharing.py
+++ b/benchmarks/sharing.py
@@ -20,7 +20,7 @@
 from benchmarks.shared_workers import Pairs, SharedRun, SharedWorker, SharedWorld
 from toucanpin.scheduling.batches import apply_batch, take_batch
 from toucanpin.scheduling.cell import Cell, Now
-from toucanpin.scheduling.gathering import gather_images
+from toucanpin.scheduling.consolidating import consolidate_images
 from toucanpin.scheduling.holding import list_workers, plan_hold, take_answer
 from toucanpin.scheduling.intake import submit_job
 from toucanpin.scheduling.interference_model import InterferenceModel
@@ -118,7 +118,7 @@
         self._hold(now)
         move_tasks(self.cell, now)
         control_pace(self.cell, self.sharing, now)
-        gather_images(self.cell, self.sharing, now)
+        consolidate_images(self.cell, self.sharing, now)
         place_tasks(self.cell, self.sharing, now)
         batch = take_batch(self.cell)
         self._pending += [(self.time + 0.02, run) for run in apply_batch(self.cell, batch)]
--- a/benchmarks/turns.py
+++ b/benchmarks/turns.py
@@ -22,8 +22,8 @@
 
 from toucanpin.scheduling.advising import plan_advice
 from toucanpin.scheduling.cell import Cell, Now, add_run
+from toucanpin.scheduling.consolidating import consolidate_images
 from toucanpin.scheduling.counting import count_pending
-from toucanpin.scheduling.gathering import gather_images
 from toucanpin.scheduling.holding import list_workers, take_answer
 from toucanpin.scheduling.intake import begin_due, submit_job
 from toucanpin.scheduling.interference_model import InterferenceModel
@@ -156,7 +156,7 @@
     "advising": lambda fleet: plan_advice(fleet.cell, fleet.sharing, 8, fleet.now()),
     "moving": lambda fleet: move_tasks(fleet.cell, fleet.now()),
     "pacing": lambda fleet: control_pace(fleet.cell, fleet.sharing, fleet.now()),
-    "gathering": lambda fleet: gather_images(fleet.cell, fleet.sharing, fleet.now()),
+    "gathering": lambda fleet: consolidate_images(fleet.cell, fleet.sharing, fleet.now()),
     "answers": lambda fleet: fleet.answer(),
     "due": lambda fleet: begin_due(fleet.cell, fleet.now()),
     "counting": lambda fleet: count_pending(fleet.cell),
--- a/toucanpin/entry/owner.py
+++ b/toucanpin/entry/owner.py
@@ -39,6 +39,7 @@
 from toucanpin.scheduling.advising import AdviceOrder, plan_advice, take_advice
 from toucanpin.scheduling.batches import MAX_FORGOTTEN, apply_batch, has_work, take_batch
 from toucanpin.scheduling.cell import Cell, Now
+from toucanpin.scheduling.consolidating import consolidate_images
 from toucanpin.scheduling.crashing import give_up_crashing
 from toucanpin.scheduling.evacuating import (
     Evacuated,
@@ -46,7 +47,6 @@
     knows_evacuations,
     take_evacuated,
 )
-from toucanpin.scheduling.gathering import gather_images
 from toucanpin.scheduling.holding import AUTHORITY, lapse_workers
 from toucanpin.scheduling.intake import begin_due, forget_ended
 from toucanpin.scheduling.interference_model import InterferenceModel
@@ -317,7 +317,7 @@
         periodic = [
             Periodic(lambda now: move_tasks(self._cell, now), MOVE_PERIOD),
             Periodic(lambda now: control_pace(self._cell, self._sharing, now), 0.0),
-            Periodic(lambda now: gather_images(self._cell, self._sharing, now), 0.0),
+            Periodic(lambda now: consolidate_images(self._cell, self._sharing, now), 0.0),
         ]
         while True:
             due = steady_time() + TICK
--- a/toucanpin/entry/tests/test_faults.py
+++ b/toucanpin/entry/tests/test_faults.py
@@ -7,7 +7,7 @@
 
 from standins.site.site import JOB, Site
 
-DECISIONS = ("move_tasks", "control_pace", "gather_images")
+DECISIONS = ("move_tasks", "control_pace", "consolidate_images")
 
 
 class FaultTest(unittest.IsolatedAsyncioTestCase):
--- a/toucanpin/scheduling/cell.py
+++ b/toucanpin/scheduling/cell.py
@@ -197,8 +197,10 @@
     reserved_at: float = float("-inf")  # when room for brief tasks was last chosen
     paced_at: float = 0.0
     barren: dict[str, tuple[int, float]] = field(default_factory=dict)
-    gathered_at: float = 0.0
-    gathered: dict[TaskKey, float] = field(default_factory=dict)  # when tasks were moved together
+    consolidated_at: float = 0.0
+    consolidated: dict[TaskKey, float] = field(
+        default_factory=dict
+    )  # when tasks were moved together
     durations: Durations = field(default_factory=lambda: Durations({}))
     moved: set[TaskKey] = field(default_factory=set)  # tasks that have left a slow worker
 
--- a/toucanpin/scheduling/gathering.py
+++ b/toucanpin/scheduling/consolidating.py
@@ -23,17 +23,19 @@
 from toucanpin.scheduling.stopping import count_away, stop_run
 from toucanpin.scheduling.worker import Phase, Run, Worker, has_room
 
-__all__ = ["gather_images"]
+__all__ = ["consolidate_images"]
 
-PERIOD = 0.5  # s between moves; one that was stopped runs again elsewhere within about that time
-PATIENCE = 0.5  # s that batch work has waited before anything is moved for it
-HEAVY = 2.0  # effect from which an image counts as harmful to another
-LEAST_GAIN = 6.0  # cores that a move has to open for what waits: those of one batch task
-REST = 20.0  # s for which a task that was moved stays, longer than a batch job takes
+MOVE_PERIOD_S = (
+    0.5  # s between moves; one that was stopped runs again elsewhere within about that time
+)
+MIN_WAIT_S = 0.5  # s that batch work has waited before anything is moved for it
+HARMFUL_EFFECT = 2.0  # effect from which an image counts as harmful to another
+MIN_GAIN_CORES = 6.0  # cores that a move has to open for what waits: those of one batch task
+MIN_STAY_S = 20.0  # s for which a task that was moved stays, longer than a batch job takes
 
 
 @dataclass(frozen=True, slots=True)
-class _Site:
+class _WorkerImages:
     """Hold a worker's serving images and the cores that what fills could use."""
 
     worker: Worker
@@ -41,29 +43,33 @@
     free: float
 
 
-def gather_images(cell: Cell, model: InterferenceModel, now: Now) -> Run | None:
+def consolidate_images(cell: Cell, model: InterferenceModel, now: Now) -> Run | None:
     """Stop the lasting task whose move opens most cores to what waits, and return it."""
-    if now.steady < cell.gathered_at + PERIOD:
+    if now.steady < cell.consolidated_at + MOVE_PERIOD_S:
         return None
     demand = _sum_demand(cell, now)
     if not demand:
         return None
-    cell.gathered_at = now.steady
-    sites = [_describe(worker) for worker in list_able(cell, now)]
-    best = max(_list_moves(cell, model, sites, demand, now), key=lambda move: move[0], default=None)
-    if best is None or best[0] < LEAST_GAIN:
+    cell.consolidated_at = now.steady
+    candidates = [_describe(worker) for worker in list_able(cell, now)]
+    best = max(
+        _list_moves(cell, model, candidates, demand, now), key=lambda move: move[0], default=None
+    )
+    if best is None or best[0] < MIN_GAIN_CORES:
         return None
     run = best[1]
-    _forget_old(cell, now)
-    cell.gathered[run.task] = now.steady
+    _drop_expired_moves(cell, now)
+    cell.consolidated[run.task] = now.steady
     stop_run(cell, run, "leaves its worker to batch work")
     return run
 
 
-def _forget_old(cell: Cell, now: Now) -> None:
+def _drop_expired_moves(cell: Cell, now: Now) -> None:
     """Drop moves that hold nothing back any more; a cell lives for months."""
-    cell.gathered = {
-        task: moved_at for task, moved_at in cell.gathered.items() if now.steady < moved_at + REST
+    cell.consolidated = {
+        task: moved_at
+        for task, moved_at in cell.consolidated.items()
+        if now.steady < moved_at + MIN_STAY_S
     }
 
 
@@ -71,7 +77,7 @@
     """Return by image the cores of filling tasks that wait since they would disturb."""
     demand: dict[str, float] = {}
     for group, wait in cell.waits.items():
-        if wait.reason is not WaitReason.HARM or now.steady - wait.since < PATIENCE:
+        if wait.reason is not WaitReason.HARM or now.steady - wait.since < MIN_WAIT_S:
             continue
         step = cell.jobs[group.job].job.steps[group.step]
         cores = step.cpu * len(cell.waiting.get(group, ())) / 1_000
@@ -79,28 +85,32 @@
     return demand
 
 
-def _describe(worker: Worker) -> _Site:
+def _describe(worker: Worker) -> _WorkerImages:
     images = tuple(run.step.image for run in worker.runs.values() if run.step.target)
     used = worker.cpu + worker.filling_cpu
-    return _Site(worker, images, max(0.0, worker.entry.cpu - used) / 1_000)
+    return _WorkerImages(worker, images, max(0.0, worker.entry.cpu - used) / 1_000)
 
 
 def _list_moves(
-    cell: Cell, model: InterferenceModel, sites: list[_Site], demand: dict[str, float], now: Now
+    cell: Cell,
+    model: InterferenceModel,
+    candidates: list[_WorkerImages],
+    demand: dict[str, float],
+    now: Now,
 ) -> Iterable[tuple[float, Run]]:
     """Yield the cores that each possible move would open, and the task that would move."""
-    for site in sites:
-        if len(set(site.images)) < 2:
+    for candidate in candidates:
+        if len(set(candidate.images)) < 2:
             continue
-        for run in site.worker.runs.values():
-            if site.images.count(run.step.image) != 1 or not _may_move(cell, run, now):
+        for run in candidate.worker.runs.values():
+            if candidate.images.count(run.step.image) != 1 or not _may_move(cell, run, now):
                 continue
-            left = [image for image in site.images if image != run.step.image]
-            gain = _open_cores(model, site, left, demand, run.step.cpu / 1_000)
-            gain -= _open_cores(model, site, site.images, demand)
-            if gain < LEAST_GAIN:
+            left = [image for image in candidate.images if image != run.step.image]
+            gain = _count_usable_cores(model, candidate, left, demand, run.step.cpu / 1_000)
+            gain -= _count_usable_cores(model, candidate, candidate.images, demand)
+            if gain < MIN_GAIN_CORES:
                 continue
-            loss = _find_least_loss(model, sites, site, run, demand)
+            loss = _find_min_loss(model, candidates, candidate, run, demand)
             if loss is not None:
                 yield gain - loss, run
 
@@ -108,34 +118,38 @@
 def _may_move(cell: Cell, run: Run, now: Now) -> bool:
     if not run.step.lasting or not run.step.target or run.phase is not Phase.RUNNING:
         return False
-    if run.percent < 100 or now.steady < cell.gathered.get(run.task, -REST) + REST:
+    if run.percent < 100 or now.steady < cell.consolidated.get(run.task, -MIN_STAY_S) + MIN_STAY_S:
         return False
     return run.task.job in cell.jobs and count_away(cell, run, now) == 0
 
 
-def _find_least_loss(
-    model: InterferenceModel, sites: list[_Site], site: _Site, run: Run, demand: dict[str, float]
+def _find_min_loss(
+    model: InterferenceModel,
+    candidates: list[_WorkerImages],
+    candidate: _WorkerImages,
+    run: Run,
+    demand: dict[str, float],
 ) -> float | None:
     """Return the fewest cores that the task would shut to what waits, None if it has no place."""
     group = Group(run.task.job, run.task.occurrence, run.task.step)
-    least: float | None = None
-    for other in sites:
-        if other is site or run.step.image not in other.images:
+    lowest: float | None = None
+    for other in candidates:
+        if other is candidate or run.step.image not in other.images:
             continue
         worker = other.worker
         if not (has_room(worker, run.step) and fits_rules(worker, group, run.step)):
             continue
         if not leaves_reserve(worker, run.step):
             continue
-        before = _open_cores(model, other, other.images, demand)
-        after = _open_cores(model, other, other.images, demand, -run.step.cpu / 1_000)
-        least = before - after if least is None else min(least, before - after)
-    return least
+        before = _count_usable_cores(model, other, other.images, demand)
+        after = _count_usable_cores(model, other, other.images, demand, -run.step.cpu / 1_000)
+        lowest = before - after if lowest is None else min(lowest, before - after)
+    return lowest
 
 
-def _open_cores(
+def _count_usable_cores(
     model: InterferenceModel,
-    site: _Site,
+    candidate: _WorkerImages,
     images: Iterable[str],
     demand: dict[str, float],
     more: float = 0.0,
@@ -145,6 +159,6 @@
     wanted = sum(
         cores
         for image, cores in demand.items()
-        if all(model.expected_effect(served, image) < HEAVY for served in serving)
+        if all(model.expected_effect(served, image) < HARMFUL_EFFECT for served in serving)
     )
-    return min(wanted, max(0.0, site.free + more))
+    return min(wanted, max(0.0, candidate.free + more))
--- a/toucanpin/scheduling/tests/test_gathering.py
+++ b/toucanpin/scheduling/tests/test_consolidating.py
@@ -5,7 +5,7 @@
 import unittest
 
 from toucanpin.scheduling.cell import Cell, Group, Now, Wait, WaitReason, add_run
-from toucanpin.scheduling.gathering import gather_images
+from toucanpin.scheduling.consolidating import consolidate_images
 from toucanpin.scheduling.intake import submit_job
 from toucanpin.scheduling.interference_model import Effect, InterferenceModel
 from toucanpin.scheduling.job import Step, TaskKey
@@ -19,7 +19,7 @@
 NOW = Now(100.0, 100_000, 100_000)
 
 
-class GatheringTest(unittest.TestCase):
+class ConsolidatingTest(unittest.TestCase):
     def setUp(self) -> None:
         self.cell = Cell("c", 1, 0.0, 100.0)
         self.model = InterferenceModel()
@@ -59,25 +59,25 @@
         Batch work waits for seconds though half of a worker is idle: one task of another image
         serves there, which it would disturb.  That image has workers of its own with room.
         """
-        self.assertIs(self.stray, gather_images(self.cell, self.model, NOW))
+        self.assertIs(self.stray, consolidate_images(self.cell, self.model, NOW))
         self.assertIsInstance(self.cell.orders[0], StopOrder)
 
     def test_nothing_moves_while_no_batch_work_waits(self) -> None:
         self.cell.waits.clear()
-        self.assertIsNone(gather_images(self.cell, self.model, NOW))
+        self.assertIsNone(consolidate_images(self.cell, self.model, NOW))
 
     def test_nothing_moves_without_a_place_beside_its_own_image(self) -> None:
         self.cell.workers["w1"].unsound = True
-        self.assertIsNone(gather_images(self.cell, self.model, NOW))
+        self.assertIsNone(consolidate_images(self.cell, self.model, NOW))
 
     def test_nothing_moves_where_the_batch_work_is_harmless(self) -> None:
         self._learn("feed", 0.3)
-        self.assertIsNone(gather_images(self.cell, self.model, NOW))
+        self.assertIsNone(consolidate_images(self.cell, self.model, NOW))
 
     def test_a_job_has_one_task_away_at_a_time(self) -> None:
         """Users of a service would lose it if its tasks were moved while others are away."""
         next(iter(self.cell.workers["w1"].runs.values())).percent = 0
-        self.assertIsNone(gather_images(self.cell, self.model, NOW))
+        self.assertIsNone(consolidate_images(self.cell, self.model, NOW))
 
 
 if __name__ == "__main__":
