--- a/toucanpin/entry/cell_rows.py
+++ b/toucanpin/entry/cell_rows.py
@@ -31,7 +31,7 @@
 )
 from toucanpin.exception import PlatformError, ToucanpinError
 from toucanpin.http import CallError
-from toucanpin.platform.store import Committed, Expected, Page, Put, Row, Store
+from toucanpin.platform.store import Committed, ExpectedVersion, Page, Put, Row, Store
 from toucanpin.scheduling.batches import Batch
 from toucanpin.scheduling.cell import Cell, Now
 from toucanpin.scheduling.counting import View, count_pending, encode_counts
@@ -190,7 +190,7 @@
             puts.append(Put(HANDOVERS, OWNER_KEY, record.life.encode()))
         pause = FIRST_PAUSE
         while True:
-            expected = (Expected(OWNERS, OWNER_KEY, self._version),)
+            expected = (ExpectedVersion(OWNERS, OWNER_KEY, self._version),)
             sent_at = steady_time()
             try:
                 result = await self._store.transact(self._cell.name, expected, puts, COMMIT_TIMEOUT)
--- a/toucanpin/entry/contender.py
+++ b/toucanpin/entry/contender.py
@@ -24,7 +24,7 @@
 from toucanpin.entry.rows import HANDOVERS, OWNER_KEY, OWNERS
 from toucanpin.exception import PlatformError
 from toucanpin.http import CallError
-from toucanpin.platform.store import Committed, Expected, Put, Row, Store
+from toucanpin.platform.store import Committed, ExpectedVersion, Put, Row, Store
 from toucanpin.scheduling.evacuating import Evacuated
 from toucanpin.scheduling.ownership import (
     YIELD_AFTER,
@@ -177,7 +177,7 @@
         before = watch.record
         token = before.token + 1 if before else 1
         record = OwnerRecord(self._settings.name, self._life, token, 0)
-        expected = (Expected(OWNERS, OWNER_KEY, watch.version),)
+        expected = (ExpectedVersion(OWNERS, OWNER_KEY, watch.version),)
         put = (Put(OWNERS, OWNER_KEY, encode_owner(record)),)
         sent_at = steady_time()
         result = await self._store.transact(self._cell, expected, put)
--- a/toucanpin/entry/peers.py
+++ b/toucanpin/entry/peers.py
@@ -22,7 +22,7 @@
 from toucanpin.exception import PlatformError
 from toucanpin.http import CallError
 from toucanpin.platform.addresses import check_address
-from toucanpin.platform.store import Committed, Expected, Put, Row, Store
+from toucanpin.platform.store import Committed, ExpectedVersion, Put, Row, Store
 from toucanpin.scheduling.settings import HostSettings
 
 __all__ = ["Peer", "Peers"]
@@ -146,7 +146,7 @@
         """Drop the rows of hosts that are long gone, unless they are back since."""
         if not rows:
             return
-        expected = [Expected(HOSTS, row.key, row.version) for row in rows]
+        expected = [ExpectedVersion(HOSTS, row.key, row.version) for row in rows]
         await self._store.transact("", expected, [Put(HOSTS, row.key, None) for row in rows])
 
     async def _agree_on_key(self) -> None:
@@ -156,7 +156,7 @@
             self.secret = known
             return
         secret = secrets.token_bytes(KEY_BYTES)
-        expected = (Expected(KEYS, KEY_NAME, page.rows[0].version if page.rows else 0),)
+        expected = (ExpectedVersion(KEYS, KEY_NAME, page.rows[0].version if page.rows else 0),)
         written = await self._store.transact("", expected, (Put(KEYS, KEY_NAME, secret),))
         if isinstance(written, Committed):
             self.secret = secret
--- a/toucanpin/entry/requests.py
+++ b/toucanpin/entry/requests.py
@@ -32,7 +32,7 @@
     encode_state,
     is_job_id,
 )
-from toucanpin.platform.store import Committed, Expected, Put, Row, Store
+from toucanpin.platform.store import Committed, ExpectedVersion, Put, Row, Store
 from toucanpin.scheduling.configuration import Queue
 from toucanpin.scheduling.job import encode_job, find_job_fault
 from toucanpin.scheduling.progress import JobState, decode_progress
@@ -271,7 +271,7 @@
             left = deadline - time.monotonic()
             if left <= 0 or (not unsure and time.monotonic() - begun > REFUSE_AFTER):
                 return None if unsure else False
-            expected = (Expected(put.table, put.key, 0),)
+            expected = (ExpectedVersion(put.table, put.key, 0),)
             try:
                 result = await self._store.transact(part, expected, (put,), min(left, TRY_TIMEOUT))
             except CallError as error:
--- a/toucanpin/entry/tests/test_forgetting.py
+++ b/toucanpin/entry/tests/test_forgetting.py
@@ -8,7 +8,7 @@
 
 from toucanpin.entry.cell_rows import CellRows
 from toucanpin.entry.entries import EntryReader
-from toucanpin.platform.store import Committed, Expected, Put, Store
+from toucanpin.platform.store import Committed, ExpectedVersion, Put, Store
 from toucanpin.scheduling.batches import Batch
 from toucanpin.scheduling.cell import Cell
 from toucanpin.scheduling.interference_model import InterferenceModel
@@ -53,7 +53,7 @@
     async def transact(
         self,
         part: str,
-        expected: Sequence[Expected],
+        expected: Sequence[ExpectedVersion],
         puts: Sequence[Put],
         timeout: float = 1.0,
     ) -> Committed:
--- a/toucanpin/entry/tests/test_relay.py
+++ b/toucanpin/entry/tests/test_relay.py
@@ -11,7 +11,7 @@
 from toucanpin.entry.relay import RelayServer
 from toucanpin.entry.relayed_store import RelayedStore
 from toucanpin.http import CallError, Client, Server
-from toucanpin.platform.store import Committed, Expected, Put, Store
+from toucanpin.platform.store import Committed, ExpectedVersion, Put, Store
 from toucanpin.scheduling.settings import Bounds, HostSettings
 
 SECRET = b"k" * 32
@@ -48,7 +48,7 @@
 
     async def _put(self) -> Committed:
         store = self.stores[0][0]
-        result = await store.transact("", (Expected("t", "k", 0),), (Put("t", "k", b"v"),))
+        result = await store.transact("", (ExpectedVersion("t", "k", 0),), (Put("t", "k", b"v"),))
         assert isinstance(result, Committed)
         return result
 
--- a/toucanpin/entry/waves.py
+++ b/toucanpin/entry/waves.py
@@ -27,7 +27,7 @@
     encode_wave_status,
 )
 from toucanpin.platform.queues import OPERATORS_TABLE
-from toucanpin.platform.store import Committed, Expected, Put, Row, Store
+from toucanpin.platform.store import Committed, ExpectedVersion, Put, Row, Store
 from toucanpin.scheduling.cell import Cell
 from toucanpin.scheduling.settings import Bounds
 from toucanpin.scheduling.upkeep import (
@@ -146,7 +146,9 @@
         key = str(wave.number)
         self._records.pop(wave.number, None)
         put = Put(WAVES, key, msgspec.msgpack.encode(record))
-        result = await self._store.transact("", (Expected(WAVES, key, version),), (put, *more))
+        result = await self._store.transact(
+            "", (ExpectedVersion(WAVES, key, version),), (put, *more)
+        )
         if not isinstance(result, Committed):
             return False
         self._records[wave.number] = (record, result.version)
--- a/toucanpin/platform/store.py
+++ b/toucanpin/platform/store.py
@@ -21,7 +21,17 @@
 from toucanpin.steady import steady_time
 from toucanpin.verdict import Verdict
 
-__all__ = ["MAX_PAGE", "Caller", "Conflict", "Committed", "Expected", "Page", "Put", "Row", "Store"]
+__all__ = [
+    "MAX_PAGE",
+    "Caller",
+    "Conflict",
+    "Committed",
+    "ExpectedVersion",
+    "Page",
+    "Put",
+    "Row",
+    "Store",
+]
 
 READ_TIMEOUT = 2.0  # s: a healthy answer takes 10 ms, one of a store 60 times slower 0.6 s
 PAGE = 150  # rows asked for at a time, so that a page also passes the inner protocol
@@ -47,7 +57,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Expected:
+class ExpectedVersion:
     """Demand the version that a row must have for a transaction to apply; 0 means none."""
 
     table: str
@@ -162,7 +172,7 @@
     async def transact(
         self,
         part: str,
-        expected: Sequence[Expected],
+        expected: Sequence[ExpectedVersion],
         puts: Sequence[Put],
         timeout: float = READ_TIMEOUT,
     ) -> Committed | Conflict:
--- a/toucanpin/platform/tests/test_site_calls.py
+++ b/toucanpin/platform/tests/test_site_calls.py
@@ -9,7 +9,7 @@
 from toucanpin.exception import PlatformError
 from toucanpin.http import Answer, CallError, Request, Response, Server
 from toucanpin.platform.queues import decode_configuration
-from toucanpin.platform.store import Committed, Conflict, Expected, Put, Store
+from toucanpin.platform.store import Committed, Conflict, ExpectedVersion, Put, Store
 from toucanpin.platform.workers import (
     WorkerCalls,
     WorkerReplacedError,
@@ -46,7 +46,7 @@
     async def test_a_transaction_names_what_it_expects(self) -> None:
         caller = ScriptedCaller(_answer(200, rowVersion=7, nowMs=50))
         store = Store(caller)
-        result = await store.transact("p", (Expected("t", "k", 3),), (Put("t", "k", b"v"),))
+        result = await store.transact("p", (ExpectedVersion("t", "k", 3),), (Put("t", "k", b"v"),))
         self.assertEqual(Committed(7, 50), result)
         body = msgspec.json.decode(caller.calls[0][2])
         expected = [{"table": "t", "part": "p", "key": "k", "rowVersion": 3}]
@@ -56,7 +56,7 @@
     async def test_a_conflict_carries_the_rows_as_they_are(self) -> None:
         row = {"table": "t", "part": "p", "key": "k", "value": "dg==", "rowVersion": 9}
         store = Store(ScriptedCaller(_answer(412, rows=[row], rowVersion=9, nowMs=1)))
-        result = await store.transact("p", (Expected("t", "k", 3),), ())
+        result = await store.transact("p", (ExpectedVersion("t", "k", 3),), ())
         assert isinstance(result, Conflict)
         self.assertEqual((b"v", 9), (result.rows[0].value, result.rows[0].version))
 
