--- a/standins/workerd.py
+++ b/standins/workerd.py
@@ -31,7 +31,7 @@
 from standins.worker import Get, Put, WorkerCore
 from toucanpin.platform.http import HttpObjects
 from toucanpin.platform.messages import EFFECT_HEADER, EFFECT_NONE, PollRequest, read_poll
-from toucanpin.platform.ports import Objects, Size
+from toucanpin.platform.ports import ObjectStore, Size
 
 __all__ = ["WorkerService", "main"]
 
@@ -48,7 +48,7 @@
 class WorkerService:
     """Run the guard and the effects of a core, and answer polls."""
 
-    def __init__(self, core: WorkerCore, objects: Objects) -> None:
+    def __init__(self, core: WorkerCore, objects: ObjectStore) -> None:
         self.core = core
         self.plan = FaultPlan()
         self.stopped = threading.Event()
--- a/toucanpin/cli/timeline.py
+++ b/toucanpin/cli/timeline.py
@@ -18,7 +18,7 @@
 from toucanpin.cli.exits import ExitCode
 from toucanpin.cli.http import send
 from toucanpin.platform.http import HttpObjects
-from toucanpin.platform.ports import Objects
+from toucanpin.platform.ports import ObjectStore
 from toucanpin.timeline.codec import decode_lines, encode_lines
 from toucanpin.timeline.event import Event
 from toucanpin.timeline.faults import Fault, Unreadable, explain_fault
@@ -58,7 +58,7 @@
             yield Unfetched(url, fault.detail)
 
 
-def gather_objects(objects: Objects, prefix: str = PREFIX) -> Iterator[Item]:
+def gather_objects(objects: ObjectStore, prefix: str = PREFIX) -> Iterator[Item]:
     """Yield the events that processes, lost ones too, left in the object store."""
     listed = objects.names(prefix)
     if listed.is_error():
@@ -156,7 +156,7 @@
         yield from gather_objects(_open_objects(store))
 
 
-def _open_objects(url: str) -> Objects:
+def _open_objects(url: str) -> ObjectStore:
     """Reach an object store."""
     return HttpObjects(url, client="toucanpin")
 
--- a/toucanpin/daemon/jobs.py
+++ b/toucanpin/daemon/jobs.py
@@ -31,7 +31,7 @@
 )
 from toucanpin.placement.queue import list_cell_shapes
 from toucanpin.placement.submission import Submission, submit_job
-from toucanpin.platform.ports import ListedHost, Objects, Table
+from toucanpin.platform.ports import ListedHost, ObjectStore, Table
 from toucanpin.verdict import Reason, Refusal, Verdict
 
 __all__ = ["JobsApp"]
@@ -64,7 +64,7 @@
     def __init__(
         self,
         table: Table,
-        objects: Objects,
+        objects: ObjectStore,
         hosts: Callable[[], tuple[ListedHost, ...]],
         bundle: BundleView,
     ) -> None:
--- a/toucanpin/daemon/timeline.py
+++ b/toucanpin/daemon/timeline.py
@@ -18,7 +18,7 @@
 import msgspec
 
 from toucanpin.daemon.parts import WsgiApp
-from toucanpin.platform.ports import Objects
+from toucanpin.platform.ports import ObjectStore
 from toucanpin.timeline.codec import encode_lines
 from toucanpin.timeline.recorder import Recorder
 from toucanpin.verdict import Reason, Refusal, Verdict
@@ -84,7 +84,7 @@
     def __init__(
         self,
         recorder: Recorder,
-        objects: Objects,
+        objects: ObjectStore,
         random_source: random.Random,
         period: float = DEFAULT_PERIOD,
     ) -> None:
--- a/toucanpin/platform/ports.py
+++ b/toucanpin/platform/ports.py
@@ -24,7 +24,7 @@
     "HostList",
     "HostRole",
     "ListedHost",
-    "Objects",
+    "ObjectStore",
     "Order",
     "Poll",
     "Report",
@@ -136,7 +136,7 @@
         ...
 
 
-class Objects(Protocol):
+class ObjectStore(Protocol):
     """Keep immutable byte strings by name."""
 
     def put(self, name: str, body: bytes) -> Result[None, StoreFault]:
