--- a/scenarios/processes.py
+++ b/scenarios/processes.py
@@ -45,7 +45,7 @@
     write_settings,
 )
 from toucanpin.bundles.record import encode_signed
-from toucanpin.platform.http import HttpObjects, HttpTable
+from toucanpin.platform.http import HttpObjectStore, HttpTable
 from toucanpin.platform.ports import HostRole
 from toucanpin.timeline.codec import decode_lines
 from toucanpin.timeline.event import Event
@@ -85,7 +85,7 @@
         self._leaving: set[str] = set()
         self._halt = threading.Event()
         url = self._topology.platform_url
-        self._objects = HttpObjects(url, "witness")
+        self._objects = HttpObjectStore(url, "witness")
         self._table = HttpTable(url, "witness")
         self._witness = Witness(
             self._read_object, self._evidence, scenario.capacity, self._script.names
--- a/standins/tests/test_processes.py
+++ b/standins/tests/test_processes.py
@@ -7,7 +7,7 @@
 import msgspec
 import urllib3
 
-from toucanpin.platform.http import HttpHostList, HttpObjects, HttpTable, HttpWorkers
+from toucanpin.platform.http import HttpHostList, HttpObjectStore, HttpTable, HttpWorkers
 from toucanpin.platform.ports import (
     Committed,
     Conflict,
@@ -81,7 +81,7 @@
         self.assertIsInstance(table.commit(Transaction("t", ())).error, Unavailable)
 
     def test_objects_and_hosts(self):
-        objects = self.use(HttpObjects(self.url, "e1"))
+        objects = self.use(HttpObjectStore(self.url, "e1"))
         self.assertIsNone(objects.get("a/b ?#%2F").ok)
         self.assertTrue(objects.put("a/b ?#%2F", b"\x00" * 300_000).is_ok())
         self.assertEqual(objects.get("a/b ?#%2F").ok, b"\x00" * 300_000)
@@ -108,7 +108,7 @@
         self.assertTrue(workers.poll(listed, poll).error.reached)
         states = iter(lambda: workers.poll(listed, Poll(1, "", 0, ())).ok.tasks[0].state, None)
         self.assertIs(next(it for it in states if it is not TaskState.RUNNING), TaskState.FINISHED)
-        self.assertEqual(len(self.use(HttpObjects(f"http://{store}", "e1")).get("out").ok), 64)
+        self.assertEqual(len(self.use(HttpObjectStore(f"http://{store}", "e1")).get("out").ok), 64)
         log = msgspec.json.decode(HTTP.request("GET", f"http://{address}/log").data)
         self.assertEqual([(it["task"], it["attempt"]) for it in log], [("t", 1)])
 
--- a/standins/workerd.py
+++ b/standins/workerd.py
@@ -29,7 +29,7 @@
 )
 from standins.work import Service
 from standins.worker import Get, Put, WorkerCore
-from toucanpin.platform.http import HttpObjects
+from toucanpin.platform.http import HttpObjectStore
 from toucanpin.platform.messages import EFFECT_HEADER, EFFECT_NONE, PollRequest, read_poll
 from toucanpin.platform.ports import ObjectStore, Size
 
@@ -153,7 +153,7 @@
     size = Size(processors, memory, accelerators)
     beside = tuple(msgspec.json.decode(text, type=Service) for text in services)
     core = WorkerCore(name, uuid.uuid4().hex, size, lag, beside)
-    service = WorkerService(core, HttpObjects(objects, name))
+    service = WorkerService(core, HttpObjectStore(objects, name))
     service.start()
     serve_until_signal(Server(parse_address(listen), service.handle))
     service.stopped.set()
--- a/toucanpin/cli/timeline.py
+++ b/toucanpin/cli/timeline.py
@@ -17,7 +17,7 @@
 from toucanpin.cli.access import ca_option, token_option, trust_url
 from toucanpin.cli.exits import ExitCode
 from toucanpin.cli.http import send
-from toucanpin.platform.http import HttpObjects
+from toucanpin.platform.http import HttpObjectStore
 from toucanpin.platform.ports import ObjectStore
 from toucanpin.timeline.codec import decode_lines, encode_lines
 from toucanpin.timeline.event import Event
@@ -158,7 +158,7 @@
 
 def _open_objects(url: str) -> ObjectStore:
     """Reach an object store."""
-    return HttpObjects(url, client="toucanpin")
+    return HttpObjectStore(url, client="toucanpin")
 
 
 def _keep_fetched(items: Iterable[Item], missing: list[Unfetched]) -> Iterator[Event | Unreadable]:
--- a/toucanpin/daemon/root.py
+++ b/toucanpin/daemon/root.py
@@ -39,7 +39,7 @@
 from toucanpin.membership.incarnation import begin_incarnation, read_life
 from toucanpin.membership.member import Member
 from toucanpin.placement.leases import LeaseTerms
-from toucanpin.platform.http import HttpHostList, HttpObjects, HttpTable, HttpWorkers
+from toucanpin.platform.http import HttpHostList, HttpObjectStore, HttpTable, HttpWorkers
 from toucanpin.timeline.event import Cause
 from toucanpin.timeline.recorder import Recorder
 from toucanpin.wire.client import InnerClient
@@ -118,7 +118,7 @@
         platform = self.settings.platform
         timeout = platform.timeout_ms / MILLISECONDS
         self.table = HttpTable(platform.table, self.name, timeout)
-        self.objects = HttpObjects(platform.objects, self.name, timeout)
+        self.objects = HttpObjectStore(platform.objects, self.name, timeout)
         listed = HttpHostList(platform.hosts, self.name, timeout)
         self.host_list = DrainedHosts(listed, self.table)
         self.hosts = Hosts(self.host_list, platform.hosts_every_ms / MILLISECONDS)
--- a/toucanpin/platform/http.py
+++ b/toucanpin/platform/http.py
@@ -43,7 +43,7 @@
     WorkerFault,
 )
 
-__all__ = ["HttpHostList", "HttpObjects", "HttpTable", "HttpWorkers"]
+__all__ = ["HttpHostList", "HttpObjectStore", "HttpTable", "HttpWorkers"]
 
 DEFAULT_TIMEOUT = 2.0
 WORKER_POOLS = 4_096
@@ -86,7 +86,7 @@
         self._exchange.close()
 
 
-class HttpObjects:
+class HttpObjectStore:
     """Keep objects in the platform's store."""
 
     def __init__(self, base_url: str, client: str, timeout: float = DEFAULT_TIMEOUT) -> None:
--- a/toucanpin/platform/tests/test_http.py
+++ b/toucanpin/platform/tests/test_http.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from toucanpin.platform.http import HttpHostList, HttpObjects, HttpTable, HttpWorkers
+from toucanpin.platform.http import HttpHostList, HttpObjectStore, HttpTable, HttpWorkers
 from toucanpin.platform.ports import (
     MAX_TRANSACTION_ROWS,
     Committed,
@@ -159,7 +159,7 @@
 
 class ObjectsTest(AdapterTest):
     def get(self, whole):
-        objects = HttpObjects(self.serve(Reply(whole)).url, "c")
+        objects = HttpObjectStore(self.serve(Reply(whole)).url, "c")
         self.addCleanup(objects.close)
         return objects.get("a/b ?")
 
