--- a/toucanpin/entry/waves.py
+++ b/toucanpin/entry/waves.py
@@ -22,7 +22,7 @@
     STATUS_TABLE,
     WAVE_PREFIX,
     MachineCalls,
-    Ordered,
+    UpkeepOutcome,
     decode_wave,
     encode_wave_status,
 )
@@ -263,9 +263,9 @@
                 return
             answer = await self._calls.begin_upkeep(name, wave.number, self._cell.token)
             _log.info("upkeep ordered", event="upkeep.ordered", machine=name, answer=answer.value)
-            if answer is Ordered.DONE:
+            if answer is UpkeepOutcome.DONE:
                 order.acknowledged = order.acknowledged or steady_time()
-            elif answer is Ordered.UNKNOWN_MACHINE and name not in self._machines:
+            elif answer is UpkeepOutcome.UNKNOWN_MACHINE and name not in self._machines:
                 await self._strike(wave, name)
             # A machine that isn't of the wave shows that the platform, or this host, has an old
             # view of the wave; both read it again.
--- a/toucanpin/platform/machines.py
+++ b/toucanpin/platform/machines.py
@@ -22,7 +22,7 @@
     "STATUS_TABLE",
     "WAVE_PREFIX",
     "MachineCalls",
-    "Ordered",
+    "UpkeepOutcome",
     "decode_wave",
     "encode_wave_status",
 ]
@@ -42,7 +42,7 @@
 }
 
 
-class Ordered(enum.Enum):
+class UpkeepOutcome(enum.Enum):
     """Say what became of an order to a machine."""
 
     DONE = "done"  # now, or by an earlier order
@@ -52,7 +52,11 @@
     UNKNOWN_MACHINE = "unknown machine"
 
 
-_REASONS = {"fence": Ordered.FENCED, "busy": Ordered.BUSY, "wave": Ordered.NOT_IN_WAVE}
+_REASONS = {
+    "fence": UpkeepOutcome.FENCED,
+    "busy": UpkeepOutcome.BUSY,
+    "wave": UpkeepOutcome.NOT_IN_WAVE,
+}
 
 
 class _Machine(msgspec.Struct, rename="camel"):
@@ -126,7 +130,7 @@
             path = f"/machines?pageToken={quote(page.next_token)}"
         raise CallError(Verdict.NOT_RUN, f"the machines fill more than {MAX_PAGES} pages")
 
-    async def begin_upkeep(self, machine: str, wave: int, token: int) -> Ordered:
+    async def begin_upkeep(self, machine: str, wave: int, token: int) -> UpkeepOutcome:
         """
         Send a machine into its upkeep, which ends all that runs there.
 
@@ -140,9 +144,9 @@
         answer = await self._client.call("POST", "/machine-upkeep", body, headers, TIMEOUT)
         match answer.status:
             case 200:
-                return Ordered.DONE
+                return UpkeepOutcome.DONE
             case 400:
-                return Ordered.UNKNOWN_MACHINE
+                return UpkeepOutcome.UNKNOWN_MACHINE
             case 409:
                 reason = _decode(answer, _Refusal).reason
                 if reason in _REASONS:
