--- a/toucanpin/entry/advisers.py
+++ b/toucanpin/entry/advisers.py
@@ -13,7 +13,7 @@
 from toucanpin.entry.peer_calls import ADVICE, PeerCaller
 from toucanpin.entry.peers import Peers
 from toucanpin.http import CallError, Client
-from toucanpin.platform.advice import AdviceCalls
+from toucanpin.platform.advice import AdviceClient
 from toucanpin.scheduling.advising import Advice
 from toucanpin.scheduling.cell import Group
 
@@ -69,9 +69,9 @@
             if name not in self._busy and self._avoided.get(name, 0.0) <= now
         ]
 
-    def _make_calls(self, name: str) -> AdviceCalls:
+    def _make_calls(self, name: str) -> AdviceClient:
         assert self._client is not None
         for peer in self._peers.others():
             if peer.name == name:
-                return AdviceCalls(PeerCaller(self._name, self._peers, peer, ADVICE))
-        return AdviceCalls(self._client)
+                return AdviceClient(PeerCaller(self._name, self._peers, peer, ADVICE))
+        return AdviceClient(self._client)
--- a/toucanpin/platform/advice.py
+++ b/toucanpin/platform/advice.py
@@ -15,7 +15,7 @@
 from toucanpin.scheduling.cell import Group
 from toucanpin.verdict import Verdict
 
-__all__ = ["AdviceCalls"]
+__all__ = ["AdviceClient"]
 
 TIMEOUT = 5.0  # s: the service decides about one worker after another, and one call at a time
 
@@ -32,7 +32,7 @@
     validity_ms: float = 0
 
 
-class AdviceCalls:
+class AdviceClient:
     """Call the advice service, from this host or through another."""
 
     __slots__ = ("_caller",)
