--- a/toucanpin/entry/cell_workers.py
+++ b/toucanpin/entry/cell_workers.py
@@ -17,7 +17,7 @@
 from toucanpin.entry.metrics import ENDS, REFUSED_STARTS
 from toucanpin.exception import PlatformError
 from toucanpin.http import CallError
-from toucanpin.platform.workers import WorkerCalls, WorkerReplacedError
+from toucanpin.platform.workers import WorkerClient, WorkerReplacedError
 from toucanpin.scheduling.answering import LONGEST, AnswerTimes
 from toucanpin.scheduling.cell import Cell
 from toucanpin.scheduling.holding import (
@@ -72,7 +72,7 @@
         self._delay = delay
         self._spawn = spawn
         self._changed = changed
-        self._calls: dict[str, WorkerCalls] = {}
+        self._calls: dict[str, WorkerClient] = {}
         self._answers = AnswerTimes()
         self._written = asyncio.Event()
         self._loaded = asyncio.Event()
@@ -105,7 +105,7 @@
         """Take up the workers' own entries, and speak to those that are new."""
         for worker in list_workers(self._cell, entries, self._clocks.now(), unsound):
             entry = worker.entry
-            self._calls[entry.id] = WorkerCalls(entry.id, entry.address)
+            self._calls[entry.id] = WorkerClient(entry.id, entry.address)
             self._spawn(self._hold(worker))
 
     async def _hold(self, worker: Worker) -> None:
@@ -156,7 +156,7 @@
         if self._calls.get(identifier) is calls:
             del self._calls[identifier]
 
-    async def _renew(self, worker: Worker, calls: WorkerCalls) -> None:
+    async def _renew(self, worker: Worker, calls: WorkerClient) -> None:
         """
         Renew a worker's lease until the cell's rows are read.
 
--- a/toucanpin/platform/tests/test_site_calls.py
+++ b/toucanpin/platform/tests/test_site_calls.py
@@ -11,7 +11,7 @@
 from toucanpin.platform.queues import decode_configuration
 from toucanpin.platform.store import Committed, Conflict, ExpectedVersion, Put, Store
 from toucanpin.platform.workers import (
-    WorkerCalls,
+    WorkerClient,
     WorkerReplacedError,
     decode_worker,
     encode_task,
@@ -120,7 +120,7 @@
         self.server = Server(handle, 16_384, 65_536)
         address = f"127.0.0.1:{free_port()}"
         await self.server.listen(address)
-        self.calls = WorkerCalls("i-1", address)
+        self.calls = WorkerClient("i-1", address)
 
     async def asyncTearDown(self) -> None:
         self.calls.close()
@@ -183,7 +183,7 @@
     async def test_a_port_without_a_listener_had_no_effect(self) -> None:
         from standins.site.site import free_port
 
-        calls = WorkerCalls("i-1", f"127.0.0.1:{free_port()}")
+        calls = WorkerClient("i-1", f"127.0.0.1:{free_port()}")
         with self.assertRaises(CallError) as caught:
             await calls.stop(TASK, 1, 1)
         self.assertIs(Verdict.NOT_RUN, caught.exception.verdict)
--- a/toucanpin/platform/workers.py
+++ b/toucanpin/platform/workers.py
@@ -28,7 +28,7 @@
 
 __all__ = [
     "WORKERS_TABLE",
-    "WorkerCalls",
+    "WorkerClient",
     "WorkerReplacedError",
     "decode_worker",
     "encode_task",
@@ -129,7 +129,7 @@
     finished: list[list] = []
 
 
-class WorkerCalls:
+class WorkerClient:
     """Call one life of one worker."""
 
     __slots__ = ("_client", "_header")
