--- a/toucanpin/entry/owner.py
+++ b/toucanpin/entry/owner.py
@@ -33,7 +33,7 @@
 from toucanpin.entry.waves import Waves
 from toucanpin.exception import PlatformError
 from toucanpin.http import CallError
-from toucanpin.platform.machines import MachineCalls
+from toucanpin.platform.machines import MachineClient
 from toucanpin.platform.store import Row, Store
 from toucanpin.platform.workers import WORKERS_TABLE, decode_worker
 from toucanpin.scheduling.advising import AdviceOrder, plan_advice, take_advice
@@ -128,7 +128,7 @@
         )
         self._waves: Waves | None = None
         if settings.machines:
-            calls = MachineCalls(settings.machines, settings.name)
+            calls = MachineClient(settings.machines, settings.name)
             self._waves = Waves(store, calls, self._cell, clocks, settings.bounds, first)
         self._tasks: set[asyncio.Task] = set()
         self._wake = asyncio.Event()
--- a/toucanpin/entry/waves.py
+++ b/toucanpin/entry/waves.py
@@ -21,7 +21,7 @@
 from toucanpin.platform.machines import (
     STATUS_TABLE,
     WAVE_PREFIX,
-    MachineCalls,
+    MachineClient,
     UpkeepOutcome,
     decode_wave,
     encode_wave_status,
@@ -62,7 +62,7 @@
     def __init__(
         self,
         store: Store,
-        calls: MachineCalls,
+        calls: MachineClient,
         cell: Cell,
         clocks: Clocks,
         bounds: Bounds,
--- a/toucanpin/platform/machines.py
+++ b/toucanpin/platform/machines.py
@@ -21,7 +21,7 @@
 __all__ = [
     "STATUS_TABLE",
     "WAVE_PREFIX",
-    "MachineCalls",
+    "MachineClient",
     "UpkeepOutcome",
     "decode_wave",
     "encode_wave_status",
@@ -97,7 +97,7 @@
     cap: int = 1
 
 
-class MachineCalls:
+class MachineClient:
     """Call the platform's machines; orders carry their holder and its token."""
 
     __slots__ = ("_client", "_holder")
