--- a/toucanpin/platform/advice.py
+++ b/toucanpin/platform/advice.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from toucanpin.http import CallError
-from toucanpin.platform.store import Caller
+from toucanpin.platform.store import Transport
 from toucanpin.scheduling.advising import Advice
 from toucanpin.scheduling.cell import Group
 from toucanpin.verdict import Verdict
@@ -37,7 +37,7 @@
 
     __slots__ = ("_caller",)
 
-    def __init__(self, caller: Caller) -> None:
+    def __init__(self, caller: Transport) -> None:
         self._caller = caller
 
     async def ask(self, group: Group, workers: tuple[str, ...]) -> Advice:
--- a/toucanpin/platform/store.py
+++ b/toucanpin/platform/store.py
@@ -23,7 +23,7 @@
 
 __all__ = [
     "MAX_PAGE",
-    "Caller",
+    "Transport",
     "Conflict",
     "Committed",
     "ExpectedVersion",
@@ -99,7 +99,7 @@
     clock: int
 
 
-class Caller(Protocol):
+class Transport(Protocol):
     """Call the store, directly or through a peer."""
 
     async def call(
@@ -160,7 +160,7 @@
 
     __slots__ = ("_caller", "clock", "estimate")
 
-    def __init__(self, caller: Caller) -> None:
+    def __init__(self, caller: Transport) -> None:
         self._caller = caller
         self.clock = 0  # the store's own, in ms, from its newest answer
         self.estimate = ClockEstimate()
