--- a/toucanpin/entry/cell_jobs.py
+++ b/toucanpin/entry/cell_jobs.py
@@ -19,7 +19,7 @@
 from toucanpin.entry.rows import JOBS, list_job_parts, split_key
 from toucanpin.exception import PlatformError
 from toucanpin.http import CallError
-from toucanpin.platform.store import MAX_PAGE, Page, Row, Store
+from toucanpin.platform.store import MAX_PAGE_ROWS, Page, Row, Store
 from toucanpin.scheduling.cell import Cell, Now
 from toucanpin.scheduling.counting import View
 from toucanpin.scheduling.intake import cancel_job, submit_job
@@ -107,7 +107,7 @@
 
     def _take_changes(self, page: Page) -> None:
         """Take up what a watch gave; an answer that is full may lack later changes."""
-        full = len(page.rows) >= MAX_PAGE
+        full = len(page.rows) >= MAX_PAGE_ROWS
         self._take_page(page, self._rows.view.clock if full else page.clock)
 
     def _take_page(self, page: Page, clock: int) -> None:
--- a/toucanpin/entry/tests/test_following.py
+++ b/toucanpin/entry/tests/test_following.py
@@ -12,7 +12,7 @@
 from toucanpin.entry.followed import plan_rest
 from toucanpin.entry.rows import job_part
 from toucanpin.http import Answer, CallError
-from toucanpin.platform.store import MAX_PAGE, Page, Row, Store
+from toucanpin.platform.store import MAX_PAGE_ROWS, Page, Row, Store
 from toucanpin.scheduling.cell import Cell
 from toucanpin.scheduling.counting import View
 from toucanpin.scheduling.interference_model import InterferenceModel
@@ -94,7 +94,7 @@
         rows.view = View(5, 1_000)
         jobs = CellJobs(store, clocks, cell, rows, entries, 120.0, lambda: None)
         row = Row("jobs", "elsewhere", "k", b"", 7)
-        jobs._take_changes(Page((row,) * MAX_PAGE, False, 7, 9_000))
+        jobs._take_changes(Page((row,) * MAX_PAGE_ROWS, False, 7, 9_000))
         self.assertEqual(View(7, 1_000), rows.view)
         jobs._take_changes(Page((row,), False, 8, 9_000))
         self.assertEqual(View(8, 9_000), rows.view)
--- a/toucanpin/platform/store.py
+++ b/toucanpin/platform/store.py
@@ -22,7 +22,7 @@
 from toucanpin.verdict import Verdict
 
 __all__ = [
-    "MAX_PAGE",
+    "MAX_PAGE_ROWS",
     "Transport",
     "Conflict",
     "Committed",
@@ -36,7 +36,7 @@
 READ_TIMEOUT = 2.0  # s: a healthy answer takes 10 ms, one of a store 60 times slower 0.6 s
 PAGE = 150  # rows asked for at a time, so that a page also passes the inner protocol
 FEW = 40  # rows asked for at a time where nobody waits for them
-MAX_PAGE = 500  # rows of one answer, by the platform's page
+MAX_PAGE_ROWS = 500  # rows of one answer, by the platform's page
 
 
 @dataclass(frozen=True, slots=True)
@@ -201,7 +201,7 @@
         part: str = "",
         start: str = "",
         end: str = "",
-        limit: int = MAX_PAGE,
+        limit: int = MAX_PAGE_ROWS,
         timeout: float = READ_TIMEOUT,
     ) -> Page:
         """Read the rows of a range of keys that excludes ``end``, as of one moment."""
