--- a/toucanpin/entry/clocks.py
+++ b/toucanpin/entry/clocks.py
@@ -36,7 +36,7 @@
     def now(self) -> Now:
         """Return all clocks as they are."""
         steady = steady_time()
-        table = int(self._store.estimate.read(steady))
+        table = int(self._store.clock_estimate.read(steady))
         return Now(steady, table, self._read_wall(steady, table))
 
     def _read_wall(self, steady: float, table: int) -> int:
@@ -52,7 +52,7 @@
             # offsets each time would cost an owner more with each host.
             self._agreed_until = steady + AGREED_FOR
             self._agreed = self._agree()
-        if self._agreed is None or not self._store.estimate.known:
+        if self._agreed is None or not self._store.clock_estimate.known:
             return time.time_ns() // 1_000_000
         return table + self._agreed
 
--- a/toucanpin/entry/peers.py
+++ b/toucanpin/entry/peers.py
@@ -120,7 +120,7 @@
 
     async def _announce(self) -> None:
         settings = self._settings
-        wall, error = measure_wall(self._store.estimate)
+        wall, error = measure_wall(self._store.clock_estimate)
         clock = self._store.clock
         peer = Peer(
             settings.name,
--- a/toucanpin/entry/tests/test_clocks.py
+++ b/toucanpin/entry/tests/test_clocks.py
@@ -21,7 +21,7 @@
     def _tell(self, clock: int) -> None:
         """Let the table answer at once."""
         now = steady_time()
-        self.store.estimate.note(clock, now, now)
+        self.store.clock_estimate.note(clock, now, now)
 
     def test_a_jump_of_some_hosts_moves_nothing(self) -> None:
         """
--- a/toucanpin/platform/store.py
+++ b/toucanpin/platform/store.py
@@ -158,16 +158,16 @@
 class Store:
     """Speak to the store in rows; every failure says whether a write may still take effect."""
 
-    __slots__ = ("_caller", "clock", "estimate")
+    __slots__ = ("_caller", "clock", "clock_estimate")
 
     def __init__(self, caller: Transport) -> None:
         self._caller = caller
         self.clock = 0  # the store's own, in ms, from its newest answer
-        self.estimate = ClockEstimate()
+        self.clock_estimate = ClockEstimate()
 
     def read_clock(self) -> int:
         """Return the store's clock as it is now, in ms, not as its newest answer told it."""
-        return max(self.clock, int(self.estimate.read(steady_time())))
+        return max(self.clock, int(self.clock_estimate.read(steady_time())))
 
     async def transact(
         self,
@@ -269,7 +269,7 @@
         received = steady_time()
         rows = _WireRows() if answer.status == 410 else self._decode(answer, good)
         if rows.now_ms:
-            self.estimate.note(rows.now_ms, sent, received)
+            self.clock_estimate.note(rows.now_ms, sent, received)
         return answer, rows
 
     def _decode(self, answer: Answer, good: tuple[int, ...]) -> _WireRows:
