--- a/toucanpin/cli/tests/test_timeline.py
+++ b/toucanpin/cli/tests/test_timeline.py
@@ -70,7 +70,7 @@
         with serve(timeline_app(recorder)) as url:
             filled = [url if word == "LIVE" else word for word in arguments]
             with mock.patch.object(
-                module, "HttpObjects", lambda url, client: StoredObjects(stored)
+                module, "HttpObjectStore", lambda url, client: StoredObjects(stored)
             ):
                 return CliRunner().invoke(timeline, filled)
 
