--- a/toucanpin/scheduling/choosing.py
+++ b/toucanpin/scheduling/choosing.py
@@ -23,7 +23,7 @@
 from toucanpin.scheduling.shortage import Shortage
 from toucanpin.scheduling.trust import is_trusted
 from toucanpin.scheduling.utilization import WorkerUtilization
-from toucanpin.scheduling.worker import Worker, count_places, has_room
+from toucanpin.scheduling.worker import Worker, count_fitting_tasks, has_room
 
 __all__ = [
     "Claim",
@@ -191,7 +191,7 @@
             continue
         if leaves_reserve(worker, step):
             return True
-        places += 1 if step.per_worker else count_places(worker, step)
+        places += 1 if step.per_worker else count_fitting_tasks(worker, step)
     return claim is Claim.SPARE and places > 1
 
 
--- a/toucanpin/scheduling/holding.py
+++ b/toucanpin/scheduling/holding.py
@@ -15,7 +15,7 @@
 from toucanpin.scheduling.orders import Held, HoldOrder, Running, StopOrder, WorkerEntry
 from toucanpin.scheduling.progress import JobState, TaskState
 from toucanpin.scheduling.stopping import stop_run
-from toucanpin.scheduling.worker import Phase, Run, Worker, grant_deadline
+from toucanpin.scheduling.worker import Phase, Run, Worker, grant_lease
 
 __all__ = [
     "AUTHORITY",
@@ -88,7 +88,7 @@
         # only asked; otherwise each try would move the moment at which its lease has surely ended.
         return HoldOrder(worker.acknowledged, 0, 0.0)
     until = lease_end(cell, now)
-    deadline = grant_deadline(worker, until) if worker.runs and until > now.steady else 0
+    deadline = grant_lease(worker, until) if worker.runs and until > now.steady else 0
     if worker.seen > worker.acknowledged:
         # Ends that aren't written yet would be listed again at once.
         return HoldOrder(worker.acknowledged, deadline, 0.0)
@@ -98,7 +98,7 @@
 def plan_renewal(cell: Cell, worker: Worker, now: Now) -> int:
     """Return the lease's end for a worker of which nothing but its clock is known, 0 before."""
     until = lease_end(cell, now)
-    return grant_deadline(worker, until) if worker.clock and until > now.steady else 0
+    return grant_lease(worker, until) if worker.clock and until > now.steady else 0
 
 
 def take_clock(worker: Worker, held: Held, now: Now) -> None:
--- a/toucanpin/scheduling/preempting.py
+++ b/toucanpin/scheduling/preempting.py
@@ -16,7 +16,7 @@
 from toucanpin.scheduling.job import Step
 from toucanpin.scheduling.shortage import Demand, Shortage
 from toucanpin.scheduling.stopping import stop_run
-from toucanpin.scheduling.worker import Phase, Run, Worker, most_room
+from toucanpin.scheduling.worker import Phase, Run, Worker, bound_freeable_cpu
 
 __all__ = ["Freed", "Making", "Openings", "note_freed"]
 
@@ -143,7 +143,7 @@
 
     def _weigh(self, number: int) -> tuple[float, int, list[Run]] | None:
         worker = self._able[number]
-        if most_room(worker, self._priority) < self._demand.on(worker.reserved):
+        if bound_freeable_cpu(worker, self._priority) < self._demand.on(worker.reserved):
             return None
         if not fits_rules(worker, self._group, self._step):
             self.ruled = True
--- a/toucanpin/scheduling/retrying.py
+++ b/toucanpin/scheduling/retrying.py
@@ -15,7 +15,7 @@
 from toucanpin.scheduling.job import TaskKey
 from toucanpin.scheduling.progress import Doubt
 from toucanpin.scheduling.trust import is_doubted
-from toucanpin.scheduling.worker import Worker, count_whole, fits_whole
+from toucanpin.scheduling.worker import Worker, count_fitting_when_idle, fits_when_idle
 
 __all__ = ["list_safe", "risks_attempt"]
 
@@ -40,7 +40,7 @@
     group = Group(task.job, task.occurrence, task.step)
     return any(
         other.failing_until <= now.steady
-        and fits_whole(other, step)
+        and fits_when_idle(other, step)
         and fits_rules(other, group, step)
         for other in able
     )
@@ -58,7 +58,7 @@
         return able
     safe = [worker for worker in able if not risks_attempt(live, task, worker, able, now)]
     step = live.job.steps[task.step]
-    if step.gang and sum(count_whole(worker, step) for worker in safe) < step.count:
+    if step.gang and sum(count_fitting_when_idle(worker, step) for worker in safe) < step.count:
         return able
     return safe
 
@@ -74,7 +74,7 @@
     group = Group(task.job, task.occurrence, task.step)
     alone = [worker for worker in able if not is_on_last_try(worker, now)]
     steady = [worker for worker in able if not is_young(worker, now)]
-    if any(fits_whole(worker, step) and fits_rules(worker, group, step) for worker in steady):
+    if any(fits_when_idle(worker, step) and fits_rules(worker, group, step) for worker in steady):
         return [worker for worker in alone if not is_young(worker, now)]
     return alone
 
--- a/toucanpin/scheduling/starting.py
+++ b/toucanpin/scheduling/starting.py
@@ -15,7 +15,7 @@
 from toucanpin.scheduling.holding import lease_end
 from toucanpin.scheduling.orders import Refused, Started
 from toucanpin.scheduling.stopping import stop_run
-from toucanpin.scheduling.worker import Phase, Run, Worker, grant_deadline, is_overfull
+from toucanpin.scheduling.worker import Phase, Run, Worker, grant_lease, is_overcommitted
 
 __all__ = ["OLDEST_ENTRY", "Next", "plan_start", "take_no_start", "take_started", "take_stopped"]
 
@@ -44,7 +44,7 @@
         # A start whose answer was lost may be on its way; sent again, it would begin late for sure.
         _give_up(cell, worker, run, now)
         return 0
-    if is_overfull(worker) and not (cell.guarded and run.ordered_at):
+    if is_overcommitted(worker) and not (cell.guarded and run.ordered_at):
         worker.full_until = now.steady + FULL
         _give_up(cell, worker, run, now)
         return 0
@@ -56,7 +56,7 @@
     if worker.silent or until - now.steady < SHORTEST_LEASE:
         return 0
     run.ordered_at = now.steady
-    return grant_deadline(worker, until)
+    return grant_lease(worker, until)
 
 
 def take_started(cell: Cell, worker: Worker, run: Run, answer: Started, now: Now) -> Next:
--- a/toucanpin/scheduling/stopping.py
+++ b/toucanpin/scheduling/stopping.py
@@ -10,7 +10,7 @@
 from toucanpin.scheduling.cell import Cell, Group, LiveJob, Now, drop_run, find_record, list_runs
 from toucanpin.scheduling.orders import StopOrder
 from toucanpin.scheduling.progress import JobState, TaskState
-from toucanpin.scheduling.worker import Phase, Run, note_leaving
+from toucanpin.scheduling.worker import Phase, Run, mark_stopping
 
 __all__ = ["count_away", "list_members", "stop_gang", "stop_run", "wait_again"]
 
@@ -37,7 +37,7 @@
         if not JobState(live.progress.state).ended:
             wait_again(cell, run)
         return
-    note_leaving(worker, run)
+    mark_stopping(worker, run)
     run.stopped_at = run.stop_sent_at = 0.0
     cell.orders.append(StopOrder(run.worker, run.task, run.attempt, reason))
 
--- a/toucanpin/scheduling/worker.py
+++ b/toucanpin/scheduling/worker.py
@@ -19,20 +19,22 @@
     "Phase",
     "Run",
     "Worker",
-    "count_places",
-    "count_whole",
-    "fits_whole",
-    "grant_deadline",
+    "count_fitting_tasks",
+    "count_fitting_when_idle",
+    "fits_when_idle",
+    "grant_lease",
     "has_room",
-    "is_overfull",
-    "most_room",
-    "note_leaving",
+    "is_overcommitted",
+    "bound_freeable_cpu",
+    "mark_stopping",
     "release_run",
     "reserve_run",
 ]
 
-SLOWEST_CLOCK = 0.98  # a worker's clock may be 2% slow, by the platform's page
-LAPSE_MARGIN = 0.25  # s: time that a worker may take to kill what its lease no longer covers
+MIN_CLOCK_RATE = 0.98  # a worker's clock may be 2% slow, by the platform's page
+LEASE_EXPIRY_MARGIN_S = (
+    0.25  # s: time that a worker may take to kill what its lease no longer covers
+)
 
 
 class Phase(enum.Enum):
@@ -139,7 +141,7 @@
     return step.fills or worker.cpu + step.cpu <= entry.cpu
 
 
-def is_overfull(worker: Worker) -> bool:
+def is_overcommitted(worker: Worker) -> bool:
     """Tell whether a worker has less room than what it was given takes: its room may shrink."""
     entry = worker.entry
     return (
@@ -149,7 +151,7 @@
     )
 
 
-def count_places(worker: Worker, step: Step) -> int:
+def count_fitting_tasks(worker: Worker, step: Step) -> int:
     """Return how many tasks of a step fit what a worker has left."""
     entry = worker.entry
     sizes = (
@@ -160,7 +162,7 @@
     return min((left // part for left, part in sizes if part), default=step.count)
 
 
-def count_whole(worker: Worker, step: Step) -> int:
+def count_fitting_when_idle(worker: Worker, step: Step) -> int:
     """Return how many tasks of a step fit a worker that runs nothing."""
     entry = worker.entry
     sizes = (
@@ -172,15 +174,15 @@
     return min([most, *(whole // part for whole, part in sizes if part)])
 
 
-def fits_whole(worker: Worker, step: Step) -> bool:
+def fits_when_idle(worker: Worker, step: Step) -> bool:
     """Tell whether a task of a step fits a worker that runs nothing."""
-    return count_whole(worker, step) > 0
+    return count_fitting_when_idle(worker, step) > 0
 
 
 def reserve_run(worker: Worker, run: Run) -> None:
     """Take the room of a run."""
     worker.runs[run.task] = run
-    _count(worker, run, 1)
+    _adjust_usage(worker, run, 1)
 
 
 def release_run(worker: Worker, run: Run) -> None:
@@ -190,23 +192,23 @@
     run.phase = Phase.ENDED
     if worker.runs.get(run.task) is run:
         del worker.runs[run.task]
-        _count(worker, run, -1)
+        _adjust_usage(worker, run, -1)
 
 
-def note_leaving(worker: Worker, run: Run) -> None:
+def mark_stopping(worker: Worker, run: Run) -> None:
     """Take note that a run is being stopped; its room is taken until it has ended."""
     if run.phase is not Phase.STOPPING and not run.step.fills:
         worker.leaving += run.step.cpu
     run.phase = Phase.STOPPING
 
 
-def most_room(worker: Worker, priority: int) -> int:
+def bound_freeable_cpu(worker: Worker, priority: int) -> int:
     """Return more cores than stops could free for a task of a priority, or as many."""
     yielding = sum(cpu for other, cpu in worker.yielding.items() if other > priority)
     return worker.entry.cpu - worker.cpu + worker.leaving + yielding
 
 
-def grant_deadline(worker: Worker, until: float) -> int:
+def grant_lease(worker: Worker, until: float) -> int:
     """
     Return a lease's end on the worker's clock, and remember when it has ended for certain.
 
@@ -214,12 +216,12 @@
     """
     ahead = max(0.0, until - worker.clock_at)
     deadline = worker.clock + int(ahead * 1_000)
-    lapse = worker.clock_at + ahead / SLOWEST_CLOCK + LAPSE_MARGIN
+    lapse = worker.clock_at + ahead / MIN_CLOCK_RATE + LEASE_EXPIRY_MARGIN_S
     worker.lapse_at = max(worker.lapse_at, lapse)
     return deadline
 
 
-def _count(worker: Worker, run: Run, sign: int) -> None:
+def _adjust_usage(worker: Worker, run: Run, sign: int) -> None:
     step = run.step
     worker.heat = None
     worker.memory += sign * step.memory
