--- a/benchmarks/shared_workers.py
+++ b/benchmarks/shared_workers.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 
 from toucanpin.scheduling.job import Step, TaskKey
-from toucanpin.scheduling.orders import End, Ended, Held, Running, WorkerEntry
+from toucanpin.scheduling.orders import EndedRun, PollAnswer, RunEnd, RunningTask, WorkerEntry
 
 __all__ = ["Pairs", "SharedRun", "SharedWorker", "SharedWorld"]
 
@@ -65,25 +65,25 @@
 
     entry: WorkerEntry
     runs: dict[TaskKey, SharedRun] = field(default_factory=dict)
-    ended: list[Ended] = field(default_factory=list)
+    ended: list[EndedRun] = field(default_factory=list)
     sequence: int = 0
     held_at: float = 0.0
     listed: int = 0
 
-    def hold(self, acknowledged: int, now: float) -> Held:
+    def hold(self, acknowledged: int, now: float) -> PollAnswer:
         """List what runs and what has ended."""
         self.ended = [ended for ended in self.ended if ended.sequence > acknowledged]
         running = tuple(_list_run(run, now) for run in self.runs.values())
         self.held_at = now
         self.listed = self.sequence
-        return Held(int(now * 1_000), running, tuple(self.ended))
+        return PollAnswer(int(now * 1_000), running, tuple(self.ended))
 
-    def end(self, task: TaskKey, end: End) -> None:
+    def end(self, task: TaskKey, end: RunEnd) -> None:
         """End a run, which keeps its checkpoint."""
         run = self.runs.pop(task)
         self.sequence += 1
-        checkpoint = repr(run.done) if run.step.checkpoints and end is not End.DONE else ""
-        self.ended.append(Ended(self.sequence, task, run.attempt, end, checkpoint))
+        checkpoint = repr(run.done) if run.step.checkpoints and end is not RunEnd.DONE else ""
+        self.ended.append(EndedRun(self.sequence, task, run.attempt, end, checkpoint))
 
 
 class SharedWorld:
@@ -132,7 +132,7 @@
             speed = run.pace / 100 * granted if run.step.fills else 1.0
             run.done += seconds * speed
             if run.done >= run.work:
-                worker.end(run.task, End.FAILED if run.fails else End.DONE)
+                worker.end(run.task, RunEnd.FAILED if run.fails else RunEnd.DONE)
 
     def _disturb(self, run: SharedRun, amounts: dict[str, float], now: float) -> None:
         load = self.load(run.task.job, now)
@@ -157,11 +157,11 @@
     return sum(value for _, value in values) / len(values) if values else 0.0
 
 
-def _list_run(run: SharedRun, now: float) -> Running:
+def _list_run(run: SharedRun, now: float) -> RunningTask:
     if run.step.target:
         ready = now - run.started > 0.3
-        return Running(run.task, run.attempt, "", 100 if ready else 0, round(_mean(run.tails)))
+        return RunningTask(run.task, run.attempt, "", 100 if ready else 0, round(_mean(run.tails)))
     percent = min(99, int(100 * run.done / run.work))
     checkpoint = repr(CHECKPOINT * int(run.done / CHECKPOINT)) if run.step.checkpoints else ""
     measure = _mean(run.cores) if run.step.fills else run.step.cpu
-    return Running(run.task, run.attempt, checkpoint, percent, measure)
+    return RunningTask(run.task, run.attempt, checkpoint, percent, measure)
--- a/benchmarks/sharing.py
+++ b/benchmarks/sharing.py
@@ -26,7 +26,7 @@
 from toucanpin.scheduling.interference_model import InterferenceModel
 from toucanpin.scheduling.learning import learn_effects
 from toucanpin.scheduling.moving import move_tasks
-from toucanpin.scheduling.orders import End, PaceOrder, Started, StopOrder, WorkerEntry
+from toucanpin.scheduling.orders import PaceOrder, RunEnd, StartAnswer, StopOrder, WorkerEntry
 from toucanpin.scheduling.pacing import control_pace
 from toucanpin.scheduling.placing import place_tasks
 from toucanpin.scheduling.progress import JobState
@@ -165,12 +165,12 @@
         if run.checkpoint:
             there.done = float(run.checkpoint) - 0.25
         self.world.workers[run.worker].runs[run.task] = there
-        take_started(self.cell, worker, run, Started(int(self.time * 1_000), None), self.now())
+        take_started(self.cell, worker, run, StartAnswer(int(self.time * 1_000), None), self.now())
 
     def _stop(self, order: StopOrder, there: SharedRun | None) -> None:
         self.outcome.stops += 1
         if there is not None and there.attempt == order.attempt:
-            self.world.workers[order.worker].end(order.task, End.STOPPED)
+            self.world.workers[order.worker].end(order.task, RunEnd.STOPPED)
         run = self.cell.workers[order.worker].runs.get(order.task)
         if run is not None and run.attempt == order.attempt:
             take_stopped(self.cell.workers[order.worker], run, self.now())
--- a/benchmarks/turns.py
+++ b/benchmarks/turns.py
@@ -29,7 +29,7 @@
 from toucanpin.scheduling.interference_model import InterferenceModel
 from toucanpin.scheduling.job import Job, Step, TaskKey
 from toucanpin.scheduling.moving import move_tasks
-from toucanpin.scheduling.orders import Held, Running, WorkerEntry
+from toucanpin.scheduling.orders import PollAnswer, RunningTask, WorkerEntry
 from toucanpin.scheduling.pacing import control_pace
 from toucanpin.scheduling.placing import place_tasks
 from toucanpin.scheduling.worker import Phase, Run, Worker
@@ -86,7 +86,7 @@
         """Have all workers answer that what they run goes on."""
         for worker in self.cell.workers.values():
             running = [self._list_run(run) for run in worker.runs.values()]
-            take_answer(self.cell, worker, Held(1, tuple(running), ()), self.time, self.now())
+            take_answer(self.cell, worker, PollAnswer(1, tuple(running), ()), self.time, self.now())
 
     def count_tasks(self) -> int:
         """Return how many tasks wait."""
@@ -120,10 +120,10 @@
             )
             add_run(self.cell, worker, run)
 
-    def _list_run(self, run: Run) -> Running:
+    def _list_run(self, run: Run) -> RunningTask:
         measure = NEAR_TARGET if run.step.target else run.step.cpu
         percent = 100 if run.step.lasting else min(99, int(40 + 10 * (self.time - BEGIN)))
-        return Running(run.task, run.attempt, "", percent, measure)
+        return RunningTask(run.task, run.attempt, "", percent, measure)
 
     def _wait(self, count: int, step: Step, priority: int) -> None:
         for _ in range(count):
--- a/standins/site/worker.py
+++ b/standins/site/worker.py
@@ -17,16 +17,16 @@
 from standins.site.worker_core import WorkerCore
 from toucanpin.http import Request, Response, Server
 from toucanpin.platform.workers import encode_task, parse_task
-from toucanpin.scheduling.orders import Refused, Started, WorkerEntry
+from toucanpin.scheduling.orders import RefusalReason, StartAnswer, WorkerEntry
 
 __all__ = ["SiteWorker"]
 
 TICK = 0.02  # s between looks at what has ended
 _REASONS = {
-    Refused.FENCED: "fence",
-    Refused.OLD_ATTEMPT: "old",
-    Refused.LATE: "late",
-    Refused.NO_ROOM: "room",
+    RefusalReason.FENCED: "fence",
+    RefusalReason.OLD_ATTEMPT: "old",
+    RefusalReason.LATE: "late",
+    RefusalReason.NO_ROOM: "room",
 }
 
 
@@ -113,8 +113,8 @@
             return Response(500, b"garbage")
         if self.refuse_next:
             self.refuse_next -= 1
-            return self._answer(Refused.NO_ROOM)
-        answer: Started = self.core.start(
+            return self._answer(RefusalReason.NO_ROOM)
+        answer: StartAnswer = self.core.start(
             parse_task(call["task"]),
             call["attempt"],
             call["deadlineMs"],
@@ -133,7 +133,7 @@
                 call.get("deadlineMs", 0),
                 self._now(),
             )
-            if isinstance(held, Refused):
+            if isinstance(held, RefusalReason):
                 return self._answer(held)
             if held.ended or time.monotonic() >= deadline:
                 break
@@ -148,7 +148,7 @@
         body = {"clockMs": held.clock, "running": running, "finished": ended}
         return Response(200, msgspec.json.encode(body))
 
-    def _answer(self, refused: Refused | None) -> Response:
+    def _answer(self, refused: RefusalReason | None) -> Response:
         clock = int(self._now() * 1_000)
         if refused is None:
             return Response(200, msgspec.json.encode({"clockMs": clock}))
--- a/standins/site/worker_core.py
+++ b/standins/site/worker_core.py
@@ -10,7 +10,15 @@
 from dataclasses import dataclass, field
 
 from toucanpin.scheduling.job import TaskKey
-from toucanpin.scheduling.orders import End, Ended, Held, Refused, Running, Started, WorkerEntry
+from toucanpin.scheduling.orders import (
+    EndedRun,
+    PollAnswer,
+    RefusalReason,
+    RunEnd,
+    RunningTask,
+    StartAnswer,
+    WorkerEntry,
+)
 
 __all__ = ["Present", "WorkerCore"]
 
@@ -33,7 +41,7 @@
     token: int = 0
     deadline: float = 0.0
     runs: dict[TaskKey, Present] = field(default_factory=dict)
-    ended: list[Ended] = field(default_factory=list)
+    ended: list[EndedRun] = field(default_factory=list)
     highest: dict[TaskKey, int] = field(default_factory=dict)
     sequence: int = 0
     acknowledged: int = 0
@@ -41,58 +49,62 @@
     deaf: bool = False
     failing: bool = False
     refusing: int = 0  # so many starts are refused
-    refusal: Refused = Refused.NO_ROOM
-    forgotten: list[Ended] = field(default_factory=list)
+    refusal: RefusalReason = RefusalReason.NO_ROOM
+    forgotten: list[EndedRun] = field(default_factory=list)
     stuck: bool = False
     lasts: float = 1.0
     late: list[tuple[float, TaskKey, int, int, int]] = field(default_factory=list)
     starts: list[tuple[TaskKey, int]] = field(default_factory=list)
 
-    def start(self, task: TaskKey, attempt: int, deadline: int, token: int, now: float) -> Started:
+    def start(
+        self, task: TaskKey, attempt: int, deadline: int, token: int, now: float
+    ) -> StartAnswer:
         """Start a task, or say why not."""
         clock = int(now * 1_000)
         if token < self.token:
-            return Started(clock, Refused.FENCED)
+            return StartAnswer(clock, RefusalReason.FENCED)
         self.token = token
         if deadline <= clock:
-            return Started(clock, Refused.LATE)
+            return StartAnswer(clock, RefusalReason.LATE)
         self.deadline = max(self.deadline, deadline / 1_000)
         if self.refusing:
             self.refusing -= 1
-            return Started(clock, self.refusal)
+            return StartAnswer(clock, self.refusal)
         present = self.runs.get(task)
         if present is not None and present.attempt == attempt:
-            return Started(clock, None)
+            return StartAnswer(clock, None)
         if attempt <= self.highest.get(task, 0):
-            return Started(clock, Refused.OLD_ATTEMPT)
+            return StartAnswer(clock, RefusalReason.OLD_ATTEMPT)
         self.runs[task] = Present(attempt, now, self.lasts, self.failing)
         self.starts.append((task, attempt))
-        return Started(clock, None)
+        return StartAnswer(clock, None)
 
-    def stop(self, task: TaskKey, attempt: int, token: int) -> Refused | None:
+    def stop(self, task: TaskKey, attempt: int, token: int) -> RefusalReason | None:
         """Stop an attempt for good."""
         if token < self.token:
-            return Refused.FENCED
+            return RefusalReason.FENCED
         self.highest[task] = max(self.highest.get(task, 0), attempt)
         present = self.runs.get(task)
         if present is not None and present.attempt <= attempt:
-            self.end(task, End.STOPPED)
+            self.end(task, RunEnd.STOPPED)
         return None
 
-    def hold(self, token: int, acknowledged: int, deadline: int, now: float) -> Held | Refused:
+    def hold(
+        self, token: int, acknowledged: int, deadline: int, now: float
+    ) -> PollAnswer | RefusalReason:
         """Renew the lease, forget acknowledged ends, and list what is left."""
         if token < self.token:
-            return Refused.FENCED
+            return RefusalReason.FENCED
         self.token = token
         self.acknowledged = max(self.acknowledged, acknowledged)
         self.forgotten += [ended for ended in self.ended if ended.sequence <= acknowledged]
         self.ended = [ended for ended in self.ended if ended.sequence > acknowledged]
         self.deadline = max(self.deadline, deadline / 1_000)
         running = tuple(
-            Running(task, run.attempt, "", self.percent(run, now))
+            RunningTask(task, run.attempt, "", self.percent(run, now))
             for task, run in self.runs.items()
         )
-        return Held(int(now * 1_000), running, tuple(self.ended))
+        return PollAnswer(int(now * 1_000), running, tuple(self.ended))
 
     def percent(self, run: Present, now: float) -> int:
         """Return how far a run has come."""
@@ -100,12 +112,12 @@
             return 0
         return min(99, int(100 * (now - run.started) / run.lasts))
 
-    def end(self, task: TaskKey, end: End) -> None:
+    def end(self, task: TaskKey, end: RunEnd) -> None:
         """End a run."""
         run = self.runs.pop(task)
         self.highest[task] = max(self.highest.get(task, 0), run.attempt)
         self.sequence += 1
-        self.ended.append(Ended(self.sequence, task, run.attempt, end, ""))
+        self.ended.append(EndedRun(self.sequence, task, run.attempt, end, ""))
 
     def advance(self, now: float) -> None:
         """Carry out late orders, and end what has lapsed, failed or is done."""
@@ -115,8 +127,8 @@
             self.start(task, attempt, deadline, token, now)
         for task, run in list(self.runs.items()):
             if now >= self.deadline:
-                self.end(task, End.LAPSED)
+                self.end(task, RunEnd.LAPSED)
             elif run.fails:
-                self.end(task, End.FAILED)
+                self.end(task, RunEnd.FAILED)
             elif not self.stuck and now >= run.started + run.lasts:
-                self.end(task, End.DONE)
+                self.end(task, RunEnd.DONE)
--- a/tools/soak/workers.py
+++ b/tools/soak/workers.py
@@ -20,8 +20,8 @@
 from tools.soak.jobs import JobPlan
 from toucanpin.http import Request, Response
 from toucanpin.scheduling.job import TaskKey
-from toucanpin.scheduling.orders import End, Held, Refused, WorkerEntry
-from toucanpin.scheduling.orders import Started as Answer
+from toucanpin.scheduling.orders import PollAnswer, RefusalReason, RunEnd, WorkerEntry
+from toucanpin.scheduling.orders import StartAnswer as Answer
 
 __all__ = ["SoakWorker"]
 
@@ -57,16 +57,18 @@
                 self.crash()
         return answer
 
-    def stop(self, task: TaskKey, attempt: int, token: int) -> Refused | None:
+    def stop(self, task: TaskKey, attempt: int, token: int) -> RefusalReason | None:
         if token < self.token:
-            return Refused.FENCED
+            return RefusalReason.FENCED
         self.highest[task] = max(self.highest.get(task, 0), attempt)
         present = self.runs.get(task)
         if present is not None and present.attempt <= attempt:
             self.stopping.setdefault(task, time.monotonic() + STOPPING)
         return None
 
-    def hold(self, token: int, acknowledged: int, deadline: int, now: float) -> Held | Refused:
+    def hold(
+        self, token: int, acknowledged: int, deadline: int, now: float
+    ) -> PollAnswer | RefusalReason:
         known = len(self.forgotten)
         held = WorkerCore.hold(self, token, acknowledged, deadline, now)
         for ended in self.forgotten[known:]:
@@ -75,7 +77,7 @@
             self.record(Acknowledged(at, self.entry.id, ended.task, ended.attempt, how))
         return held
 
-    def end(self, task: TaskKey, end: End) -> None:
+    def end(self, task: TaskKey, end: RunEnd) -> None:
         attempt = self.runs[task].attempt
         self.stopping.pop(task, None)
         WorkerCore.end(self, task, end)
@@ -84,7 +86,7 @@
     def advance(self, now: float) -> None:
         for task, due in tuple(self.stopping.items()):
             if time.monotonic() >= due and task in self.runs:
-                self.end(task, End.STOPPED)
+                self.end(task, RunEnd.STOPPED)
         WorkerCore.advance(self, now)
 
     def _find_length(self, task: TaskKey) -> float:
@@ -189,4 +191,4 @@
         return None if late or self._over else answer
 
     def _refuse(self, status: int) -> Response:
-        return self._answer(Refused.NO_ROOM) if status == 409 else Response(status)
+        return self._answer(RefusalReason.NO_ROOM) if status == 409 else Response(status)
--- a/toucanpin/entry/cell_workers.py
+++ b/toucanpin/entry/cell_workers.py
@@ -32,7 +32,7 @@
 from toucanpin.scheduling.interference_model import InterferenceModel
 from toucanpin.scheduling.job import format_task
 from toucanpin.scheduling.learning import learn_effects
-from toucanpin.scheduling.orders import Ended, PaceOrder, Refused, StopOrder, WorkerEntry
+from toucanpin.scheduling.orders import EndedRun, PaceOrder, RefusalReason, StopOrder, WorkerEntry
 from toucanpin.scheduling.shedding import ANSWERED, Delay, Fastest
 from toucanpin.scheduling.starting import (
     Next,
@@ -138,7 +138,7 @@
                     "worker silent", event="worker.silent", worker=identifier, reason=error
                 )
                 continue
-            if isinstance(answer, Refused):
+            if isinstance(answer, RefusalReason):
                 raise DeposedError(f"worker {identifier} refused: {answer.value}")
             now = self._clocks.now()
             self._answers.note(now.steady - sent_at - order.wait, now.steady)
@@ -173,7 +173,7 @@
             except (CallError, PlatformError):
                 pause = RETRY
             else:
-                if isinstance(answer, Refused):
+                if isinstance(answer, RefusalReason):
                     raise DeposedError(f"worker {worker.entry.id} refused: {answer.value}")
                 take_clock(worker, answer, self._clocks.now())
             try:
@@ -285,9 +285,9 @@
             except (CallError, PlatformError):
                 await asyncio.sleep(RETRY)
                 continue
-            if refused is Refused.FENCED:
+            if refused is RefusalReason.FENCED:
                 raise DeposedError(f"worker {order.worker} has another owner")
-            if refused is Refused.UNHEALTHY:
+            if refused is RefusalReason.UNHEALTHY:
                 await asyncio.sleep(RETRY)
                 continue
             if run is not None and run.attempt == order.attempt:
@@ -308,7 +308,7 @@
                 run.pace = -1
 
 
-def _log_ends(worker: Worker, ends: Iterable[Ended]) -> None:
+def _log_ends(worker: Worker, ends: Iterable[EndedRun]) -> None:
     for ended in ends:
         if ended.sequence > worker.seen:
             ENDS.add(1, ended.end.value)
--- a/toucanpin/platform/tests/test_site_calls.py
+++ b/toucanpin/platform/tests/test_site_calls.py
@@ -18,7 +18,7 @@
     parse_task,
 )
 from toucanpin.scheduling.job import TaskKey
-from toucanpin.scheduling.orders import End, Held, Refused
+from toucanpin.scheduling.orders import PollAnswer, RefusalReason, RunEnd
 from toucanpin.verdict import Verdict
 
 TASK = TaskKey("00000000000000a1", 0, 1, 2)
@@ -138,20 +138,20 @@
             finished=[[9, name, 1, "failed", ""]],
         )
         held = await self.calls.hold(3, 8, 100, 0.0, 1.0)
-        assert isinstance(held, Held)
+        assert isinstance(held, PollAnswer)
         self.assertEqual((TASK, 2, "c1", 40, 12.5), _fields(held.running[0]))
-        self.assertIs(End.FAILED, held.ended[0].end)
+        self.assertIs(RunEnd.FAILED, held.ended[0].end)
         sent = msgspec.json.decode(self.requests[0].body)
         self.assertEqual({"fencingToken": 3, "ackedSeq": 8, "deadlineMs": 100}, sent)
         self.assertEqual("i-1", self.requests[0].headers["x-expect-instance"])
 
     async def test_each_reason_of_a_refusal_is_known(self) -> None:
         reasons = {
-            "fence": Refused.FENCED,
-            "old": Refused.OLD_ATTEMPT,
-            "late": Refused.LATE,
-            "room": Refused.NO_ROOM,
-            "ticket": Refused.NO_TICKET,
+            "fence": RefusalReason.FENCED,
+            "old": RefusalReason.OLD_ATTEMPT,
+            "late": RefusalReason.LATE,
+            "room": RefusalReason.NO_ROOM,
+            "ticket": RefusalReason.NO_TICKET,
         }
         for word, refused in reasons.items():
             self._set(409, clockMs=1, reason=word)
@@ -159,7 +159,7 @@
             self.assertIs(refused, answer.refused)
         self._set(503)
         answer = await self.calls.start(TASK, 1, "s", 100, 1)
-        self.assertIs(Refused.UNHEALTHY, answer.refused)
+        self.assertIs(RefusalReason.UNHEALTHY, answer.refused)
         self._set(409, clockMs=1, reason="mood")
         with self.assertRaises(PlatformError):
             await self.calls.start(TASK, 1, "s", 100, 1)
--- a/toucanpin/platform/workers.py
+++ b/toucanpin/platform/workers.py
@@ -16,12 +16,12 @@
 from toucanpin.platform.addresses import check_address
 from toucanpin.scheduling.job import TaskKey, format_task
 from toucanpin.scheduling.orders import (
-    End,
-    Ended,
-    Held,
-    Refused,
-    Running,
-    Started,
+    EndedRun,
+    PollAnswer,
+    RefusalReason,
+    RunEnd,
+    RunningTask,
+    StartAnswer,
     WorkerEntry,
 )
 from toucanpin.verdict import Verdict
@@ -43,19 +43,19 @@
 MOST_ACCELERATORS = 10_000
 _INSTANCE_HEADER = "X-Expect-Instance"
 _ENDS = {
-    "done": End.DONE,
-    "failed": End.FAILED,
-    "stopped": End.STOPPED,
-    "lapsed": End.LAPSED,
-    "broken": End.BROKEN,
-    "alone": End.ALONE,
+    "done": RunEnd.DONE,
+    "failed": RunEnd.FAILED,
+    "stopped": RunEnd.STOPPED,
+    "lapsed": RunEnd.LAPSED,
+    "broken": RunEnd.BROKEN,
+    "alone": RunEnd.ALONE,
 }
 _REASONS = {
-    "fence": Refused.FENCED,
-    "old": Refused.OLD_ATTEMPT,
-    "late": Refused.LATE,
-    "room": Refused.NO_ROOM,
-    "ticket": Refused.NO_TICKET,
+    "fence": RefusalReason.FENCED,
+    "old": RefusalReason.OLD_ATTEMPT,
+    "late": RefusalReason.LATE,
+    "room": RefusalReason.NO_ROOM,
+    "ticket": RefusalReason.NO_TICKET,
 }
 
 
@@ -151,32 +151,34 @@
         token: int,
         checkpoint: str = "",
         ticket: str = "",
-    ) -> Started:
+    ) -> StartAnswer:
         """Start a task under a lease that ends at ``deadline`` on the worker's clock, in ms."""
         order = _Start(encode_task(task), attempt, spec, deadline, token, checkpoint, ticket)
         answer = await self._call("/run-start", order)
         if answer.status in (429, 503):
-            return Started(0, Refused.UNHEALTHY)
+            return StartAnswer(0, RefusalReason.UNHEALTHY)
         if answer.status == 400:
-            return Started(0, Refused.MALFORMED)
+            return StartAnswer(0, RefusalReason.MALFORMED)
         body = _decode(answer, (200, 409))
         if answer.status == 200:
-            return Started(body.clock_ms, None)
-        return Started(body.clock_ms, _read_reason(body.reason))
+            return StartAnswer(body.clock_ms, None)
+        return StartAnswer(body.clock_ms, _read_reason(body.reason))
 
-    async def stop(self, task: TaskKey, attempt: int, token: int) -> Refused | None:
+    async def stop(self, task: TaskKey, attempt: int, token: int) -> RefusalReason | None:
         """Stop one attempt for good, also one that isn't there yet."""
         answer = await self._call("/run-stop", _Stop(encode_task(task), attempt, token))
         return _read_refusal(answer)
 
-    async def pace(self, task: TaskKey, attempt: int, percent: int, token: int) -> Refused | None:
+    async def pace(
+        self, task: TaskKey, attempt: int, percent: int, token: int
+    ) -> RefusalReason | None:
         """Let a task work at a share of its speed."""
         answer = await self._call("/pace", _Pace(encode_task(task), attempt, percent, token))
         return _read_refusal(answer)
 
     async def hold(
         self, token: int, acknowledged: int, deadline: int, wait: float, timeout: float
-    ) -> Held | Refused:
+    ) -> PollAnswer | RefusalReason:
         """Renew the lease unless ``deadline`` is 0, acknowledge ends, and look."""
         order = _Hold(token, acknowledged, deadline, int(wait * 1_000))
         answer = await self._call("/hold", order, wait + timeout)
@@ -185,7 +187,7 @@
         body = _decode(answer, (200, 409))
         if answer.status == 409:
             return _read_reason(body.reason)
-        return Held(
+        return PollAnswer(
             body.clock_ms,
             tuple(_to_running(row) for row in body.running),
             tuple(_to_ended(row) for row in body.finished),
@@ -254,26 +256,26 @@
         raise CallError(Verdict.MAY_HAVE_RUN, detail) from error
 
 
-def _read_refusal(answer: Answer) -> Refused | None:
+def _read_refusal(answer: Answer) -> RefusalReason | None:
     if answer.status in (429, 503):
-        return Refused.UNHEALTHY
+        return RefusalReason.UNHEALTHY
     if answer.status == 400:
-        return Refused.MALFORMED
+        return RefusalReason.MALFORMED
     body = _decode(answer, (200, 409))
     return _read_reason(body.reason) if answer.status == 409 else None
 
 
-def _read_reason(reason: str) -> Refused:
+def _read_reason(reason: str) -> RefusalReason:
     try:
         return _REASONS[reason]
     except KeyError as error:
         raise PlatformError(f"a worker refused for an unknown reason: {reason!r}") from error
 
 
-def _to_running(row: list) -> Running:
+def _to_running(row: list) -> RunningTask:
     measure = float(row[4]) if len(row) > 4 else 0.0
-    return Running(parse_task(row[0]), row[1], row[2], row[3], measure)
+    return RunningTask(parse_task(row[0]), row[1], row[2], row[3], measure)
 
 
-def _to_ended(row: list) -> Ended:
-    return Ended(row[0], parse_task(row[1]), row[2], _ENDS[row[3]], row[4])
+def _to_ended(row: list) -> EndedRun:
+    return EndedRun(row[0], parse_task(row[1]), row[2], _ENDS[row[3]], row[4])
--- a/toucanpin/scheduling/ending.py
+++ b/toucanpin/scheduling/ending.py
@@ -20,7 +20,7 @@
     open_steps,
 )
 from toucanpin.scheduling.job import TaskKey
-from toucanpin.scheduling.orders import End, Ended
+from toucanpin.scheduling.orders import EndedRun, RunEnd
 from toucanpin.scheduling.progress import JobState, TaskRecord, TaskState
 from toucanpin.scheduling.stopping import stop_gang, stop_run, wait_again
 from toucanpin.scheduling.trust import BRIEF_LIFE, note_done, note_failed
@@ -37,7 +37,7 @@
 RETRY_DELAY = 0.25  # s before a task is placed again for which nothing else bounds the tries
 
 
-def apply_end(cell: Cell, worker: Worker, ended: Ended, now: Now) -> None:
+def apply_end(cell: Cell, worker: Worker, ended: EndedRun, now: Now) -> None:
     """Take note of an end that a worker lists."""
     cell.ends[worker.entry.id] = max(cell.ends.get(worker.entry.id, 0), ended.sequence)
     note_begun(cell, ended.task.job)
@@ -47,13 +47,15 @@
         finish_run(cell, worker, run, ended.end, ended.checkpoint, now)
         return
     match ended.end:
-        case End.DONE:
+        case RunEnd.DONE:
             _take_late_done(cell, ended.task, now)
-        case End.FAILED:
+        case RunEnd.FAILED:
             _take_late_failure(cell, ended, now)
 
 
-def finish_run(cell: Cell, worker: Worker, run: Run, end: End, checkpoint: str, now: Now) -> None:
+def finish_run(
+    cell: Cell, worker: Worker, run: Run, end: RunEnd, checkpoint: str, now: Now
+) -> None:
     """Give the room of a run back and decide what becomes of its task."""
     drop_run(cell, worker, run)
     live = cell.jobs.get(run.task.job)
@@ -64,7 +66,7 @@
         _finish_copy(cell, live, run, record, end, now)
         return
     mark_dirty(cell, live)
-    if end in (End.DONE, End.FAILED):
+    if end in (RunEnd.DONE, RunEnd.FAILED):
         record.crashed = {}
     if checkpoint:
         record.checkpoint = checkpoint
@@ -72,21 +74,21 @@
     record.worker = ""
     record.state = TaskState.WAITING
     if JobState(live.progress.state).ended:
-        if end is End.DONE:
+        if end is RunEnd.DONE:
             record.state = TaskState.DONE
         return
     match end:
-        case End.DONE if not run.step.lasting:
+        case RunEnd.DONE if not run.step.lasting:
             _note_time(live, run, now)
             _finish_task(cell, live, run.task, record, now)
             return
-        case End.FAILED if not run.step.lasting:
+        case RunEnd.FAILED if not run.step.lasting:
             if not counted:
                 _count_failure(live, run, record)
             if record.failures >= live.job.max_failures:
                 end_job(cell, live, JobState.FAILED, now)
                 return
-        case End.FAILED | End.DONE:
+        case RunEnd.FAILED | RunEnd.DONE:
             # One that ran for longer can't spin.  It goes back at once: on a full fleet another
             # task would take its place within the delay.
             if now.steady < run.started_at + BRIEF_LIFE:
@@ -98,7 +100,7 @@
 
 def end_run(cell: Cell, worker: Worker, run: Run, now: Now) -> None:
     """Treat a run as ended that certainly doesn't run any more and of which no end is known."""
-    finish_run(cell, worker, run, End.LAPSED, run.checkpoint, now)
+    finish_run(cell, worker, run, RunEnd.LAPSED, run.checkpoint, now)
 
 
 def end_job(cell: Cell, live: LiveJob, state: JobState, now: Now) -> None:
@@ -151,7 +153,7 @@
     mark_dirty(cell, live)
 
 
-def _take_late_failure(cell: Cell, ended: Ended, now: Now) -> None:
+def _take_late_failure(cell: Cell, ended: EndedRun, now: Now) -> None:
     """
     Count the failure of a run that isn't followed, unless it is counted already.
 
@@ -179,15 +181,15 @@
 
 
 def _finish_copy(
-    cell: Cell, live: LiveJob, run: Run, record: TaskRecord, end: End, now: Now
+    cell: Cell, live: LiveJob, run: Run, record: TaskRecord, end: RunEnd, now: Now
 ) -> None:
     """Take note of the end of a copy that another one follows: the first that is done counts."""
     if not run.step.speculative or JobState(live.progress.state).ended:
         return
     match end:
-        case End.DONE:
+        case RunEnd.DONE:
             _finish_task(cell, live, run.task, record, now)
-        case End.FAILED:
+        case RunEnd.FAILED:
             _add_failure(record, run.attempt)
             if record.failures >= live.job.max_failures:
                 end_job(cell, live, JobState.FAILED, now)
@@ -254,9 +256,9 @@
     return live.progress.tasks[task.occurrence][start : start + count]
 
 
-def _judge_worker(worker: Worker, run: Run, end: End, now: Now) -> None:
+def _judge_worker(worker: Worker, run: Run, end: RunEnd, now: Now) -> None:
     match end:
-        case End.DONE:
+        case RunEnd.DONE:
             note_done(worker, run)
-        case End.FAILED:
+        case RunEnd.FAILED:
             note_failed(worker, run, now)
--- a/toucanpin/scheduling/holding.py
+++ b/toucanpin/scheduling/holding.py
@@ -12,7 +12,7 @@
 from toucanpin.scheduling.cell import Cell, Loss, LossCause, Now, find_record, note_begun
 from toucanpin.scheduling.crashing import note_alive, note_lost, note_survived
 from toucanpin.scheduling.ending import apply_end, end_run
-from toucanpin.scheduling.orders import Held, HoldOrder, Running, StopOrder, WorkerEntry
+from toucanpin.scheduling.orders import PollAnswer, PollOrder, RunningTask, StopOrder, WorkerEntry
 from toucanpin.scheduling.progress import JobState, TaskState
 from toucanpin.scheduling.stopping import stop_run
 from toucanpin.scheduling.worker import Phase, Run, Worker, grant_lease
@@ -81,18 +81,18 @@
     return min(now.steady + LEASE, cell.confirmed + AUTHORITY)
 
 
-def plan_hold(cell: Cell, worker: Worker, now: Now) -> HoldOrder:
+def plan_hold(cell: Cell, worker: Worker, now: Now) -> PollOrder:
     """Say what to ask a worker next."""
     if not worker.reached or worker.silent:
         # A renewal without an answer may be carried out late, so while a worker is silent it is
         # only asked; otherwise each try would move the moment at which its lease has surely ended.
-        return HoldOrder(worker.acknowledged, 0, 0.0)
+        return PollOrder(worker.acknowledged, 0, 0.0)
     until = lease_end(cell, now)
     deadline = grant_lease(worker, until) if worker.runs and until > now.steady else 0
     if worker.seen > worker.acknowledged:
         # Ends that aren't written yet would be listed again at once.
-        return HoldOrder(worker.acknowledged, deadline, 0.0)
-    return HoldOrder(worker.acknowledged, deadline, _choose_wait(worker))
+        return PollOrder(worker.acknowledged, deadline, 0.0)
+    return PollOrder(worker.acknowledged, deadline, _choose_wait(worker))
 
 
 def plan_renewal(cell: Cell, worker: Worker, now: Now) -> int:
@@ -101,7 +101,7 @@
     return grant_lease(worker, until) if worker.clock and until > now.steady else 0
 
 
-def take_clock(worker: Worker, held: Held, now: Now) -> None:
+def take_clock(worker: Worker, held: PollAnswer, now: Now) -> None:
     """Take note of a worker's clock alone, before it is known what should run there."""
     _read_clock(worker, held.clock, now)
 
@@ -112,7 +112,7 @@
     return SHARED_WAIT if worker.servers and worker.fillers else BUSY_WAIT
 
 
-def take_answer(cell: Cell, worker: Worker, held: Held, sent_at: float, now: Now) -> None:
+def take_answer(cell: Cell, worker: Worker, held: PollAnswer, sent_at: float, now: Now) -> None:
     """Take note of what a worker lists; ``sent_at`` is when it was asked."""
     _read_clock(worker, held.clock, now)
     worker.answered_at = now.steady
@@ -183,14 +183,14 @@
     worker.clock_at = now.steady
 
 
-def _find_strangers(worker: Worker, rows: Iterable[Running]) -> Iterable:
+def _find_strangers(worker: Worker, rows: Iterable[RunningTask]) -> Iterable:
     for running in rows:
         run = worker.runs.get(running.task)
         if run is None or run.attempt != running.attempt:
             yield running.task
 
 
-def _take_running(cell: Cell, worker: Worker, running: Running, now: Now) -> None:
+def _take_running(cell: Cell, worker: Worker, running: RunningTask, now: Now) -> None:
     run = worker.runs.get(running.task)
     if run is None or run.attempt != running.attempt:
         # An order of an earlier owner, or one that was carried out late: nothing counts on it.
--- a/toucanpin/scheduling/orders.py
+++ b/toucanpin/scheduling/orders.py
@@ -13,21 +13,21 @@
 from toucanpin.scheduling.job import TaskKey
 
 __all__ = [
-    "End",
-    "Ended",
-    "Held",
-    "HoldOrder",
+    "RunEnd",
+    "EndedRun",
+    "PollAnswer",
+    "PollOrder",
     "PaceOrder",
-    "Refused",
-    "Running",
+    "RefusalReason",
+    "RunningTask",
     "StartOrder",
-    "Started",
+    "StartAnswer",
     "StopOrder",
     "WorkerEntry",
 ]
 
 
-class End(enum.Enum):
+class RunEnd(enum.Enum):
     """Say how a run ended."""
 
     DONE = "done"
@@ -38,7 +38,7 @@
     ALONE = "alone"
 
 
-class Refused(enum.Enum):
+class RefusalReason(enum.Enum):
     """Say why a worker didn't do what it was told."""
 
     FENCED = "fenced"
@@ -69,7 +69,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Running:
+class RunningTask:
     """Hold one running task; ``measure`` is its tail latency in ms or the cpu that it uses."""
 
     task: TaskKey
@@ -80,35 +80,35 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ended:
+class EndedRun:
     """Hold one end that the worker keeps until it is acknowledged."""
 
     sequence: int
     task: TaskKey
     attempt: int
-    end: End
+    end: RunEnd
     checkpoint: str
 
 
 @dataclass(frozen=True, slots=True)
-class Held:
+class PollAnswer:
     """Hold a worker's answer: its clock in ms, what runs and what has ended."""
 
     clock: int
-    running: tuple[Running, ...]
-    ended: tuple[Ended, ...]
+    running: tuple[RunningTask, ...]
+    ended: tuple[EndedRun, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class Started:
+class StartAnswer:
     """Hold a worker's answer to a start; ``refused`` is None if the run is there."""
 
     clock: int
-    refused: Refused | None
+    refused: RefusalReason | None
 
 
 @dataclass(frozen=True, slots=True)
-class HoldOrder:
+class PollOrder:
     """Renew a lease until ``deadline`` on the worker's clock (0: only look); wait for an end."""
 
     acknowledged: int
--- a/toucanpin/scheduling/starting.py
+++ b/toucanpin/scheduling/starting.py
@@ -13,7 +13,7 @@
 from toucanpin.scheduling.ending import RETRY_DELAY, end_run
 from toucanpin.scheduling.evacuating import is_evacuated, knows_evacuations
 from toucanpin.scheduling.holding import lease_end
-from toucanpin.scheduling.orders import Refused, Started
+from toucanpin.scheduling.orders import RefusalReason, StartAnswer
 from toucanpin.scheduling.stopping import stop_run
 from toucanpin.scheduling.worker import Phase, Run, Worker, grant_lease, is_overcommitted
 
@@ -59,7 +59,7 @@
     return grant_lease(worker, until)
 
 
-def take_started(cell: Cell, worker: Worker, run: Run, answer: Started, now: Now) -> Next:
+def take_started(cell: Cell, worker: Worker, run: Run, answer: StartAnswer, now: Now) -> Next:
     """Take note of a worker's answer to a start."""
     if run.phase is not Phase.ORDERED:
         return Next.SETTLED
@@ -70,18 +70,18 @@
             run.unsure = False
             note_begun(cell, run.task.job)
             return Next.SETTLED
-        case Refused.FENCED:
+        case RefusalReason.FENCED:
             return Next.FENCED
-        case Refused.LATE:
+        case RefusalReason.LATE:
             return Next.AGAIN
-        case Refused.NO_ROOM:
+        case RefusalReason.NO_ROOM:
             worker.full_until = now.steady + FULL
-        case Refused.NO_TICKET:
+        case RefusalReason.NO_TICKET:
             group = Group(run.task.job, run.task.occurrence, run.task.step)
             cell.advised.pop(group, None)
-        case Refused.UNHEALTHY:
+        case RefusalReason.UNHEALTHY:
             worker.suspect_until = max(worker.suspect_until, now.steady + UNHEALTHY)
-        case Refused.MALFORMED | Refused.OLD_ATTEMPT:
+        case RefusalReason.MALFORMED | RefusalReason.OLD_ATTEMPT:
             cell.delayed[run.task] = now.steady + RETRY_DELAY
     _give_up(cell, worker, run, now)
     return Next.SETTLED
--- a/toucanpin/scheduling/tests/fleet.py
+++ b/toucanpin/scheduling/tests/fleet.py
@@ -25,8 +25,8 @@
 from toucanpin.scheduling.job import Job, Step, TaskKey
 from toucanpin.scheduling.moving import move_tasks
 from toucanpin.scheduling.orders import (
-    Held,
     PaceOrder,
+    PollAnswer,
     StopOrder,
     WorkerEntry,
 )
@@ -165,7 +165,7 @@
                 take_silence(worker)
                 continue
             held = there.hold(self.cell.token, order.acknowledged, order.deadline, self.time)
-            assert isinstance(held, Held), held
+            assert isinstance(held, PollAnswer), held
             take_answer(self.cell, worker, held, self.time, self.now())
 
     def _send_starts(self) -> None:
--- a/toucanpin/scheduling/tests/test_failures.py
+++ b/toucanpin/scheduling/tests/test_failures.py
@@ -12,7 +12,7 @@
 from toucanpin.scheduling.holding import AUTHORITY, LEASE
 from toucanpin.scheduling.intake import cancel_job
 from toucanpin.scheduling.job import Step
-from toucanpin.scheduling.orders import Refused, Started
+from toucanpin.scheduling.orders import RefusalReason, StartAnswer
 from toucanpin.scheduling.placing import place_tasks
 from toucanpin.scheduling.progress import JobState
 from toucanpin.scheduling.starting import Next, take_started
@@ -86,7 +86,7 @@
         batch = take_batch(fleet.cell)
         (run,) = apply_batch(fleet.cell, batch)
         worker = fleet.cell.workers[run.worker]
-        answer = Started(0, Refused.NO_ROOM)
+        answer = StartAnswer(0, RefusalReason.NO_ROOM)
         self.assertIs(Next.SETTLED, take_started(fleet.cell, worker, run, answer, fleet.now()))
         self.assertIs(Phase.ENDED, run.phase)
         place_tasks(fleet.cell, fleet.model, fleet.now())
@@ -98,7 +98,7 @@
         fleet = Fleet()
         for worker in fleet.workers.values():
             worker.refusing = 1_000
-            worker.refusal = Refused.MALFORMED
+            worker.refusal = RefusalReason.MALFORMED
         fleet.submit(make_job())
         fleet.run(5.0)
         (record,) = fleet.cell.jobs["j1"].progress.tasks[0]
--- a/toucanpin/scheduling/tests/test_gangs.py
+++ b/toucanpin/scheduling/tests/test_gangs.py
@@ -5,7 +5,7 @@
 import unittest
 
 from toucanpin.scheduling.job import Step, TaskKey
-from toucanpin.scheduling.orders import End
+from toucanpin.scheduling.orders import RunEnd
 from toucanpin.scheduling.progress import JobState
 from toucanpin.scheduling.tests.fleet import Fleet, make_job
 
@@ -23,7 +23,7 @@
         for worker in self.fleet.workers.values():
             worker.lasts = 100.0
 
-    def _end(self, index: int, end: End) -> None:
+    def _end(self, index: int, end: RunEnd) -> None:
         self.fleet.workers[_find(self.fleet, index)].end(TaskKey("j1", 0, 0, index), end)
 
     def _count_starts(self) -> int:
@@ -37,8 +37,8 @@
         self.fleet.submit(make_job(steps=(GANG,)))
         self.fleet.run(0.5)
         lost = _find(self.fleet, 2)
-        self._end(0, End.DONE)
-        self._end(1, End.DONE)
+        self._end(0, RunEnd.DONE)
+        self._end(1, RunEnd.DONE)
         self.fleet.workers[lost].silent = True
         self.fleet.run(12.0)
         self.assertEqual(JobState.COMPLETED, self.fleet.state("j1"))
@@ -52,9 +52,9 @@
         self.fleet.submit(make_job(steps=(GANG,), max_failures=2))
         self.fleet.run(0.5)
         for failing in (0, 1):
-            self._end(failing, End.FAILED)
+            self._end(failing, RunEnd.FAILED)
             for index in {0, 1, 2} - {failing}:
-                self._end(index, End.BROKEN)
+                self._end(index, RunEnd.BROKEN)
             self.fleet.run(0.5)
         self.fleet.run(2.0)
         self.assertEqual(JobState.FAILED, self.fleet.state("j1"))
@@ -63,9 +63,9 @@
     def test_two_members_that_fail_one_run_are_one_failure(self) -> None:
         self.fleet.submit(make_job(steps=(GANG,), max_failures=2))
         self.fleet.run(0.5)
-        self._end(0, End.FAILED)
-        self._end(1, End.FAILED)
-        self._end(2, End.BROKEN)
+        self._end(0, RunEnd.FAILED)
+        self._end(1, RunEnd.FAILED)
+        self._end(2, RunEnd.BROKEN)
         self.fleet.run(0.5)
         self.assertEqual(JobState.ACTIVE, self.fleet.state("j1"))
         self.assertEqual(6, self._count_starts())
@@ -78,7 +78,7 @@
         self.fleet.submit(make_job(steps=(GANG,), max_failures=2))
         self.fleet.run(0.5)
         other = self.fleet.workers[_find(self.fleet, 1)]
-        self._end(0, End.FAILED)
+        self._end(0, RunEnd.FAILED)
         other.silent = True
         self.fleet.run(0.2)
         self.fleet.replace_owner()
@@ -87,7 +87,7 @@
             task = TaskKey("j1", 0, 0, index)
             for worker in self.fleet.workers.values():
                 if task in worker.runs:
-                    worker.end(task, End.FAILED)
+                    worker.end(task, RunEnd.FAILED)
         self.fleet.run(1.0)
         self.assertNotEqual(JobState.FAILED, self.fleet.state("j1"))
         self.assertEqual(6, self._count_starts())
@@ -116,7 +116,7 @@
         self.fleet.submit(make_job(steps=(GANG,)))
         self.fleet.run(2.5)
         ends = [e.end for worker in self.fleet.workers.values() for e in worker.ended]
-        self.assertNotIn(End.ALONE, ends)
+        self.assertNotIn(RunEnd.ALONE, ends)
         self.assertFalse(any(worker.runs for worker in self.fleet.workers.values()))
 
 
--- a/toucanpin/scheduling/tests/test_lasting.py
+++ b/toucanpin/scheduling/tests/test_lasting.py
@@ -5,7 +5,7 @@
 import unittest
 
 from toucanpin.scheduling.job import Step, TaskKey
-from toucanpin.scheduling.orders import End
+from toucanpin.scheduling.orders import RunEnd
 from toucanpin.scheduling.tests.fleet import Fleet, make_job
 
 LASTS = Step(cpu=1_000, memory=1_000, lasting=True)
@@ -24,7 +24,7 @@
 
     def _fail_lasting(self) -> None:
         worker = next(w for w in self.fleet.workers.values() if self._lasts in w.runs)
-        worker.end(self._lasts, End.FAILED)
+        worker.end(self._lasts, RunEnd.FAILED)
 
     def _fill_up(self, step: Step) -> None:
         self.fleet.submit(make_job("full", (step,), priority=0))
@@ -75,9 +75,9 @@
         fleet.run(3.0)
         for number in range(4):
             fleet.submit(make_job(f"new{number}", (step,), accepted=number))
-        worker.end(self._lasts, End.FAILED)
+        worker.end(self._lasts, RunEnd.FAILED)
         fleet.run(1.0)
-        worker.end(TaskKey("other", 0, 0, 0), End.FAILED)
+        worker.end(TaskKey("other", 0, 0, 0), RunEnd.FAILED)
         fleet.run(3.0)
         self.assertEqual({"lasts", "other"}, {task.job for task in worker.runs})
 
--- a/toucanpin/scheduling/tests/test_moving.py
+++ b/toucanpin/scheduling/tests/test_moving.py
@@ -6,7 +6,7 @@
 
 from toucanpin.scheduling.job import Step, TaskKey
 from toucanpin.scheduling.moving import move_tasks
-from toucanpin.scheduling.orders import End, Ended
+from toucanpin.scheduling.orders import EndedRun, RunEnd
 from toucanpin.scheduling.progress import JobState
 from toucanpin.scheduling.tests.fleet import Fleet, make_job
 from toucanpin.scheduling.worker import Phase
@@ -137,7 +137,7 @@
         first.stuck = True
         fleet.run(2.5)
         self.assertEqual(2, sum(len(worker.runs) for worker in fleet.workers.values()))
-        first.end(TaskKey("j1", 0, 0, 0), End.DONE)
+        first.end(TaskKey("j1", 0, 0, 0), RunEnd.DONE)
         fleet.run(0.5)
         self.assertEqual(JobState.COMPLETED, fleet.state("j1"))
         self.assertFalse(any(worker.runs for worker in fleet.workers.values()))
@@ -180,7 +180,7 @@
         first = next(worker for worker in fleet.workers.values() if worker.runs)
         first.stuck = True
         fleet.run(2.5)
-        first.end(TaskKey("j1", 0, 0, 0), End.DONE)
+        first.end(TaskKey("j1", 0, 0, 0), RunEnd.DONE)
         fleet.replace_owner()
         fleet.run(1.0)
         self.assertEqual(JobState.COMPLETED, fleet.state("j1"))
@@ -202,10 +202,10 @@
         first.stuck = True
         fleet.run(2.5)
         self.assertTrue(second.runs)
-        first.end(TaskKey("j1", 0, 0, 0), End.FAILED)
+        first.end(TaskKey("j1", 0, 0, 0), RunEnd.FAILED)
         fleet.replace_owner()
         fleet.run(0.5)
-        second.end(TaskKey("j1", 0, 0, 0), End.FAILED)
+        second.end(TaskKey("j1", 0, 0, 0), RunEnd.FAILED)
         fleet.run(2.0)
         self.assertEqual(2, sum(len(worker.starts) for worker in fleet.workers.values()))
         self.assertEqual(JobState.FAILED, fleet.state("j1"))
@@ -225,10 +225,10 @@
         first.stuck = True
         fleet.run(2.5)
         task = TaskKey("j1", 0, 0, 0)
-        first.end(task, End.FAILED)
+        first.end(task, RunEnd.FAILED)
         sequence = first.ended[-1].sequence
         fleet.run(0.05)
-        first.ended.append(Ended(sequence + 1, task, 1, End.FAILED, ""))
+        first.ended.append(EndedRun(sequence + 1, task, 1, RunEnd.FAILED, ""))
         fleet.replace_owner()
         fleet.run(0.5)
         record = fleet.cell.jobs["j1"].progress.tasks[0][0]
--- a/toucanpin/scheduling/tests/test_old_views.py
+++ b/toucanpin/scheduling/tests/test_old_views.py
@@ -7,7 +7,7 @@
 from toucanpin.scheduling.holding import take_answer
 from toucanpin.scheduling.job import Step, TaskKey
 from toucanpin.scheduling.moving import move_tasks
-from toucanpin.scheduling.orders import End, Ended, Held, StopOrder
+from toucanpin.scheduling.orders import EndedRun, PollAnswer, RunEnd, StopOrder
 from toucanpin.scheduling.pacing import control_pace
 from toucanpin.scheduling.progress import JobState
 from toucanpin.scheduling.tests.fleet import Fleet, make_job
@@ -29,13 +29,15 @@
         worker = fleet.cell.workers["w0"]
         (run,) = fleet.cell.runs["j1"]
         ends = [
-            Ended(number, TaskKey("old", 0, 0, number), 1, End.STOPPED, "")
+            EndedRun(number, TaskKey("old", 0, 0, number), 1, RunEnd.STOPPED, "")
             for number in range(1, 501)
         ]
-        take_answer(fleet.cell, worker, Held(1, (), tuple(ends)), fleet.time + 1.0, fleet.now())
+        take_answer(
+            fleet.cell, worker, PollAnswer(1, (), tuple(ends)), fleet.time + 1.0, fleet.now()
+        )
         self.assertIs(Phase.RUNNING, run.phase)
-        done = Ended(501, run.task, run.attempt, End.DONE, "")
-        take_answer(fleet.cell, worker, Held(2, (), (done,)), fleet.time + 1.0, fleet.now())
+        done = EndedRun(501, run.task, run.attempt, RunEnd.DONE, "")
+        take_answer(fleet.cell, worker, PollAnswer(2, (), (done,)), fleet.time + 1.0, fleet.now())
         self.assertEqual(JobState.COMPLETED, fleet.cell.jobs["j1"].progress.state)
 
 
--- a/toucanpin/scheduling/tests/test_preempting.py
+++ b/toucanpin/scheduling/tests/test_preempting.py
@@ -7,7 +7,7 @@
 
 from standins.site.worker_core import WorkerCore
 from toucanpin.scheduling.job import Step, TaskKey
-from toucanpin.scheduling.orders import End
+from toucanpin.scheduling.orders import RunEnd
 from toucanpin.scheduling.progress import JobState
 from toucanpin.scheduling.tests.fleet import Fleet, make_job
 
@@ -37,7 +37,7 @@
         self.fleet.run(1.0)
         self.assertTrue(self._is_running("urgent"))
         stops = [e for w in self.fleet.workers.values() for e in w.ended + w.forgotten]
-        self.assertEqual(1, sum(ended.end is End.STOPPED for ended in stops))
+        self.assertEqual(1, sum(ended.end is RunEnd.STOPPED for ended in stops))
 
     def test_room_is_kept_until_a_slow_stop_is_over(self) -> None:
         """Guards against room that others take while the task which makes it is still stopping."""
--- a/toucanpin/scheduling/tests/test_trust.py
+++ b/toucanpin/scheduling/tests/test_trust.py
@@ -5,7 +5,7 @@
 import unittest
 
 from toucanpin.scheduling.job import Step
-from toucanpin.scheduling.orders import End
+from toucanpin.scheduling.orders import RunEnd
 from toucanpin.scheduling.progress import JobState
 from toucanpin.scheduling.tests.fleet import Fleet, make_job
 
@@ -135,7 +135,7 @@
             fleet.submit(make_job(name, (step,)))
         fleet.run(3.0)
         for task in list(worker.runs):
-            worker.end(task, End.FAILED)
+            worker.end(task, RunEnd.FAILED)
         fleet.run(0.5)
         self.assertEqual({"a", "b", "c"}, {task.job for task in worker.runs})
 
