--- a/toucanpin/placement/controller.py
+++ b/toucanpin/placement/controller.py
@@ -8,9 +8,8 @@
 
 from __future__ import annotations
 
-from toucanpin.placement.absorbing import absorb_reports
 from toucanpin.placement.actions import Decision
-from toucanpin.placement.keepalive import keep_leases
+from toucanpin.placement.lease_renewal import keep_leases
 from toucanpin.placement.ownership import (
     collect_lives,
     hand_over_cells,
@@ -22,6 +21,7 @@
 )
 from toucanpin.placement.placing import drain_workers, follow_policy, move_tasks, place_tasks
 from toucanpin.placement.polling import fetch_payloads, poll_workers
+from toucanpin.placement.reports import process_reports
 from toucanpin.placement.standing import reconcile_standing
 from toucanpin.placement.state import ClusterView, ControlState
 
@@ -45,7 +45,7 @@
         yield from collect_lives(state, view)
         yield from hand_over_cells(state, view)
         yield from read_queues(state)
-        yield from absorb_reports(state, view)
+        yield from process_reports(state, view)
         yield from reconcile_standing(state, view)
         drain_workers(state, view)
         yield from follow_policy(state, view)
--- a/toucanpin/placement/interference_aware.py
+++ b/toucanpin/placement/interference_aware.py
@@ -25,7 +25,7 @@
 from toucanpin.interference import Evict as Move
 from toucanpin.placement.policy import Act, Evict, Limit
 from toucanpin.placement.records import CellRow, TaskRecord
-from toucanpin.placement.residency import HostNotes
+from toucanpin.placement.tracking import HostNotes
 from toucanpin.platform.ports import Report
 
 __all__ = ["InterferenceAwarePolicy"]
--- a/toucanpin/placement/placing.py
+++ b/toucanpin/placement/placing.py
@@ -104,12 +104,12 @@
         return
     teams = view.bundle.teams if view.bundle else ()
     quotas = Quotas(teams, count_teams(state) if teams else {})
-    for cell in sorted(state.cells_after(state.last_placed), key=_has_no_urgent):
+    for cell in sorted(state.cells_after(state.last_placed_cell), key=_has_no_urgent):
         if cell.stale or not len(cell.queue) or not state.health.may_commit():
             continue
         changes = list(choose_places(state, cell, view, quotas))
         for group in split_changes(changes):
-            state.last_placed = cell.name
+            state.last_placed_cell = cell.name
             written = yield from write_cell(cell, state.health, group)
             if not written:
                 break
--- a/toucanpin/placement/absorbing.py
+++ b/toucanpin/placement/reports.py
@@ -24,29 +24,32 @@
 from toucanpin.placement.writing import split_changes, write_cell
 from toucanpin.platform.ports import TaskReport, TaskState
 
-__all__ = ["absorb_reports"]
+__all__ = ["process_reports"]
 
 FAULTS_TO_QUARANTINE = 3
-REFUSED = "refused: "
+REFUSED_PREFIX = "refused: "
 
 
-def absorb_reports(state: ControlState, view: ClusterView) -> Decision[None]:
+def process_reports(state: ControlState, view: ClusterView) -> Decision[None]:
     """Commit what the reports of each cell's workers brought about."""
-    for cell in state.cells_after(state.last_absorbed):
+    for cell in state.cells_after(state.last_reported_cell):
         if cell.stale or not state.health.may_commit_reports():
             continue
         workers = list_workers(cell.row, view, cell.name)
         lost = _find_lost(state, cell, view.now)
-        changes: list[Change] = list(_drop_cancelled(cell))
+        changes: list[Change] = list(_apply_cancellations(cell))
         for worker in cell.row.workers.values():
             if worker.name in lost:
                 changes.extend(_requeue_all(cell, worker, view))
                 workers[worker.name] = msgspec.structs.replace(worker, state=WorkerState.LOST)
             else:
-                changes.extend(_absorb_worker(state, cell, worker, workers, view))
-        merged: dict[str, WorkerRow | None] = {**workers, **dict.fromkeys(_find_gone(cell, view))}
+                changes.extend(_process_worker(state, cell, worker, workers, view))
+        merged: dict[str, WorkerRow | None] = {
+            **workers,
+            **dict.fromkeys(_find_removed(cell, view)),
+        }
         if changes or merged or lost:
-            state.last_absorbed = cell.name
+            state.last_reported_cell = cell.name
             yield from _write(state, cell, changes, merged, lost, view.now)
 
 
@@ -88,7 +91,7 @@
     return lost
 
 
-def _find_gone(cell: Cell, view: ClusterView) -> list[str]:
+def _find_removed(cell: Cell, view: ClusterView) -> list[str]:
     """Return the workers that are neither listed nor reached and hold nothing."""
     listed = view.workers
     return [
@@ -106,7 +109,7 @@
         yield _end_lost(cell, record, worker, checkpoint, view)
 
 
-def _absorb_worker(
+def _process_worker(
     state: ControlState,
     cell: Cell,
     worker: WorkerRow,
@@ -117,7 +120,7 @@
     link = cell.link(worker.name)
     if link.failed or not link.incarnation:
         return
-    _revive(state, link, worker, workers, view)
+    _reactivate(state, link, worker, workers, view)
     for record in cell.tasks_on(worker.name):
         if record.incarnation != link.incarnation:
             # An agent that was replaced doesn't prove that its predecessor isn't merely paused.
@@ -126,24 +129,24 @@
             continue
         reported = link.tasks.get((record.task, record.attempt))
         if reported is not None:
-            change = _absorb_task(cell, record, reported, worker, workers, view)
+            change = _process_task(cell, record, reported, worker, workers, view)
             if change is not None:
-                _pause_bad_start(state, cell, record, reported, view.now)
+                _back_off_bad_start(state, cell, record, reported, view.now)
                 yield change
 
 
-def _pause_bad_start(
+def _back_off_bad_start(
     state: ControlState, cell: Cell, record: TaskRecord, reported: TaskReport, now: float
 ) -> None:
     """Keep a task that its worker refused, or a standing one that failed, from a busy loop."""
-    refused = reported.detail.startswith(REFUSED)
+    refused = reported.detail.startswith(REFUSED_PREFIX)
     ended = record.standing and reported.state in (TaskState.FAILED, TaskState.FINISHED)
     if refused or ended:
         options = state.options
         cell.pause_task(record.task, now, options.restart_pause, options.max_restart_pause)
 
 
-def _revive(
+def _reactivate(
     state: ControlState,
     link: WorkerLink,
     worker: WorkerRow,
@@ -165,7 +168,7 @@
         )
 
 
-def _absorb_task(
+def _process_task(
     cell: Cell,
     record: TaskRecord,
     reported: TaskReport,
@@ -183,18 +186,18 @@
             if record.standing:
                 return _end_failed(cell, record, reported, worker, workers, view)
             if record.task in cell.closed:
-                return _drop(cell, record)
+                return _drop_task(cell, record)
             _clear_faults(worker, workers)
             return lifecycle.finish(
                 cell.name, record, lifecycle.name_result(record.task, record.attempt)
             )
-        case TaskState.FAILED if not reported.detail.startswith(REFUSED):
+        case TaskState.FAILED if not reported.detail.startswith(REFUSED_PREFIX):
             return _end_failed(cell, record, reported, worker, workers, view)
         case _:
             return _end_stopped(cell, record, reported.checkpoint, view)
 
 
-def _drop(cell: Cell, record: TaskRecord) -> Change:
+def _drop_task(cell: Cell, record: TaskRecord) -> Change:
     """Take out a task whose job is already decided, with the wish to cancel if it was read."""
     version = cell.cancels.get(record.task)
     if version is None:
@@ -217,7 +220,7 @@
     """Return what becomes of a task that has stopped without an end of its own."""
     reason = cell.stopping.get(record.task)
     if record.task in cell.cancels or record.task in cell.closed:
-        return _drop(cell, record)
+        return _drop_task(cell, record)
     if reason in (StopReason.REMOVE, StopReason.REPLACE) and view.bundle is not None:
         # A still newer bundle may have brought the task back while it was being stopped.
         if is_removed(record, view.bundle):
@@ -242,7 +245,7 @@
         return _end_stopped(cell, record, reported.checkpoint, view)
     at_fault = worker.state is WorkerState.QUARANTINED
     if not record.standing:
-        _blame(cell, record, worker, workers)
+        _count_fault(cell, record, worker, workers)
     limits = view.bundle.limits if view.bundle else Limits()
     return lifecycle.fail(
         cell.name,
@@ -254,7 +257,7 @@
     )
 
 
-def _blame(
+def _count_fault(
     cell: Cell, record: TaskRecord, worker: WorkerRow, workers: dict[str, WorkerRow]
 ) -> None:
     """
@@ -293,7 +296,7 @@
         workers[worker.name] = msgspec.structs.replace(now, faults=0)
 
 
-def _drop_cancelled(cell: Cell) -> Iterator[Change]:
+def _apply_cancellations(cell: Cell) -> Iterator[Change]:
     """Carry out the wishes to cancel: at once for what waits, after a stop for what runs."""
     for task, version in list(cell.cancels.items()):
         waiting = cell.queue.get(task)
--- a/toucanpin/placement/state.py
+++ b/toucanpin/placement/state.py
@@ -114,8 +114,8 @@
     lost: dict[str, tuple[int, float]] = field(default_factory=dict)
     scanned: int = 0
     sequence: int = 0
-    last_absorbed: str = ""
-    last_placed: str = ""
+    last_reported_cell: str = ""
+    last_placed_cell: str = ""
     next_move: float = 0.0
     next_lease_check: float = 0.0
     now: float = 0.0
--- a/toucanpin/placement/tests/test_interference_aware.py
+++ b/toucanpin/placement/tests/test_interference_aware.py
@@ -11,10 +11,10 @@
 from toucanpin.placement.interference_aware import InterferenceAwarePolicy
 from toucanpin.placement.policy import Guarded, Limit, TightestFit
 from toucanpin.placement.records import CellRow, JobState, TaskRecord
-from toucanpin.placement.residency import HostNotes
 from toucanpin.placement.state import ControlOptions, ControlState
 from toucanpin.placement.tests.helpers import find_gaps
 from toucanpin.placement.tests.world import OPTIONS, TERMS, World
+from toucanpin.placement.tracking import HostNotes
 from toucanpin.platform.ports import Report, Size, TaskReport, TaskState, UsageSample
 
 LAG = 8.0
