--- a/toucanpin/placement/cells.py
+++ b/toucanpin/placement/cells.py
@@ -17,7 +17,7 @@
 from toucanpin.placement.records import CellRow, ControllerId, TaskRecord, WorkerRow, cell_key
 from toucanpin.platform.ports import HostRole, ListedHost, Report, Size, TaskReport
 
-__all__ = ["Cell", "StopReason", "WorkerIncarnation", "WorkerLink", "address_worker"]
+__all__ = ["Cell", "StopReason", "WorkerIncarnation", "WorkerLink", "worker_host"]
 
 MAX_DOUBLINGS = 16
 
@@ -60,18 +60,18 @@
     incarnations: dict[str, WorkerIncarnation] = field(default_factory=dict)
     tasks: dict[tuple[str, int], TaskReport] = field(default_factory=dict)
     shares: dict[tuple[str, int], float] = field(default_factory=dict)
-    unsent: set[tuple[str, int]] = field(default_factory=set)
-    sampled: dict[str, float] = field(default_factory=dict)
+    unsent_shares: set[tuple[str, int]] = field(default_factory=set)
+    checkpoint_due: dict[str, float] = field(default_factory=dict)
     quarantined_at: float = 0.0
 
     def incarnation_state(self, incarnation: str) -> WorkerIncarnation:
         """Return the bound of one incarnation."""
         return self.incarnations.setdefault(incarnation, WorkerIncarnation())
 
-    def limit(self, task: str, attempt: int, share: float) -> None:
+    def set_share(self, task: str, attempt: int, share: float) -> None:
         """Have an attempt limited to a share in the next poll and in each that is due later."""
         self.shares[(task, attempt)] = share
-        self.unsent.add((task, attempt))
+        self.unsent_shares.add((task, attempt))
 
     def grant(self, until: float, terms: LeaseTerms) -> Grant:
         """Return the lease to grant now, and remember its end before it is sent."""
@@ -79,19 +79,19 @@
             return NO_GRANT
         grant = compute_grant(self.clock, self.received, until, terms)
         state = self.incarnation_state(self.incarnation)
-        state.lease_end = max(state.lease_end, grant.ends)
+        state.lease_end = max(state.lease_end, grant.latest_end)
         return grant
 
-    def take_report(self, report: Report, received: float) -> None:
+    def update_from_report(self, report: Report, received: float) -> None:
         """Take in a report whose poll was accepted."""
-        self.take_clock(report, received)
+        self.update_clock(report, received)
         self.incarnation_state(report.incarnation).reached = True
         self.lapsed = report.lapsed
         self.tasks = {(it.task, it.attempt): it for it in report.tasks}
         self.shares = {key: it for key, it in self.shares.items() if key in self.tasks}
-        self.unsent &= self.shares.keys()
+        self.unsent_shares &= self.shares.keys()
 
-    def take_clock(self, report: Report, received: float) -> None:
+    def update_clock(self, report: Report, received: float) -> None:
         """Take in the worker's clock and incarnation."""
         if report.incarnation != self.incarnation:
             self.tasks = {}
@@ -104,7 +104,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Pause:
+class Backoff:
     """Keep a task from being placed before ``until``, after ``count`` bad starts in a row."""
 
     count: int
@@ -117,25 +117,25 @@
     Hold one owned cell.
 
     ``stale`` says that the row may differ from what is held here, ``refused`` that a worker has
-    seen a higher epoch.  ``released_bound`` is when the leases of an owner that released the cell
+    seen a higher epoch.  ``released_leases_end`` is when the leases of an owner that released the cell
     have ended.  ``closed`` are tasks whose job row has already been decided by somebody else.
     """
 
     name: str
     row: CellRow
     version: int
-    released_bound: float = 0.0
+    released_leases_end: float = 0.0
     stale: bool = False
     refused: bool = False
-    scanned: int = 0
+    scanned_version: int = 0
     queue: TaskQueue = field(default_factory=TaskQueue)
     payloads: dict[str, bytes] = field(default_factory=dict)
     cancels: dict[str, int] = field(default_factory=dict)
     links: dict[str, WorkerLink] = field(default_factory=dict)
     stopping: dict[str, StopReason] = field(default_factory=dict)
-    pauses: dict[str, Pause] = field(default_factory=dict)
+    backoffs: dict[str, Backoff] = field(default_factory=dict)
     closed: set[str] = field(default_factory=set)
-    unwanted_since: float | None = None
+    not_preferred_since: float | None = None
     _grouped_row: CellRow | None = None
     _grouped: dict[str, list[TaskRecord]] = field(default_factory=dict)
 
@@ -160,20 +160,20 @@
                 self._grouped.setdefault(record.worker, []).append(record)
         return list(self._grouped.get(worker, ()))
 
-    def pause_task(self, task: str, now: float, first: float, longest: float) -> None:
+    def back_off(self, task: str, now: float, first: float, longest: float) -> None:
         """Let a task that was refused or ended at once wait, longer each time in a row."""
-        known = self.pauses.get(task, Pause(0, 0.0))
+        known = self.backoffs.get(task, Backoff(0, 0.0))
         count = known.count + 1 if now < known.until + longest else 1
         pause = min(longest, first * 2 ** min(count - 1, MAX_DOUBLINGS))
-        self.pauses[task] = Pause(count, now + pause)
+        self.backoffs[task] = Backoff(count, now + pause)
 
-    def ask_stop(self, task: str, reason: StopReason) -> None:
+    def request_stop(self, task: str, reason: StopReason) -> None:
         """Have a running task stopped."""
         known = self.stopping.get(task)
         if known is None or known.value < reason.value:
             self.stopping[task] = reason
 
-    def grants_end(self) -> float:
+    def last_lease_end(self) -> float:
         """Return when every lease that was granted here has ended, on the own clock."""
         incarnations = (it for link in self.links.values() for it in link.incarnations.values())
         return max((it.lease_end for it in incarnations), default=0.0)
@@ -188,15 +188,15 @@
         state = self.link(worker).incarnation_state(incarnation)
         if now < state.lease_end:
             return False
-        return state.reached or self.is_proven(watch, now)
+        return state.reached or self.earlier_owners_ended(watch, now)
 
-    def is_proven(self, watch: Watch, now: float) -> bool:
+    def earlier_owners_ended(self, watch: Watch, now: float) -> bool:
         """Tell whether no earlier owner can renew a lease here."""
-        if now < self.released_bound:
+        if now < self.released_leases_end:
             return False
-        return not self.open_owners(watch, now)
+        return not self.unproven_owners(watch, now)
 
-    def open_owners(self, watch: Watch, now: float) -> tuple[tuple[ControllerId, int], ...]:
+    def unproven_owners(self, watch: Watch, now: float) -> tuple[tuple[ControllerId, int], ...]:
         """Return the earlier owners whose authority isn't proven to have ended."""
         return tuple(
             (controller, epoch)
@@ -205,7 +205,7 @@
         )
 
 
-def address_worker(row: WorkerRow) -> ListedHost:
+def worker_host(row: WorkerRow) -> ListedHost:
     """Return the address of a worker, also when the host list no longer names it."""
     return ListedHost(
         row.name, HostRole.WORKER, row.site, row.rack, row.address, row.port, size=row.size
--- a/toucanpin/placement/interference_aware.py
+++ b/toucanpin/placement/interference_aware.py
@@ -84,7 +84,7 @@
         notes = self._hosts.get(report.worker)
         if notes is None:
             notes = self._hosts[report.worker] = HostNotes(report.worker)
-        notes.take_report(now, report, tasks, self._usage)
+        notes.update_from_report(now, report, tasks, self._usage)
         samples = list(notes.take_samples(now, report))
         notes.measured = notes.measured or bool(samples)
         view = notes.view()
--- a/toucanpin/placement/lease_renewal.py
+++ b/toucanpin/placement/lease_renewal.py
@@ -13,7 +13,7 @@
 from expression import Result
 
 from toucanpin.placement.actions import Answer, Decision, PollAll, WorkerPoll
-from toucanpin.placement.cells import Cell, WorkerLink, address_worker
+from toucanpin.placement.cells import Cell, WorkerLink, worker_host
 from toucanpin.placement.state import ControlState
 from toucanpin.platform.ports import Poll, Report
 
@@ -90,7 +90,7 @@
     link.renewed = state.now
     grant = link.grant(state.authority.until, state.terms)
     poll = Poll(cell.row.epoch, link.incarnation, grant.lease_until, ())
-    return WorkerPoll(address_worker(cell.row.workers[link.name]), poll)
+    return WorkerPoll(worker_host(cell.row.workers[link.name]), poll)
 
 
 def _take_clock(cell: Cell, link: WorkerLink, poll: Poll, report: Report, now: float) -> None:
--- a/toucanpin/placement/ownership.py
+++ b/toucanpin/placement/ownership.py
@@ -64,12 +64,12 @@
     They share a prefix: one scan a turn instead of three is a third less processor time of an idle
     control process, and fewer reads of the table.
     """
-    rows = yield from _scan(state, PLAN_PREFIX, state.scanned)
+    rows = yield from _scan(state, PLAN_PREFIX, state.scanned_version)
     authority = [row for row in rows if row.key.startswith(AUTHORITY_PREFIX)]
     state.watch.observe(authority, state.watch.read_at)
     for row in rows:
         _take_row(state, row)
-    state.scanned = _newest(rows, state.scanned)
+    state.scanned_version = _newest(rows, state.scanned_version)
     yield from _refresh_cells(state)
 
 
@@ -127,7 +127,7 @@
         # An own write took effect although its answer was lost: what waits is read anew.
         cell.row = stored.row
         cell.version = stored.version
-        cell.scanned = 0
+        cell.scanned_version = 0
         for task in list(cell.row.tasks):
             cell.queue.drop(task)
     cell.stale = False
@@ -137,9 +137,9 @@
 def lose_cell(state: ControlState, cell: Cell, epoch: int) -> Decision[None]:
     """Stop acting on a cell; it is ceded once the leases granted there have ended."""
     del state.cells[cell.name]
-    known = state.lost.get(cell.name, (0, 0.0))
+    known = state.lost_cells.get(cell.name, (0, 0.0))
     last = max(epoch, cell.row.epoch, known[0])
-    state.lost[cell.name] = (last, max(cell.grants_end(), known[1]))
+    state.lost_cells[cell.name] = (last, max(cell.last_lease_end(), known[1]))
     yield RecordEvent("cell.lose", {"cell": cell.name})
 
 
@@ -147,7 +147,7 @@
     """Let every cell go after a fence: whoever fenced us waited for the end of our leases."""
     for cell in list(state.cells.values()):
         yield from lose_cell(state, cell, cell.row.epoch)
-    state.lost = {name: (epoch, 0.0) for name, (epoch, _) in state.lost.items()}
+    state.lost_cells = {name: (epoch, 0.0) for name, (epoch, _) in state.lost_cells.items()}
 
 
 def take_cells(state: ControlState, view: ClusterView) -> Decision[None]:
@@ -217,7 +217,7 @@
             cell.version = committed
             # Leases of an owner that released the cell, or our own of an earlier time here, end
             # one term after the row was seen.
-            cell.released_bound = answer.now + state.terms.add_drift(state.terms.lease)
+            cell.released_leases_end = answer.now + state.terms.add_drift(state.terms.lease)
             state.cells[name] = cell
             yield RecordEvent("cell.take", {"cell": name}, f"epoch {row.epoch}")
         case Result(tag="error", error=Conflict(rows)):
@@ -279,9 +279,9 @@
     """Read what was added to the queues of the owned cells, and the wishes to cancel."""
     for cell in state.cells.values():
         prefix = queue_prefix(cell.name)
-        rebuild = cell.scanned == 0
+        rebuild = cell.scanned_version == 0
         known = state.health.down
-        rows = yield from _scan(state, prefix, cell.scanned)
+        rows = yield from _scan(state, prefix, cell.scanned_version)
         if known or state.health.down:
             return
         if rebuild:
@@ -295,7 +295,7 @@
                     cell.payloads[task] = waiting.payload
             elif kind == "cancel":
                 cell.cancels[decode(row.value, CancelRow).task] = row.version
-        cell.scanned = _newest(rows, cell.scanned)
+        cell.scanned_version = _newest(rows, cell.scanned_version)
 
 
 def _drop_vanished(cell: Cell, rows: tuple[Row, ...]) -> None:
@@ -311,11 +311,11 @@
     able = state.eligible_controllers(view)
     for cell in list(state.cells.values()):
         if state.preferred_owner(cell.name, able) == state.controller_id:
-            cell.unwanted_since = None
+            cell.not_preferred_since = None
             continue
-        if cell.unwanted_since is None:
-            cell.unwanted_since = view.now
-        if view.now - cell.unwanted_since >= state.options.hand_over_after:
+        if cell.not_preferred_since is None:
+            cell.not_preferred_since = view.now
+        if view.now - cell.not_preferred_since >= state.options.hand_over_after:
             yield from release_cell(state, cell)
     for name, stored in list(state.stored.items()):
         # The answer of an earlier release was lost and the row shows that it had no effect.
@@ -335,15 +335,15 @@
     # The next owner counts one lease from the release.  Whatever was granted after the release was
     # sent, because its answer was slow or lost, could outlast that: so the cell is let go first,
     # and taken back only if the release certainly had no effect.
-    before = state.lost.get(cell.name)
+    before = state.lost_cells.get(cell.name)
     yield from lose_cell(state, cell, cell.row.epoch)
     stored = StoredCell(cell.row, cell.version)
     failed = yield from _write_release(state, cell.name, stored)
     if failed:
         state.cells[cell.name] = cell
-        state.lost.pop(cell.name)
+        state.lost_cells.pop(cell.name)
         if before is not None:
-            state.lost[cell.name] = before
+            state.lost_cells[cell.name] = before
 
 
 def _write_release(state: ControlState, name: str, stored: StoredCell) -> Decision[bool]:
--- a/toucanpin/placement/placing.py
+++ b/toucanpin/placement/placing.py
@@ -60,7 +60,7 @@
             if not leaving:
                 continue
             for record in cell.tasks_on(name):
-                cell.ask_stop(record.task, StopReason.EVICT)
+                cell.request_stop(record.task, StopReason.EVICT)
 
 
 def follow_policy(state: ControlState, view: ClusterView) -> Decision[None]:
@@ -72,9 +72,9 @@
             record = cell.row.tasks.get(act.task)
             match act:
                 case Evict(task) if record is not None and not record.standing:
-                    cell.ask_stop(task, StopReason.EVICT)
+                    cell.request_stop(task, StopReason.EVICT)
                 case Limit(task, share) if record is not None:
-                    cell.link(record.worker).limit(task, record.attempt, share)
+                    cell.link(record.worker).set_share(task, record.attempt, share)
                     yield _remark(cell, "task.throttle", task, f"{share:g}")
                 case Remark(kind, task, detail):
                     yield _remark(cell, kind, task, detail)
@@ -195,7 +195,7 @@
     task = waiting.record.task
     if task in cell.row.tasks or task in cell.cancels or task in cell.closed:
         return False
-    pause = cell.pauses.get(task)
+    pause = cell.backoffs.get(task)
     return pause is None or now >= pause.until
 
 
@@ -248,12 +248,12 @@
             free = add(free, other.size)
     if fits(record.size, free):
         for task in victims:
-            cell.ask_stop(task, StopReason.EVICT)
+            cell.request_stop(task, StopReason.EVICT)
 
 
 def move_tasks(state: ControlState, view: ClusterView) -> Decision[None]:
     """Move what has waited here too long to a cell that has room, or can ever hold it."""
-    if view.now < state.next_move:
+    if view.now < state.next_move_at:
         return
     shapes = {it.name: it for it in view.shapes}
     due = {
@@ -263,7 +263,7 @@
     }
     if not any(due.values()):
         return
-    state.next_move = view.now + MOVE_PERIOD
+    state.next_move_at = view.now + MOVE_PERIOD
     room = Room(state, shapes)
     for name, waiting in due.items():
         moves = list(islice(room.find_moves(name, waiting), MOVES_EACH_TRANSACTION))
@@ -331,8 +331,8 @@
                 yield RecordEvent("task.move", ids, target)
         case Result(tag="error", error=Conflict()):
             # A cancelled job or a row that is gone: read the whole queue anew.
-            cell.scanned = 0
+            cell.scanned_version = 0
         case _:
-            cell.scanned = 0
+            cell.scanned_version = 0
             cell.stale = True
             state.health.fail()
--- a/toucanpin/placement/polling.py
+++ b/toucanpin/placement/polling.py
@@ -14,7 +14,7 @@
 
 from toucanpin.bundles.schema import Bundle
 from toucanpin.placement.actions import Decision, PollAll, Read, RecordEvent, WorkerPoll
-from toucanpin.placement.cells import Cell, StopReason, WorkerLink, address_worker
+from toucanpin.placement.cells import Cell, StopReason, WorkerLink, worker_host
 from toucanpin.placement.lifecycle import name_checkpoint, name_result
 from toucanpin.placement.records import TaskRecord, payload_key
 from toucanpin.placement.state import ClusterView, ControlState
@@ -75,7 +75,7 @@
             grant = link.grant(until, state.terms)
             poll = Poll(cell.row.epoch, link.incarnation, grant.lease_until, orders)
             asked.append((cell, link, poll))
-            polls.append(WorkerPoll(address_worker(worker), poll))
+            polls.append(WorkerPoll(worker_host(worker), poll))
     if not polls:
         return
     answer = yield PollAll(tuple(polls))
@@ -147,12 +147,12 @@
     share = link.shares.get(key)
     # No report tells which share is in force.  A throttle whose poll got lost would be believed by
     # the policy for good, so it is repeated; a worker that has it already changes nothing.
-    if share is not None and (key in link.unsent or now >= link.next_poll):
-        link.unsent.discard(key)
+    if share is not None and (key in link.unsent_shares or now >= link.next_poll):
+        link.unsent_shares.discard(key)
         yield Throttle(record.task, record.attempt, share)
-    due = link.sampled.setdefault(record.task, now + state.options.checkpoint)
+    due = link.checkpoint_due.setdefault(record.task, now + state.options.checkpoint)
     if not record.standing and now >= due:
-        link.sampled[record.task] = now + state.options.checkpoint
+        link.checkpoint_due[record.task] = now + state.options.checkpoint
         name = name_checkpoint(record.task, record.attempt, state.next_sequence())
         yield Checkpoint(record.task, record.attempt, name)
 
@@ -185,7 +185,7 @@
 ) -> Decision[None]:
     """Take in a report; a refused poll says that we are not the owner or that the life is new."""
     if report.accepted:
-        link.take_report(report, now)
+        link.update_from_report(report, now)
         state.policy.observe(now, report, cell.tasks_on(link.name))
         return
     if report.epoch > poll.epoch:
@@ -195,5 +195,5 @@
             "worker.refused", {"host": link.name, "cell": cell.name}, f"{report.epoch}"
         )
         return
-    link.take_clock(report, now)
+    link.update_clock(report, now)
     link.next_poll = now
--- a/toucanpin/placement/reports.py
+++ b/toucanpin/placement/reports.py
@@ -66,7 +66,7 @@
     # arrive once the worker has a lease again, the task would run there and elsewhere: with the
     # higher epoch the worker refuses it from our next poll on, and before that it has no lease.
     epoch = cell.row.epoch + 1 if lost else None
-    unproven = cell.open_owners(state.watch, now)
+    unproven = cell.unproven_owners(state.watch, now)
     groups = list(split_changes(changes)) or [[]]
     for group in groups:
         written = yield from write_cell(cell, state.health, group, workers, epoch, unproven)
@@ -143,7 +143,7 @@
     ended = record.standing and reported.state in (TaskState.FAILED, TaskState.FINISHED)
     if refused or ended:
         options = state.options
-        cell.pause_task(record.task, now, options.restart_pause, options.max_restart_pause)
+        cell.back_off(record.task, now, options.restart_backoff, options.max_restart_backoff)
 
 
 def _reactivate(
@@ -303,6 +303,6 @@
         if waiting is not None:
             yield lifecycle.cancel(cell.name, task, version, waiting)
         elif task in cell.row.tasks:
-            cell.ask_stop(task, StopReason.CANCEL)
+            cell.request_stop(task, StopReason.CANCEL)
         else:
             yield lifecycle.cancel(cell.name, task, version, None)
--- a/toucanpin/placement/standing.py
+++ b/toucanpin/placement/standing.py
@@ -141,9 +141,9 @@
     """Have the running tasks stopped that the bundle removed or changed."""
     for record in cell.row.tasks.values():
         if is_removed(record, bundle):
-            cell.ask_stop(record.task, StopReason.REMOVE)
+            cell.request_stop(record.task, StopReason.REMOVE)
         elif _is_changed(record, wanted, bundle):
-            cell.ask_stop(record.task, StopReason.REPLACE)
+            cell.request_stop(record.task, StopReason.REPLACE)
 
 
 def _change_waiting(
--- a/toucanpin/placement/state.py
+++ b/toucanpin/placement/state.py
@@ -36,8 +36,8 @@
     move_after: float = 5.0
     reserve_after: float = 60.0
     quarantine: float = 600.0
-    restart_pause: float = 1.0
-    max_restart_pause: float = 60.0
+    restart_backoff: float = 1.0
+    max_restart_backoff: float = 60.0
     commits_each_turn: int = 8
     tries_each_turn: int = 256
 
@@ -111,12 +111,12 @@
     cells: dict[str, Cell] = field(default_factory=dict)
     stored: dict[str, StoredCell] = field(default_factory=dict)
     standing: dict[str, tuple[StandingRow, int]] = field(default_factory=dict)
-    lost: dict[str, tuple[int, float]] = field(default_factory=dict)
-    scanned: int = 0
+    lost_cells: dict[str, tuple[int, float]] = field(default_factory=dict)
+    scanned_version: int = 0
     sequence: int = 0
     last_reported_cell: str = ""
     last_placed_cell: str = ""
-    next_move: float = 0.0
+    next_move_at: float = 0.0
     next_lease_check: float = 0.0
     now: float = 0.0
     draining: bool = False
@@ -170,9 +170,9 @@
         controllers = view.alive_controllers()
         if self.in_grace_period(view.now):
             return controllers
-        return tuple(it for it in controllers if self._renews(it, view.now))
+        return tuple(it for it in controllers if self._is_renewing(it, view.now))
 
-    def _renews(self, controller: ControllerId, now: float) -> bool:
+    def _is_renewing(self, controller: ControllerId, now: float) -> bool:
         unchanged = self.watch.unchanged(controller, now)
         if unchanged is None or self.watch.is_over(controller):
             return False
@@ -180,4 +180,4 @@
 
     def ceded(self, now: float) -> dict[str, int]:
         """Return the cells that are lost and on which no own lease can be live."""
-        return {cell: epoch for cell, (epoch, ends) in self.lost.items() if now >= ends}
+        return {cell: epoch for cell, (epoch, ends) in self.lost_cells.items() if now >= ends}
--- a/toucanpin/placement/tests/test_authority.py
+++ b/toucanpin/placement/tests/test_authority.py
@@ -175,13 +175,13 @@
         """However late the poll arrives, the lease ends a term after the worker's own reading."""
         grant = compute_grant(1_000, 50.0, 90.0, TERMS)
         self.assertEqual(grant.lease_until, 6_000)
-        self.assertAlmostEqual(grant.ends, 55.1)
+        self.assertAlmostEqual(grant.latest_end, 55.1)
 
     def test_lease_never_outlives_authority(self):
         """By the slowest clock too, so a taker that waited needs no word from the worker."""
         grant = compute_grant(1_000, 50.0, 52.04, TERMS)
         self.assertLessEqual(grant.lease_until, 3_000)
-        self.assertLessEqual(grant.ends, 52.04)
+        self.assertLessEqual(grant.latest_end, 52.04)
         self.assertEqual(compute_grant(1_000, 50.0, 49.0, TERMS), NO_GRANT)
 
 
--- a/toucanpin/placement/tests/test_owners.py
+++ b/toucanpin/placement/tests/test_owners.py
@@ -259,7 +259,7 @@
         self.assertFalse(cell.has_stopped(name, "1", watch, world.now))
         self.assertTrue(cell.has_stopped(name, "1", watch, world.now + 5))
         link.incarnations["1"] = WorkerIncarnation(lease_end=0.0, reached=False)
-        cell.released_bound = world.now + 7
+        cell.released_leases_end = world.now + 7
         self.assertFalse(cell.has_stopped(name, "1", watch, world.now + 5))
         self.assertTrue(cell.has_stopped(name, "1", watch, world.now + 7))
 
--- a/toucanpin/placement/tracking.py
+++ b/toucanpin/placement/tracking.py
@@ -85,7 +85,7 @@
         """Return the worker as it will be once everything committed there has started."""
         return HostView(self.name, self.processors, self.services(), tuple(self.expected))
 
-    def take_report(
+    def update_from_report(
         self, now: float, report: Report, tasks: Sequence[TaskRecord], usage: KindUsage
     ) -> None:
         """Take in who runs and what it uses."""
--- a/toucanpin/placement/writing.py
+++ b/toucanpin/placement/writing.py
@@ -199,7 +199,7 @@
         cell.closed.discard(change.task)
         if change.queued is None:
             cell.payloads.pop(change.task, None)
-            cell.pauses.pop(change.task, None)
+            cell.backoffs.pop(change.task, None)
             cell.cancels.pop(change.task, None)
 
 
@@ -237,4 +237,4 @@
     if state is not JobState.ACCEPTED:
         cell.closed.add(task)
         if task in cell.row.tasks:
-            cell.ask_stop(task, StopReason.CANCEL)
+            cell.request_stop(task, StopReason.CANCEL)
