--- a/toucanpin/placement/authority.py
+++ b/toucanpin/placement/authority.py
@@ -32,7 +32,7 @@
     Write,
 )
 
-__all__ = ["Authority", "Seen", "Watch"]
+__all__ = ["Authority", "AuthorityWatch", "ObservedRow"]
 
 RETRIES_PER_TERM = 9
 
@@ -46,12 +46,12 @@
         self.terms = terms
         self.until = 0.0
         self.fenced = False
-        self.answered = False
+        self.table_answered = False
         self._version = ABSENT
         self._renewal = 0
-        self._renewed = 0.0
-        self._next = 0.0
-        self._rosters: frozenset[ControllerId] = frozenset()
+        self._renewed_at = 0.0
+        self._next_renewal = 0.0
+        self._possible_roster: frozenset[ControllerId] = frozenset()
 
     def holds(self, now: float) -> bool:
         """Tell whether leases may be granted."""
@@ -63,9 +63,9 @@
         """
         Renew the row when it is due; go on by standstill promises if the table is out.
 
-        Return whether the table was asked; ``answered`` then says whether it answered.
+        Return whether the table was asked; ``table_answered`` then says whether it answered.
         """
-        if now < self._next:
+        if now < self._next_renewal:
             return False
         self._renewal += 1
         row = AuthorityRow(self.controller_id, self._renewal, roster, ceded=ceded)
@@ -76,26 +76,26 @@
         write = Write(authority_key(self.controller_id), self._version, encode(row))
         # A write whose answer is lost may take effect, also later: until a renewal surely succeeds
         # the lives of every roster that may stand in the row have to promise.
-        self._rosters |= frozenset(roster)
+        self._possible_roster |= frozenset(roster)
         answer = yield Commit(Transaction(token, (write,)))
-        self.answered = True
+        self.table_answered = True
         match answer.value:
             case Result(tag="ok", ok=Committed(version)):
                 self._version = version
-                self._renewed = now
-                self._rosters = frozenset(roster)
+                self._renewed_at = now
+                self._possible_roster = frozenset(roster)
                 self.until = max(self.until, now + self.terms.authority)
                 self.fenced = False
-                self._next = now + self.terms.renew_every
+                self._next_renewal = now + self.terms.renew_every
             case Result(tag="error", error=Conflict(rows)):
-                yield from self._adopt(rows)
+                yield from self._adopt_own_row(rows)
             case Result(tag="error", error=Unavailable() | Unknown()):
-                self.answered = False
-                self._next = now + self.terms.authority / RETRIES_PER_TERM
-                yield from self._stand_still(answer.now)
+                self.table_answered = False
+                self._next_renewal = now + self.terms.authority / RETRIES_PER_TERM
+                yield from self._extend_by_promises(answer.now)
         return True
 
-    def _adopt(self, rows: tuple[Row, ...]) -> Decision[None]:
+    def _adopt_own_row(self, rows: tuple[Row, ...]) -> Decision[None]:
         """Learn what stands in our row: an own write whose answer was lost, or a fence."""
         for row in rows:
             self._version = row.version
@@ -111,10 +111,10 @@
                 self.until = 0.0
                 yield RecordEvent("authority.fenced", {}, self.controller_id.process)
 
-    def _stand_still(self, now: float) -> Decision[None]:
+    def _extend_by_promises(self, now: float) -> Decision[None]:
         """Go on for a term if every life that could fence us has promised not to."""
-        peers = tuple(sorted(self._rosters - {self.controller_id}))
-        limit = self._renewed + self.terms.max_authority
+        peers = tuple(sorted(self._possible_roster - {self.controller_id}))
+        limit = self._renewed_at + self.terms.max_authority
         if self.fenced or self._version == ABSENT or now >= self.until or now >= limit:
             return
         promised: frozenset[ControllerId] = frozenset()
@@ -138,7 +138,7 @@
 
 
 @dataclass(slots=True)
-class Seen:
+class ObservedRow:
     """Hold another life's row and since when (own clock, seconds) its version is unchanged."""
 
     row: AuthorityRow
@@ -146,7 +146,7 @@
     since: float
 
 
-class Watch:
+class AuthorityWatch:
     """
     Watch the rows of other lives, fence them, and promise not to.
 
@@ -158,9 +158,9 @@
         """Start without having seen any row."""
         self.controller_id = controller_id
         self.terms = terms
-        self.table_answers = False
+        self.table_reachable = False
         self.read_at = 0.0
-        self._seen: dict[ControllerId, Seen] = {}
+        self._observed: dict[ControllerId, ObservedRow] = {}
         self._promised: dict[ControllerId, float] = {}
         self._fencing: dict[ControllerId, int] = {}
 
@@ -168,94 +168,102 @@
         """Take in rows read at or before ``now``."""
         for row in rows:
             stored = decode(row.value, AuthorityRow)
-            seen = self._seen.get(stored.holder)
-            if seen is None or seen.version < row.version:
-                self._seen[stored.holder] = Seen(stored, row.version, now)
+            observed = self._observed.get(stored.holder)
+            if observed is None or observed.version < row.version:
+                self._observed[stored.holder] = ObservedRow(stored, row.version, now)
 
-    def unchanged(self, controller: ControllerId, now: float) -> float | None:
+    def unchanged_for(self, controller: ControllerId, now: float) -> float | None:
         """Return for how many seconds a life's row has stood unchanged, None if never seen."""
-        seen = self._seen.get(controller)
-        return None if seen is None else now - seen.since
+        observed = self._observed.get(controller)
+        return None if observed is None else now - observed.since
 
-    def is_over(self, controller: ControllerId) -> bool:
+    def has_no_authority(self, controller: ControllerId) -> bool:
         """Tell whether a life's row says that it grants nothing any more."""
-        seen = self._seen.get(controller)
-        return seen is not None and (seen.row.fenced or seen.row.released)
+        observed = self._observed.get(controller)
+        return observed is not None and (observed.row.fenced or observed.row.released)
 
     def has_ended(self, controller: ControllerId, cell: str, epoch: int, now: float) -> bool:
         """Tell whether a life can certainly not renew a lease of a cell at an epoch any more."""
-        seen = self._seen.get(controller)
-        if seen is None:
+        observed = self._observed.get(controller)
+        if observed is None:
             return False
-        if seen.row.fenced or seen.row.ceded.get(cell, 0) >= epoch:
+        if observed.row.fenced or observed.row.ceded.get(cell, 0) >= epoch:
             return True
-        if seen.row.released and now - seen.since >= self.terms.add_drift(self.terms.lease):
+        if observed.row.released and now - observed.since >= self.terms.add_drift(self.terms.lease):
             return True
         # The long hold bounds every chain of promises, so it needs no place on the roster.
-        return now - seen.since >= self.terms.add_drift(self.terms.max_authority)
+        return now - observed.since >= self.terms.add_drift(self.terms.max_authority)
 
     def may_fence(self, controller: ControllerId, now: float) -> bool:
         """Tell whether a life's authority has ended as far as this member of its roster knows."""
-        seen = self._seen.get(controller)
-        if seen is None or seen.row.fenced or self.controller_id not in seen.row.roster:
+        observed = self._observed.get(controller)
+        if observed is None or observed.row.fenced or self.controller_id not in observed.row.roster:
             return False
         if now < self._promised.get(controller, 0.0):
             return False
-        return now - seen.since >= self.terms.add_drift(self.terms.authority)
+        return now - observed.since >= self.terms.add_drift(self.terms.authority)
 
     def fence(self, controller: ControllerId, now: float) -> Decision[None]:
         """Mark a life's row as fenced if it still stands as it was seen."""
         if not self.may_fence(controller, now):
             return
-        seen = self._seen[controller]
+        observed = self._observed[controller]
         fenced = AuthorityRow(
-            controller, seen.row.renewal, seen.row.roster, fenced=True, ceded=seen.row.ceded
+            controller,
+            observed.row.renewal,
+            observed.row.roster,
+            fenced=True,
+            ceded=observed.row.ceded,
         )
         token = (
             f"{self.controller_id.process}/{self.controller_id.incarnation}/"
-            f"fence/{controller.process}/{seen.version}"
+            f"fence/{controller.process}/{observed.version}"
         )
-        write = Write(authority_key(controller), seen.version, encode(fenced))
+        write = Write(authority_key(controller), observed.version, encode(fenced))
         # A promise given while this write is under way, or after its answer was lost, would be
         # broken by the write: the mark stays until the row is seen at another version.
-        self._fencing[controller] = seen.version
+        self._fencing[controller] = observed.version
         answer = yield Commit(Transaction(token, (write,)))
         match answer.value:
             case Result(tag="ok", ok=Committed(version)):
-                self._seen[controller] = Seen(fenced, version, answer.now)
+                self._observed[controller] = ObservedRow(fenced, version, answer.now)
                 yield RecordEvent("authority.fence", {}, controller.process)
             case Result(tag="error", error=Conflict(rows)):
                 self.observe((row for row in rows if row.version != ABSENT), answer.now)
             case Result(tag="error", error=Unavailable()):
                 del self._fencing[controller]
 
-    def find_remains(
-        self, now: float, there: frozenset[ControllerId]
+    def find_expired(
+        self, now: float, present: frozenset[ControllerId]
     ) -> tuple[tuple[ControllerId, int], ...]:
         """Return the lives, with the versions of their rows, that are gone for good."""
         gone = (
-            (controller, seen) for controller, seen in self._seen.items() if controller not in there
+            (controller, observed)
+            for controller, observed in self._observed.items()
+            if controller not in present
         )
         return tuple(
-            (controller, seen.version) for controller, seen in gone if self._is_gone(seen, now)
+            (controller, observed.version)
+            for controller, observed in gone
+            if self._is_expired(observed, now)
         )
 
-    def _is_gone(self, seen: Seen, now: float) -> bool:
+    def _is_expired(self, observed: ObservedRow, now: float) -> bool:
         wait = self.terms.max_authority
-        if seen.row.fenced or seen.row.released:
+        if observed.row.fenced or observed.row.released:
             wait = self.terms.authority
-        return now - seen.since >= self.terms.add_drift(wait)
+        return now - observed.since >= self.terms.add_drift(wait)
 
     def forget(self, controller: ControllerId) -> None:
         """Drop a life whose row was deleted."""
-        self._seen.pop(controller, None)
+        self._observed.pop(controller, None)
         self._promised.pop(controller, None)
         self._fencing.pop(controller, None)
 
     def answer_standstill(self, holder: ControllerId, now: float) -> bool:
         """Promise not to fence a holder for one term, unless the table can be read here."""
-        seen = self._seen.get(holder)
-        if self.table_answers or self._is_fencing(holder) or (seen and seen.row.fenced):
+        observed = self._observed.get(holder)
+        if self.table_reachable or self._is_fencing(holder) or (observed and observed.row.fenced):
             return False
         until = now + self.terms.add_drift(self.terms.authority)
         self._promised[holder] = max(until, self._promised.get(holder, 0.0))
@@ -265,5 +273,5 @@
         version = self._fencing.get(holder)
         if version is None:
             return False
-        seen = self._seen.get(holder)
-        return seen is None or seen.version <= version
+        observed = self._observed.get(holder)
+        return observed is None or observed.version <= version
--- a/toucanpin/placement/cells.py
+++ b/toucanpin/placement/cells.py
@@ -11,7 +11,7 @@
 import enum
 from dataclasses import dataclass, field
 
-from toucanpin.placement.authority import Watch
+from toucanpin.placement.authority import AuthorityWatch
 from toucanpin.placement.leases import NO_GRANT, Grant, LeaseTerms, compute_grant
 from toucanpin.placement.queue import TaskQueue
 from toucanpin.placement.records import CellRow, ControllerId, TaskRecord, WorkerRow, cell_key
@@ -178,7 +178,7 @@
         incarnations = (it for link in self.links.values() for it in link.incarnations.values())
         return max((it.lease_end for it in incarnations), default=0.0)
 
-    def has_stopped(self, worker: str, incarnation: str, watch: Watch, now: float) -> bool:
+    def has_stopped(self, worker: str, incarnation: str, watch: AuthorityWatch, now: float) -> bool:
         """
         Tell whether a worker's incarnation certainly runs nothing any more.
 
@@ -190,13 +190,15 @@
             return False
         return state.reached or self.earlier_owners_ended(watch, now)
 
-    def earlier_owners_ended(self, watch: Watch, now: float) -> bool:
+    def earlier_owners_ended(self, watch: AuthorityWatch, now: float) -> bool:
         """Tell whether no earlier owner can renew a lease here."""
         if now < self.released_leases_end:
             return False
         return not self.unproven_owners(watch, now)
 
-    def unproven_owners(self, watch: Watch, now: float) -> tuple[tuple[ControllerId, int], ...]:
+    def unproven_owners(
+        self, watch: AuthorityWatch, now: float
+    ) -> tuple[tuple[ControllerId, int], ...]:
         """Return the earlier owners whose authority isn't proven to have ended."""
         return tuple(
             (controller, epoch)
--- a/toucanpin/placement/controller.py
+++ b/toucanpin/placement/controller.py
@@ -11,11 +11,11 @@
 from toucanpin.placement.actions import Decision
 from toucanpin.placement.lease_renewal import keep_leases
 from toucanpin.placement.ownership import (
-    collect_lives,
+    delete_expired_authority,
     hand_over_cells,
     lose_all_cells,
+    read_plan_rows,
     read_queues,
-    read_rows,
     release_cell,
     take_cells,
 )
@@ -39,10 +39,10 @@
     state.health.begin_turn(view.now)
     yield from renew_authority(state, view)
     if not state.health.down:
-        yield from read_rows(state)
+        yield from read_plan_rows(state)
         yield from fence_earlier_owners(state, view)
         yield from take_cells(state, view)
-        yield from collect_lives(state, view)
+        yield from delete_expired_authority(state, view)
         yield from hand_over_cells(state, view)
         yield from read_queues(state)
         yield from process_reports(state, view)
@@ -52,7 +52,7 @@
         yield from place_tasks(state, view)
         yield from move_tasks(state, view)
         yield from fetch_payloads(state, view)
-    state.watch.table_answers = not state.health.down
+    state.watch.table_reachable = not state.health.down
     yield from poll_workers(state, view)
 
 
@@ -62,7 +62,7 @@
         view.now, view.known_controllers(), state.ceded(view.now)
     )
     if asked:
-        if state.authority.answered:
+        if state.authority.table_answered:
             state.health.succeed(view.now)
         else:
             state.health.fail()
--- a/toucanpin/placement/leases.py
+++ b/toucanpin/placement/leases.py
@@ -2,7 +2,7 @@
 Leases of workers
 =================
 
-When a lease latest_end, on the worker's clock for the worker's guard and on the owner's clock for the
+When a lease ends, on the worker's clock for the worker's guard and on the owner's clock for the
 owner's proof.  Monotonic clocks run at rates that differ by ``drift`` at most and share no zero.
 """
 
--- a/toucanpin/placement/ownership.py
+++ b/toucanpin/placement/ownership.py
@@ -48,16 +48,16 @@
 )
 
 __all__ = [
-    "collect_lives",
+    "delete_expired_authority",
     "hand_over_cells",
     "read_queues",
-    "read_rows",
+    "read_plan_rows",
     "release_cell",
     "take_cells",
 ]
 
 
-def read_rows(state: ControlState) -> Decision[None]:
+def read_plan_rows(state: ControlState) -> Decision[None]:
     """
     Read what changed in the rows of authority, cells and standing tasks.
 
@@ -68,12 +68,12 @@
     authority = [row for row in rows if row.key.startswith(AUTHORITY_PREFIX)]
     state.watch.observe(authority, state.watch.read_at)
     for row in rows:
-        _take_row(state, row)
-    state.scanned_version = _newest(rows, state.scanned_version)
+        _store_row(state, row)
+    state.scanned_version = _newest_version(rows, state.scanned_version)
     yield from _refresh_cells(state)
 
 
-def _take_row(state: ControlState, row: Row) -> None:
+def _store_row(state: ControlState, row: Row) -> None:
     """Take in a cell's row or a standing task's."""
     if row.key.startswith(CELL_PREFIX):
         name = row.key.removeprefix(CELL_PREFIX)
@@ -98,7 +98,7 @@
             return ()
 
 
-def _newest(rows: tuple[Row, ...], before: int) -> int:
+def _newest_version(rows: tuple[Row, ...], before: int) -> int:
     return max((row.version for row in rows), default=before)
 
 
@@ -153,20 +153,20 @@
 def take_cells(state: ControlState, view: ClusterView) -> Decision[None]:
     """Take the cells that are ours by rendezvous and that nobody else is known to hold."""
     controllers = view.alive_controllers()
-    able = state.eligible_controllers(view)
+    eligible = state.eligible_controllers(view)
     listed = {shape.name for shape in view.shapes}
     used = {name for name, it in state.stored.items() if it.row.tasks or it.row.owner is not None}
     for name in sorted(listed | used):
-        if name in state.cells or state.preferred_owner(name, able) != state.controller_id:
+        if name in state.cells or state.preferred_owner(name, eligible) != state.controller_id:
             continue
         stored = state.stored.get(name)
-        if stored is not None and not _is_free(state, stored.row, controllers, view.now):
+        if stored is not None and not _may_take(state, stored.row, controllers, view.now):
             continue
         if state.health.may_commit() and state.authority.holds(view.now):
-            yield from _take(state, view, name, stored)
+            yield from _take_cell(state, view, name, stored)
 
 
-def _is_free(
+def _may_take(
     state: ControlState, row: CellRow, controllers: tuple[ControllerId, ...], now: float
 ) -> bool:
     """Tell whether a cell may be taken from its owner without disturbing a live one."""
@@ -175,17 +175,17 @@
         return True
     if state.in_grace_period(now):
         return False
-    unchanged = state.watch.unchanged(owner, now)
-    if unchanged is None:
+    unchanged_for = state.watch.unchanged_for(owner, now)
+    if unchanged_for is None:
         return False
-    if state.watch.is_over(owner):
+    if state.watch.has_no_authority(owner):
         return True
     if owner in controllers:
-        return unchanged >= state.terms.missed_renewal_after()
-    return unchanged >= state.terms.takeover_after
+        return unchanged_for >= state.terms.missed_renewal_after()
+    return unchanged_for >= state.terms.takeover_after
 
 
-def _take(
+def _take_cell(
     state: ControlState, view: ClusterView, name: str, stored: StoredCell | None
 ) -> Decision[None]:
     """Write ourselves into a cell's row as its owner, with a higher epoch."""
@@ -202,7 +202,7 @@
         epoch=before.epoch + 1,
         owner=state.controller_id,
         unproven=unproven,
-        workers={**before.workers, **list_workers(before, view, name)},
+        workers={**before.workers, **list_changed_workers(before, view, name)},
     )
     cell = Cell(name, row, ABSENT)
     version = stored.version if stored else ABSENT
@@ -228,7 +228,7 @@
             state.health.fail()
 
 
-def list_workers(row: CellRow, view: ClusterView, cell: str) -> dict[str, WorkerRow]:
+def list_changed_workers(row: CellRow, view: ClusterView, cell: str) -> dict[str, WorkerRow]:
     """Return the workers of a cell whose rows differ from the host list."""
     changed: dict[str, WorkerRow] = {}
     for host in view.workers_of_cells.get(cell, ()):
@@ -251,14 +251,14 @@
     return changed
 
 
-def collect_lives(state: ControlState, view: ClusterView) -> Decision[None]:
+def delete_expired_authority(state: ControlState, view: ClusterView) -> Decision[None]:
     """Delete the authority rows of lives that are gone and that no cell refers to."""
     rows = [stored.row for stored in state.stored.values()]
     used = {row.owner for row in rows} | {
         controller for row in rows for controller, _ in row.unproven
     }
-    there = frozenset(view.known_controllers()) | {state.controller_id}
-    for controller, version in state.watch.find_remains(view.now, there):
+    present = frozenset(view.known_controllers()) | {state.controller_id}
+    for controller, version in state.watch.find_expired(view.now, present):
         if controller in used or not state.health.may_commit():
             continue
         state.health.count()
@@ -285,7 +285,7 @@
         if known or state.health.down:
             return
         if rebuild:
-            _drop_vanished(cell, rows)
+            _drop_deleted(cell, rows)
         for row in rows:
             kind, _, task = row.key.removeprefix(prefix).partition("/")
             if kind == "task":
@@ -295,22 +295,22 @@
                     cell.payloads[task] = waiting.payload
             elif kind == "cancel":
                 cell.cancels[decode(row.value, CancelRow).task] = row.version
-        cell.scanned_version = _newest(rows, cell.scanned_version)
+        cell.scanned_version = _newest_version(rows, cell.scanned_version)
 
 
-def _drop_vanished(cell: Cell, rows: tuple[Row, ...]) -> None:
+def _drop_deleted(cell: Cell, rows: tuple[Row, ...]) -> None:
     """Forget the waiting tasks whose rows are gone."""
-    there = {row.key.rpartition("/")[2] for row in rows}
+    present = {row.key.rpartition("/")[2] for row in rows}
     for waiting in list(cell.queue.in_order()):
-        if waiting.record.task not in there:
+        if waiting.record.task not in present:
             cell.queue.drop(waiting.record.task)
 
 
 def hand_over_cells(state: ControlState, view: ClusterView) -> Decision[None]:
     """Release the cells that another live process should own for some time now."""
-    able = state.eligible_controllers(view)
+    eligible = state.eligible_controllers(view)
     for cell in list(state.cells.values()):
-        if state.preferred_owner(cell.name, able) == state.controller_id:
+        if state.preferred_owner(cell.name, eligible) == state.controller_id:
             cell.not_preferred_since = None
             continue
         if cell.not_preferred_since is None:
@@ -319,10 +319,10 @@
             yield from release_cell(state, cell)
     for name, stored in list(state.stored.items()):
         # The answer of an earlier release was lost and the row shows that it had no effect.
-        left = stored.row.owner == state.controller_id and name not in state.cells
+        unreleased = stored.row.owner == state.controller_id and name not in state.cells
         if (
-            left
-            and state.preferred_owner(name, able) != state.controller_id
+            unreleased
+            and state.preferred_owner(name, eligible) != state.controller_id
             and state.health.may_commit()
         ):
             yield from _write_release(state, name, stored)
--- a/toucanpin/placement/placing.py
+++ b/toucanpin/placement/placing.py
@@ -216,14 +216,14 @@
     Small tasks would otherwise fill every gap before it grows large enough, and a large task would
     wait for ever.  For an urgent task the least important work there is evicted.
     """
-    able = [
+    eligible = [
         name
         for name in cell.row.workers
         if index.free(name) is not None and fits(record.size, cell.row.workers[name].size)
     ]
-    if not able:
+    if not eligible:
         return
-    worker = max(able, key=lambda name: _room(index, name))
+    worker = max(eligible, key=lambda name: _room(index, name))
     free = index.free(worker)
     index.drop(worker)
     if record.urgent and free is not None:
--- a/toucanpin/placement/queue.py
+++ b/toucanpin/placement/queue.py
@@ -166,5 +166,5 @@
 
 def choose_cell(task: str, size: Size, shapes: Iterable[CellShape]) -> str | None:
     """Return the rendezvous cell among those that can ever hold a size, None if none can."""
-    able = (shape.name for shape in shapes if shape.can_hold(size))
-    return max(able, key=lambda name: rendezvous_weight(task, name), default=None)
+    eligible = (shape.name for shape in shapes if shape.can_hold(size))
+    return max(eligible, key=lambda name: rendezvous_weight(task, name), default=None)
--- a/toucanpin/placement/reports.py
+++ b/toucanpin/placement/reports.py
@@ -17,7 +17,7 @@
 from toucanpin.placement.actions import Decision, RecordEvent
 from toucanpin.placement.cells import Cell, StopReason, WorkerLink
 from toucanpin.placement.lifecycle import Change
-from toucanpin.placement.ownership import list_workers
+from toucanpin.placement.ownership import list_changed_workers
 from toucanpin.placement.records import TaskRecord, WorkerRow, WorkerState
 from toucanpin.placement.standing import is_removed, refresh_record
 from toucanpin.placement.state import ClusterView, ControlState
@@ -35,7 +35,7 @@
     for cell in state.cells_after(state.last_reported_cell):
         if cell.stale or not state.health.may_commit_reports():
             continue
-        workers = list_workers(cell.row, view, cell.name)
+        workers = list_changed_workers(cell.row, view, cell.name)
         lost = _find_lost(state, cell, view.now)
         changes: list[Change] = list(_apply_cancellations(cell))
         for worker in cell.row.workers.values():
--- a/toucanpin/placement/state.py
+++ b/toucanpin/placement/state.py
@@ -12,7 +12,7 @@
 
 from toucanpin.bundles.schema import Bundle
 from toucanpin.membership.member import Member, Standing
-from toucanpin.placement.authority import Authority, Watch
+from toucanpin.placement.authority import Authority, AuthorityWatch
 from toucanpin.placement.cells import Cell
 from toucanpin.placement.leases import LeaseTerms
 from toucanpin.placement.policy import Guarded, PlacementPolicy, TightestFit
@@ -121,13 +121,13 @@
     now: float = 0.0
     draining: bool = False
     authority: Authority = field(init=False)
-    watch: Watch = field(init=False)
+    watch: AuthorityWatch = field(init=False)
     health: TableHealth = field(init=False)
 
     def __post_init__(self) -> None:
         """Build the parts that depend on this life."""
         self.authority = Authority(self.controller_id, self.terms)
-        self.watch = Watch(self.controller_id, self.terms)
+        self.watch = AuthorityWatch(self.controller_id, self.terms)
         self.health = TableHealth(self.options.commits_each_turn)
         self.policy = Guarded(self.policy)
 
@@ -173,10 +173,10 @@
         return tuple(it for it in controllers if self._is_renewing(it, view.now))
 
     def _is_renewing(self, controller: ControllerId, now: float) -> bool:
-        unchanged = self.watch.unchanged(controller, now)
-        if unchanged is None or self.watch.is_over(controller):
+        unchanged_for = self.watch.unchanged_for(controller, now)
+        if unchanged_for is None or self.watch.has_no_authority(controller):
             return False
-        return unchanged < self.terms.missed_renewal_after()
+        return unchanged_for < self.terms.missed_renewal_after()
 
     def ceded(self, now: float) -> dict[str, int]:
         """Return the cells that are lost and on which no own lease can be live."""
--- a/toucanpin/placement/tests/test_authority.py
+++ b/toucanpin/placement/tests/test_authority.py
@@ -5,7 +5,7 @@
 from expression import Error, Ok
 
 from toucanpin.placement.actions import Answer, AskStandstill, Commit
-from toucanpin.placement.authority import Authority, Watch
+from toucanpin.placement.authority import Authority, AuthorityWatch
 from toucanpin.placement.leases import NO_GRANT, LeaseTerms, compute_grant
 from toucanpin.placement.records import AuthorityRow, ControllerId, authority_key, encode
 from toucanpin.platform.ports import Committed, Conflict, Row, Unavailable, Unknown
@@ -35,9 +35,9 @@
     return Row(authority_key(OWNER), version, encode(row))
 
 
-def watch_owner(**fields) -> Watch:
+def watch_owner(**fields) -> AuthorityWatch:
     """Return a peer's watch that saw the owner's row at instant 0."""
-    watch = Watch(PEER, TERMS)
+    watch = AuthorityWatch(PEER, TERMS)
     watch.observe([make_row(7, **fields)], 0.0)
     return watch
 
@@ -133,7 +133,7 @@
     def test_who_reads_the_table_promises_nothing(self):
         """A cut-off owner must give way if others can read the table."""
         watch = watch_owner()
-        watch.table_answers = True
+        watch.table_reachable = True
         self.assertFalse(watch.answer_standstill(OWNER, 1.0))
 
     def test_no_promise_while_a_fence_is_under_way_or_lost(self):
--- a/toucanpin/placement/tests/test_queue.py
+++ b/toucanpin/placement/tests/test_queue.py
@@ -49,11 +49,11 @@
             if name in plain and ledger.fits(Size(1, 1), plain[name]):
                 index.take(name, Size(1, 1))
                 plain[name] = ledger.subtract(plain[name], Size(1, 1))
-        able = [name for name, size in plain.items() if ledger.fits(wanted, size)]
+        eligible = [name for name, size in plain.items() if ledger.fits(wanted, size)]
         found = index.candidates(wanted, 1)
-        self.assertEqual(bool(found), bool(able))
+        self.assertEqual(bool(found), bool(eligible))
         if found:
-            tightest = min((plain[it].accelerators, plain[it].processors) for it in able)
+            tightest = min((plain[it].accelerators, plain[it].processors) for it in eligible)
             chosen = plain[found[0]]
             self.assertEqual((chosen.accelerators, chosen.processors), tightest)
 
