--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -65,7 +65,7 @@
     rng = Random(SEED)
     index = FreeCapacityIndex()
     for number in range(hosts):
-        index.put(f"w{number}", Size(rng.randrange(1, 65), rng.randrange(1_000, 250_000)))
+        index.set(f"w{number}", Size(rng.randrange(1, 65), rng.randrange(1_000, 250_000)))
     free = {f"w{number}": index.free(f"w{number}") for number in range(hosts)}
     wanted = [Size(rng.randrange(1, 9), rng.randrange(100, 8_000)) for _ in range(DECISIONS)]
     began = time.process_time()
@@ -79,8 +79,8 @@
     found = index.candidates(size, 1)
     if not found:
         return None
-    index.take(found[0], size)
-    index.give(found[0], size)
+    index.allocate(found[0], size)
+    index.release(found[0], size)
     return found[0]
 
 
--- a/toucanpin/placement/controller.py
+++ b/toucanpin/placement/controller.py
@@ -19,7 +19,7 @@
     release_cell,
     take_cells,
 )
-from toucanpin.placement.placing import drain_workers, follow_policy, move_tasks, place_tasks
+from toucanpin.placement.placing import apply_policy, drain_workers, move_tasks, place_tasks
 from toucanpin.placement.polling import fetch_payloads, poll_workers
 from toucanpin.placement.reports import process_reports
 from toucanpin.placement.standing import reconcile_standing
@@ -48,7 +48,7 @@
         yield from process_reports(state, view)
         yield from reconcile_standing(state, view)
         drain_workers(state, view)
-        yield from follow_policy(state, view)
+        yield from apply_policy(state, view)
         yield from place_tasks(state, view)
         yield from move_tasks(state, view)
         yield from fetch_payloads(state, view)
--- a/toucanpin/placement/ledger.py
+++ b/toucanpin/placement/ledger.py
@@ -19,15 +19,15 @@
 __all__ = [
     "FreeCapacityIndex",
     "add",
-    "check",
+    "check_capacity",
     "fits",
-    "smaller",
+    "minimum",
     "subtract",
     "used_by_team",
     "used_by_worker",
 ]
 
-NOTHING = Size(0, 0, 0)
+EMPTY_SIZE = Size(0, 0, 0)
 
 
 def add(left: Size, right: Size) -> Size:
@@ -48,7 +48,7 @@
     )
 
 
-def smaller(left: Size, right: Size) -> Size:
+def minimum(left: Size, right: Size) -> Size:
     """Return the lesser of each part of two sizes."""
     return Size(
         min(left.processors, right.processors),
@@ -70,7 +70,7 @@
     """Return what the tasks take on each worker."""
     used: dict[str, Size] = {}
     for task in tasks:
-        used[task.worker] = add(used.get(task.worker, NOTHING), task.size)
+        used[task.worker] = add(used.get(task.worker, EMPTY_SIZE), task.size)
     return used
 
 
@@ -78,11 +78,11 @@
     """Return what the tasks of each team take."""
     used: dict[str, Size] = {}
     for task in tasks:
-        used[task.team] = add(used.get(task.team, NOTHING), task.size)
+        used[task.team] = add(used.get(task.team, EMPTY_SIZE), task.size)
     return used
 
 
-def check(before: CellRow | None, after: CellRow) -> None:
+def check_capacity(before: CellRow | None, after: CellRow) -> None:
     """
     Raise LedgerError if a cell's new row commits a worker beyond its size.
 
@@ -94,7 +94,7 @@
         worker = after.workers.get(name)
         if worker is None:
             raise LedgerError(f"task committed to {name}, which is not in the cell")
-        grown = not fits(size, previous.get(name, NOTHING))
+        grown = not fits(size, previous.get(name, EMPTY_SIZE))
         if grown and not fits(size, worker.size):
             raise LedgerError(f"{name} would hold {size} of {worker.size}")
 
@@ -120,27 +120,27 @@
         """Return what is free on a worker, None if it may receive nothing."""
         return self._free.get(worker)
 
-    def put(self, worker: str, free: Size) -> None:
+    def set(self, worker: str, free: Size) -> None:
         """Set what is free on a worker."""
-        self.drop(worker)
+        self.remove(worker)
         self._free[worker] = free
         entries = self._lists.setdefault(free.accelerators, SortedList())
         entries.add((free.processors, free.memory, worker))
 
-    def drop(self, worker: str) -> None:
+    def remove(self, worker: str) -> None:
         """Take a worker out."""
         free = self._free.pop(worker, None)
         if free is not None:
             self._lists[free.accelerators].remove((free.processors, free.memory, worker))
 
-    def take(self, worker: str, size: Size) -> None:
+    def allocate(self, worker: str, size: Size) -> None:
         """Count a new commitment."""
-        self.put(worker, subtract(self._free[worker], size))
+        self.set(worker, subtract(self._free[worker], size))
 
-    def give(self, worker: str, size: Size) -> None:
+    def release(self, worker: str, size: Size) -> None:
         """Count a release."""
         if worker in self._free:
-            self.put(worker, add(self._free[worker], size))
+            self.set(worker, add(self._free[worker], size))
 
     def candidates(self, wanted: Size, limit: int, scan: int = 64) -> list[str]:
         """Return up to ``limit`` workers with room, after looking at ``scan`` at most."""
@@ -161,12 +161,12 @@
                 yield worker
 
     @classmethod
-    def of_cell(cls, row: CellRow, usable: Iterable[str]) -> FreeCapacityIndex:
+    def from_cell(cls, row: CellRow, usable: Iterable[str]) -> FreeCapacityIndex:
         """Build the index of a cell over the workers that may receive work now."""
         index = cls()
         used = used_by_worker(row.tasks.values())
         for name in usable:
             worker = row.workers[name]
             if worker.state is WorkerState.ACTIVE:
-                index.put(name, subtract(worker.size, used.get(name, NOTHING)))
+                index.set(name, subtract(worker.size, used.get(name, EMPTY_SIZE)))
         return index
--- a/toucanpin/placement/lifecycle.py
+++ b/toucanpin/placement/lifecycle.py
@@ -16,7 +16,7 @@
 
 import msgspec
 
-from toucanpin.placement.queue import Waiting
+from toucanpin.placement.queue import WaitingTask
 from toucanpin.placement.records import (
     JobRow,
     JobState,
@@ -76,7 +76,7 @@
     return f"checkpoint/{task}/{attempt}/{sequence}"
 
 
-def place(cell: str, waiting: Waiting, worker: str, incarnation: str) -> Change:
+def place(cell: str, waiting: WaitingTask, worker: str, incarnation: str) -> Change:
     """Commit a waiting task to a worker as its next attempt."""
     record = waiting.record
     placed = msgspec.structs.replace(
@@ -169,7 +169,7 @@
     return Change(kind, waiting.task, None, (write,), queued=waiting, detail=detail)
 
 
-def cancel(cell: str, task: str, cancel_version: int, waiting: Waiting | None) -> Change:
+def cancel(cell: str, task: str, cancel_version: int, waiting: WaitingTask | None) -> Change:
     """Drop the record of a cancelled job, which has stopped or waits."""
     writes: tuple[Write, ...] = (Write(cancel_key(cell, task), cancel_version, None),)
     if waiting is not None:
@@ -178,7 +178,7 @@
 
 
 def remove_standing(
-    cell: str, record: TaskRecord, row_version: int, bundle: int, waiting: Waiting | None
+    cell: str, record: TaskRecord, row_version: int, bundle: int, waiting: WaitingTask | None
 ) -> Change:
     """Drop a standing task that a newer bundle no longer names, once it has stopped."""
     task = record.task
@@ -189,7 +189,7 @@
     return Change("standing.remove", task, None, writes)
 
 
-def move(cell: str, waiting: Waiting, target: str, payload: bytes) -> tuple[Write, ...]:
+def move(cell: str, waiting: WaitingTask, target: str, payload: bytes) -> tuple[Write, ...]:
     """Return the writes that move a waiting task to another cell's queue."""
     record = waiting.record
     version = record.job_version or waiting.version
--- a/toucanpin/placement/placing.py
+++ b/toucanpin/placement/placing.py
@@ -17,18 +17,18 @@
 from toucanpin.placement.actions import Commit, Decision, RecordEvent
 from toucanpin.placement.cells import Cell, StopReason, WorkerLink
 from toucanpin.placement.ledger import (
-    NOTHING,
+    EMPTY_SIZE,
     FreeCapacityIndex,
     add,
     fits,
-    smaller,
+    minimum,
     subtract,
     used_by_team,
     used_by_worker,
 )
 from toucanpin.placement.lifecycle import Change
 from toucanpin.placement.policy import Evict, Limit, Remark
-from toucanpin.placement.queue import CellShape, Quotas, Waiting
+from toucanpin.placement.queue import CellShape, Quotas, WaitingTask
 from toucanpin.placement.records import TaskRecord, WorkerState
 from toucanpin.placement.state import ClusterView, ControlState
 from toucanpin.placement.writing import split_changes, write_cell
@@ -41,13 +41,13 @@
     Write,
 )
 
-__all__ = ["drain_workers", "follow_policy", "move_tasks", "place_tasks"]
+__all__ = ["drain_workers", "apply_policy", "move_tasks", "place_tasks"]
 
-CANDIDATES = 8
-MOVE_CANDIDATES = 32
-MOVE_PERIOD = 1.0
-ROWS_OF_MOVE = 3
-MOVES_EACH_TRANSACTION = MAX_TRANSACTION_ROWS // ROWS_OF_MOVE
+MAX_CANDIDATES = 8
+MAX_MOVE_CANDIDATES = 32
+MOVE_PERIOD_S = 1.0
+ROWS_PER_MOVE = 3
+MOVES_PER_TRANSACTION = MAX_TRANSACTION_ROWS // ROWS_PER_MOVE
 
 
 def drain_workers(state: ControlState, view: ClusterView) -> None:
@@ -63,7 +63,7 @@
                 cell.request_stop(record.task, StopReason.EVICT)
 
 
-def follow_policy(state: ControlState, view: ClusterView) -> Decision[None]:
+def apply_policy(state: ControlState, view: ClusterView) -> Decision[None]:
     """Take over what the policy wants done to running tasks."""
     owned = {name for cell in state.cells.values() for name in cell.row.workers}
     state.policy.prepare(view.now, view.bundle, owned)
@@ -75,26 +75,26 @@
                     cell.request_stop(task, StopReason.EVICT)
                 case Limit(task, share) if record is not None:
                     cell.link(record.worker).set_share(task, record.attempt, share)
-                    yield _remark(cell, "task.throttle", task, f"{share:g}")
+                    yield _make_event(cell, "task.throttle", task, f"{share:g}")
                 case Remark(kind, task, detail):
-                    yield _remark(cell, kind, task, detail)
+                    yield _make_event(cell, kind, task, detail)
 
 
-def _remark(cell: Cell, kind: str, task: str, detail: str) -> RecordEvent:
+def _make_event(cell: Cell, kind: str, task: str, detail: str) -> RecordEvent:
     ids = {"cell": cell.name}
     if task:
         ids["task"] = task
     return RecordEvent(kind, ids, detail)
 
 
-def count_teams(state: ControlState) -> dict[str, Size]:
+def count_team_usage(state: ControlState) -> dict[str, Size]:
     """Return what each team uses: here as committed, elsewhere as last read."""
     used: dict[str, Size] = {}
     rows = [cell.row for cell in state.cells.values()]
     rows.extend(it.row for name, it in state.stored.items() if name not in state.cells)
     for row in rows:
         for team, size in used_by_team(row.tasks.values()).items():
-            used[team] = add(used.get(team, NOTHING), size)
+            used[team] = add(used.get(team, EMPTY_SIZE), size)
     return used
 
 
@@ -103,11 +103,11 @@
     if not any(len(cell.queue) for cell in state.cells.values()):
         return
     teams = view.bundle.teams if view.bundle else ()
-    quotas = Quotas(teams, count_teams(state) if teams else {})
+    quotas = Quotas(teams, count_team_usage(state) if teams else {})
     for cell in sorted(state.cells_after(state.last_placed_cell), key=_has_no_urgent):
         if cell.stale or not len(cell.queue) or not state.health.may_commit():
             continue
-        changes = list(choose_places(state, cell, view, quotas))
+        changes = list(choose_placements(state, cell, view, quotas))
         for group in split_changes(changes):
             state.last_placed_cell = cell.name
             written = yield from write_cell(cell, state.health, group)
@@ -119,7 +119,7 @@
     return not cell.queue.has_urgent()
 
 
-def find_usable(state: ControlState, cell: Cell, view: ClusterView) -> list[str]:
+def find_usable_workers(state: ControlState, cell: Cell, view: ClusterView) -> list[str]:
     """
     Return the workers that may receive work now: listed, heard from, and under our lease.
 
@@ -145,25 +145,25 @@
     return bool(heard) and link.incarnation_state(link.incarnation).reached
 
 
-def choose_places(
+def choose_placements(
     state: ControlState, cell: Cell, view: ClusterView, quotas: Quotas
 ) -> Iterator[Change]:
     """Yield the placements that the free sizes and the quotas allow, in the queue's order."""
     if not state.authority.holds(view.now):
         return
-    usable = find_usable(state, cell, view)
-    index = FreeCapacityIndex.of_cell(cell.row, usable)
+    usable = find_usable_workers(state, cell, view)
+    index = FreeCapacityIndex.from_cell(cell.row, usable)
     _trim_to_reported(cell, usable, index)
     reserved = 0
     tries = 0
     for waiting in cell.queue.in_order():
         tries += 1
-        if not len(index) or tries > state.options.tries_each_turn:
+        if not len(index) or tries > state.options.tries_per_turn:
             return
         record = waiting.record
         if not _may_place(cell, waiting, view.now) or not quotas.allows(record.team, record.size):
             continue
-        found = _avoid_failed(record, index.candidates(record.size, CANDIDATES))
+        found = _avoid_failed(record, index.candidates(record.size, MAX_CANDIDATES))
         waited = view.now - waiting.since
         worker = state.policy.choose(record, found, cell.row, waited)
         if worker is None:
@@ -171,8 +171,8 @@
                 reserved += 1
                 _reserve(cell, record, index)
             continue
-        index.take(worker, record.size)
-        quotas.take(record.team, record.size)
+        index.allocate(worker, record.size)
+        quotas.allocate(record.team, record.size)
         yield lifecycle.place(cell.name, waiting, worker, cell.link(worker).incarnation)
 
 
@@ -187,11 +187,11 @@
         free = index.free(name)
         listed, reported = cell.row.workers[name].size, cell.link(name).size
         if free is not None and not fits(listed, reported):
-            missing = subtract(listed, smaller(listed, reported))
-            index.put(name, subtract(free, missing))
+            missing = subtract(listed, minimum(listed, reported))
+            index.set(name, subtract(free, missing))
 
 
-def _may_place(cell: Cell, waiting: Waiting, now: float) -> bool:
+def _may_place(cell: Cell, waiting: WaitingTask, now: float) -> bool:
     task = waiting.record.task
     if task in cell.row.tasks or task in cell.cancels or task in cell.closed:
         return False
@@ -205,7 +205,7 @@
     return others or workers
 
 
-def _wants_reserve(state: ControlState, waiting: Waiting, now: float) -> bool:
+def _wants_reserve(state: ControlState, waiting: WaitingTask, now: float) -> bool:
     return waiting.record.urgent or now - waiting.since >= state.options.reserve_after
 
 
@@ -223,15 +223,15 @@
     ]
     if not eligible:
         return
-    worker = max(eligible, key=lambda name: _room(index, name))
+    worker = max(eligible, key=lambda name: _free_key(index, name))
     free = index.free(worker)
-    index.drop(worker)
+    index.remove(worker)
     if record.urgent and free is not None:
         _evict_for(cell, record, worker, free)
 
 
-def _room(index: FreeCapacityIndex, name: str) -> tuple[int, int, int, str]:
-    free = index.free(name) or NOTHING
+def _free_key(index: FreeCapacityIndex, name: str) -> tuple[int, int, int, str]:
+    free = index.free(name) or EMPTY_SIZE
     return free.accelerators, free.processors, free.memory, name
 
 
@@ -263,28 +263,28 @@
     }
     if not any(due.values()):
         return
-    state.next_move_at = view.now + MOVE_PERIOD
-    room = Room(state, shapes)
+    state.next_move_at = view.now + MOVE_PERIOD_S
+    finder = MoveFinder(state, shapes)
     for name, waiting in due.items():
-        moves = list(islice(room.find_moves(name, waiting), MOVES_EACH_TRANSACTION))
+        moves = list(islice(finder.find_moves(name, waiting), MOVES_PER_TRANSACTION))
         if moves and state.health.may_commit():
             yield from _commit_moves(state, state.cells[name], moves)
 
 
 def _find_due(
     state: ControlState, cell: Cell, now: float, shape: CellShape | None
-) -> Iterator[Waiting]:
+) -> Iterator[WaitingTask]:
     """Yield the first waiting tasks that have waited long enough, or that can never run here."""
-    for waiting in islice(cell.queue.in_order(), state.options.tries_each_turn):
+    for waiting in islice(cell.queue.in_order(), state.options.tries_per_turn):
         if not _may_place(cell, waiting, now):
             continue
-        patience = state.options.move_after * 2**waiting.record.moves
+        delay = state.options.move_after * 2**waiting.record.moves
         never = shape is None or not shape.can_hold(waiting.record.size)
-        if never or now - waiting.since >= patience:
+        if never or now - waiting.since >= delay:
             yield waiting
 
 
-class Room:
+class MoveFinder:
     """Find room in the listed cells as their rows were last read."""
 
     def __init__(self, state: ControlState, shapes: dict[str, CellShape]) -> None:
@@ -300,21 +300,21 @@
             for name, worker in row.workers.items():
                 if worker.state is WorkerState.ACTIVE:
                     self._cells[name] = cell
-                    self._index.put(name, subtract(worker.size, used.get(name, NOTHING)))
+                    self._index.set(name, subtract(worker.size, used.get(name, EMPTY_SIZE)))
 
-    def find_moves(self, cell: str, due: list[Waiting]) -> Iterator[tuple[Waiting, str]]:
+    def find_moves(self, cell: str, due: list[WaitingTask]) -> Iterator[tuple[WaitingTask, str]]:
         """Yield the tasks for which another cell has room, and count the room as taken."""
         for waiting in due:
             size = waiting.record.size
-            found = self._index.candidates(size, MOVE_CANDIDATES)
+            found = self._index.candidates(size, MAX_MOVE_CANDIDATES)
             others = [it for it in found if self._cells[it] != cell]
             if others:
-                self._index.take(others[0], size)
+                self._index.allocate(others[0], size)
                 yield waiting, self._cells[others[0]]
 
 
 def _commit_moves(
-    state: ControlState, cell: Cell, moves: list[tuple[Waiting, str]]
+    state: ControlState, cell: Cell, moves: list[tuple[WaitingTask, str]]
 ) -> Decision[None]:
     writes: list[Write] = []
     for waiting, target in moves:
--- a/toucanpin/placement/queue.py
+++ b/toucanpin/placement/queue.py
@@ -14,7 +14,7 @@
 from sortedcontainers import SortedDict
 
 from toucanpin.bundles.schema import Team
-from toucanpin.placement.ledger import NOTHING, add, fits
+from toucanpin.placement.ledger import EMPTY_SIZE, add, fits
 from toucanpin.placement.records import TaskRecord
 from toucanpin.platform.ports import HostRole, ListedHost, Size
 
@@ -22,7 +22,7 @@
     "CellShape",
     "Quotas",
     "TaskQueue",
-    "Waiting",
+    "WaitingTask",
     "choose_cell",
     "cell_name",
     "rendezvous_weight",
@@ -30,11 +30,11 @@
 ]
 
 SECONDS_PER_PRIORITY = 60.0
-URGENT_IN_A_ROW = 7
+MAX_CONSECUTIVE_URGENT = 7
 
 
 @dataclass(frozen=True, slots=True)
-class Waiting:
+class WaitingTask:
     """Hold one waiting task; ``version`` is that of its queue row, ``since`` in seconds."""
 
     record: TaskRecord
@@ -52,7 +52,7 @@
 
     def __init__(self) -> None:
         """Start empty."""
-        self._entries: dict[str, Waiting] = {}
+        self._entries: dict[str, WaitingTask] = {}
         self._urgent: SortedDict = SortedDict()
         self._others: SortedDict = SortedDict()
 
@@ -64,7 +64,7 @@
         """Tell whether a task waits here."""
         return task in self._entries
 
-    def get(self, task: str) -> Waiting | None:
+    def get(self, task: str) -> WaitingTask | None:
         """Return a waiting task."""
         return self._entries.get(task)
 
@@ -74,7 +74,7 @@
         if known is not None:
             self.drop(record.task)
             since = min(since, known.since)
-        entry = Waiting(record, version, since)
+        entry = WaitingTask(record, version, since)
         self._entries[record.task] = entry
         self._lane(record)[self._key(entry)] = entry
 
@@ -88,13 +88,13 @@
         """Tell whether an urgent task waits."""
         return bool(self._urgent)
 
-    def in_order(self) -> Iterator[Waiting]:
+    def in_order(self) -> Iterator[WaitingTask]:
         """Yield the waiting tasks as they are to be tried; the queue may change meanwhile."""
         urgent = list(self._urgent.values())
         others = iter(list(self._others.values()))
         for position, entry in enumerate(urgent, start=1):
             yield entry
-            if position % URGENT_IN_A_ROW == 0 and (other := next(others, None)):
+            if position % MAX_CONSECUTIVE_URGENT == 0 and (other := next(others, None)):
                 yield other
         yield from others
 
@@ -102,7 +102,7 @@
         return self._urgent if record.urgent else self._others
 
     @staticmethod
-    def _key(entry: Waiting) -> tuple[float, int, str]:
+    def _key(entry: WaitingTask) -> tuple[float, int, str]:
         record = entry.record
         due = entry.since - record.priority * SECONDS_PER_PRIORITY
         return due, record.order or entry.version, record.task
@@ -126,11 +126,11 @@
         if not self._limits:
             return True
         limit = self._limits.get(team)
-        return limit is not None and fits(add(self._used.get(team, NOTHING), size), limit)
+        return limit is not None and fits(add(self._used.get(team, EMPTY_SIZE), size), limit)
 
-    def take(self, team: str, size: Size) -> None:
+    def allocate(self, team: str, size: Size) -> None:
         """Count a new commitment."""
-        self._used[team] = add(self._used.get(team, NOTHING), size)
+        self._used[team] = add(self._used.get(team, EMPTY_SIZE), size)
 
 
 @dataclass(frozen=True, slots=True)
--- a/toucanpin/placement/standing.py
+++ b/toucanpin/placement/standing.py
@@ -16,7 +16,7 @@
 from toucanpin.placement import lifecycle
 from toucanpin.placement.actions import Commit, Decision, RecordEvent
 from toucanpin.placement.cells import Cell, StopReason
-from toucanpin.placement.queue import Waiting, choose_cell
+from toucanpin.placement.queue import WaitingTask, choose_cell
 from toucanpin.placement.records import (
     QueueRow,
     StandingRow,
@@ -165,7 +165,7 @@
         yield from write_cell(cell, state.health, group)
 
 
-def _replace_waiting(cell: Cell, waiting: Waiting, bundle: Bundle) -> lifecycle.Change:
+def _replace_waiting(cell: Cell, waiting: WaitingTask, bundle: Bundle) -> lifecycle.Change:
     record = refresh_record(waiting.record, bundle)
     record = msgspec.structs.replace(record, job_version=record.job_version or waiting.version)
     write = Write(queue_key(cell.name, record.task), waiting.version, encode(QueueRow(record)))
--- a/toucanpin/placement/state.py
+++ b/toucanpin/placement/state.py
@@ -38,8 +38,8 @@
     quarantine: float = 600.0
     restart_backoff: float = 1.0
     max_restart_backoff: float = 60.0
-    commits_each_turn: int = 8
-    tries_each_turn: int = 256
+    commits_per_turn: int = 8
+    tries_per_turn: int = 256
 
 
 @dataclass(frozen=True)
@@ -128,7 +128,7 @@
         """Build the parts that depend on this life."""
         self.authority = Authority(self.controller_id, self.terms)
         self.watch = AuthorityWatch(self.controller_id, self.terms)
-        self.health = TableHealth(self.options.commits_each_turn)
+        self.health = TableHealth(self.options.commits_per_turn)
         self.policy = Guarded(self.policy)
 
     def cells_after(self, last: str) -> list[Cell]:
--- a/toucanpin/placement/tests/test_queue.py
+++ b/toucanpin/placement/tests/test_queue.py
@@ -43,11 +43,11 @@
         index = FreeCapacityIndex()
         plain = {str(number): size for number, size in enumerate(free)}
         for name, size in plain.items():
-            index.put(name, size)
+            index.set(name, size)
         for number in taken:
             name = str(number)
             if name in plain and ledger.fits(Size(1, 1), plain[name]):
-                index.take(name, Size(1, 1))
+                index.allocate(name, Size(1, 1))
                 plain[name] = ledger.subtract(plain[name], Size(1, 1))
         eligible = [name for name, size in plain.items() if ledger.fits(wanted, size)]
         found = index.candidates(wanted, 1)
@@ -62,18 +62,18 @@
         whole = Size(4, 4, 1)
         for size in (Size(5, 1), Size(1, 5), Size(1, 1, 2)):
             with self.subTest(size=size), self.assertRaises(LedgerError):
-                ledger.check(None, make_cell(whole, make_task("a", size=size, worker="w")))
+                ledger.check_capacity(None, make_cell(whole, make_task("a", size=size, worker="w")))
         with self.assertRaises(LedgerError):
-            ledger.check(None, make_cell(whole, make_task("a", worker="x")))
+            ledger.check_capacity(None, make_cell(whole, make_task("a", worker="x")))
 
     def test_worker_that_shrank_keeps_what_it_holds(self):
         """Its tasks may still end one by one, but nothing is added."""
         one = make_task("a", size=Size(3, 1), worker="w")
         two = make_task("b", size=Size(3, 1), worker="w")
         before = make_cell(Size(2, 2), one, two)
-        ledger.check(before, make_cell(Size(2, 2), one))
+        ledger.check_capacity(before, make_cell(Size(2, 2), one))
         with self.assertRaises(LedgerError):
-            ledger.check(make_cell(Size(2, 2), one), before)
+            ledger.check_capacity(make_cell(Size(2, 2), one), before)
 
 
 class QueueTest(unittest.TestCase):
@@ -105,7 +105,7 @@
         """A team that the bundle doesn't name may hold nothing."""
         quotas = Quotas([Team("t", 4, 100, 0)], {"t": Size(3, 10, 0)})
         self.assertTrue(quotas.allows("t", Size(1, 1)))
-        quotas.take("t", Size(1, 1))
+        quotas.allocate("t", Size(1, 1))
         self.assertFalse(quotas.allows("t", Size(1, 1)))
         self.assertFalse(quotas.allows("x", Size(1, 1)))
 
@@ -188,7 +188,7 @@
         world = World(racks=12, workers=1)
         world.run(3)
         process = world.processes["e0/control"]
-        process.state.options = ControlOptions(poll=0.1, commits_each_turn=2)
+        process.state.options = ControlOptions(poll=0.1, commits_per_turn=2)
         process.state.health.budget = 2
         for number in range(1_200):
             world.submit(str(number), work=100)
--- a/toucanpin/placement/writing.py
+++ b/toucanpin/placement/writing.py
@@ -131,7 +131,7 @@
     if cell.stale or not health.may_commit():
         return False
     after = _apply(cell.row, changes, workers, epoch, unproven)
-    ledger.check(cell.row, after)
+    ledger.check_capacity(cell.row, after)
     writes = [Write(cell.key, cell.version, encode(after))]
     for change in changes:
         writes.extend(change.writes)
