--- a/toucanpin/placement/controller.py
+++ b/toucanpin/placement/controller.py
@@ -9,7 +9,7 @@
 from __future__ import annotations
 
 from toucanpin.placement.actions import Decision
-from toucanpin.placement.lease_renewal import keep_leases
+from toucanpin.placement.lease_renewal import renew_leases_during
 from toucanpin.placement.ownership import (
     delete_expired_authority,
     hand_over_cells,
@@ -31,7 +31,7 @@
 def take_turn(state: ControlState, view: ClusterView) -> Decision[None]:
     """Take one turn; a turn that is cut short anywhere leaves nothing to repair."""
     state.now = view.now
-    yield from keep_leases(state, _take_steps(state, view))
+    yield from renew_leases_during(state, _take_steps(state, view))
 
 
 def _take_steps(state: ControlState, view: ClusterView) -> Decision[None]:
@@ -63,9 +63,9 @@
     )
     if asked:
         if state.authority.table_answered:
-            state.health.succeed(view.now)
+            state.health.record_success(view.now)
         else:
-            state.health.fail()
+            state.health.record_failure()
     if state.authority.fenced:
         yield from lose_all_cells(state)
 
--- a/toucanpin/placement/drains.py
+++ b/toucanpin/placement/drains.py
@@ -30,7 +30,7 @@
 
 DRAIN_PREFIX = "drain/"
 MAX_TRIES = 3
-RETRY_AFTER = 2.0
+RETRY_AFTER_S = 2.0
 
 
 class DrainRow(msgspec.Struct, frozen=True):
@@ -56,7 +56,7 @@
                     return Ok(uncertain)
             case Result(error=fault):
                 return Error(_refuse(fault.detail, uncertain))
-        write = _write(drain, row, wanted)
+        write = _make_write(drain, row, wanted)
         answer = yield Commit(Transaction(f"drain/{drain.host}/{drain.since}/{attempt}", (write,)))
         match answer.value:
             case Result(tag="ok", ok=Committed()):
@@ -79,7 +79,7 @@
     return tuple(decode(row.value, DrainRow) for row in rows)
 
 
-def _write(drain: DrainRow, row: Row | None, wanted: bool) -> Write:
+def _make_write(drain: DrainRow, row: Row | None, wanted: bool) -> Write:
     """Return the write that brings the row about or takes it away."""
     version = ABSENT if row is None else row.version
     return Write(DRAIN_PREFIX + drain.host, version, encode(drain) if wanted else None)
@@ -88,5 +88,5 @@
 def _refuse(detail: str, uncertain: bool) -> Refusal:
     """Refuse with what is certain."""
     if uncertain:
-        return Refusal(Verdict.MAY_HAVE_RUN, Reason.STORE_UNCERTAIN, detail, RETRY_AFTER)
-    return Refusal(Verdict.NOT_RUN, Reason.STORE_UNAVAILABLE, detail, RETRY_AFTER)
+        return Refusal(Verdict.MAY_HAVE_RUN, Reason.STORE_UNCERTAIN, detail, RETRY_AFTER_S)
+    return Refusal(Verdict.NOT_RUN, Reason.STORE_UNAVAILABLE, detail, RETRY_AFTER_S)
--- a/toucanpin/placement/interference_aware.py
+++ b/toucanpin/placement/interference_aware.py
@@ -23,9 +23,9 @@
     Tuning,
 )
 from toucanpin.interference import Evict as Move
-from toucanpin.placement.policy import Act, Evict, Limit
+from toucanpin.placement.policy import Evict, Limit, PolicyAction
 from toucanpin.placement.records import CellRow, TaskRecord
-from toucanpin.placement.tracking import HostNotes
+from toucanpin.placement.tracking import HostTracker
 from toucanpin.platform.ports import Report
 
 __all__ = ["InterferenceAwarePolicy"]
@@ -42,7 +42,7 @@
         self._tuning = tuning or Tuning()
         self._learner = InterferencePolicy(Weights(), budget=budget, tuning=self._tuning)
         self._usage = KindUsage()
-        self._hosts: dict[str, HostNotes] = {}
+        self._hosts: dict[str, HostTracker] = {}
         self._summaries: dict[str, Summary] = {}
         self._now = 0.0
 
@@ -63,12 +63,12 @@
         if not workers:
             return None
         candidate = Candidate(task.kind, self._estimate(task))
-        welcome = [it for it in workers if not self._is_avoided(it)]
+        preferred = [it for it in workers if not self._is_avoided(it)]
         # Standing and urgent tasks never wait, and no other waits for ever.
         waits = not (task.standing or task.urgent or waited >= self._tuning.max_wait)
-        if waits and not welcome:
+        if waits and not preferred:
             return None
-        allowed = welcome or workers
+        allowed = preferred or workers
         if not any(self._is_measured(it) for it in allowed):
             return allowed[0]
         scores = {it: self._score(it, candidate) for it in allowed}
@@ -76,57 +76,57 @@
         harmful = self._is_measured(best) and not self._learner.accepts(scores[best], waited)
         if waits and harmful:
             return None
-        self._expect(best, task, candidate)
+        self._add_expected(best, task, candidate)
         return best
 
     def observe(self, now: float, report: Report, tasks: Sequence[TaskRecord]) -> None:
         """Learn from a report who was there, what they used and what services measured."""
-        notes = self._hosts.get(report.worker)
-        if notes is None:
-            notes = self._hosts[report.worker] = HostNotes(report.worker)
-        notes.update_from_report(now, report, tasks, self._usage)
-        samples = list(notes.take_samples(now, report))
-        notes.measured = notes.measured or bool(samples)
-        view = notes.view()
+        tracker = self._hosts.get(report.worker)
+        if tracker is None:
+            tracker = self._hosts[report.worker] = HostTracker(report.worker)
+        tracker.update_from_report(now, report, tasks, self._usage)
+        samples = list(tracker.take_new_samples(now, report))
+        tracker.measured = tracker.measured or bool(samples)
+        view = tracker.view()
         self._learner.observe(now, view)
         self._learner.measure(now, view, samples)
         self._summaries.pop(report.worker, None)
 
-    def act(self, now: float, cell: CellRow) -> tuple[Act, ...]:
+    def act(self, now: float, cell: CellRow) -> tuple[PolicyAction, ...]:
         """Return what follows from the reports that came since it was last asked."""
-        acts: list[Act] = []
+        acts: list[PolicyAction] = []
         for name in cell.workers:
-            notes = self._hosts.get(name)
-            if notes is not None and notes.changed:
-                notes.changed = False
-                acts.extend(self._act_on(now, notes))
+            tracker = self._hosts.get(name)
+            if tracker is not None and tracker.changed:
+                tracker.changed = False
+                acts.extend(self._act_on(now, tracker))
         return tuple(acts)
 
-    def _act_on(self, now: float, notes: HostNotes) -> Iterator[Act]:
+    def _act_on(self, now: float, tracker: HostTracker) -> Iterator[PolicyAction]:
         """Yield the acts on one host."""
-        yield from (Limit(task, 1.0) for task in notes.returned)
-        yield from notes.remarks
-        notes.returned, notes.remarks = [], []
+        yield from (Limit(task, 1.0) for task in tracker.unthrottled)
+        yield from tracker.pending_events
+        tracker.unthrottled, tracker.pending_events = [], []
         # Without a new sample nothing new is known, and deciding is half of a report's cost.
-        actions = list(self._learner.decide(now, notes.view())) if notes.measured else []
-        notes.measured = False
+        actions = list(self._learner.decide(now, tracker.view())) if tracker.measured else []
+        tracker.measured = False
         for action in actions:
             match action:
                 case Avoid(_, until):
-                    notes.avoided_until = until
+                    tracker.avoided_until = until
                 case SetShare(task, share):
-                    yield from self._limit(now, notes, task, share)
+                    yield from self._limit(now, tracker, task, share)
                 case Move(task):
                     yield Evict(task)
-        for it in notes.residents:
+        for it in tracker.residents:
             if it.batch:
-                yield from self._limit(now, notes, it.task)
+                yield from self._limit(now, tracker, it.task)
 
     def _limit(
-        self, now: float, notes: HostNotes, task: str, share: float | None = None
+        self, now: float, tracker: HostTracker, task: str, share: float | None = None
     ) -> Iterator[Limit]:
         """Yield the share of a task, at most its ceiling, if it isn't in force yet."""
-        known = notes.attempts.get(task)
+        known = tracker.attempts.get(task)
         if known is None:
             return
         known.wanted = known.wanted if share is None else share
@@ -141,30 +141,30 @@
 
     def _is_avoided(self, worker: str) -> bool:
         """Tell whether nothing more is placed on a host for a while."""
-        notes = self._hosts.get(worker)
-        return notes is not None and self._now < notes.avoided_until
+        tracker = self._hosts.get(worker)
+        return tracker is not None and self._now < tracker.avoided_until
 
     def _is_measured(self, worker: str) -> bool:
         """Tell whether services were measured on a host not long ago."""
-        notes = self._hosts.get(worker)
-        return notes is not None and bool(notes.services())
+        tracker = self._hosts.get(worker)
+        return tracker is not None and bool(tracker.services())
 
     def _score(self, worker: str, candidate: Candidate) -> float:
         """Return what a task adds to the cost of a host."""
-        notes = self._hosts.get(worker)
-        if notes is None or not notes.services():
-            size = notes.processors if notes is not None else candidate.processors
+        tracker = self._hosts.get(worker)
+        if tracker is None or not tracker.services():
+            size = tracker.processors if tracker is not None else candidate.processors
             return -self._learner.weights.throughput * candidate.processors / max(1.0, size)
         if worker not in self._summaries:
-            self._summaries[worker] = self._learner.summarize(notes.expect())
+            self._summaries[worker] = self._learner.summarize(tracker.expected_view())
         return self._learner.score_summary(self._summaries[worker], candidate)
 
-    def _expect(self, worker: str, task: TaskRecord, candidate: Candidate) -> None:
+    def _add_expected(self, worker: str, task: TaskRecord, candidate: Candidate) -> None:
         """Count a chosen task at once, so that a whole turn's tasks don't crowd on one host."""
-        notes = self._hosts.get(worker)
-        if notes is None:
+        tracker = self._hosts.get(worker)
+        if tracker is None:
             return
         processors = candidate.processors
         batch = not task.standing
-        notes.expected.append(Resident(task.task, task.task, task.kind, processors, batch=batch))
+        tracker.expected.append(Resident(task.task, task.task, task.kind, processors, batch=batch))
         self._summaries.pop(worker, None)
--- a/toucanpin/placement/jobs.py
+++ b/toucanpin/placement/jobs.py
@@ -52,7 +52,7 @@
     "show_job",
 ]
 
-RETRY_AFTER = 2.0
+RETRY_AFTER_S = 2.0
 MAX_TRIES = 3
 
 
@@ -133,7 +133,7 @@
             return Error(refuse(Reason.NOT_FOUND, f"there is no job {job}"))
         case _:
             detail = answer.value.error.detail
-            return Error(refuse(Reason.STORE_UNAVAILABLE, detail, RETRY_AFTER))
+            return Error(refuse(Reason.STORE_UNAVAILABLE, detail, RETRY_AFTER_S))
 
 
 def read_status(job: str) -> Decision[Result[JobStatus, Refusal]]:
@@ -162,8 +162,8 @@
     answer = yield Scan(JOB_PREFIX)
     if answer.value.is_error():
         detail = answer.value.error.detail
-        return Error(refuse(Reason.STORE_UNAVAILABLE, detail, RETRY_AFTER))
-    jobs = sorted((decode(it.value, JobRow) for it in answer.value.ok), key=_submitted)
+        return Error(refuse(Reason.STORE_UNAVAILABLE, detail, RETRY_AFTER_S))
+    jobs = sorted((decode(it.value, JobRow) for it in answer.value.ok), key=_submission_time)
     shown = (show_job(job, cells.get(job.cell)) for job in jobs)
     return Ok(tuple([it for it in shown if wanted.matches(it)][-wanted.limit :]))
 
@@ -175,7 +175,7 @@
         answer = yield Scan(prefix)
         if answer.value.is_error():
             detail = answer.value.error.detail
-            return Error(refuse(Reason.STORE_UNAVAILABLE, detail, RETRY_AFTER))
+            return Error(refuse(Reason.STORE_UNAVAILABLE, detail, RETRY_AFTER_S))
         rows.append(answer.value.ok)
     committed = {
         task: record
@@ -193,7 +193,7 @@
     return StandingStatus(row.task, "running", row.cell, record.worker, record.attempt)
 
 
-def _submitted(job: JobRow) -> float:
+def _submission_time(job: JobRow) -> float:
     return job.record.submitted
 
 
@@ -223,16 +223,16 @@
                 return Ok(show_job(cancelled, None))
             case Result(tag="error", error=Unavailable(detail)):
                 if not uncertain:
-                    return Error(refuse(Reason.STORE_UNAVAILABLE, detail, RETRY_AFTER))
+                    return Error(refuse(Reason.STORE_UNAVAILABLE, detail, RETRY_AFTER_S))
             case Result(tag="error", error=Conflict()):
                 continue
             case _:
                 uncertain = True
     if uncertain:
         return Error(_may_have_cancelled())
-    return Error(refuse(Reason.CONFLICT, "the job moves between cells: repeat", RETRY_AFTER))
+    return Error(refuse(Reason.CONFLICT, "the job moves between cells: repeat", RETRY_AFTER_S))
 
 
 def _may_have_cancelled() -> Refusal:
     detail = "the job may have been cancelled: read its status"
-    return Refusal(Verdict.MAY_HAVE_RUN, Reason.STORE_UNCERTAIN, detail, RETRY_AFTER)
+    return Refusal(Verdict.MAY_HAVE_RUN, Reason.STORE_UNCERTAIN, detail, RETRY_AFTER_S)
--- a/toucanpin/placement/lease_renewal.py
+++ b/toucanpin/placement/lease_renewal.py
@@ -17,14 +17,14 @@
 from toucanpin.placement.state import ControlState
 from toucanpin.platform.ports import Poll, Report
 
-__all__ = ["keep_leases"]
+__all__ = ["renew_leases_during"]
 
 T = TypeVar("T")
 
-CHECK_SHARE = 0.25
+LEASE_CHECK_FRACTION = 0.25
 
 
-def keep_leases(state: ControlState, decision: Decision[T]) -> Decision[T]:
+def renew_leases_during(state: ControlState, decision: Decision[T]) -> Decision[T]:
     """
     Run a decision and renew each lease that is due after every one of its steps.
 
@@ -49,7 +49,7 @@
     """Renew the leases whose workers were not polled for longer than the pace of polls."""
     if state.now < state.next_lease_check:
         return
-    state.next_lease_check = state.now + CHECK_SHARE * state.options.poll
+    state.next_lease_check = state.now + LEASE_CHECK_FRACTION * state.options.poll
     due = tuple(_find_due(state))
     if not due:
         return
@@ -59,11 +59,11 @@
     for (cell, link), asked, outcome in zip(due, polls, answer.value, strict=True):
         match outcome:
             case Result(tag="ok", ok=Report() as report):
-                _take_clock(cell, link, asked.poll, report, answer.now)
-                _learn_samples(state, cell, link, report, answer.now)
+                _update_clock(cell, link, asked.poll, report, answer.now)
+                _observe_samples(state, cell, link, report, answer.now)
 
 
-def _learn_samples(
+def _observe_samples(
     state: ControlState, cell: Cell, link: WorkerLink, report: Report, now: float
 ) -> None:
     """Let the policy have the samples, which no later report repeats."""
@@ -93,7 +93,7 @@
     return WorkerPoll(worker_host(cell.row.workers[link.name]), poll)
 
 
-def _take_clock(cell: Cell, link: WorkerLink, poll: Poll, report: Report, now: float) -> None:
+def _update_clock(cell: Cell, link: WorkerLink, poll: Poll, report: Report, now: float) -> None:
     """
     Take in the worker's clock, on which the next grant is based, and nothing else.
 
--- a/toucanpin/placement/leases.py
+++ b/toucanpin/placement/leases.py
@@ -12,9 +12,9 @@
 
 __all__ = ["Grant", "LeaseTerms", "compute_grant"]
 
-MILLISECONDS = 1000
+MS_PER_S = 1000
 RENEWALS_PER_TERM = 5
-RENEWAL_SLACK = 1.2
+RENEWAL_SLACK_S = 1.2
 
 
 @dataclass(frozen=True, slots=True)
@@ -44,7 +44,7 @@
         A live owner's row stands for a whole period of its renewals.  A shorter wait took cells
         from owners that were alive but not heard, which took them back at once, again and again.
         """
-        return self.renew_every + RENEWAL_SLACK
+        return self.renew_every + RENEWAL_SLACK_S
 
     def add_drift(self, seconds: float) -> float:
         """Return how long to wait here until ``seconds`` have surely passed on another clock."""
@@ -87,5 +87,5 @@
     length = min(terms.lease, terms.subtract_drift(authority_until - received))
     if length <= 0:
         return NO_GRANT
-    whole = int(length * MILLISECONDS)
-    return Grant(clock + whole, received + terms.add_drift(whole / MILLISECONDS))
+    whole = int(length * MS_PER_S)
+    return Grant(clock + whole, received + terms.add_drift(whole / MS_PER_S))
--- a/toucanpin/placement/lifecycle.py
+++ b/toucanpin/placement/lifecycle.py
@@ -35,9 +35,9 @@
     "Change",
     "cancel",
     "fail",
-    "lose",
+    "requeue_lost",
     "finish",
-    "keep",
+    "accept_checkpoint",
     "move",
     "name_checkpoint",
     "name_result",
@@ -91,7 +91,7 @@
     return Change("task.place", record.task, placed, (delete,), detail=worker)
 
 
-def keep(record: TaskRecord, checkpoint: str) -> Change:
+def accept_checkpoint(record: TaskRecord, checkpoint: str) -> Change:
     """Accept a newer checkpoint of a running attempt."""
     newer = msgspec.structs.replace(record, checkpoint=checkpoint, lost=0)
     return Change("task.checkpoint", record.task, newer, detail=checkpoint)
@@ -117,7 +117,7 @@
     return _wait(kind, cell, waiting, record.worker)
 
 
-def lose(cell: str, record: TaskRecord, checkpoint: str, max_attempts: int) -> Change:
+def requeue_lost(cell: str, record: TaskRecord, checkpoint: str, max_attempts: int) -> Change:
     """
     Let an attempt that was lost with its worker wait again, and end the job after too many of them.
 
--- a/toucanpin/placement/ownership.py
+++ b/toucanpin/placement/ownership.py
@@ -91,10 +91,10 @@
     match answer.value:
         case Result(tag="ok", ok=rows):
             state.watch.read_at = answer.now
-            state.health.succeed(answer.now)
+            state.health.record_success(answer.now)
             return tuple(rows)
         case _:
-            state.health.fail()
+            state.health.record_failure()
             return ()
 
 
@@ -115,7 +115,7 @@
                     read = StoredCell(decode(row.value, CellRow), row.version)
                     yield from _adopt_row(state, cell, read)
                 case Result(tag="error"):
-                    state.health.fail()
+                    state.health.record_failure()
 
 
 def _adopt_row(state: ControlState, cell: Cell, stored: StoredCell) -> Decision[None]:
@@ -210,7 +210,7 @@
         f"{name}/{row.epoch}/take/"
         f"{state.controller_id.process}/{state.controller_id.incarnation}"
     )
-    state.health.count()
+    state.health.count_commit()
     answer = yield Commit(Transaction(token, (Write(cell.key, version, encode(row)),)))
     match answer.value:
         case Result(tag="ok", ok=Committed(committed)):
@@ -225,7 +225,7 @@
                 if found.version != ABSENT:
                     state.stored[name] = StoredCell(decode(found.value, CellRow), found.version)
         case Result(tag="error", error=Unavailable() | Unknown()):
-            state.health.fail()
+            state.health.record_failure()
 
 
 def list_changed_workers(row: CellRow, view: ClusterView, cell: str) -> dict[str, WorkerRow]:
@@ -261,7 +261,7 @@
     for controller, version in state.watch.find_expired(view.now, present):
         if controller in used or not state.health.may_commit():
             continue
-        state.health.count()
+        state.health.count_commit()
         write = Write(authority_key(controller), version, None)
         token = (
             f"{state.controller_id.process}/{state.controller_id.incarnation}/"
@@ -272,7 +272,7 @@
             case Result(tag="ok") | Result(tag="error", error=Conflict()):
                 state.watch.forget(controller)
             case _:
-                state.health.fail()
+                state.health.record_failure()
 
 
 def read_queues(state: ControlState) -> Decision[None]:
@@ -280,9 +280,9 @@
     for cell in state.cells.values():
         prefix = queue_prefix(cell.name)
         rebuild = cell.scanned_version == 0
-        known = state.health.down
+        was_down = state.health.down
         rows = yield from _scan(state, prefix, cell.scanned_version)
-        if known or state.health.down:
+        if was_down or state.health.down:
             return
         if rebuild:
             _drop_deleted(cell, rows)
@@ -351,14 +351,14 @@
     row = msgspec.structs.replace(stored.row, owner=None)
     token = f"{name}/{row.epoch}/release"
     write = Write(cell_key(name), stored.version, encode(row))
-    state.health.count()
+    state.health.count_commit()
     answer = yield Commit(Transaction(token, (write,)))
     match answer.value:
         case Result(tag="ok", ok=Committed(version)):
             state.stored[name] = StoredCell(row, version)
         case Result(tag="error", error=Unavailable()):
-            state.health.fail()
+            state.health.record_failure()
             return True
         case Result(tag="error", error=Unknown()):
-            state.health.fail()
+            state.health.record_failure()
     return False
--- a/toucanpin/placement/placing.py
+++ b/toucanpin/placement/placing.py
@@ -27,7 +27,7 @@
     used_by_worker,
 )
 from toucanpin.placement.lifecycle import Change
-from toucanpin.placement.policy import Evict, Limit, Remark
+from toucanpin.placement.policy import Evict, Limit, PolicyEvent
 from toucanpin.placement.queue import CellShape, Quotas, WaitingTask
 from toucanpin.placement.records import TaskRecord, WorkerState
 from toucanpin.placement.state import ClusterView, ControlState
@@ -41,7 +41,7 @@
     Write,
 )
 
-__all__ = ["drain_workers", "apply_policy", "move_tasks", "place_tasks"]
+__all__ = ["apply_policy", "drain_workers", "move_tasks", "place_tasks"]
 
 MAX_CANDIDATES = 8
 MAX_MOVE_CANDIDATES = 32
@@ -76,7 +76,7 @@
                 case Limit(task, share) if record is not None:
                     cell.link(record.worker).set_share(task, record.attempt, share)
                     yield _make_event(cell, "task.throttle", task, f"{share:g}")
-                case Remark(kind, task, detail):
+                case PolicyEvent(kind, task, detail):
                     yield _make_event(cell, kind, task, detail)
 
 
@@ -321,7 +321,7 @@
         payload = cell.payloads.get(waiting.record.task, b"")
         writes.extend(lifecycle.move(cell.name, waiting, target, payload))
     token = f"{cell.name}/move/{state.controller_id.process}/{state.next_sequence()}"
-    state.health.count()
+    state.health.count_commit()
     answer = yield Commit(Transaction(token, tuple(writes)))
     match answer.value:
         case Result(tag="ok", ok=Committed()):
@@ -335,4 +335,4 @@
         case _:
             cell.scanned_version = 0
             cell.stale = True
-            state.health.fail()
+            state.health.record_failure()
--- a/toucanpin/placement/policy.py
+++ b/toucanpin/placement/policy.py
@@ -16,7 +16,15 @@
 from toucanpin.placement.records import CellRow, TaskRecord
 from toucanpin.platform.ports import Report
 
-__all__ = ["Act", "Evict", "Guarded", "Limit", "PlacementPolicy", "Remark", "TightestFit"]
+__all__ = [
+    "PolicyAction",
+    "Evict",
+    "GuardedPolicy",
+    "Limit",
+    "PlacementPolicy",
+    "PolicyEvent",
+    "BestFitPolicy",
+]
 
 
 @dataclass(frozen=True, slots=True)
@@ -35,7 +43,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Remark:
+class PolicyEvent:
     """Put on the time line what was noticed, of a task if it is named."""
 
     kind: str
@@ -43,7 +51,7 @@
     detail: str
 
 
-Act = Evict | Limit | Remark
+PolicyAction = Evict | Limit | PolicyEvent
 
 
 class PlacementPolicy(Protocol):
@@ -63,12 +71,12 @@
         """Take in a report of a worker and the tasks committed there."""
         ...
 
-    def act(self, now: float, cell: CellRow) -> tuple[Act, ...]:
+    def act(self, now: float, cell: CellRow) -> tuple[PolicyAction, ...]:
         """Return what to do to running tasks of a cell now."""
         ...
 
 
-class TightestFit:
+class BestFitPolicy:
     """Choose the worker with the least room, and never act."""
 
     def prepare(self, now: float, bundle: Bundle | None, workers: Collection[str]) -> None:
@@ -83,12 +91,12 @@
     def observe(self, now: float, report: Report, tasks: Sequence[TaskRecord]) -> None:
         """Learn nothing."""
 
-    def act(self, now: float, cell: CellRow) -> tuple[Act, ...]:
+    def act(self, now: float, cell: CellRow) -> tuple[PolicyAction, ...]:
         """Do nothing."""
         return ()
 
 
-class Guarded:
+class GuardedPolicy:
     """
     Keep the faults of a policy from the turn that asks it.
 
@@ -99,7 +107,7 @@
 
     def __init__(self, policy: PlacementPolicy) -> None:
         self.policy = policy
-        self._fallback = TightestFit()
+        self._fallback = BestFitPolicy()
         self._fault = ""
 
     def prepare(self, now: float, bundle: Bundle | None, workers: Collection[str]) -> None:
@@ -107,7 +115,7 @@
         try:
             self.policy.prepare(now, bundle, workers)
         except Exception as error:
-            self._note(error)
+            self._record_fault(error)
 
     def choose(
         self, task: TaskRecord, workers: Sequence[str], cell: CellRow, waited: float
@@ -116,7 +124,7 @@
         try:
             chosen = self.policy.choose(task, workers, cell, waited)
         except Exception as error:
-            self._note(error)
+            self._record_fault(error)
             return self._fallback.choose(task, workers, cell, waited)
         return chosen if chosen in workers else None
 
@@ -125,20 +133,20 @@
         try:
             self.policy.observe(now, report, tasks)
         except Exception as error:
-            self._note(error)
+            self._record_fault(error)
 
-    def act(self, now: float, cell: CellRow) -> tuple[Act, ...]:
+    def act(self, now: float, cell: CellRow) -> tuple[PolicyAction, ...]:
         """Return the policy's acts, or the remark that it failed."""
-        acts: tuple[Act, ...] = ()
+        acts: tuple[PolicyAction, ...] = ()
         try:
             acts = self.policy.act(now, cell)
         except Exception as error:
-            self._note(error)
+            self._record_fault(error)
         if self._fault:
-            acts = (*acts, Remark("policy.fail", "", self._fault))
+            acts = (*acts, PolicyEvent("policy.fail", "", self._fault))
             self._fault = ""
         return acts
 
-    def _note(self, error: Exception) -> None:
+    def _record_fault(self, error: Exception) -> None:
         """Remember the first fault until it is remarked."""
         self._fault = self._fault or f"{type(error).__name__}: {error}"
--- a/toucanpin/placement/polling.py
+++ b/toucanpin/placement/polling.py
@@ -46,7 +46,7 @@
                 case Result(tag="ok", ok=Row() as row):
                     cell.payloads[record.task] = row.value
                 case Result(tag="error"):
-                    state.health.fail()
+                    state.health.record_failure()
 
 
 def _lacks_payload(cell: Cell, record: TaskRecord) -> bool:
@@ -67,7 +67,7 @@
             continue
         for name, worker in cell.row.workers.items():
             link = cell.link(name)
-            orders = tuple(_give_orders(state, cell, link, view.bundle, now))
+            orders = tuple(_make_orders(state, cell, link, view.bundle, now))
             if now < link.next_poll and (not orders or link.failed):
                 continue
             link.next_poll = now + state.options.poll
@@ -82,7 +82,7 @@
     for (cell, link, poll), outcome in zip(asked, answer.value, strict=True):
         match outcome:
             case Result(tag="ok", ok=Report() as report):
-                yield from _take_report(state, cell, link, poll, report, answer.now)
+                yield from _handle_report(state, cell, link, poll, report, answer.now)
             case Result(tag="error", error=WorkerFault(detail)):
                 if not link.failed:
                     yield RecordEvent(
@@ -91,7 +91,7 @@
                 link.failed = True
 
 
-def _give_orders(
+def _make_orders(
     state: ControlState, cell: Cell, link: WorkerLink, bundle: Bundle | None, now: float
 ) -> Iterator[Order]:
     """Yield the orders that bring a worker in line with the cell's row."""
@@ -180,7 +180,7 @@
     )
 
 
-def _take_report(
+def _handle_report(
     state: ControlState, cell: Cell, link: WorkerLink, poll: Poll, report: Report, now: float
 ) -> Decision[None]:
     """Take in a report; a refused poll says that we are not the owner or that the life is new."""
--- a/toucanpin/placement/reports.py
+++ b/toucanpin/placement/reports.py
@@ -180,7 +180,7 @@
     match reported.state:
         case TaskState.RUNNING:
             if reported.checkpoint and reported.checkpoint != record.checkpoint:
-                return lifecycle.keep(record, reported.checkpoint)
+                return lifecycle.accept_checkpoint(record, reported.checkpoint)
             return None
         case TaskState.FINISHED:
             if record.standing:
@@ -213,7 +213,7 @@
     if expected or record.task in cell.cancels or record.task in cell.closed:
         return _end_stopped(cell, record, checkpoint, view)
     limits = view.bundle.limits if view.bundle else Limits()
-    return lifecycle.lose(cell.name, record, checkpoint, limits.max_attempts)
+    return lifecycle.requeue_lost(cell.name, record, checkpoint, limits.max_attempts)
 
 
 def _end_stopped(cell: Cell, record: TaskRecord, checkpoint: str, view: ClusterView) -> Change:
--- a/toucanpin/placement/standing.py
+++ b/toucanpin/placement/standing.py
@@ -42,7 +42,7 @@
 __all__ = ["is_removed", "reconcile_standing", "refresh_record"]
 
 
-def describe(task: StandingTask) -> str:
+def digest_description(task: StandingTask) -> str:
     """Return a digest of a standing task's description."""
     return xxhash.xxh3_64_hexdigest(msgspec.json.encode(task))
 
@@ -73,7 +73,7 @@
         size,
         standing=True,
         urgent=True,
-        digest=describe(task),
+        digest=digest_description(task),
         attempt=attempt,
         bundle=bundle.version,
     )
@@ -107,7 +107,7 @@
         Write(standing_key(task.name), version, encode(row)),
         Write(queue_key(home, task.name), ABSENT, encode(QueueRow(record))),
     )
-    state.health.count()
+    state.health.count_commit()
     answer = yield Commit(Transaction(f"standing/{task.name}/{bundle.version}", writes))
     match answer.value:
         case Result(tag="ok", ok=Committed(committed)):
@@ -121,7 +121,7 @@
                         found.version,
                     )
         case Result(tag="error", error=Unavailable() | Unknown()):
-            state.health.fail()
+            state.health.record_failure()
 
 
 def is_removed(record: TaskRecord, bundle: Bundle) -> bool:
@@ -134,7 +134,7 @@
 def _is_changed(record: TaskRecord, wanted: dict[str, StandingTask], bundle: Bundle) -> bool:
     if not record.standing or record.task not in wanted or bundle.version <= record.bundle:
         return False
-    return describe(wanted[record.task]) != record.digest
+    return digest_description(wanted[record.task]) != record.digest
 
 
 def _mark_running(cell: Cell, wanted: dict[str, StandingTask], bundle: Bundle) -> None:
--- a/toucanpin/placement/state.py
+++ b/toucanpin/placement/state.py
@@ -15,7 +15,7 @@
 from toucanpin.placement.authority import Authority, AuthorityWatch
 from toucanpin.placement.cells import Cell
 from toucanpin.placement.leases import LeaseTerms
-from toucanpin.placement.policy import Guarded, PlacementPolicy, TightestFit
+from toucanpin.placement.policy import BestFitPolicy, GuardedPolicy, PlacementPolicy
 from toucanpin.placement.queue import CellShape, cell_name, list_cell_shapes, rendezvous_weight
 from toucanpin.placement.records import CellRow, ControllerId, StandingRow
 from toucanpin.placement.writing import TableHealth
@@ -107,7 +107,7 @@
     controller_id: ControllerId
     terms: LeaseTerms = field(default_factory=LeaseTerms)
     options: ControlOptions = field(default_factory=ControlOptions)
-    policy: PlacementPolicy = field(default_factory=TightestFit)
+    policy: PlacementPolicy = field(default_factory=BestFitPolicy)
     cells: dict[str, Cell] = field(default_factory=dict)
     stored: dict[str, StoredCell] = field(default_factory=dict)
     standing: dict[str, tuple[StandingRow, int]] = field(default_factory=dict)
@@ -129,7 +129,7 @@
         self.authority = Authority(self.controller_id, self.terms)
         self.watch = AuthorityWatch(self.controller_id, self.terms)
         self.health = TableHealth(self.options.commits_per_turn)
-        self.policy = Guarded(self.policy)
+        self.policy = GuardedPolicy(self.policy)
 
     def cells_after(self, last: str) -> list[Cell]:
         """
--- a/toucanpin/placement/submission.py
+++ b/toucanpin/placement/submission.py
@@ -56,9 +56,9 @@
     "submit_job",
 ]
 
-RETRY_AFTER = 2.0
+RETRY_AFTER_S = 2.0
 MAX_TRIES = 3
-MAX_KEY = 256
+MAX_KEY_LENGTH = 256
 MAX_PRIORITY = 9
 
 
@@ -90,10 +90,12 @@
     """Return why a job can't be accepted, or can never run, None if it may."""
     if bundle is None or not shapes:
         detail = "the bundle in force or the host list isn't known yet"
-        return refuse(Reason.NOT_READY, detail, RETRY_AFTER)
+        return refuse(Reason.NOT_READY, detail, RETRY_AFTER_S)
     size = request.size()
-    if not key or len(key) > MAX_KEY:
-        return refuse(Reason.BAD_REQUEST, f"the idempotency key must have 1 to {MAX_KEY} letters")
+    if not key or len(key) > MAX_KEY_LENGTH:
+        return refuse(
+            Reason.BAD_REQUEST, f"the idempotency key must have 1 to {MAX_KEY_LENGTH} letters"
+        )
     if request.processors < 1 or request.memory < 1 or request.accelerators < 0:
         return refuse(Reason.BAD_REQUEST, "processors and memory must be at least 1")
     if not 0 <= request.priority <= MAX_PRIORITY:
@@ -106,11 +108,11 @@
     if not Quotas(bundle.teams, {}).allows(request.team, size):
         return refuse(Reason.NEVER_FITS, f"larger than the whole quota of {request.team}")
     if not any(shape.can_hold(size) for shape in shapes):
-        return refuse(Reason.NEVER_FITS, explain_never(size, shapes))
+        return refuse(Reason.NEVER_FITS, explain_misfit(size, shapes))
     return None
 
 
-def explain_never(size: Size, shapes: Sequence[CellShape]) -> str:
+def explain_misfit(size: Size, shapes: Sequence[CellShape]) -> str:
     """Return which part of a size no worker has, or that none has all parts together."""
     workers = [it for shape in shapes for it in shape.sizes]
     for part in ("processors", "memory", "accelerators"):
@@ -148,10 +150,10 @@
             case Result(tag="ok", ok=Committed()):
                 return Ok(show_job(JobRow(job, JobState.ACCEPTED, record, cell), None))
             case Result(tag="error", error=Conflict(rows)):
-                return _settle(job, record, rows)
+                return _resolve_conflict(job, record, rows)
             case Result(tag="error", error=Unavailable(detail)):
                 if certain:
-                    return Error(refuse(Reason.STORE_UNAVAILABLE, detail, RETRY_AFTER))
+                    return Error(refuse(Reason.STORE_UNAVAILABLE, detail, RETRY_AFTER_S))
             case _:
                 certain = False
     return Error(
@@ -159,7 +161,7 @@
             Verdict.MAY_HAVE_RUN,
             Reason.STORE_UNCERTAIN,
             "the job may have been accepted: repeat with the same Idempotency-Key",
-            RETRY_AFTER,
+            RETRY_AFTER_S,
         )
     )
 
@@ -192,7 +194,9 @@
     return writes
 
 
-def _settle(job: str, record: TaskRecord, rows: Sequence[Row]) -> Result[JobStatus, Refusal]:
+def _resolve_conflict(
+    job: str, record: TaskRecord, rows: Sequence[Row]
+) -> Result[JobStatus, Refusal]:
     """Return the job that stands under the key already, if it is the same."""
     for row in rows:
         if row.key != job_key(job) or row.version == ABSENT:
@@ -202,4 +206,4 @@
             return Ok(show_job(found, None))
         detail = f"the key belongs to job {job}, which differs"
         return Error(refuse(Reason.CONFLICT, detail))
-    return Error(refuse(Reason.INTERNAL, f"rows of job {job} stand without it", RETRY_AFTER))
+    return Error(refuse(Reason.INTERNAL, f"rows of job {job} stand without it", RETRY_AFTER_S))
--- a/toucanpin/placement/tests/test_interference_aware.py
+++ b/toucanpin/placement/tests/test_interference_aware.py
@@ -9,12 +9,12 @@
 from toucanpin.bundles.schema import Bundle, Weights
 from toucanpin.interference import Budget, Tuning
 from toucanpin.placement.interference_aware import InterferenceAwarePolicy
-from toucanpin.placement.policy import Guarded, Limit, TightestFit
+from toucanpin.placement.policy import BestFitPolicy, GuardedPolicy, Limit
 from toucanpin.placement.records import CellRow, JobState, TaskRecord
 from toucanpin.placement.state import ControlOptions, ControlState
 from toucanpin.placement.tests.helpers import find_gaps
 from toucanpin.placement.tests.world import OPTIONS, TERMS, World
-from toucanpin.placement.tracking import HostNotes
+from toucanpin.placement.tracking import HostTracker
 from toucanpin.platform.ports import Report, Size, TaskReport, TaskState, UsageSample
 
 LAG = 8.0
@@ -35,7 +35,7 @@
 def advise(process, budget: Budget | None = None) -> None:
     """Let a process place by interference."""
     policy = InterferenceAwarePolicy(budget, Tuning(patience=PATIENCE))
-    process.state.policy = Guarded(policy)
+    process.state.policy = GuardedPolicy(policy)
 
 
 def add_service(world: World, worker: str, kind: str = "k") -> None:
@@ -155,7 +155,7 @@
         """Return what a world does under a policy."""
         world = World(workers=3)
         for process in world.processes.values():
-            process.state.policy = Guarded(policy)
+            process.state.policy = GuardedPolicy(policy)
         world.run(2)
         for number in range(12):
             world.submit(str(number), processors=1 + number % 4, work=2_000)
@@ -164,7 +164,7 @@
 
     def test_workers_without_samples_are_filled_as_before(self):
         """Every task goes to the same host in the same order as by the tightest fit."""
-        self.assertEqual(self.run_jobs(InterferenceAwarePolicy()), self.run_jobs(TightestFit()))
+        self.assertEqual(self.run_jobs(InterferenceAwarePolicy()), self.run_jobs(BestFitPolicy()))
 
     def test_faulty_policy_stops_no_renewal(self):
         """
@@ -258,10 +258,10 @@
 
     def test_doubled_report_is_learnt_once(self):
         """A sample that comes twice, the second time after a slower poll, counts once."""
-        notes = HostNotes("w")
+        tracker = HostTracker("w")
         sample = UsageSample("verify", 1_000, 50.0, 0.8)
-        first = list(notes.take_samples(500.0, self.report(2_000, (), sample)))
-        again = list(notes.take_samples(502.0, self.report(2_100, (), sample)))
+        first = list(tracker.take_new_samples(500.0, self.report(2_000, (), sample)))
+        again = list(tracker.take_new_samples(502.0, self.report(2_100, (), sample)))
         self.assertEqual((len(first), len(again)), (1, 0))
 
     def test_new_owner_gives_back_shares(self):
--- a/toucanpin/placement/tests/world.py
+++ b/toucanpin/placement/tests/world.py
@@ -39,7 +39,7 @@
 from toucanpin.placement.records import CellRow, ControllerId, JobRow, JobState, decode
 from toucanpin.placement.state import ClusterView, ControlOptions, ControlState
 from toucanpin.placement.submission import Submission, submit_job
-from toucanpin.placement.tests.skew import Clock, SkewedCore
+from toucanpin.placement.tests.skewed_clocks import Clock, SkewedCore
 from toucanpin.platform.ports import HostRole, ListedHost, Size, WorkerFault
 
 WORKER_SIZE = Size(8, 8_000, 1)
--- a/toucanpin/placement/tracking.py
+++ b/toucanpin/placement/tracking.py
@@ -12,24 +12,24 @@
 from dataclasses import dataclass, field
 
 from toucanpin.interference import HostView, KindUsage, Resident, Sample, ServiceLoad
-from toucanpin.placement.policy import Remark
+from toucanpin.placement.policy import PolicyEvent
 from toucanpin.placement.records import TaskRecord
 from toucanpin.platform.ports import Report, TaskReport, TaskState
 
-__all__ = ["AttemptNotes", "HostNotes"]
+__all__ = ["AttemptTracker", "HostTracker"]
 
-MILLISECONDS = 1_000
-SERVICE_SPAN = 120.0
-SETTLE = 2.0
-SAVED_STEP = 60.0
-OUTGROWN = 1.5
-OUTGROWN_SAMPLES = 3
-OUTGROWN_SHARE = 0.5
+MS_PER_S = 1_000
+SERVICE_SAMPLE_MAX_AGE_S = 120.0
+SETTLING_TIME_S = 2.0
+UNSAVED_STEP_S = 60.0
+OVERUSE_RATIO = 1.5
+OVERUSE_SAMPLES = 3
+MAX_OVERUSE_SHARE = 0.5
 MIN_SHARE = 0.05
 
 
 @dataclass(slots=True)
-class AttemptNotes:
+class AttemptTracker:
     """
     Remember of one attempt what was ordered and measured; times are on the owner's clock.
 
@@ -50,7 +50,7 @@
 
 
 @dataclass(slots=True)
-class HostNotes:
+class HostTracker:
     """
     Remember one worker.
 
@@ -67,9 +67,9 @@
     measured: bool = False
     residents: tuple[Resident, ...] = ()
     expected: list[Resident] = field(default_factory=list)
-    attempts: dict[str, AttemptNotes] = field(default_factory=dict)
-    remarks: list[Remark] = field(default_factory=list)
-    returned: list[str] = field(default_factory=list)
+    attempts: dict[str, AttemptTracker] = field(default_factory=dict)
+    pending_events: list[PolicyEvent] = field(default_factory=list)
+    unthrottled: list[str] = field(default_factory=list)
     _sampled: dict[str, int] = field(default_factory=dict)
     _loads: dict[str, tuple[float, float]] = field(default_factory=dict)
 
@@ -81,7 +81,7 @@
         """Return the worker as it was reported."""
         return HostView(self.name, self.processors, self.services(), self.residents)
 
-    def expect(self) -> HostView:
+    def expected_view(self) -> HostView:
         """Return the worker as it will be once everything committed there has started."""
         return HostView(self.name, self.processors, self.services(), tuple(self.expected))
 
@@ -89,11 +89,11 @@
         self, now: float, report: Report, tasks: Sequence[TaskRecord], usage: KindUsage
     ) -> None:
         """Take in who runs and what it uses."""
-        self._note_life(report, tasks)
+        self._reset_if_new(report, tasks)
         self.processors = max(1, report.size.processors)
         self.changed = True
         reported = {(it.task, it.attempt): it for it in report.tasks}
-        attempts: dict[str, AttemptNotes] = {}
+        attempts: dict[str, AttemptTracker] = {}
         residents = []
         self.expected = []
         for record in tasks:
@@ -102,18 +102,18 @@
                 continue
             known = self.attempts.get(record.task)
             if known is None or known.attempt != record.attempt:
-                known = AttemptNotes(record.attempt, saved_at=now)
-            notes = attempts[record.task] = known
+                known = AttemptTracker(record.attempt, saved_at=now)
+            tracker = attempts[record.task] = known
             if it is not None:
-                self._measure_task(now, report, record, it, notes, usage)
-            resident = describe(now, record, notes, usage)
+                self._measure_task(now, report, record, it, tracker, usage)
+            resident = make_resident(now, record, tracker, usage)
             self.expected.append(resident)
             if it is not None:
                 residents.append(resident)
         self.attempts = attempts
         self.residents = tuple(residents)
 
-    def _note_life(self, report: Report, tasks: Sequence[TaskRecord]) -> None:
+    def _reset_if_new(self, report: Report, tasks: Sequence[TaskRecord]) -> None:
         """
         Start anew with a worker, or life of it, that was not known.
 
@@ -126,9 +126,9 @@
         self.attempts = {}
         self._sampled = {}
         running = {it.task for it in report.tasks if it.state is TaskState.RUNNING}
-        self.returned = [it.task for it in tasks if it.task in running and not it.standing]
+        self.unthrottled = [it.task for it in tasks if it.task in running and not it.standing]
 
-    def take_samples(self, now: float, report: Report) -> Iterator[Sample]:
+    def take_new_samples(self, now: float, report: Report) -> Iterator[Sample]:
         """Yield the samples that were not seen before, on the owner's clock."""
         for it in sorted(report.samples, key=lambda sample: sample.sampled_at):
             # Compared on the worker's own clock: the conversion moves by the time that a report
@@ -137,10 +137,12 @@
                 continue
             self._sampled[it.service] = it.sampled_at
             self._loads[it.service] = (it.load, now)
-            at = convert(now, report, it.sampled_at)
+            at = convert_to_owner_clock(now, report, it.sampled_at)
             yield Sample(self.name, it.service, at, it.latency_p99, it.load)
         self._loads = {
-            name: (load, at) for name, (load, at) in self._loads.items() if now - at <= SERVICE_SPAN
+            name: (load, at)
+            for name, (load, at) in self._loads.items()
+            if now - at <= SERVICE_SAMPLE_MAX_AGE_S
         }
 
     def _measure_task(
@@ -149,52 +151,59 @@
         report: Report,
         record: TaskRecord,
         it: TaskReport,
-        notes: AttemptNotes,
+        tracker: AttemptTracker,
         usage: KindUsage,
     ) -> None:
         """Learn from the usage of one attempt, unless it is known or older than its share."""
-        if it.checkpoint != notes.checkpoint:
-            notes.checkpoint, notes.saved_at = it.checkpoint, now
-        if it.sampled_at <= notes.sampled_at:
+        if it.checkpoint != tracker.checkpoint:
+            tracker.checkpoint, tracker.saved_at = it.checkpoint, now
+        if it.sampled_at <= tracker.sampled_at:
             return
-        notes.sampled_at = it.sampled_at
-        if convert(now, report, it.sampled_at) < notes.changed_at + SETTLE:
+        tracker.sampled_at = it.sampled_at
+        if (
+            convert_to_owner_clock(now, report, it.sampled_at)
+            < tracker.changed_at + SETTLING_TIME_S
+        ):
             return
-        usage.learn(record.kind, record.size.processors, notes.share, it.processors)
-        self._catch_outgrown(record, it, notes)
+        usage.learn(record.kind, record.size.processors, tracker.share, it.processors)
+        self._detect_overuse(record, it, tracker)
 
-    def _catch_outgrown(self, record: TaskRecord, it: TaskReport, notes: AttemptNotes) -> None:
+    def _detect_overuse(self, record: TaskRecord, it: TaskReport, tracker: AttemptTracker) -> None:
         """Remark a task that uses far more than it declared, and bound its share."""
         # At a lower share it would use less; what it would take at a full one is compared.
-        processors = it.processors / notes.share / max(1, record.size.processors)
+        processors = it.processors / tracker.share / max(1, record.size.processors)
         memory = it.memory / max(1, record.size.memory)
         excess = max(processors, memory)
-        notes.excess = notes.excess + 1 if excess > OUTGROWN else 0
-        if notes.excess == 0:
-            notes.ceiling = 1.0
-        if notes.excess != OUTGROWN_SAMPLES:
+        tracker.excess = tracker.excess + 1 if excess > OVERUSE_RATIO else 0
+        if tracker.excess == 0:
+            tracker.ceiling = 1.0
+        if tracker.excess != OVERUSE_SAMPLES:
             return
-        notes.ceiling = max(MIN_SHARE, min(OUTGROWN_SHARE, 1.0 / excess))
+        tracker.ceiling = max(MIN_SHARE, min(MAX_OVERUSE_SHARE, 1.0 / excess))
         detail = f"uses {it.processors:.1f} processors and {it.memory} MiB of memory"
         declared = f"declared {record.size.processors} and {record.size.memory}"
-        self.remarks.append(Remark("task.outgrown", record.task, f"{detail}, {declared}"))
+        self.pending_events.append(
+            PolicyEvent("task.outgrown", record.task, f"{detail}, {declared}")
+        )
 
 
-def convert(now: float, report: Report, instant: int) -> float:
+def convert_to_owner_clock(now: float, report: Report, instant: int) -> float:
     """Return an instant of the worker's clock on the owner's."""
-    return now - (report.clock - instant) / MILLISECONDS
+    return now - (report.clock - instant) / MS_PER_S
 
 
-def describe(now: float, record: TaskRecord, notes: AttemptNotes, usage: KindUsage) -> Resident:
+def make_resident(
+    now: float, record: TaskRecord, tracker: AttemptTracker, usage: KindUsage
+) -> Resident:
     """Return a task as the policy sees it; rounded, so that small news make no new history."""
-    unsaved = (now - notes.saved_at) // SAVED_STEP * SAVED_STEP
+    unsaved = (now - tracker.saved_at) // UNSAVED_STEP_S * UNSAVED_STEP_S
     processors = round(usage.estimate(record.kind, record.size.processors), 1)
     return Resident(
         record.task,
         record.task,
         record.kind,
         processors,
-        notes.share,
+        tracker.share,
         batch=not record.standing,
         unsaved=0.0 if record.standing else unsaved,
     )
--- a/toucanpin/placement/writing.py
+++ b/toucanpin/placement/writing.py
@@ -44,9 +44,9 @@
 __all__ = ["TableHealth", "split_changes", "write_cell"]
 
 ROWS_BESIDE_CELL = MAX_TRANSACTION_ROWS - 1
-MIN_RETRY_PAUSE = 0.125
-MAX_RETRY_PAUSE = 1.0
-FAILURES_OF_OUTAGE = 2
+MIN_RETRY_PAUSE_S = 0.125
+MAX_RETRY_PAUSE_S = 1.0
+FAILURES_UNTIL_OUTAGE = 2
 
 
 class TableHealth:
@@ -62,7 +62,7 @@
         self.recovered_at = 0.0
         self.commits = 0
         self.budget = budget
-        self._left = budget
+        self._commits_left = budget
         self._failures = 0
         self._retry_at = 0.0
         self._now = 0.0
@@ -70,33 +70,33 @@
     def begin_turn(self, now: float) -> None:
         """Allow a new turn's commits, and another try of a table that gave no answer."""
         self._now = now
-        self._left = self.budget
+        self._commits_left = self.budget
         if self.down and now >= self._retry_at:
             self.down = False
 
     def may_commit(self) -> bool:
         """Tell whether this turn may commit once more."""
-        return not self.down and self._left > 0
+        return not self.down and self._commits_left > 0
 
     def may_commit_reports(self) -> bool:
         """Tell whether this turn may commit reports once more; half is kept for placing."""
-        return not self.down and self._left > self.budget // 2
+        return not self.down and self._commits_left > self.budget // 2
 
-    def count(self) -> None:
+    def count_commit(self) -> None:
         """Count one commit."""
         self.commits += 1
-        self._left -= 1
+        self._commits_left -= 1
 
-    def fail(self) -> None:
+    def record_failure(self) -> None:
         """Note that the table gave no answer; the pauses between tries grow to a second."""
         self.down = True
         self._failures += 1
-        pause = min(MAX_RETRY_PAUSE, MIN_RETRY_PAUSE * 2 ** min(self._failures, 8))
+        pause = min(MAX_RETRY_PAUSE_S, MIN_RETRY_PAUSE_S * 2 ** min(self._failures, 8))
         self._retry_at = self._now + pause
 
-    def succeed(self, now: float) -> None:
+    def record_success(self, now: float) -> None:
         """Note that the table answered."""
-        if self._failures >= FAILURES_OF_OUTAGE:
+        if self._failures >= FAILURES_UNTIL_OUTAGE:
             self.recovered_at = now
         self._failures = 0
 
@@ -136,25 +136,25 @@
     for change in changes:
         writes.extend(change.writes)
     token = f"{cell.name}/{after.epoch}/{cell.version}"
-    health.count()
+    health.count_commit()
     answer = yield Commit(Transaction(token, tuple(writes)))
     match answer.value:
         case Result(tag="ok", ok=Committed(version)):
             cell.row = after
             cell.version = version
             for change in changes:
-                _follow(cell, change, version, answer.now)
-                yield _note(cell, change)
+                _update_memory(cell, change, version, answer.now)
+                yield _make_event(cell, change)
             return True
         case Result(tag="error", error=Conflict(rows)):
-            _learn(cell, rows, answer.now)
+            _handle_conflict(cell, rows, answer.now)
         case Result(tag="error", error=Unavailable()):
-            health.fail()
+            health.record_failure()
         case Result(tag="error", error=Unknown()):
             # The write may have taken effect or may still do so: nothing is decided on the old
             # row before it was read back, and a late effect makes our next write conflict.
             cell.stale = True
-            health.fail()
+            health.record_failure()
     return False
 
 
@@ -174,13 +174,13 @@
     return msgspec.structs.replace(
         row,
         tasks=tasks,
-        workers=_merge(row.workers, workers or {}),
+        workers=_merge_workers(row.workers, workers or {}),
         epoch=row.epoch if epoch is None else epoch,
         unproven=row.unproven if unproven is None else unproven,
     )
 
 
-def _merge(
+def _merge_workers(
     before: Mapping[str, WorkerRow], changed: Mapping[str, WorkerRow | None]
 ) -> dict[str, WorkerRow]:
     """Return the workers after changes; None takes a worker out."""
@@ -188,7 +188,7 @@
     return {name: worker for name, worker in merged.items() if worker is not None}
 
 
-def _follow(cell: Cell, change: Change, version: int, now: float) -> None:
+def _update_memory(cell: Cell, change: Change, version: int, now: float) -> None:
     """Bring what is held in memory in line with a committed change."""
     if change.queued is not None:
         cell.queue.put(change.queued, version, now)
@@ -203,7 +203,7 @@
             cell.cancels.pop(change.task, None)
 
 
-def _note(cell: Cell, change: Change) -> RecordEvent:
+def _make_event(cell: Cell, change: Change) -> RecordEvent:
     ids = {"cell": cell.name, "task": change.task}
     if change.record is not None and change.record.worker:
         ids["host"] = change.record.worker
@@ -213,7 +213,7 @@
     return RecordEvent(change.kind, ids, change.detail)
 
 
-def _learn(cell: Cell, rows: Sequence[Row], now: float) -> None:
+def _handle_conflict(cell: Cell, rows: Sequence[Row], now: float) -> None:
     """Take in the rows that were not as expected."""
     for row in rows:
         if row.key == cell.key:
@@ -226,12 +226,12 @@
             if row.version != ABSENT:
                 cell.queue.put(decode(row.value, QueueRow).record, row.version, now)
         elif kind == "job" and row.key == job_key(task):
-            _learn_job(cell, task, row)
+            _handle_job_conflict(cell, task, row)
         elif kind == "queue":
             cell.cancels.pop(task, None)
 
 
-def _learn_job(cell: Cell, task: str, row: Row) -> None:
+def _handle_job_conflict(cell: Cell, task: str, row: Row) -> None:
     """Let go of a task whose job another writer has already brought to its one outcome."""
     state = JobState.CANCELLED if row.version == ABSENT else decode(row.value, JobRow).state
     if state is not JobState.ACCEPTED:
