--- a/toucanpin/placement/cells.py
+++ b/toucanpin/placement/cells.py
@@ -114,11 +114,11 @@
 @dataclass(slots=True)
 class Cell:
     """
-    Hold one owned cell.
+    Represent one owned cell.
 
-    ``stale`` says that the row may differ from what is held here, ``refused`` that a worker has
-    seen a higher epoch.  ``released_leases_end`` is when the leases of an owner that released the cell
-    have ended.  ``closed`` are tasks whose job row has already been decided by somebody else.
+    ``stale``: the stored row may differ from ``row``.  ``refused``: a worker has reported a higher
+    epoch.  ``released_leases_end``: when the leases of an owner that released the cell have ended.
+    ``closed``: tasks whose job row another writer has already decided.
     """
 
     name: str
