--- a/benchmarks/sharing.py
+++ b/benchmarks/sharing.py
@@ -21,7 +21,7 @@
 from toucanpin.scheduling.batches import apply_batch, take_batch
 from toucanpin.scheduling.cell import Cell, Now
 from toucanpin.scheduling.consolidating import consolidate_images
-from toucanpin.scheduling.holding import list_workers, plan_hold, take_answer
+from toucanpin.scheduling.holding import apply_answer, plan_poll, update_workers
 from toucanpin.scheduling.intake import submit_job
 from toucanpin.scheduling.interference_model import InterferenceModel
 from toucanpin.scheduling.learning import learn_effects
@@ -114,7 +114,7 @@
             self._next += 1
         self._send()
         self.world.advance(self.time, STEP)
-        list_workers(self.cell, [w.entry for w in self.world.workers.values()], now)
+        update_workers(self.cell, [w.entry for w in self.world.workers.values()], now)
         self._hold(now)
         move_tasks(self.cell, now)
         control_pace(self.cell, self.sharing, now)
@@ -129,12 +129,12 @@
     def _hold(self, now: Now) -> None:
         for worker in self.cell.workers.values():
             there = self.world.workers[worker.entry.id]
-            order = plan_hold(self.cell, worker, now)
+            order = plan_poll(self.cell, worker, now)
             fresh = there.sequence > there.listed
             if not fresh and self.time < there.held_at + max(order.wait, STEP):
                 continue
             held = there.hold(order.acknowledged, self.time)
-            take_answer(self.cell, worker, held, self.time, now)
+            apply_answer(self.cell, worker, held, self.time, now)
             learn_effects(self.sharing, worker, len(self.cell.workers), now)
 
     def _send(self) -> None:
--- a/benchmarks/turns.py
+++ b/benchmarks/turns.py
@@ -24,7 +24,7 @@
 from toucanpin.scheduling.cell import Cell, Now, add_run
 from toucanpin.scheduling.consolidating import consolidate_images
 from toucanpin.scheduling.counting import count_pending
-from toucanpin.scheduling.holding import list_workers, take_answer
+from toucanpin.scheduling.holding import apply_answer, update_workers
 from toucanpin.scheduling.intake import begin_due, submit_job
 from toucanpin.scheduling.interference_model import InterferenceModel
 from toucanpin.scheduling.job import Job, Step, TaskKey
@@ -69,7 +69,7 @@
         self._rng = random.Random(SEED)
         self._count = 0
         entries = [self._make_entry(number) for number in range(load.workers)]
-        list_workers(self.cell, entries, self.now())
+        update_workers(self.cell, entries, self.now())
         for number, worker in enumerate(self.cell.workers.values()):
             self._fill(worker, number)
         self.answer()
@@ -86,7 +86,9 @@
         """Have all workers answer that what they run goes on."""
         for worker in self.cell.workers.values():
             running = [self._list_run(run) for run in worker.runs.values()]
-            take_answer(self.cell, worker, PollAnswer(1, tuple(running), ()), self.time, self.now())
+            apply_answer(
+                self.cell, worker, PollAnswer(1, tuple(running), ()), self.time, self.now()
+            )
 
     def count_tasks(self) -> int:
         """Return how many tasks wait."""
--- a/tools/soak/weakened.py
+++ b/tools/soak/weakened.py
@@ -21,14 +21,14 @@
 
 def _forget_leases() -> None:
     """Take what a silent worker runs for ended though its lease goes on."""
-    lapse = owner.lapse_workers
+    lapse = owner.expire_leases
 
     def weakened(cell, now):  # type: ignore[no-untyped-def]
         for worker in cell.workers.values():
             worker.lapse_at = 0.0
         return lapse(cell, now)
 
-    owner.lapse_workers = weakened
+    owner.expire_leases = weakened
 
 
 def _refuse_unsure() -> None:
@@ -43,13 +43,13 @@
 
 def _acknowledge_early() -> None:
     """Let workers forget ends before these are written."""
-    plan = cell_workers.plan_hold
+    plan = cell_workers.plan_poll
 
     def weakened(cell, worker, now):  # type: ignore[no-untyped-def]
         worker.acknowledged = worker.seen
         return plan(cell, worker, now)
 
-    cell_workers.plan_hold = weakened
+    cell_workers.plan_poll = weakened
 
 
 def _end_at_once() -> None:
--- a/toucanpin/entry/cell_workers.py
+++ b/toucanpin/entry/cell_workers.py
@@ -21,13 +21,13 @@
 from toucanpin.scheduling.answering import LONGEST, AnswerTimes
 from toucanpin.scheduling.cell import Cell
 from toucanpin.scheduling.holding import (
-    list_workers,
-    plan_hold,
+    apply_answer,
+    mark_silent,
+    plan_poll,
     plan_renewal,
-    replace_worker,
-    take_answer,
-    take_clock,
-    take_silence,
+    record_clock,
+    remove_replaced_worker,
+    update_workers,
 )
 from toucanpin.scheduling.interference_model import InterferenceModel
 from toucanpin.scheduling.job import format_task
@@ -103,7 +103,7 @@
         self, entries: Iterable[WorkerEntry], unsound: Collection[str] = frozenset()
     ) -> None:
         """Take up the workers' own entries, and speak to those that are new."""
-        for worker in list_workers(self._cell, entries, self._clocks.now(), unsound):
+        for worker in update_workers(self._cell, entries, self._clocks.now(), unsound):
             entry = worker.entry
             self._calls[entry.id] = WorkerClient(entry.id, entry.address)
             self._spawn(self._hold(worker))
@@ -114,7 +114,7 @@
         calls = self._calls[identifier]
         await self._renew(worker, calls)
         while self._cell.workers.get(identifier) is worker:
-            order = plan_hold(self._cell, worker, self._clocks.now())
+            order = plan_poll(self._cell, worker, self._clocks.now())
             sent_at = steady_time()
             # Only the answer to a second question tells whether the first was lost or is late.
             patience = LONGEST if worker.silent else self._answers.allow(sent_at)
@@ -124,12 +124,12 @@
                 )
             except WorkerReplacedError:
                 _log.info("worker replaced", event="worker.replaced", worker=identifier)
-                replace_worker(self._cell, worker, self._clocks.now())
+                remove_replaced_worker(self._cell, worker, self._clocks.now())
                 self._changed()
                 break
             except (CallError, PlatformError) as error:
                 repeated = worker.silent
-                take_silence(worker)
+                mark_silent(worker)
                 if repeated:
                     await asyncio.sleep(SILENT_PAUSE)
                     continue
@@ -144,7 +144,7 @@
             self._answers.note(now.steady - sent_at - order.wait, now.steady)
             _log_ends(worker, answer.ended)
             doubted = is_doubted(worker)
-            take_answer(self._cell, worker, answer, sent_at, now)
+            apply_answer(self._cell, worker, answer, sent_at, now)
             if is_doubted(worker) and not doubted:
                 jobs = sorted(worker.failed_jobs)
                 _log.warning("tasks fail", event="worker.doubted", worker=identifier, jobs=jobs)
@@ -175,7 +175,7 @@
             else:
                 if isinstance(answer, RefusalReason):
                     raise DeposedError(f"worker {worker.entry.id} refused: {answer.value}")
-                take_clock(worker, answer, self._clocks.now())
+                record_clock(worker, answer, self._clocks.now())
             try:
                 async with asyncio.timeout(pause):
                     await self._loaded.wait()
--- a/toucanpin/entry/owner.py
+++ b/toucanpin/entry/owner.py
@@ -47,7 +47,7 @@
     knows_evacuations,
     take_evacuated,
 )
-from toucanpin.scheduling.holding import AUTHORITY, lapse_workers
+from toucanpin.scheduling.holding import OWNER_AUTHORITY_S, expire_leases
 from toucanpin.scheduling.intake import begin_due, forget_ended
 from toucanpin.scheduling.interference_model import InterferenceModel
 from toucanpin.scheduling.moving import move_tasks
@@ -72,7 +72,7 @@
 BEHIND = 0.2  # s of delay that is told
 KEEP_MARGIN = 15.0  # s that ended jobs are kept longer than promised
 # A lease that an earlier owner granted ends on a clock that may be 2% slow, and a little later.
-HORIZON = AUTHORITY * 1.04 + 0.4
+HORIZON = OWNER_AUTHORITY_S * 1.04 + 0.4
 
 
 class Owner:
@@ -325,7 +325,7 @@
             now = self._clocks.now()
             self._delay.note(now.steady - due, now.steady)
             self._take_evacuated()
-            for worker in lapse_workers(self._cell, now):
+            for worker in expire_leases(self._cell, now):
                 _log.info("worker gone", event="worker.gone", worker=worker.entry.id)
             log_given_up(self._cell, give_up_crashing(self._cell, now))
             begin_due(self._cell, now)
--- a/toucanpin/entry/tests/test_slow_takeover.py
+++ b/toucanpin/entry/tests/test_slow_takeover.py
@@ -14,11 +14,11 @@
 from toucanpin.entry.entries import EntryReader
 from toucanpin.platform.store import Page, Store
 from toucanpin.scheduling.cell import Cell, Now
-from toucanpin.scheduling.holding import LEASE
+from toucanpin.scheduling.holding import LEASE_S
 from toucanpin.scheduling.interference_model import InterferenceModel
 from toucanpin.scheduling.ownership import OwnerRecord
 
-LOADING = LEASE + 1.0  # s that a new owner takes to read the cell's rows
+LOADING = LEASE_S + 1.0  # s that a new owner takes to read the cell's rows
 PART_OF_TIME = 0.05  # that reads which nobody waits for may take
 PAGE_TIME = 0.01  # s that a page takes
 
@@ -45,7 +45,7 @@
 
         with patch.object(CellRows, "load", load_late):
             await site.hosts[owner].abort()
-            await asyncio.sleep(LOADING + LEASE)
+            await asyncio.sleep(LOADING + LEASE_S)
         self.assertEqual(3, len(worker.core.runs))
         self.assertEqual(3, len(worker.core.starts))
 
--- a/toucanpin/scheduling/holding.py
+++ b/toucanpin/scheduling/holding.py
@@ -18,33 +18,35 @@
 from toucanpin.scheduling.worker import Phase, Run, Worker, grant_lease
 
 __all__ = [
-    "AUTHORITY",
-    "LEASE",
-    "list_workers",
+    "OWNER_AUTHORITY_S",
+    "LEASE_S",
+    "update_workers",
     "lease_end",
-    "plan_hold",
+    "plan_poll",
     "plan_renewal",
-    "replace_worker",
-    "take_answer",
-    "take_clock",
-    "take_silence",
-    "lapse_workers",
+    "remove_replaced_worker",
+    "apply_answer",
+    "record_clock",
+    "mark_silent",
+    "expire_leases",
 ]
 
-LEASE = 4.5  # s: covers the death of an owner (2 s), ends doubts about a lost worker soon
-AUTHORITY = 8.5  # s that an owner may go on granting leases after its newest accepted write
-SHARED_WAIT = 0.4  # s an answer may wait where batch work disturbs what serves; tails grow within
+LEASE_S = 4.5  # s: covers the death of an owner (2 s), ends doubts about a lost worker soon
+OWNER_AUTHORITY_S = 8.5  # s that an owner may go on granting leases after its newest accepted write
+SHARED_POLL_WAIT_S = (
+    0.4  # s an answer may wait where batch work disturbs what serves; tails grow within
+)
 # An end is told at once, so other workers are asked for their leases and progress only, and each
 # question takes time of an owner that has hundreds of them.
-BUSY_WAIT = 0.7  # s
-IDLE_WAIT = 1.5  # s for a worker that runs nothing
-GONE_AFTER = 3.0  # s that a worker which doesn't answer and isn't listed is remembered
-STOP_AGAIN = 0.4  # s beyond a stop after which a run that still runs is stopped again
-MOST_ENDS = 500  # ends that a worker lists at a time, by the platform's page
-PROGRESS_STEP = 1  # percent that counts as a move
+BUSY_POLL_WAIT_S = 0.7  # s
+IDLE_POLL_WAIT_S = 1.5  # s for a worker that runs nothing
+FORGET_WORKER_AFTER_S = 3.0  # s that a worker which doesn't answer and isn't listed is remembered
+STOP_RETRY_DELAY_S = 0.4  # s beyond a stop after which a run that still runs is stopped again
+MAX_LISTED_ENDS = 500  # ends that a worker lists at a time, by the platform's page
+MIN_PROGRESS_PERCENT = 1  # percent that counts as a move
 
 
-def list_workers(
+def update_workers(
     cell: Cell,
     entries: Iterable[WorkerEntry],
     now: Now,
@@ -78,10 +80,10 @@
     An owner that the table hasn't confirmed for long may have been replaced.  Its successor waits
     for the end of this authority before it starts elsewhere what a silent worker may run.
     """
-    return min(now.steady + LEASE, cell.confirmed + AUTHORITY)
+    return min(now.steady + LEASE_S, cell.confirmed + OWNER_AUTHORITY_S)
 
 
-def plan_hold(cell: Cell, worker: Worker, now: Now) -> PollOrder:
+def plan_poll(cell: Cell, worker: Worker, now: Now) -> PollOrder:
     """Say what to ask a worker next."""
     if not worker.reached or worker.silent:
         # A renewal without an answer may be carried out late, so while a worker is silent it is
@@ -101,20 +103,20 @@
     return grant_lease(worker, until) if worker.clock and until > now.steady else 0
 
 
-def take_clock(worker: Worker, held: PollAnswer, now: Now) -> None:
+def record_clock(worker: Worker, held: PollAnswer, now: Now) -> None:
     """Take note of a worker's clock alone, before it is known what should run there."""
-    _read_clock(worker, held.clock, now)
+    _update_clock(worker, held.clock, now)
 
 
 def _choose_wait(worker: Worker) -> float:
     if not worker.runs:
-        return IDLE_WAIT
-    return SHARED_WAIT if worker.servers and worker.fillers else BUSY_WAIT
+        return IDLE_POLL_WAIT_S
+    return SHARED_POLL_WAIT_S if worker.servers and worker.fillers else BUSY_POLL_WAIT_S
 
 
-def take_answer(cell: Cell, worker: Worker, held: PollAnswer, sent_at: float, now: Now) -> None:
+def apply_answer(cell: Cell, worker: Worker, held: PollAnswer, sent_at: float, now: Now) -> None:
     """Take note of what a worker lists; ``sent_at`` is when it was asked."""
-    _read_clock(worker, held.clock, now)
+    _update_clock(worker, held.clock, now)
     worker.answered_at = now.steady
     worker.silent = False
     note_alive(cell, worker)
@@ -123,31 +125,31 @@
             apply_end(cell, worker, ended, now)
             worker.seen = ended.sequence
     listed = {running.task: running for running in held.running}
-    worker.strangers = frozenset(_find_strangers(worker, held.running))
+    worker.strangers = frozenset(_find_unknown_runs(worker, held.running))
     for running in held.running:
-        _take_running(cell, worker, running, now)
+        _apply_running(cell, worker, running, now)
     # A run that is missing may have ended after the last end that fitted into the answer.
-    whole = len(held.ended) < MOST_ENDS
+    whole = len(held.ended) < MAX_LISTED_ENDS
     for run in list(worker.runs.values()) if whole else ():
         found = listed.get(run.task)
         if found is None or found.attempt != run.attempt:
-            _take_absence(cell, worker, run, sent_at, now)
+            _apply_absence(cell, worker, run, sent_at, now)
     worker.reached = True
     worker.heat = None
 
 
-def take_silence(worker: Worker) -> None:
+def mark_silent(worker: Worker) -> None:
     """Take note that a worker did not answer."""
     worker.silent = True
 
 
-def replace_worker(cell: Cell, worker: Worker, now: Now) -> None:
+def remove_replaced_worker(cell: Cell, worker: Worker, now: Now) -> None:
     """Take note that another life answers at a worker's address: its runs are gone."""
-    _end_all(cell, worker, LossCause.REPLACED, now)
+    _end_runs(cell, worker, LossCause.REPLACED, now)
     del cell.workers[worker.entry.id]
 
 
-def lapse_workers(cell: Cell, now: Now) -> list[Worker]:
+def expire_leases(cell: Cell, now: Now) -> list[Worker]:
     """Free what ran on workers whose leases have surely ended; return those that are forgotten."""
     forgotten = []
     for worker in list(cell.workers.values()):
@@ -155,49 +157,49 @@
             continue
         if now.steady <= worker.lapse_at:
             continue
-        _end_all(cell, worker, LossCause.LAPSED, now)
-        unlisted = now.steady > worker.listed_at + GONE_AFTER
-        if unlisted and now.steady > worker.answered_at + GONE_AFTER:
+        _end_runs(cell, worker, LossCause.LAPSED, now)
+        unlisted = now.steady > worker.listed_at + FORGET_WORKER_AFTER_S
+        if unlisted and now.steady > worker.answered_at + FORGET_WORKER_AFTER_S:
             del cell.workers[worker.entry.id]
             forgotten.append(worker)
     return forgotten
 
 
-def _end_all(cell: Cell, worker: Worker, cause: LossCause, now: Now) -> None:
+def _end_runs(cell: Cell, worker: Worker, cause: LossCause, now: Now) -> None:
     for run in list(worker.runs.values()):
         if run.phase is Phase.PLACED:
             stop_run(cell, run, "worker lost")
         elif worker.runs.get(run.task) is run:
-            _note_loss(cell, worker, run, cause, now)
+            _record_loss(cell, worker, run, cause, now)
             end_run(cell, worker, run, now)
 
 
-def _note_loss(cell: Cell, worker: Worker, run: Run, cause: LossCause, now: Now) -> None:
+def _record_loss(cell: Cell, worker: Worker, run: Run, cause: LossCause, now: Now) -> None:
     age = now.steady - run.ordered_at if run.ordered_at else 0.0
     crashes = note_lost(cell, worker, run)
     cell.losses.append(Loss(run.task, run.attempt, run.worker, run.phase, cause, age, crashes))
 
 
-def _read_clock(worker: Worker, clock: int, now: Now) -> None:
+def _update_clock(worker: Worker, clock: int, now: Now) -> None:
     worker.clock = clock
     worker.clock_at = now.steady
 
 
-def _find_strangers(worker: Worker, rows: Iterable[RunningTask]) -> Iterable:
+def _find_unknown_runs(worker: Worker, rows: Iterable[RunningTask]) -> Iterable:
     for running in rows:
         run = worker.runs.get(running.task)
         if run is None or run.attempt != running.attempt:
             yield running.task
 
 
-def _take_running(cell: Cell, worker: Worker, running: RunningTask, now: Now) -> None:
+def _apply_running(cell: Cell, worker: Worker, running: RunningTask, now: Now) -> None:
     run = worker.runs.get(running.task)
     if run is None or run.attempt != running.attempt:
         # An order of an earlier owner, or one that was carried out late: nothing counts on it.
         cell.orders.append(StopOrder(worker.entry.id, running.task, running.attempt, "unknown run"))
         return
     if run.phase is Phase.STOPPING:
-        _stop_again(cell, run, now)
+        _repeat_stop(cell, run, now)
     live = cell.jobs.get(run.task.job)
     record = find_record(live, run.task) if live else None
     if run.phase is Phase.UNKNOWN or run.phase is Phase.ORDERED:
@@ -208,7 +210,7 @@
         note_begun(cell, run.task.job)
         if live is None or record is None or JobState(live.progress.state).ended:
             stop_run(cell, run, "job ended")
-    if running.percent - run.percent >= PROGRESS_STEP or running.percent < run.percent:
+    if running.percent - run.percent >= MIN_PROGRESS_PERCENT or running.percent < run.percent:
         run.moved_at = now.steady
     run.percent = running.percent
     run.shown_at = now.steady
@@ -222,16 +224,16 @@
             record.checkpoint = running.checkpoint
 
 
-def _stop_again(cell: Cell, run: Run, now: Now) -> None:
+def _repeat_stop(cell: Cell, run: Run, now: Now) -> None:
     """Repeat a stop: the first may have found no connection to a worker that was just known."""
     if not run.stop_sent_at:
         run.stop_sent_at = now.steady
-    elif now.steady > run.stop_sent_at + cell.stop_time + STOP_AGAIN:
+    elif now.steady > run.stop_sent_at + cell.stop_time + STOP_RETRY_DELAY_S:
         run.stop_sent_at = now.steady
         cell.orders.append(StopOrder(run.worker, run.task, run.attempt, "still running"))
 
 
-def _take_absence(cell: Cell, worker: Worker, run: Run, sent_at: float, now: Now) -> None:
+def _apply_absence(cell: Cell, worker: Worker, run: Run, sent_at: float, now: Now) -> None:
     match run.phase:
         case Phase.UNKNOWN:
             # The worker has this owner's token now, so no order of an earlier owner can start it.
--- a/toucanpin/scheduling/tests/fleet.py
+++ b/toucanpin/scheduling/tests/fleet.py
@@ -12,13 +12,13 @@
 from toucanpin.scheduling.cell import Cell, Now
 from toucanpin.scheduling.crashing import give_up_crashing
 from toucanpin.scheduling.holding import (
-    AUTHORITY,
-    lapse_workers,
-    list_workers,
-    plan_hold,
-    replace_worker,
-    take_answer,
-    take_silence,
+    OWNER_AUTHORITY_S,
+    apply_answer,
+    expire_leases,
+    mark_silent,
+    plan_poll,
+    remove_replaced_worker,
+    update_workers,
 )
 from toucanpin.scheduling.intake import begin_due, restore_job, submit_job
 from toucanpin.scheduling.interference_model import InterferenceModel
@@ -118,7 +118,7 @@
         return decode_progress(self.rows[job]).state if job in self.rows else 0
 
     def _make_cell(self, token: int) -> Cell:
-        return Cell("c", token, self.time + AUTHORITY * 1.04 + 0.4, self.time)
+        return Cell("c", token, self.time + OWNER_AUTHORITY_S * 1.04 + 0.4, self.time)
 
     def _turn(self) -> None:
         self.time += STEP
@@ -129,9 +129,9 @@
         entries = [worker.entry for worker in self.workers.values()]
         entries += [entry for _, entry in self._down]
         listed = [entry for entry in entries if entry.id not in self.unlisted]
-        list_workers(self.cell, listed, self.now())
+        update_workers(self.cell, listed, self.now())
         self._hold_all()
-        lapse_workers(self.cell, self.now())
+        expire_leases(self.cell, self.now())
         give_up_crashing(self.cell, self.now())
         begin_due(self.cell, self.now())
         move_tasks(self.cell, self.now())
@@ -154,19 +154,19 @@
     def _hold_all(self) -> None:
         for worker in list(self.cell.workers.values()):
             there = self.workers.get(worker.entry.id)
-            order = plan_hold(self.cell, worker, self.now())
+            order = plan_poll(self.cell, worker, self.now())
             if there is None:
                 if worker.entry.address and f"{worker.entry.id}'" in self.workers:
-                    replace_worker(self.cell, worker, self.now())
+                    remove_replaced_worker(self.cell, worker, self.now())
                 else:
-                    take_silence(worker)
+                    mark_silent(worker)
                 continue
             if there.silent:
-                take_silence(worker)
+                mark_silent(worker)
                 continue
             held = there.hold(self.cell.token, order.acknowledged, order.deadline, self.time)
             assert isinstance(held, PollAnswer), held
-            take_answer(self.cell, worker, held, self.time, self.now())
+            apply_answer(self.cell, worker, held, self.time, self.now())
 
     def _send_starts(self) -> None:
         again = []
--- a/toucanpin/scheduling/tests/test_failures.py
+++ b/toucanpin/scheduling/tests/test_failures.py
@@ -9,7 +9,7 @@
 
 from toucanpin.scheduling.batches import apply_batch, take_batch
 from toucanpin.scheduling.ending import RETRY_DELAY
-from toucanpin.scheduling.holding import AUTHORITY, LEASE
+from toucanpin.scheduling.holding import LEASE_S, OWNER_AUTHORITY_S
 from toucanpin.scheduling.intake import cancel_job
 from toucanpin.scheduling.job import Step
 from toucanpin.scheduling.orders import RefusalReason, StartAnswer
@@ -131,7 +131,7 @@
         fleet.submit(make_job())
         fleet.run(0.3)
         fleet.workers["w0"].silent = True
-        fleet.run(AUTHORITY + 6.0)
+        fleet.run(OWNER_AUTHORITY_S + 6.0)
         fleet.workers["w0"].silent = False
         fleet.run(5.0)
         self.assertEqual(JobState.COMPLETED, fleet.state("j1"))
@@ -146,7 +146,7 @@
         fleet.submit(make_job())
         fleet.run(0.3)
         fleet.workers["w0"].silent = True
-        fleet.run(AUTHORITY + 6.0)
+        fleet.run(OWNER_AUTHORITY_S + 6.0)
         fleet.add_worker("w1")
         fleet.store_up = False
         fleet.run(0.2)
@@ -167,7 +167,7 @@
         fleet.submit(make_job())
         fleet.run(0.3)
         fleet.workers["w0"].silent = True
-        fleet.run(AUTHORITY + 6.0)
+        fleet.run(OWNER_AUTHORITY_S + 6.0)
         fleet.add_worker("w1").lasts = 60.0
         fleet.run(1.0)
         self.assertEqual(1, len(fleet.workers["w1"].runs))
@@ -184,12 +184,12 @@
         fleet = Fleet()
         for worker in fleet.workers.values():
             worker.lasts = 30.0
-        fleet.run(AUTHORITY + 1.0)  # the first owner too waits for leases of one before it
+        fleet.run(OWNER_AUTHORITY_S + 1.0)  # the first owner too waits for leases of one before it
         fleet.submit(make_job())
         fleet.run(1.0)
         holder = next(worker for worker in fleet.workers.values() if worker.runs)
         holder.silent = True
-        fleet.run(LEASE - 1.0)
+        fleet.run(LEASE_S - 1.0)
         self.assertEqual(1, sum(len(worker.runs) for worker in fleet.workers.values()))
         fleet.run(3.0)
         self.assertFalse(fleet.double)
@@ -203,7 +203,7 @@
         lease had ended, nearly five seconds, with room on the other worker all the while.
         """
         fleet = Fleet()
-        fleet.run(AUTHORITY + 1.0)
+        fleet.run(OWNER_AUTHORITY_S + 1.0)
         fleet.store_up = False
         fleet.submit(make_job())
         fleet.run(0.1)
@@ -268,7 +268,7 @@
         fleet.run(0.5)
         other = next(worker for worker in fleet.workers.values() if worker is not holder)
         self.assertEqual({"j2"}, {task.job for task in other.runs})
-        fleet.run(AUTHORITY + 2.0)
+        fleet.run(OWNER_AUTHORITY_S + 2.0)
         self.assertEqual({"j1", "j2"}, {task.job for task in other.runs})
         self.assertFalse(fleet.double)
 
@@ -286,9 +286,9 @@
         holder.silent = True
         fleet.unlisted.add(holder.entry.id)
         fleet.replace_owner()
-        fleet.run(LEASE - 1.0)
+        fleet.run(LEASE_S - 1.0)
         self.assertEqual(1, sum(len(worker.runs) for worker in fleet.workers.values()))
-        fleet.run(AUTHORITY)
+        fleet.run(OWNER_AUTHORITY_S)
         self.assertFalse(fleet.double)
         self.assertEqual(2, sum(len(worker.starts) for worker in fleet.workers.values()))
 
@@ -312,7 +312,7 @@
         fleet.submit(make_job(steps=(Step(cpu=1_000, lasting=True),)))
         fleet.run(1.0)
         fleet.store_up = False
-        fleet.run(AUTHORITY - 0.5)
+        fleet.run(OWNER_AUTHORITY_S - 0.5)
         self.assertTrue(fleet.workers["w0"].runs)
         fleet.run(1.5)
         self.assertFalse(fleet.workers["w0"].runs)
--- a/toucanpin/scheduling/tests/test_old_views.py
+++ b/toucanpin/scheduling/tests/test_old_views.py
@@ -4,7 +4,7 @@
 
 import unittest
 
-from toucanpin.scheduling.holding import take_answer
+from toucanpin.scheduling.holding import apply_answer
 from toucanpin.scheduling.job import Step, TaskKey
 from toucanpin.scheduling.moving import move_tasks
 from toucanpin.scheduling.orders import EndedRun, PollAnswer, RunEnd, StopOrder
@@ -32,12 +32,12 @@
             EndedRun(number, TaskKey("old", 0, 0, number), 1, RunEnd.STOPPED, "")
             for number in range(1, 501)
         ]
-        take_answer(
+        apply_answer(
             fleet.cell, worker, PollAnswer(1, (), tuple(ends)), fleet.time + 1.0, fleet.now()
         )
         self.assertIs(Phase.RUNNING, run.phase)
         done = EndedRun(501, run.task, run.attempt, RunEnd.DONE, "")
-        take_answer(fleet.cell, worker, PollAnswer(2, (), (done,)), fleet.time + 1.0, fleet.now())
+        apply_answer(fleet.cell, worker, PollAnswer(2, (), (done,)), fleet.time + 1.0, fleet.now())
         self.assertEqual(JobState.COMPLETED, fleet.cell.jobs["j1"].progress.state)
 
 
