--- a/benchmarks/sharing.py
+++ b/benchmarks/sharing.py
@@ -30,7 +30,7 @@
 from toucanpin.scheduling.pacing import control_pace
 from toucanpin.scheduling.placing import place_tasks
 from toucanpin.scheduling.progress import JobState
-from toucanpin.scheduling.starting import plan_start, take_started, take_stopped
+from toucanpin.scheduling.starting import apply_start_answer, plan_start, record_stop_acknowledged
 from toucanpin.scheduling.worker import Phase, Run
 
 __all__ = ["Outcome", "main", "play"]
@@ -165,7 +165,9 @@
         if run.checkpoint:
             there.done = float(run.checkpoint) - 0.25
         self.world.workers[run.worker].runs[run.task] = there
-        take_started(self.cell, worker, run, StartAnswer(int(self.time * 1_000), None), self.now())
+        apply_start_answer(
+            self.cell, worker, run, StartAnswer(int(self.time * 1_000), None), self.now()
+        )
 
     def _stop(self, order: StopOrder, there: SharedRun | None) -> None:
         self.outcome.stops += 1
@@ -173,7 +175,7 @@
             self.world.workers[order.worker].end(order.task, RunEnd.STOPPED)
         run = self.cell.workers[order.worker].runs.get(order.task)
         if run is not None and run.attempt == order.attempt:
-            take_stopped(self.cell.workers[order.worker], run, self.now())
+            record_stop_acknowledged(self.cell.workers[order.worker], run, self.now())
 
     def _watch(self) -> None:
         for identifier, live in self.cell.jobs.items():
--- a/toucanpin/entry/cell_workers.py
+++ b/toucanpin/entry/cell_workers.py
@@ -35,11 +35,11 @@
 from toucanpin.scheduling.orders import EndedRun, PaceOrder, RefusalReason, StopOrder, WorkerEntry
 from toucanpin.scheduling.shedding import ANSWERED, Delay, Fastest
 from toucanpin.scheduling.starting import (
-    Next,
+    StartOutcome,
+    apply_start_answer,
+    apply_start_failure,
     plan_start,
-    take_no_start,
-    take_started,
-    take_stopped,
+    record_stop_acknowledged,
 )
 from toucanpin.scheduling.trust import is_doubted
 from toucanpin.scheduling.worker import Phase, Run, Worker
@@ -224,8 +224,10 @@
                 return
             except (CallError, PlatformError) as error:
                 certain = isinstance(error, CallError) and error.certain
-                following = take_no_start(self._cell, worker, run, certain, self._clocks.now())
-                if following is not Next.SETTLED:
+                following = apply_start_failure(
+                    self._cell, worker, run, certain, self._clocks.now()
+                )
+                if following is not StartOutcome.SETTLED:
                     await asyncio.sleep(SHORT_RETRY)
             else:
                 self._note_answer(self._sent[id(run)])
@@ -238,15 +240,15 @@
                         worker=run.worker,
                         reason=answer.refused.value,
                     )
-                following = take_started(self._cell, worker, run, answer, self._clocks.now())
+                following = apply_start_answer(self._cell, worker, run, answer, self._clocks.now())
             finally:
                 self._sent.pop(id(run), None)
             match following:
-                case Next.FENCED:
+                case StartOutcome.FENCED:
                     raise DeposedError(f"worker {run.worker} has another owner")
-                case Next.SETTLED:
+                case StartOutcome.SETTLED:
                     break
-                case Next.LATER:
+                case StartOutcome.RETRY_LATER:
                     await asyncio.sleep(RETRY)
         self._changed()
 
@@ -291,7 +293,7 @@
                 await asyncio.sleep(RETRY)
                 continue
             if run is not None and run.attempt == order.attempt:
-                take_stopped(worker, run, self._clocks.now())
+                record_stop_acknowledged(worker, run, self._clocks.now())
             return
 
     async def _pace(self, order: PaceOrder) -> None:
--- a/toucanpin/scheduling/starting.py
+++ b/toucanpin/scheduling/starting.py
@@ -17,20 +17,29 @@
 from toucanpin.scheduling.stopping import stop_run
 from toucanpin.scheduling.worker import Phase, Run, Worker, grant_lease, is_overcommitted
 
-__all__ = ["OLDEST_ENTRY", "Next", "plan_start", "take_no_start", "take_started", "take_stopped"]
-
-SHORTEST_LEASE = 0.5  # s: a start with less would lapse before it is renewed
-UNHEALTHY = 1.0  # s that a worker gets nothing after it refused to start anything
-OLDEST_ENTRY = 2.5  # s since a worker that takes whatever it is given was last heard of
-FULL = 0.3  # s that a worker gets nothing after it had less room than its owner thought
-
-
-class Next(enum.Enum):
+__all__ = [
+    "MAX_ENTRY_AGE_S",
+    "StartOutcome",
+    "plan_start",
+    "apply_start_failure",
+    "apply_start_answer",
+    "record_stop_acknowledged",
+]
+
+MIN_START_LEASE_S = 0.5  # s: a start with less would lapse before it is renewed
+UNHEALTHY_BACKOFF_S = 1.0  # s that a worker gets nothing after it refused to start anything
+MAX_ENTRY_AGE_S = 2.5  # s since a worker that takes whatever it is given was last heard of
+NO_ROOM_BACKOFF_S = (
+    0.3  # s that a worker gets nothing after it had less room than its owner thought
+)
+
+
+class StartOutcome(enum.Enum):
     """Say what to do with a start."""
 
     SETTLED = "settled"
-    AGAIN = "again"
-    LATER = "later"
+    RETRY_NOW = "again"
+    RETRY_LATER = "later"
     FENCED = "fenced"
 
 
@@ -42,71 +51,75 @@
         return 0
     if is_evacuated(cell, worker):
         # A start whose answer was lost may be on its way; sent again, it would begin late for sure.
-        _give_up(cell, worker, run, now)
+        _abandon_start(cell, worker, run, now)
         return 0
     if is_overcommitted(worker) and not (cell.guarded and run.ordered_at):
-        worker.full_until = now.steady + FULL
-        _give_up(cell, worker, run, now)
+        worker.full_until = now.steady + NO_ROOM_BACKOFF_S
+        _abandon_start(cell, worker, run, now)
         return 0
-    if not cell.guarded and now.steady > worker.listed_at + OLDEST_ENTRY:
+    if not cell.guarded and now.steady > worker.listed_at + MAX_ENTRY_AGE_S:
         return 0
     if not knows_evacuations(cell, now):
         return 0
     until = lease_end(cell, now)
-    if worker.silent or until - now.steady < SHORTEST_LEASE:
+    if worker.silent or until - now.steady < MIN_START_LEASE_S:
         return 0
     run.ordered_at = now.steady
     return grant_lease(worker, until)
 
 
-def take_started(cell: Cell, worker: Worker, run: Run, answer: StartAnswer, now: Now) -> Next:
+def apply_start_answer(
+    cell: Cell, worker: Worker, run: Run, answer: StartAnswer, now: Now
+) -> StartOutcome:
     """Take note of a worker's answer to a start."""
     if run.phase is not Phase.ORDERED:
-        return Next.SETTLED
+        return StartOutcome.SETTLED
     match answer.refused:
         case None:
             run.phase = Phase.RUNNING
             run.started_at = run.moved_at = now.steady
             run.unsure = False
             note_begun(cell, run.task.job)
-            return Next.SETTLED
+            return StartOutcome.SETTLED
         case RefusalReason.FENCED:
-            return Next.FENCED
+            return StartOutcome.FENCED
         case RefusalReason.LATE:
-            return Next.AGAIN
+            return StartOutcome.RETRY_NOW
         case RefusalReason.NO_ROOM:
-            worker.full_until = now.steady + FULL
+            worker.full_until = now.steady + NO_ROOM_BACKOFF_S
         case RefusalReason.NO_TICKET:
             group = Group(run.task.job, run.task.occurrence, run.task.step)
             cell.advised.pop(group, None)
         case RefusalReason.UNHEALTHY:
-            worker.suspect_until = max(worker.suspect_until, now.steady + UNHEALTHY)
+            worker.suspect_until = max(worker.suspect_until, now.steady + UNHEALTHY_BACKOFF_S)
         case RefusalReason.MALFORMED | RefusalReason.OLD_ATTEMPT:
             cell.delayed[run.task] = now.steady + RETRY_DELAY
-    _give_up(cell, worker, run, now)
-    return Next.SETTLED
+    _abandon_start(cell, worker, run, now)
+    return StartOutcome.SETTLED
 
 
-def take_no_start(cell: Cell, worker: Worker, run: Run, certain: bool, now: Now) -> Next:
+def apply_start_failure(
+    cell: Cell, worker: Worker, run: Run, certain: bool, now: Now
+) -> StartOutcome:
     """Take note that a start got no answer; ``certain`` says that it was never sent."""
     if run.phase is not Phase.ORDERED:
-        return Next.SETTLED
+        return StartOutcome.SETTLED
     run.unsure = run.unsure or not certain
     if not run.unsure:
-        worker.suspect_until = max(worker.suspect_until, now.steady + UNHEALTHY)
-        _give_up(cell, worker, run, now)
-        return Next.SETTLED
+        worker.suspect_until = max(worker.suspect_until, now.steady + UNHEALTHY_BACKOFF_S)
+        _abandon_start(cell, worker, run, now)
+        return StartOutcome.SETTLED
     # The same start again is safe: the worker accepts an attempt that it already has.
-    return Next.LATER if worker.silent else Next.AGAIN
+    return StartOutcome.RETRY_LATER if worker.silent else StartOutcome.RETRY_NOW
 
 
-def take_stopped(worker: Worker, run: Run, now: Now) -> None:
+def record_stop_acknowledged(worker: Worker, run: Run, now: Now) -> None:
     """Take note that a worker acknowledged a stop; its next list shows what is left."""
     if run.phase is Phase.STOPPING:
         run.stopped_at = now.steady
 
 
-def _give_up(cell: Cell, worker: Worker, run: Run, now: Now) -> None:
+def _abandon_start(cell: Cell, worker: Worker, run: Run, now: Now) -> None:
     if run.unsure:
         stop_run(cell, run, "start unsure")
     else:
--- a/toucanpin/scheduling/tests/fleet.py
+++ b/toucanpin/scheduling/tests/fleet.py
@@ -34,11 +34,11 @@
 from toucanpin.scheduling.placing import place_tasks
 from toucanpin.scheduling.progress import decode_progress
 from toucanpin.scheduling.starting import (
-    Next,
+    StartOutcome,
+    apply_start_answer,
+    apply_start_failure,
     plan_start,
-    take_no_start,
-    take_started,
-    take_stopped,
+    record_stop_acknowledged,
 )
 from toucanpin.scheduling.worker import Phase, Run
 
@@ -180,20 +180,20 @@
                 continue
             there = self.workers.get(run.worker)
             if there is None or there.silent:
-                following = take_no_start(self.cell, worker, run, False, self.now())
+                following = apply_start_failure(self.cell, worker, run, False, self.now())
             elif there.deaf:
                 order = (self.time + 6.0, run.task, run.attempt, deadline, self.cell.token)
                 there.late.append(order)
-                following = take_no_start(self.cell, worker, run, False, self.now())
+                following = apply_start_failure(self.cell, worker, run, False, self.now())
             elif run.task in self.crashing:
                 self.crashes.append(run.task)
                 self.crash(run.worker)
-                following = take_no_start(self.cell, worker, run, False, self.now())
+                following = apply_start_failure(self.cell, worker, run, False, self.now())
             else:
                 token = self.cell.token
                 answer = there.start(run.task, run.attempt, deadline, token, self.time)
-                following = take_started(self.cell, worker, run, answer, self.now())
-            if following is not Next.SETTLED:
+                following = apply_start_answer(self.cell, worker, run, answer, self.now())
+            if following is not StartOutcome.SETTLED:
                 again.append(run)
         self.pending = again
 
@@ -213,7 +213,7 @@
             there.stop(order.task, order.attempt, self.cell.token)
             run = worker.runs.get(order.task)
             if run is not None and run.attempt == order.attempt:
-                take_stopped(worker, run, self.now())
+                record_stop_acknowledged(worker, run, self.now())
 
     def _find_doubles(self) -> None:
         seen: set[TaskKey] = set()
--- a/toucanpin/scheduling/tests/test_failures.py
+++ b/toucanpin/scheduling/tests/test_failures.py
@@ -15,7 +15,7 @@
 from toucanpin.scheduling.orders import RefusalReason, StartAnswer
 from toucanpin.scheduling.placing import place_tasks
 from toucanpin.scheduling.progress import JobState
-from toucanpin.scheduling.starting import Next, take_started
+from toucanpin.scheduling.starting import StartOutcome, apply_start_answer
 from toucanpin.scheduling.tests.fleet import Fleet, make_job
 from toucanpin.scheduling.worker import Phase
 
@@ -87,7 +87,9 @@
         (run,) = apply_batch(fleet.cell, batch)
         worker = fleet.cell.workers[run.worker]
         answer = StartAnswer(0, RefusalReason.NO_ROOM)
-        self.assertIs(Next.SETTLED, take_started(fleet.cell, worker, run, answer, fleet.now()))
+        self.assertIs(
+            StartOutcome.SETTLED, apply_start_answer(fleet.cell, worker, run, answer, fleet.now())
+        )
         self.assertIs(Phase.ENDED, run.phase)
         place_tasks(fleet.cell, fleet.model, fleet.now())
         (again,) = apply_batch(fleet.cell, take_batch(fleet.cell))
--- a/toucanpin/scheduling/tests/test_life.py
+++ b/toucanpin/scheduling/tests/test_life.py
@@ -9,7 +9,7 @@
 from toucanpin.scheduling.intake import cancel_job, forget_ended
 from toucanpin.scheduling.job import Step, TaskKey, find_job_fault
 from toucanpin.scheduling.progress import JobState
-from toucanpin.scheduling.starting import OLDEST_ENTRY
+from toucanpin.scheduling.starting import MAX_ENTRY_AGE_S
 from toucanpin.scheduling.tests.fleet import Fleet, make_job
 
 
@@ -82,7 +82,7 @@
                 fleet.cell.guarded = guarded
                 fleet.run(0.2)
                 fleet.unlisted = {"w0"}
-                fleet.run(OLDEST_ENTRY + 0.5)
+                fleet.run(MAX_ENTRY_AGE_S + 0.5)
                 fleet.submit(make_job())
                 fleet.run(0.5)
                 self.assertEqual(guarded, bool(fleet.workers["w0"].starts))
