--- a/toucanpin/scheduling/ending.py
+++ b/toucanpin/scheduling/ending.py
@@ -27,14 +27,14 @@
 from toucanpin.scheduling.worker import Run, Worker
 
 __all__ = [
-    "RETRY_DELAY",
+    "RETRY_DELAY_S",
     "apply_end",
     "end_job",
     "end_run",
     "finish_run",
 ]
 
-RETRY_DELAY = 0.25  # s before a task is placed again for which nothing else bounds the tries
+RETRY_DELAY_S = 0.25  # s before a task is placed again for which nothing else bounds the tries
 
 
 def apply_end(cell: Cell, worker: Worker, ended: EndedRun, now: Now) -> None:
@@ -43,14 +43,14 @@
     note_begun(cell, ended.task.job)
     run = worker.runs.get(ended.task)
     if run is not None and run.attempt == ended.attempt:
-        _judge_worker(worker, run, ended.end, now)
+        _update_trust(worker, run, ended.end, now)
         finish_run(cell, worker, run, ended.end, ended.checkpoint, now)
         return
     match ended.end:
         case RunEnd.DONE:
-            _take_late_done(cell, ended.task, now)
+            _apply_late_success(cell, ended.task, now)
         case RunEnd.FAILED:
-            _take_late_failure(cell, ended, now)
+            _apply_late_failure(cell, ended, now)
 
 
 def finish_run(
@@ -63,7 +63,7 @@
     if live is None or record is None or record.state == TaskState.DONE:
         return
     if record.attempt != run.attempt:
-        _finish_copy(cell, live, run, record, end, now)
+        _finish_superseded_copy(cell, live, run, record, end, now)
         return
     mark_dirty(cell, live)
     if end in (RunEnd.DONE, RunEnd.FAILED):
@@ -79,7 +79,7 @@
         return
     match end:
         case RunEnd.DONE if not run.step.lasting:
-            _note_time(live, run, now)
+            _record_task_time(live, run, now)
             _finish_task(cell, live, run.task, record, now)
             return
         case RunEnd.FAILED if not run.step.lasting:
@@ -92,7 +92,7 @@
             # One that ran for longer can't spin.  It goes back at once: on a full fleet another
             # task would take its place within the delay.
             if now.steady < run.started_at + BRIEF_LIFE:
-                cell.delayed[run.task] = now.steady + RETRY_DELAY
+                cell.delayed[run.task] = now.steady + RETRY_DELAY_S
     wait_again(cell, run)
     if run.step.gang:
         stop_gang(cell, live, run, "another member ended")
@@ -131,7 +131,7 @@
             member.state = TaskState.LEAVING
 
 
-def _take_late_done(cell: Cell, task: TaskKey, now: Now) -> None:
+def _apply_late_success(cell: Cell, task: TaskKey, now: Now) -> None:
     """
     Take note that a run is done that isn't followed: its lease ended, or an earlier owner began it.
 
@@ -153,7 +153,7 @@
     mark_dirty(cell, live)
 
 
-def _take_late_failure(cell: Cell, ended: EndedRun, now: Now) -> None:
+def _apply_late_failure(cell: Cell, ended: EndedRun, now: Now) -> None:
     """
     Count the failure of a run that isn't followed, unless it is counted already.
 
@@ -180,7 +180,7 @@
         record.failures += 1
 
 
-def _finish_copy(
+def _finish_superseded_copy(
     cell: Cell, live: LiveJob, run: Run, record: TaskRecord, end: RunEnd, now: Now
 ) -> None:
     """Take note of the end of a copy that another one follows: the first that is done counts."""
@@ -218,7 +218,7 @@
     left[task.step] -= len(done)
     if left[task.step]:
         return
-    _note_duration(cell, live, task.step)
+    _record_step_duration(cell, live, task.step)
     if any(left):
         open_steps(cell, live, occurrence)
         return
@@ -230,13 +230,13 @@
         live.progress.ended = now.table
 
 
-def _note_time(live: LiveJob, run: Run, now: Now) -> None:
+def _record_task_time(live: LiveJob, run: Run, now: Now) -> None:
     """Keep what a task of a step took, to know slow workers by."""
     if run.started_at and not run.untimed:
         live.times.setdefault(run.task.step, []).append(now.steady - run.started_at)
 
 
-def _note_duration(cell: Cell, live: LiveJob, step: int) -> None:
+def _record_step_duration(cell: Cell, live: LiveJob, step: int) -> None:
     """Learn from what the longest task of a step took."""
     times = live.times.get(step)
     if times:
@@ -256,7 +256,7 @@
     return live.progress.tasks[task.occurrence][start : start + count]
 
 
-def _judge_worker(worker: Worker, run: Run, end: RunEnd, now: Now) -> None:
+def _update_trust(worker: Worker, run: Run, end: RunEnd, now: Now) -> None:
     match end:
         case RunEnd.DONE:
             note_done(worker, run)
--- a/toucanpin/scheduling/starting.py
+++ b/toucanpin/scheduling/starting.py
@@ -10,7 +10,7 @@
 import enum
 
 from toucanpin.scheduling.cell import Cell, Group, Now, note_begun
-from toucanpin.scheduling.ending import RETRY_DELAY, end_run
+from toucanpin.scheduling.ending import RETRY_DELAY_S, end_run
 from toucanpin.scheduling.evacuating import is_evacuated, knows_evacuations
 from toucanpin.scheduling.holding import lease_end
 from toucanpin.scheduling.orders import RefusalReason, StartAnswer
@@ -93,7 +93,7 @@
         case RefusalReason.UNHEALTHY:
             worker.suspect_until = max(worker.suspect_until, now.steady + UNHEALTHY_BACKOFF_S)
         case RefusalReason.MALFORMED | RefusalReason.OLD_ATTEMPT:
-            cell.delayed[run.task] = now.steady + RETRY_DELAY
+            cell.delayed[run.task] = now.steady + RETRY_DELAY_S
     _abandon_start(cell, worker, run, now)
     return StartOutcome.SETTLED
 
--- a/toucanpin/scheduling/tests/test_failures.py
+++ b/toucanpin/scheduling/tests/test_failures.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 
 from toucanpin.scheduling.batches import apply_batch, take_batch
-from toucanpin.scheduling.ending import RETRY_DELAY
+from toucanpin.scheduling.ending import RETRY_DELAY_S
 from toucanpin.scheduling.holding import LEASE_S, OWNER_AUTHORITY_S
 from toucanpin.scheduling.intake import cancel_job
 from toucanpin.scheduling.job import Step
@@ -104,7 +104,7 @@
         fleet.submit(make_job())
         fleet.run(5.0)
         (record,) = fleet.cell.jobs["j1"].progress.tasks[0]
-        self.assertLessEqual(record.attempt, 5.0 / RETRY_DELAY + 1)
+        self.assertLessEqual(record.attempt, 5.0 / RETRY_DELAY_S + 1)
 
     def test_a_stop_that_found_no_worker_is_sent_again(self) -> None:
         """
