--- a/toucanpin/scheduling/consolidating.py
+++ b/toucanpin/scheduling/consolidating.py
@@ -20,7 +20,7 @@
 from toucanpin.scheduling.choosing import fits_rules, list_able
 from toucanpin.scheduling.interference_model import InterferenceModel
 from toucanpin.scheduling.reserving import leaves_reserve
-from toucanpin.scheduling.stopping import count_away, stop_run
+from toucanpin.scheduling.stopping import count_unavailable, stop_run
 from toucanpin.scheduling.worker import Phase, Run, Worker, has_room
 
 __all__ = ["consolidate_images"]
@@ -120,7 +120,7 @@
         return False
     if run.percent < 100 or now.steady < cell.consolidated.get(run.task, -MIN_STAY_S) + MIN_STAY_S:
         return False
-    return run.task.job in cell.jobs and count_away(cell, run, now) == 0
+    return run.task.job in cell.jobs and count_unavailable(cell, run, now) == 0
 
 
 def _find_min_loss(
--- a/toucanpin/scheduling/ending.py
+++ b/toucanpin/scheduling/ending.py
@@ -22,7 +22,7 @@
 from toucanpin.scheduling.job import TaskKey
 from toucanpin.scheduling.orders import EndedRun, RunEnd
 from toucanpin.scheduling.progress import JobState, TaskRecord, TaskState
-from toucanpin.scheduling.stopping import stop_gang, stop_run, wait_again
+from toucanpin.scheduling.stopping import requeue_task, stop_gang, stop_run
 from toucanpin.scheduling.trust import BRIEF_LIFE, note_done, note_failed
 from toucanpin.scheduling.worker import Run, Worker
 
@@ -93,7 +93,7 @@
             # task would take its place within the delay.
             if now.steady < run.started_at + BRIEF_LIFE:
                 cell.delayed[run.task] = now.steady + RETRY_DELAY_S
-    wait_again(cell, run)
+    requeue_task(cell, run)
     if run.step.gang:
         stop_gang(cell, live, run, "another member ended")
 
--- a/toucanpin/scheduling/moving.py
+++ b/toucanpin/scheduling/moving.py
@@ -12,7 +12,7 @@
 from toucanpin.scheduling.cell import Cell, Group, Now, find_record, mark_dirty
 from toucanpin.scheduling.choosing import fits_rules, list_able
 from toucanpin.scheduling.progress import JobState, TaskState
-from toucanpin.scheduling.stopping import list_members, stop_gang, stop_run, wait_again
+from toucanpin.scheduling.stopping import list_gang_runs, requeue_task, stop_gang, stop_run
 from toucanpin.scheduling.trust import note_failed
 from toucanpin.scheduling.worker import Phase, Run, Worker, has_room
 
@@ -83,7 +83,7 @@
     record.state = TaskState.WAITING
     record.worker = ""
     mark_dirty(cell, live)
-    wait_again(cell, run)
+    requeue_task(cell, run)
 
 
 def _copy_silent(cell: Cell, worker: Worker, now: Now) -> None:
@@ -100,7 +100,7 @@
     record = find_record(live, run.task) if live else None
     if live is None or record is None or record.state == TaskState.DONE:
         return True
-    members = list_members(cell, live, run)
+    members = list_gang_runs(cell, live, run)
     return len(members) == run.step.count and all(m.phase is Phase.RUNNING for m in members)
 
 
--- a/toucanpin/scheduling/stopping.py
+++ b/toucanpin/scheduling/stopping.py
@@ -12,10 +12,10 @@
 from toucanpin.scheduling.progress import JobState, TaskState
 from toucanpin.scheduling.worker import Phase, Run, mark_stopping
 
-__all__ = ["count_away", "list_members", "stop_gang", "stop_run", "wait_again"]
+__all__ = ["count_unavailable", "list_gang_runs", "stop_gang", "stop_run", "requeue_task"]
 
 # Workers are asked for what they run each 0.4 to 0.7 s, and answer late at times.
-SHOWN_LATELY = 2.0  # s since a list showed a task at work for which it is thought to be so
+MAX_LISTING_AGE_S = 2.0  # s since a list showed a task at work for which it is thought to be so
 
 
 def stop_run(cell: Cell, run: Run, reason: str) -> None:
@@ -35,14 +35,14 @@
         record.state = TaskState.WAITING
         record.worker = ""
         if not JobState(live.progress.state).ended:
-            wait_again(cell, run)
+            requeue_task(cell, run)
         return
     mark_stopping(worker, run)
     run.stopped_at = run.stop_sent_at = 0.0
     cell.orders.append(StopOrder(run.worker, run.task, run.attempt, reason))
 
 
-def wait_again(cell: Cell, run: Run) -> None:
+def requeue_task(cell: Cell, run: Run) -> None:
     """Let the task of a run wait for another place."""
     group = Group(run.task.job, run.task.occurrence, run.task.step)
     cell.waiting.setdefault(group, set()).add(run.task.index)
@@ -50,12 +50,12 @@
 
 def stop_gang(cell: Cell, live: LiveJob, run: Run, reason: str) -> None:
     """Stop the other members of a run's gang, which would wait for it or do their work in vain."""
-    for other in list_members(cell, live, run):
+    for other in list_gang_runs(cell, live, run):
         if other is not run:
             stop_run(cell, other, reason)
 
 
-def list_members(cell: Cell, live: LiveJob, run: Run) -> list[Run]:
+def list_gang_runs(cell: Cell, live: LiveJob, run: Run) -> list[Run]:
     """Return what goes on of a run's gang, the run included."""
     return [
         other
@@ -66,7 +66,7 @@
     ]
 
 
-def count_away(cell: Cell, run: Run, now: Now) -> int:
+def count_unavailable(cell: Cell, run: Run, now: Now) -> int:
     """
     Return how many other tasks of a lasting task's step are not at work.
 
@@ -78,7 +78,7 @@
     at_work = sum(
         other.phase is Phase.RUNNING
         and other.percent >= 100
-        and now.steady < other.shown_at + SHOWN_LATELY
+        and now.steady < other.shown_at + MAX_LISTING_AGE_S
         for other in list_runs(cell, live)
         if other is not run
         and other.task.step == run.task.step
--- a/toucanpin/scheduling/upkeep.py
+++ b/toucanpin/scheduling/upkeep.py
@@ -15,7 +15,7 @@
 import msgspec
 
 from toucanpin.scheduling.cell import Cell, Now
-from toucanpin.scheduling.stopping import count_away, stop_run
+from toucanpin.scheduling.stopping import count_unavailable, stop_run
 from toucanpin.scheduling.worker import Phase, Run, Worker
 
 __all__ = [
@@ -216,7 +216,7 @@
         return run.phase is Phase.PLACED
     if run.step.lasting:
         # Users of a service bear so many of its tasks away at a time, and no more.
-        return not run.step.may_miss or count_away(cell, run, now) < run.step.may_miss
+        return not run.step.may_miss or count_unavailable(cell, run, now) < run.step.may_miss
     return run.step.checkpoints or not patient
 
 
