--- a/benchmarks/ablation.py
+++ b/benchmarks/ablation.py
@@ -47,7 +47,7 @@
 
 
 def _always_in_time(*_args: object) -> Lateness:
-    return Lateness.IN_TIME
+    return Lateness.ON_TIME
 
 
 _PLACING = "toucanpin.scheduling.placing"
@@ -56,7 +56,7 @@
 _PACING = "toucanpin.scheduling.pacing"
 MECHANISMS: dict[str, tuple[Off, ...]] = {
     "all on": (),
-    "order by lateness": (Off("toucanpin.scheduling.cell.judge_lateness", _always_in_time),),
+    "order by lateness": (Off("toucanpin.scheduling.cell.estimate_lateness", _always_in_time),),
     "reserve for brief tasks": (Off(f"{_CHOOSING}.RESERVE", 0.0),),
     "a worker kept for large tasks": (
         Off("toucanpin.scheduling.large_tasks.MAX_RESERVED_SHARE", 0.0),
--- a/benchmarks/sharing.py
+++ b/benchmarks/sharing.py
@@ -105,7 +105,7 @@
     def _turn(self) -> None:
         self.time += STEP
         now = self.now()
-        self.cell.confirmed = self.time
+        self.cell.confirmed_at = self.time
         while self._next < len(self.arrivals):
             arrival = self.arrivals[self._next]
             if arrival.at + BEGIN > self.time:
--- a/benchmarks/turns.py
+++ b/benchmarks/turns.py
@@ -171,7 +171,7 @@
     spent = dict.fromkeys(DECISIONS, 0.0)
     for _ in range(turns):
         fleet.time += TURN
-        fleet.cell.confirmed = fleet.time
+        fleet.cell.confirmed_at = fleet.time
         for name, decide in DECISIONS.items():
             begun = time.process_time()
             decide(fleet)
--- a/toucanpin/entry/cell_rows.py
+++ b/toucanpin/entry/cell_rows.py
@@ -214,7 +214,7 @@
             raise DeposedError(f"owned by {found}")
         self.record = record
         self.written_at = sent_at
-        self._cell.confirmed = sent_at
+        self._cell.confirmed_at = sent_at
 
     async def drop_jobs(self, identifiers: Sequence[str]) -> None:
         """Drop the own rows of jobs that ended long ago, however long it takes."""
--- a/toucanpin/entry/decisions.py
+++ b/toucanpin/entry/decisions.py
@@ -57,8 +57,8 @@
 
 def log_losses(cell: Cell) -> None:
     """Tell once of each run that was lost with its worker, and how long it was there."""
-    losses = cell.losses
-    cell.losses = []
+    losses = cell.unlogged_losses
+    cell.unlogged_losses = []
     for loss in losses:
         LOST_RUNS.add(1, {"cause": loss.cause.name.lower()})
         _log.info(
@@ -93,13 +93,13 @@
     due = [
         (group, wait)
         for group, wait in cell.waits.items()
-        if now.steady - wait.since > LONG_WAIT and now.steady > wait.told_at + TELL_AGAIN
+        if now.steady - wait.since > LONG_WAIT and now.steady > wait.logged_at + TELL_AGAIN
     ]
     due.sort(key=lambda pair: pair[1].since)
     frees = (worker.entry.cpu - worker.cpu for worker in list_open(cell))
     free = max(frees, default=0) if due else 0
     for group, wait in due[:MOST_TOLD]:
-        wait.told_at = now.steady
+        wait.logged_at = now.steady
         job = cell.jobs[group.job].job
         _log.info(
             "waiting",
@@ -135,9 +135,9 @@
     """Tell once of each job that has ended, and by how much it missed its objective."""
     for identifier in identifiers:
         live = cell.jobs.get(identifier)
-        if live is None or live.told or not JobState(live.progress.state).ended:
+        if live is None or live.end_logged or not JobState(live.progress.state).ended:
             continue
-        live.told = True
+        live.end_logged = True
         _log.info(
             "job ended",
             event="job.ended",
--- a/toucanpin/entry/owner.py
+++ b/toucanpin/entry/owner.py
@@ -234,7 +234,7 @@
                 continue
             batch = take_batch(self._cell)
             await self._rows.write(batch, self._resigning)
-            self._cell.confirmed = self._rows.written_at
+            self._cell.confirmed_at = self._rows.written_at
             started = apply_batch(self._cell, batch)
             self._workers.note_written()
             log_ended(self._cell, batch.records, self._clocks.now())
@@ -291,20 +291,20 @@
             }
             own = [entry for entry in sound.values() if entry.service == self._cell.name]
             unsound = rows.keys() - sound.keys()
-            self._cell.guarded = self._guarded()
+            self._cell.workers_enforce_limits = self._guarded()
             self._workers.take_entries(own, unsound)
             await asyncio.sleep(LIST_PERIOD)
 
     async def _forget(self) -> None:
         """Drop the rows of jobs that ended long ago; commits don't wait for it."""
         while True:
-            forgotten = self._cell.forgotten[:MAX_FORGOTTEN]
+            forgotten = self._cell.job_rows_to_delete[:MAX_FORGOTTEN]
             if not forgotten:
                 await asyncio.sleep(FORGET_PERIOD)
                 continue
             await self._rows.drop_jobs(forgotten)
-            del self._cell.forgotten[: len(forgotten)]
-            self._cell.dropped += forgotten
+            del self._cell.job_rows_to_delete[: len(forgotten)]
+            self._cell.progress_rows_to_delete += forgotten
             self._wake.set()
 
     async def _advise(self, order: AdviceOrder) -> None:
--- a/toucanpin/entry/waves.py
+++ b/toucanpin/entry/waves.py
@@ -259,7 +259,7 @@
         """Order one machine's upkeep, once; a later turn repeats it if it is still the same."""
         order = self._orders.setdefault(wave.number, {}).setdefault(name, Order())
         try:
-            if steady_time() > self._cell.confirmed + FRESH:
+            if steady_time() > self._cell.confirmed_at + FRESH:
                 return
             answer = await self._calls.begin_upkeep(name, wave.number, self._cell.token)
             _log.info("upkeep ordered", event="upkeep.ordered", machine=name, answer=answer.value)
--- a/toucanpin/scheduling/advising.py
+++ b/toucanpin/scheduling/advising.py
@@ -9,7 +9,7 @@
 
 from dataclasses import dataclass
 
-from toucanpin.scheduling.cell import Advised, Cell, Group, Now, rank_group
+from toucanpin.scheduling.cell import Cell, Group, Now, StepTickets, rank_group
 from toucanpin.scheduling.choosing import Places, Round, list_able
 from toucanpin.scheduling.interference_model import InterferenceModel
 from toucanpin.scheduling.worker import Worker
@@ -39,10 +39,10 @@
 
 def find_ticket(cell: Cell, group: Group, worker: str, now: Now) -> str:
     """Return the ticket with which a worker may run a step, empty if none is known."""
-    advised = cell.advised.get(group)
-    if advised is None:
+    known = cell.step_tickets.get(group)
+    if known is None:
         return ""
-    ticket, until = advised.tickets.get(worker, ("", 0.0))
+    ticket, until = known.tickets.get(worker, ("", 0.0))
     return ticket if now.steady < until - MARGIN else ""
 
 
@@ -61,8 +61,8 @@
         live = cell.jobs[group.job]
         if not live.job.advised:
             continue
-        advised = cell.advised.setdefault(group, Advised())
-        if advised.asking or now.steady < advised.again_at:
+        known = cell.step_tickets.setdefault(group, StepTickets())
+        if known.request_pending or now.steady < known.retry_at:
             continue
         able = list_able(cell, now) if able is None else able
         step = live.job.steps[group.step]
@@ -71,9 +71,9 @@
             continue
         # What was refused stays refused, so the next question goes to other workers.
         ids = (worker.entry.id for worker in fitting)
-        asked = [worker for worker in ids if worker not in advised.refused][:QUESTION]
+        asked = [worker for worker in ids if worker not in known.refused][:QUESTION]
         if asked:
-            advised.asking = True
+            known.request_pending = True
             orders.append(AdviceOrder(group, tuple(asked)))
         if len(orders) >= free:
             break
@@ -82,17 +82,17 @@
 
 def take_advice(cell: Cell, order: AdviceOrder, advice: Advice | None, now: Now) -> None:
     """Take note of an answer, or of its lack."""
-    advised = cell.advised.get(order.group)
-    if advised is None:
+    known = cell.step_tickets.get(order.group)
+    if known is None:
         return
-    advised.asking = False
+    known.request_pending = False
     if advice is None:
-        advised.again_at = now.steady + PAUSE
+        known.retry_at = now.steady + PAUSE
         return
     until = now.steady + advice.valid
     for worker in order.workers:
         ticket = advice.tickets.get(worker)
         if ticket is None:
-            advised.refused.add(worker)
+            known.refused.add(worker)
         else:
-            advised.tickets[worker] = (ticket, until)
+            known.tickets[worker] = (ticket, until)
--- a/toucanpin/scheduling/batches.py
+++ b/toucanpin/scheduling/batches.py
@@ -37,7 +37,7 @@
 
 def has_work(cell: Cell) -> bool:
     """Tell whether something waits to be written."""
-    return bool(cell.dirty or cell.ends or cell.dropped)
+    return bool(cell.dirty or cell.end_sequences or cell.progress_rows_to_delete)
 
 
 def take_batch(cell: Cell) -> Batch:
@@ -54,11 +54,11 @@
     whole = not cell.dirty
     placed = [run for run in cell.placed if whole or run.task.job not in cell.dirty]
     cell.placed = [run for run in cell.placed if not whole and run.task.job in cell.dirty]
-    ends = dict(cell.ends) if whole else {}
+    ends = dict(cell.end_sequences) if whole else {}
     if whole:
-        cell.ends.clear()
-    forgotten = tuple(cell.dropped[:MAX_FORGOTTEN])
-    del cell.dropped[: len(forgotten)]
+        cell.end_sequences.clear()
+    forgotten = tuple(cell.progress_rows_to_delete[:MAX_FORGOTTEN])
+    del cell.progress_rows_to_delete[: len(forgotten)]
     return Batch(records, forgotten, tuple(placed), ends)
 
 
--- a/toucanpin/scheduling/cell.py
+++ b/toucanpin/scheduling/cell.py
@@ -1,8 +1,8 @@
 """
-Cells
-=====
+Cell state
+==========
 
-The state of one cell, which one owner at a time decides about: its jobs, workers and orders.
+The jobs, workers and orders of one cell, which has one owner at a time.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 from toucanpin.scheduling.worker import Phase, Run, Worker, release_run, reserve_run
 
 __all__ = [
-    "Advised",
+    "StepTickets",
     "Cell",
     "Group",
     "Lateness",
@@ -29,30 +29,32 @@
     "Wait",
     "WaitReason",
     "add_run",
-    "allow_time",
+    "compute_time_limit",
     "begin_occurrence",
     "drop_run",
     "find_record",
-    "judge_lateness",
+    "estimate_lateness",
     "list_runs",
     "mark_dirty",
-    "note_begun",
-    "open_steps",
+    "mark_started",
+    "queue_ready_steps",
     "rank_group",
-    "sum_remaining",
-    "task_offsets",
+    "sum_remaining_times",
+    "compute_task_offsets",
 ]
 
 
-WORTHLESS = 3  # times its objective after which a job's result is of no use to its caller
+# A result that is later than this multiple of the job's time limit is of no use to its caller.
+EXPIRY_FACTOR = 3
 
 
 @dataclass(frozen=True, slots=True)
 class Now:
     """
-    Hold the clocks at one moment.
+    Readings of all clocks at one moment.
 
-    ``steady`` is in seconds; ``table`` is the table's clock and ``wall`` counts from 1970, in ms.
+    ``steady`` is the local steady clock in s; ``table`` is the table's clock and ``wall`` the time
+    since 1970, both in ms.
     """
 
     steady: float
@@ -62,7 +64,7 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class Group:
-    """Name the tasks of one step of one occurrence."""
+    """Key of the tasks of one step of one occurrence."""
 
     job: str
     occurrence: int
@@ -70,38 +72,38 @@
 
 
 class Lateness(enum.IntEnum):
-    """Say what a job is still worth to its caller."""
+    """Expected end of a job relative to its objective."""
 
-    IN_TIME = 0
+    ON_TIME = 0
     LATE = 1
-    WORTHLESS = 2
+    EXPIRED = 2
 
 
 class WaitReason(enum.Enum):
-    """Say why tasks of a step got no place."""
+    """Reason why tasks of a step were not placed."""
 
     NO_ROOM = "no room"
     RESERVED = "room is kept for brief tasks"
-    HARM = "would disturb what serves"
-    PAUSED = "pauses after a failure"
-    GANG = "not all of a gang find room"
-    NO_ADVICE = "no ticket"
-    FAILING = "room only where tasks fail"
+    INTERFERENCE = "would disturb what serves"
+    BACKOFF = "pauses after a failure"
+    INCOMPLETE_GANG = "not all of a gang find room"
+    NO_TICKET = "no ticket"
+    FAILING_WORKERS = "room only where tasks fail"
     CRASHING = "workers were lost under it"
     EVACUATED = "no room outside evacuated data centres"
 
 
 @dataclass(slots=True)
 class Wait:
-    """Tell since when tasks of a step find no place, and why they found none at last."""
+    """Start of a step's wait for workers, and the latest reason for it."""
 
     since: float
     reason: WaitReason = WaitReason.NO_ROOM
-    told_at: float = 0.0
+    logged_at: float = 0.0
 
 
 class LossCause(enum.Enum):
-    """Say what ended a run of which its worker listed no end."""
+    """Cause of a run's end that its worker did not report."""
 
     REPLACED = "another life answers at its worker's address"
     LAPSED = "its worker's lease has ended"
@@ -110,9 +112,10 @@
 @dataclass(frozen=True, slots=True)
 class Loss:
     """
-    Tell of a run that was lost with its worker.
+    Run that was lost with its worker.
 
-    ``age`` is in s since its start was sent; ``crashes`` counts the workers lost under its task.
+    ``age`` is the time in s since its start was sent; ``crashes`` counts the workers that were lost
+    while they ran its task.
     """
 
     task: TaskKey
@@ -125,88 +128,88 @@
 
 
 @dataclass(slots=True)
-class Advised:
-    """Hold the tickets that are known for one step; times are on the local steady clock."""
+class StepTickets:
+    """Tickets that are known for one step; times are on the local steady clock."""
 
     tickets: dict[str, tuple[str, float]] = field(default_factory=dict)
     refused: set[str] = field(default_factory=set)
-    asking: bool = False
-    again_at: float = 0.0
+    request_pending: bool = False
+    retry_at: float = 0.0
 
 
 @dataclass(slots=True)
 class LiveJob:
     """
-    Follow a job that is known here.
+    Job in memory, with its progress and estimates.
 
-    ``left`` counts the tasks that each step still owes; ``remaining`` is what the job takes from
-    each step on, in ms; ``times`` holds what the tasks of each step took, in seconds.
+    ``tasks_left`` counts the unfinished tasks of each step by occurrence; ``remaining_ms`` is the
+    estimated time from the start of each step to the end of the job; ``task_durations`` holds the
+    durations of finished tasks by step, in s.
     """
 
     job: Job
     progress: Progress
     objective: int = 0
     offsets: tuple[int, ...] = ()
-    remaining: tuple[int, ...] = ()
-    left: dict[int, list[int]] = field(default_factory=dict)
+    remaining_ms: tuple[int, ...] = ()
+    tasks_left: dict[int, list[int]] = field(default_factory=dict)
     racks: dict[Group, str] = field(default_factory=dict)
-    times: dict[int, list[float]] = field(default_factory=dict)
-    told: bool = False  # its end stands in the log
+    task_durations: dict[int, list[float]] = field(default_factory=dict)
+    end_logged: bool = False
 
 
 @dataclass(slots=True)
 class Cell:
     """
-    Hold everything that the owner of a cell knows.
-
-    ``token`` fences earlier owners at the workers; ``horizon`` is the local time by which every
-    lease that an earlier owner may have granted has ended; ``confirmed`` is when the newest write
-    that the table accepted was sent.  ``evacuated`` are data centres that get nothing more, which
-    may be relied on up to ``evacuated_until``.  ``barren`` holds, by filling image, the cores that
-    found no place and until when nobody asks again.  ``stop_time`` and ``restore_time`` are the
-    seconds that workers may take to stop a task and to resume one.
+    State of a cell as its owner knows it.
+
+    ``token`` fences earlier owners at the workers; ``earlier_leases_end`` is the local time by
+    which every lease that an earlier owner may have granted has ended; ``confirmed_at`` is when the
+    newest write that the table accepted was sent.  ``evacuated`` names the data centres that get no
+    new tasks; this list is valid until ``evacuated_until``.  ``unplaceable`` maps the image of a
+    batch task to the cores for which no worker was found and the time until which placement is not
+    retried.  ``stop_time`` and ``restore_time`` are the times in s that workers may take to stop
+    and to resume a task.
     """
 
     name: str
     token: int
-    horizon: float
-    confirmed: float
-    guarded: bool = True  # its workers refuse what doesn't fit
+    earlier_leases_end: float
+    confirmed_at: float
+    workers_enforce_limits: bool = True  # workers refuse tasks that don't fit
     stop_time: float = 0.2
     restore_time: float = 0.25
     evacuated: frozenset[str] = frozenset()
     evacuated_until: float = float("inf")
     jobs: dict[str, LiveJob] = field(default_factory=dict)
     workers: dict[str, Worker] = field(default_factory=dict)
-    runs: dict[str, list[Run]] = field(default_factory=dict)  # by job, whatever their phase
+    runs: dict[str, list[Run]] = field(default_factory=dict)  # by job, in any phase
     waiting: dict[Group, set[int]] = field(default_factory=dict)
     waits: dict[Group, Wait] = field(default_factory=dict)
-    delayed: dict[TaskKey, float] = field(default_factory=dict)
+    delayed_until: dict[TaskKey, float] = field(default_factory=dict)
     dirty: dict[str, None] = field(default_factory=dict)
     placed: list[Run] = field(default_factory=list)
-    ends: dict[str, int] = field(default_factory=dict)
+    end_sequences: dict[str, int] = field(default_factory=dict)
     orders: list[StopOrder | PaceOrder] = field(default_factory=list)
-    losses: list[Loss] = field(default_factory=list)  # not logged yet
-    suspects: dict[str, set[TaskKey]] = field(default_factory=dict)  # by worker lost under them
+    unlogged_losses: list[Loss] = field(default_factory=list)
+    suspects: dict[str, set[TaskKey]] = field(default_factory=dict)  # by the worker lost
     crashing: set[TaskKey] = field(default_factory=set)  # not to be started again
-    forgotten: list[str] = field(default_factory=list)  # jobs whose own rows are to be dropped
-    dropped: list[str] = field(default_factory=list)  # jobs of which only the progress is left
-    advised: dict[Group, Advised] = field(default_factory=dict)
+    job_rows_to_delete: list[str] = field(default_factory=list)
+    progress_rows_to_delete: list[str] = field(default_factory=list)  # job rows already deleted
+    step_tickets: dict[Group, StepTickets] = field(default_factory=dict)
     next_due: float = 0.0
-    brief_peak: float | None = None  # cores that brief tasks asked for at most, lately
-    reserved_at: float = float("-inf")  # when room for brief tasks was last chosen
+    short_task_peak: float | None = None  # recent peak of the cores that short tasks requested
+    reserved_at: float = float("-inf")  # when cores were last reserved for short tasks
     paced_at: float = 0.0
-    barren: dict[str, tuple[int, float]] = field(default_factory=dict)
+    unplaceable: dict[str, tuple[int, float]] = field(default_factory=dict)
     consolidated_at: float = 0.0
-    consolidated: dict[TaskKey, float] = field(
-        default_factory=dict
-    )  # when tasks were moved together
+    consolidated: dict[TaskKey, float] = field(default_factory=dict)  # when tasks were moved
     durations: Durations = field(default_factory=lambda: Durations({}))
-    moved: set[TaskKey] = field(default_factory=set)  # tasks that have left a slow worker
+    moved_tasks: set[TaskKey] = field(default_factory=set)  # away from slow workers
 
 
-def task_offsets(job: Job) -> tuple[int, ...]:
-    """Return where the records of each step begin."""
+def compute_task_offsets(job: Job) -> tuple[int, ...]:
+    """Return the index of the first record of each step."""
     offsets = [0]
     for step in job.steps:
         offsets.append(offsets[-1] + step.count)
@@ -214,7 +217,7 @@
 
 
 def find_record(live: LiveJob, task: TaskKey) -> TaskRecord | None:
-    """Return the record of a task, None if its occurrence hasn't begun or is over."""
+    """Return the record of a task, None if its occurrence hasn't begun or has ended."""
     records = live.progress.tasks.get(task.occurrence)
     if records is None or not 0 <= task.step < len(live.job.steps):
         return None
@@ -224,16 +227,16 @@
 
 
 def mark_dirty(cell: Cell, live: LiveJob) -> None:
-    """Have a job's progress written with the next commit."""
+    """Include a job's progress in the next commit."""
     cell.dirty[live.job.id] = None
 
 
-def note_begun(cell: Cell, job: str) -> None:
+def mark_started(cell: Cell, job: str) -> None:
     """
-    Note that a worker has started a task of a job.
+    Mark a job as active once a worker has started one of its tasks.
 
-    A place alone doesn't begin a job: with a worker that leaves orders unanswered its job waits on,
-    and callers who ask how many wait would be told fewer than do.
+    An assignment alone doesn't activate a job: a worker may leave the start order unanswered, and
+    the number of pending jobs that callers see would be too low.
     """
     live = cell.jobs.get(job)
     if live is not None and live.progress.state == JobState.PENDING:
@@ -242,18 +245,18 @@
 
 
 def begin_occurrence(cell: Cell, live: LiveJob, occurrence: int) -> None:
-    """Make the tasks of an occurrence known, and let those wait that follow nothing."""
+    """Create the records of an occurrence and queue the steps without predecessors."""
     total = live.offsets[-1]
     live.progress.tasks[occurrence] = [TaskRecord() for _ in range(total)]
-    live.left[occurrence] = [step.count for step in live.job.steps]
-    open_steps(cell, live, occurrence)
+    live.tasks_left[occurrence] = [step.count for step in live.job.steps]
+    queue_ready_steps(cell, live, occurrence)
 
 
-def open_steps(cell: Cell, live: LiveJob, occurrence: int) -> None:
-    """Let all tasks wait for a place whose earlier steps are done."""
+def queue_ready_steps(cell: Cell, live: LiveJob, occurrence: int) -> None:
+    """Queue the unplaced tasks of all steps whose predecessors are done."""
     if live.progress.state >= JobState.COMPLETED:
         return
-    left = live.left[occurrence]
+    left = live.tasks_left[occurrence]
     records = live.progress.tasks[occurrence]
     for number, step in enumerate(live.job.steps):
         if not left[number] or any(left[earlier] for earlier in step.after):
@@ -271,51 +274,57 @@
 
 def rank_group(cell: Cell, group: Group, now: Now) -> tuple[int, bool, int, int, Group]:
     """
-    Return what orders steps that wait, the most urgent first.
+    Return the key that sorts waiting steps, the most urgent first.
 
-    In an overload the oldest jobs would go first, and every job would be as late as they are.  So
-    those that have missed their objective anyway come behind the others.
+    Jobs that will miss their objective come after the others of their priority.  In an overload the
+    oldest jobs would otherwise go first, and all jobs would be late.
     """
     live = cell.jobs[group.job]
     if live.job.steps[group.step].lasting:
-        return live.job.priority, True, not _ran_before(cell, live, group), live.objective, group
-    return live.job.priority, False, judge_lateness(live, group.step, now), live.objective, group
+        return (
+            live.job.priority,
+            True,
+            not _has_run_before(cell, live, group),
+            live.objective,
+            group,
+        )
+    return live.job.priority, False, estimate_lateness(live, group.step, now), live.objective, group
 
 
-def _ran_before(cell: Cell, live: LiveJob, group: Group) -> bool:
+def _has_run_before(cell: Cell, live: LiveJob, group: Group) -> bool:
     """
-    Tell whether a task of a step that waits has run before.
+    Return whether a waiting task of a step has run before.
 
-    On a full fleet new lasting jobs would take each place that becomes free, and a task that has
-    failed would run nowhere, though its users are there all the while.
+    Such steps come first: on a full fleet new long-running jobs would take all freed capacity, and
+    a failed task of a service that is in use would not run again.
     """
     records = live.progress.tasks[group.occurrence]
     start = live.offsets[group.step]
     return any(records[start + index].attempt for index in cell.waiting.get(group, ()))
 
 
-def judge_lateness(live: LiveJob, step: int, now: Now) -> Lateness:
-    """Tell by how much a job will miss its objective if a step of it begins now."""
-    end = now.table + live.remaining[step]
+def estimate_lateness(live: LiveJob, step: int, now: Now) -> Lateness:
+    """Return how late a job will end if the given step of it starts now."""
+    end = now.table + live.remaining_ms[step]
     if end <= live.objective:
-        return Lateness.IN_TIME
+        return Lateness.ON_TIME
     allowed = live.objective - live.job.accepted
-    limit = live.job.accepted + WORTHLESS * allowed
-    return Lateness.LATE if end <= limit else Lateness.WORTHLESS
+    limit = live.job.accepted + EXPIRY_FACTOR * allowed
+    return Lateness.LATE if end <= limit else Lateness.EXPIRED
 
 
-def allow_time(job: Job) -> int:
-    """Return the time in which a job should be done, in ms."""
-    return job.aim + int(job.stretch * max(sum_remaining(job, list_estimates(job))))
+def compute_time_limit(job: Job) -> int:
+    """Return the time within which a job should end, in ms."""
+    return job.aim + int(job.stretch * max(sum_remaining_times(job, list_estimates(job))))
 
 
 def list_estimates(job: Job) -> tuple[int, ...]:
-    """Return how long its caller says that each step of a job takes, in ms."""
+    """Return the caller's estimates of the duration of each step, in ms."""
     return tuple(step.estimate for step in job.steps)
 
 
-def sum_remaining(job: Job, times: Sequence[int]) -> tuple[int, ...]:
-    """Return how long a job takes from each step on, in ms, if its steps take these times."""
+def sum_remaining_times(job: Job, times: Sequence[int]) -> tuple[int, ...]:
+    """Return the time from the start of each step to the job's end, for given step times in ms."""
     remaining = list(times)
     for number in range(len(job.steps) - 1, -1, -1):
         for earlier in job.steps[number].after:
@@ -325,13 +334,13 @@
 
 
 def add_run(cell: Cell, worker: Worker, run: Run) -> None:
-    """Give a run its room on a worker."""
+    """Add a run and reserve its resources on a worker."""
     reserve_run(worker, run)
     cell.runs.setdefault(run.task.job, []).append(run)
 
 
 def drop_run(cell: Cell, worker: Worker, run: Run) -> None:
-    """Give the room of a run back, for good."""
+    """Remove a run for good and release its resources."""
     release_run(worker, run)
     left = [other for other in cell.runs.get(run.task.job, ()) if other is not run]
     if left:
@@ -341,6 +350,6 @@
 
 
 def list_runs(cell: Cell, live: LiveJob) -> list[Run]:
-    """Return the runs of a job that aren't being stopped, wherever they are."""
+    """Return the runs of a job that aren't being stopped."""
     runs = cell.runs.get(live.job.id, ())
     return [run for run in runs if run.phase is not Phase.STOPPING]
--- a/toucanpin/scheduling/consolidating.py
+++ b/toucanpin/scheduling/consolidating.py
@@ -77,7 +77,7 @@
     """Return by image the cores of filling tasks that wait since they would disturb."""
     demand: dict[str, float] = {}
     for group, wait in cell.waits.items():
-        if wait.reason is not WaitReason.HARM or now.steady - wait.since < MIN_WAIT_S:
+        if wait.reason is not WaitReason.INTERFERENCE or now.steady - wait.since < MIN_WAIT_S:
             continue
         step = cell.jobs[group.job].job.steps[group.step]
         cores = step.cpu * len(cell.waiting.get(group, ())) / 1_000
--- a/toucanpin/scheduling/ending.py
+++ b/toucanpin/scheduling/ending.py
@@ -16,8 +16,8 @@
     find_record,
     list_runs,
     mark_dirty,
-    note_begun,
-    open_steps,
+    mark_started,
+    queue_ready_steps,
 )
 from toucanpin.scheduling.job import TaskKey
 from toucanpin.scheduling.orders import EndedRun, RunEnd
@@ -39,8 +39,10 @@
 
 def apply_end(cell: Cell, worker: Worker, ended: EndedRun, now: Now) -> None:
     """Take note of an end that a worker lists."""
-    cell.ends[worker.entry.id] = max(cell.ends.get(worker.entry.id, 0), ended.sequence)
-    note_begun(cell, ended.task.job)
+    cell.end_sequences[worker.entry.id] = max(
+        cell.end_sequences.get(worker.entry.id, 0), ended.sequence
+    )
+    mark_started(cell, ended.task.job)
     run = worker.runs.get(ended.task)
     if run is not None and run.attempt == ended.attempt:
         _update_trust(worker, run, ended.end, now)
@@ -92,7 +94,7 @@
             # One that ran for longer can't spin.  It goes back at once: on a full fleet another
             # task would take its place within the delay.
             if now.steady < run.started_at + BRIEF_LIFE:
-                cell.delayed[run.task] = now.steady + RETRY_DELAY_S
+                cell.delayed_until[run.task] = now.steady + RETRY_DELAY_S
     requeue_task(cell, run)
     if run.step.gang:
         stop_gang(cell, live, run, "another member ended")
@@ -110,8 +112,8 @@
     mark_dirty(cell, live)
     for group in [group for group in cell.waiting if group.job == live.job.id]:
         del cell.waiting[group]
-    for asked in [group for group in cell.advised if group.job == live.job.id]:
-        del cell.advised[asked]
+    for asked in [group for group in cell.step_tickets if group.job == live.job.id]:
+        del cell.step_tickets[asked]
     for run in list_runs(cell, live):
         stop_run(cell, run, "job ended")
 
@@ -214,17 +216,17 @@
     if step.speculative:
         _stop_copies(cell, live, task)
     occurrence = task.occurrence
-    left = live.left[occurrence]
+    left = live.tasks_left[occurrence]
     left[task.step] -= len(done)
     if left[task.step]:
         return
     _record_step_duration(cell, live, task.step)
     if any(left):
-        open_steps(cell, live, occurrence)
+        queue_ready_steps(cell, live, occurrence)
         return
     live.progress.over.append(occurrence)
     del live.progress.tasks[occurrence]
-    del live.left[occurrence]
+    del live.tasks_left[occurrence]
     if len(live.progress.over) == live.job.occurrences:
         live.progress.state = JobState.COMPLETED
         live.progress.ended = now.table
@@ -233,12 +235,12 @@
 def _record_task_time(live: LiveJob, run: Run, now: Now) -> None:
     """Keep what a task of a step took, to know slow workers by."""
     if run.started_at and not run.untimed:
-        live.times.setdefault(run.task.step, []).append(now.steady - run.started_at)
+        live.task_durations.setdefault(run.task.step, []).append(now.steady - run.started_at)
 
 
 def _record_step_duration(cell: Cell, live: LiveJob, step: int) -> None:
     """Learn from what the longest task of a step took."""
-    times = live.times.get(step)
+    times = live.task_durations.get(step)
     if times:
         cell.durations.note(live.job.queue, live.job.steps[step].estimate, max(times))
 
--- a/toucanpin/scheduling/gangs.py
+++ b/toucanpin/scheduling/gangs.py
@@ -45,7 +45,7 @@
     chosen = _find_for_all(places, live, group, step)
     if len(chosen) < step.count:
         live.racks.pop(group, None)
-        note_wait(cell, group, WaitReason.GANG, round_.now)
+        note_wait(cell, group, WaitReason.INCOMPLETE_GANG, round_.now)
         return
     for index, worker in zip(sorted(waiting), chosen, strict=True):
         waiting.discard(index)
--- a/toucanpin/scheduling/holding.py
+++ b/toucanpin/scheduling/holding.py
@@ -9,7 +9,7 @@
 
 from collections.abc import Collection, Iterable
 
-from toucanpin.scheduling.cell import Cell, Loss, LossCause, Now, find_record, note_begun
+from toucanpin.scheduling.cell import Cell, Loss, LossCause, Now, find_record, mark_started
 from toucanpin.scheduling.crashing import note_alive, note_lost, note_survived
 from toucanpin.scheduling.ending import apply_end, end_run
 from toucanpin.scheduling.orders import PollAnswer, PollOrder, RunningTask, StopOrder, WorkerEntry
@@ -63,7 +63,7 @@
     for entry in entries:
         worker = cell.workers.get(entry.id)
         if worker is None:
-            worker = Worker(entry, lapse_at=cell.horizon, known_at=now.steady)
+            worker = Worker(entry, lapse_at=cell.earlier_leases_end, known_at=now.steady)
             cell.workers[entry.id] = worker
             fresh.append(worker)
         elif not worker.entry.address:
@@ -80,7 +80,7 @@
     An owner that the table hasn't confirmed for long may have been replaced.  Its successor waits
     for the end of this authority before it starts elsewhere what a silent worker may run.
     """
-    return min(now.steady + LEASE_S, cell.confirmed + OWNER_AUTHORITY_S)
+    return min(now.steady + LEASE_S, cell.confirmed_at + OWNER_AUTHORITY_S)
 
 
 def plan_poll(cell: Cell, worker: Worker, now: Now) -> PollOrder:
@@ -177,7 +177,9 @@
 def _record_loss(cell: Cell, worker: Worker, run: Run, cause: LossCause, now: Now) -> None:
     age = now.steady - run.ordered_at if run.ordered_at else 0.0
     crashes = note_lost(cell, worker, run)
-    cell.losses.append(Loss(run.task, run.attempt, run.worker, run.phase, cause, age, crashes))
+    cell.unlogged_losses.append(
+        Loss(run.task, run.attempt, run.worker, run.phase, cause, age, crashes)
+    )
 
 
 def _update_clock(worker: Worker, clock: int, now: Now) -> None:
@@ -207,7 +209,7 @@
         run.started_at = run.moved_at = now.steady
         run.unsure = False
         run.untimed = run.untimed or running.percent > 0
-        note_begun(cell, run.task.job)
+        mark_started(cell, run.task.job)
         if live is None or record is None or JobState(live.progress.state).ended:
             stop_run(cell, run, "job ended")
     if running.percent - run.percent >= MIN_PROGRESS_PERCENT or running.percent < run.percent:
--- a/toucanpin/scheduling/intake.py
+++ b/toucanpin/scheduling/intake.py
@@ -13,9 +13,9 @@
     Now,
     add_run,
     begin_occurrence,
-    open_steps,
-    sum_remaining,
-    task_offsets,
+    compute_task_offsets,
+    queue_ready_steps,
+    sum_remaining_times,
 )
 from toucanpin.scheduling.crashing import forget_crashes, judge_doubt, restore_crashes
 from toucanpin.scheduling.ending import end_job
@@ -42,7 +42,7 @@
     live = _make_live(cell, job, progress)
     cell.jobs[job.id] = live
     for occurrence, records in progress.tasks.items():
-        live.left[occurrence] = _count_left(live, occurrence)
+        live.tasks_left[occurrence] = _count_left(live, occurrence)
         for number, step in enumerate(job.steps):
             for index in range(step.count):
                 record = records[live.offsets[number] + index]
@@ -56,7 +56,7 @@
                     run.doubt = judge_doubt(record)
                     add_run(cell, worker, run)
         if not JobState(progress.state).ended:
-            open_steps(cell, live, occurrence)
+            queue_ready_steps(cell, live, occurrence)
     if not JobState(progress.state).ended:
         _begin(cell, live, now)
 
@@ -89,7 +89,7 @@
     for identifier in old:
         del cell.jobs[identifier]
         cell.dirty.pop(identifier, None)
-        cell.forgotten.append(identifier)
+        cell.job_rows_to_delete.append(identifier)
     forget_crashes(cell)
 
 
@@ -98,9 +98,9 @@
 
 def _make_live(cell: Cell, job: Job, progress: Progress) -> LiveJob:
     times = [cell.durations.predict(job.queue, step.estimate) for step in job.steps]
-    remaining = sum_remaining(job, times)
+    remaining = sum_remaining_times(job, times)
     objective = job.accepted + job.aim + int(job.stretch * max(remaining))
-    return LiveJob(job, progress, objective, task_offsets(job), remaining)
+    return LiveJob(job, progress, objective, compute_task_offsets(job), remaining)
 
 
 def _begin(cell: Cell, live: LiveJob, now: Now) -> None:
@@ -128,6 +128,6 @@
     worker = cell.workers.get(identifier)
     if worker is None:
         entry = WorkerEntry(identifier, cell.name, "", "", False, 0, 0, 0)
-        worker = Worker(entry, lapse_at=cell.horizon)
+        worker = Worker(entry, lapse_at=cell.earlier_leases_end)
         cell.workers[identifier] = worker
     return worker
--- a/toucanpin/scheduling/moving.py
+++ b/toucanpin/scheduling/moving.py
@@ -47,7 +47,7 @@
             if not _has_place(cell, run, now):
                 continue
             worker.suspect_until = now.steady + SUSPICION
-            cell.moved.add(run.task)
+            cell.moved_tasks.add(run.task)
             _leave(cell, run, "slow")
 
 
@@ -155,7 +155,9 @@
     return [
         run
         for run in shown
-        if run.task in ratios and run.task not in cell.moved and _gains(cell, run, ratios[run.task])
+        if run.task in ratios
+        and run.task not in cell.moved_tasks
+        and _gains(cell, run, ratios[run.task])
     ]
 
 
@@ -207,7 +209,7 @@
         return 0.0
     shown = times.get((run.task.job, run.task.step), ())
     found = [time for worker, time in shown if worker != run.worker]
-    found += live.times.get(run.task.step, ())
+    found += live.task_durations.get(run.task.step, ())
     return statistics.median(found) if found else 0.0
 
 
--- a/toucanpin/scheduling/placing.py
+++ b/toucanpin/scheduling/placing.py
@@ -200,14 +200,14 @@
             chosen = Places(round_, live, group, step, safe, doubt)
             worker = chosen.find()
         if worker is None or risks_attempt(live, task, worker, able, now):
-            why = WaitReason.NO_ROOM if worker is None else WaitReason.FAILING
+            why = WaitReason.NO_ROOM if worker is None else WaitReason.FAILING_WORKERS
             note_wait(cell, group, why, now)
             continue
         if not may_last(able, group, step, claim):
             note_wait(cell, group, WaitReason.RESERVED, now)
             note_shortage(round_, live, step, claim, places.ruled)
             return
-        cell.delayed.pop(task, None)
+        cell.delayed_until.pop(task, None)
         waiting.discard(index)
         assign(cell, live, task, step, worker, now)
         renew_places(chosen, live, group, step, worker)
@@ -216,8 +216,8 @@
 
 def _find_pause(cell: Cell, live: LiveJob, task: TaskKey, now: Now) -> WaitReason | None:
     """Return why a task may not be placed yet whatever room there is, None if it may."""
-    if cell.delayed.get(task, 0.0) > now.steady:
-        return WaitReason.PAUSED
+    if cell.delayed_until.get(task, 0.0) > now.steady:
+        return WaitReason.BACKOFF
     return WaitReason.CRASHING if is_held(cell, live, task) else None
 
 
@@ -244,7 +244,7 @@
 
 def _find_reason(live: LiveJob, step: Step, able: list[Worker]) -> WaitReason:
     if live.job.advised and not able:
-        return WaitReason.NO_ADVICE
+        return WaitReason.NO_TICKET
     if step.fills and any(has_room(worker, step) for worker in able):
-        return WaitReason.HARM
+        return WaitReason.INTERFERENCE
     return WaitReason.NO_ROOM
--- a/toucanpin/scheduling/recalling.py
+++ b/toucanpin/scheduling/recalling.py
@@ -20,7 +20,7 @@
 
 def is_barren(cell: Cell, step: Step, now: Now) -> bool:
     """Tell whether an equal or smaller task found no place a moment ago."""
-    cpu, until = cell.barren.get(step.image, (0, 0.0))
+    cpu, until = cell.unplaceable.get(step.image, (0, 0.0))
     return step.fills and now.steady < until and step.cpu >= cpu
 
 
@@ -33,9 +33,9 @@
     """
     if not step.fills or step.label or step.per_worker or live.job.advised:
         return
-    known, until = cell.barren.get(step.image, (step.cpu, 0.0))
+    known, until = cell.unplaceable.get(step.image, (step.cpu, 0.0))
     cpu = min(known, step.cpu) if now.steady < until else step.cpu
-    cell.barren[step.image] = (cpu, _end_rest(cell, now))
+    cell.unplaceable[step.image] = (cpu, _end_rest(cell, now))
 
 
 def _end_rest(cell: Cell, now: Now) -> float:
--- a/toucanpin/scheduling/reserving.py
+++ b/toucanpin/scheduling/reserving.py
@@ -56,9 +56,9 @@
     """
     whole = sum(worker.entry.cpu for worker in able)
     held = sum(worker.cpu - worker.lasting_cpu for worker in able)
-    remembered = cell.brief_peak if cell.brief_peak is not None else MOST * whole
-    cell.brief_peak = max(held + _sum_waiting(cell), remembered * math.exp(-PERIOD / MEMORY))
-    return int(min(MOST * whole, max(LEAST * whole, cell.brief_peak - held)))
+    remembered = cell.short_task_peak if cell.short_task_peak is not None else MOST * whole
+    cell.short_task_peak = max(held + _sum_waiting(cell), remembered * math.exp(-PERIOD / MEMORY))
+    return int(min(MOST * whole, max(LEAST * whole, cell.short_task_peak - held)))
 
 
 def _sum_waiting(cell: Cell) -> int:
--- a/toucanpin/scheduling/shedding.py
+++ b/toucanpin/scheduling/shedding.py
@@ -24,7 +24,7 @@
 from collections import deque
 from collections.abc import Mapping
 
-from toucanpin.scheduling.cell import allow_time
+from toucanpin.scheduling.cell import compute_time_limit
 from toucanpin.scheduling.job import Job
 
 __all__ = ["ANSWERED", "MOST_STARTS", "Backlog", "Delay", "Fastest", "Share", "is_hopeless"]
@@ -158,4 +158,4 @@
     if job.repeats or any(step.lasting for step in job.steps):
         return False
     wait = max((wait for priority, wait in backlog.items() if priority <= job.priority), default=0)
-    return wait > allow_time(job)
+    return wait > compute_time_limit(job)
--- a/toucanpin/scheduling/starting.py
+++ b/toucanpin/scheduling/starting.py
@@ -9,7 +9,7 @@
 
 import enum
 
-from toucanpin.scheduling.cell import Cell, Group, Now, note_begun
+from toucanpin.scheduling.cell import Cell, Group, Now, mark_started
 from toucanpin.scheduling.ending import RETRY_DELAY_S, end_run
 from toucanpin.scheduling.evacuating import is_evacuated, knows_evacuations
 from toucanpin.scheduling.holding import lease_end
@@ -53,11 +53,11 @@
         # A start whose answer was lost may be on its way; sent again, it would begin late for sure.
         _abandon_start(cell, worker, run, now)
         return 0
-    if is_overcommitted(worker) and not (cell.guarded and run.ordered_at):
+    if is_overcommitted(worker) and not (cell.workers_enforce_limits and run.ordered_at):
         worker.full_until = now.steady + NO_ROOM_BACKOFF_S
         _abandon_start(cell, worker, run, now)
         return 0
-    if not cell.guarded and now.steady > worker.listed_at + MAX_ENTRY_AGE_S:
+    if not cell.workers_enforce_limits and now.steady > worker.listed_at + MAX_ENTRY_AGE_S:
         return 0
     if not knows_evacuations(cell, now):
         return 0
@@ -79,7 +79,7 @@
             run.phase = Phase.RUNNING
             run.started_at = run.moved_at = now.steady
             run.unsure = False
-            note_begun(cell, run.task.job)
+            mark_started(cell, run.task.job)
             return StartOutcome.SETTLED
         case RefusalReason.FENCED:
             return StartOutcome.FENCED
@@ -89,11 +89,11 @@
             worker.full_until = now.steady + NO_ROOM_BACKOFF_S
         case RefusalReason.NO_TICKET:
             group = Group(run.task.job, run.task.occurrence, run.task.step)
-            cell.advised.pop(group, None)
+            cell.step_tickets.pop(group, None)
         case RefusalReason.UNHEALTHY:
             worker.suspect_until = max(worker.suspect_until, now.steady + UNHEALTHY_BACKOFF_S)
         case RefusalReason.MALFORMED | RefusalReason.OLD_ATTEMPT:
-            cell.delayed[run.task] = now.steady + RETRY_DELAY_S
+            cell.delayed_until[run.task] = now.steady + RETRY_DELAY_S
     _abandon_start(cell, worker, run, now)
     return StartOutcome.SETTLED
 
--- a/toucanpin/scheduling/tests/fleet.py
+++ b/toucanpin/scheduling/tests/fleet.py
@@ -140,7 +140,7 @@
         if self.store_up:
             batch = take_batch(self.cell)
             self.rows.update(batch.records)
-            self.cell.confirmed = self.time
+            self.cell.confirmed_at = self.time
             self.pending += apply_batch(self.cell, batch)
         self._send_starts()
         self._send_orders()
--- a/toucanpin/scheduling/tests/test_consolidating.py
+++ b/toucanpin/scheduling/tests/test_consolidating.py
@@ -32,7 +32,7 @@
         submit_job(self.cell, make_job("web", (WEB,)), NOW)
         submit_job(self.cell, make_job("feed", (FEED,)), NOW)
         submit_job(self.cell, make_job("batch", (FILLS,), priority=2), NOW)
-        self.cell.waits[Group("batch", 0, 0)] = Wait(95.0, WaitReason.HARM)
+        self.cell.waits[Group("batch", 0, 0)] = Wait(95.0, WaitReason.INTERFERENCE)
         for index in range(3):
             self._run("w0", "web", WEB, index)
             self._run("w1", "feed", FEED, index)
--- a/toucanpin/scheduling/tests/test_life.py
+++ b/toucanpin/scheduling/tests/test_life.py
@@ -79,7 +79,7 @@
         for guarded in (False, True):
             with self.subTest(guarded=guarded):
                 fleet = Fleet(workers=1)
-                fleet.cell.guarded = guarded
+                fleet.cell.workers_enforce_limits = guarded
                 fleet.run(0.2)
                 fleet.unlisted = {"w0"}
                 fleet.run(MAX_ENTRY_AGE_S + 0.5)
@@ -205,7 +205,7 @@
         self.assertIn("j1", fleet.cell.jobs)
         fleet.run(12.0)
         forget_ended(fleet.cell, fleet.now(), 10.0)
-        self.assertEqual(["j1"], fleet.cell.forgotten)
+        self.assertEqual(["j1"], fleet.cell.job_rows_to_delete)
 
     def test_malformed_jobs_are_told_what_is_wrong(self) -> None:
         cases = (
