--- a/tools/soak/weakened.py
+++ b/tools/soak/weakened.py
@@ -63,8 +63,8 @@
 
 def _forget_crashes() -> None:
     """Start a task again however many workers were lost under it."""
-    placing.is_held = lambda cell, live, task: False
-    owner.give_up_crashing = lambda cell, now: []
+    placing.is_start_blocked = lambda cell, live, task: False
+    owner.fail_crashing_jobs = lambda cell, now: []
 
 
 def _forget_evacuations() -> None:
--- a/toucanpin/entry/owner.py
+++ b/toucanpin/entry/owner.py
@@ -40,7 +40,7 @@
 from toucanpin.scheduling.batches import MAX_FORGOTTEN, apply_batch, has_work, take_batch
 from toucanpin.scheduling.cell import Cell, Now
 from toucanpin.scheduling.consolidating import consolidate_images
-from toucanpin.scheduling.crashing import give_up_crashing
+from toucanpin.scheduling.crashing import fail_crashing_jobs
 from toucanpin.scheduling.evacuating import (
     Evacuated,
     describe_evacuations,
@@ -327,7 +327,7 @@
             self._take_evacuated()
             for worker in expire_leases(self._cell, now):
                 _log.info("worker gone", event="worker.gone", worker=worker.entry.id)
-            log_given_up(self._cell, give_up_crashing(self._cell, now))
+            log_given_up(self._cell, fail_crashing_jobs(self._cell, now))
             begin_due(self._cell, now)
             for decision in periodic:
                 decision.make(self._clocks.now())
--- a/toucanpin/scheduling/assigning.py
+++ b/toucanpin/scheduling/assigning.py
@@ -19,7 +19,7 @@
     mark_dirty,
 )
 from toucanpin.scheduling.choosing import Places
-from toucanpin.scheduling.crashing import find_doubt
+from toucanpin.scheduling.crashing import find_suspicion
 from toucanpin.scheduling.job import Step, TaskKey
 from toucanpin.scheduling.progress import TaskState
 from toucanpin.scheduling.worker import Phase, Run, Worker
@@ -35,7 +35,7 @@
     record.worker = worker.entry.id
     run = Run(task, record.attempt, worker.entry.id, step, Phase.PLACED)
     run.priority = live.job.priority
-    run.doubt = find_doubt(live, task)
+    run.doubt = find_suspicion(live, task)
     run.checkpoint = record.checkpoint
     run.untimed = bool(record.checkpoint)
     group = Group(task.job, task.occurrence, task.step)
--- a/toucanpin/scheduling/choosing.py
+++ b/toucanpin/scheduling/choosing.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass, field
 
 from toucanpin.scheduling.cell import Cell, Group, LiveJob, Now
-from toucanpin.scheduling.crashing import count_watched
+from toucanpin.scheduling.crashing import count_suspected
 from toucanpin.scheduling.evacuating import list_open
 from toucanpin.scheduling.interference_model import InterferenceModel
 from toucanpin.scheduling.job import Step
@@ -252,7 +252,7 @@
     Those lost together are kept apart, or all of them would be lost with the one that crashes.
     Strewn lasting tasks would shut batch work out of many workers for as long as they run.
     """
-    cost = 0.0 if step.lasting else OTHER_WATCHED * count_watched(worker, now)
+    cost = 0.0 if step.lasting else OTHER_WATCHED * count_suspected(worker, now)
     if doubt is Doubt.LAST_TRY:
         cost += AT_STAKE * (worker.cpu + worker.filling_cpu) / max(1, worker.entry.cpu)
     return cost
--- a/toucanpin/scheduling/crashing.py
+++ b/toucanpin/scheduling/crashing.py
@@ -22,33 +22,33 @@
 from toucanpin.scheduling.worker import Phase, Run, Worker
 
 __all__ = [
-    "MOST_AT_START",
-    "MOST_CRASHES",
-    "YOUNG_LIFE",
-    "count_watched",
-    "find_doubt",
+    "MAX_CRASHES_AT_START",
+    "MAX_CRASHES",
+    "NEW_WORKER_PERIOD_S",
+    "count_suspected",
+    "find_suspicion",
     "forget_crashes",
-    "give_up_crashing",
-    "is_held",
-    "is_on_last_try",
-    "is_young",
-    "judge_doubt",
-    "note_alive",
-    "note_lost",
-    "note_survived",
+    "fail_crashing_jobs",
+    "is_start_blocked",
+    "runs_last_attempt",
+    "is_new",
+    "assess_suspicion",
+    "clear_worker",
+    "record_loss",
+    "clear_survivor",
     "restore_crashes",
 ]
 
-MOST_CRASHES = 5  # workers lost under a task after which it isn't started any more
-MOST_AT_START = 3  # the same of workers that were lost right after its start
-SURE_CRASHES = 2  # of them whose lives are surely over: others may only be cut off
-START = 1.0  # s at work after which a task has outlived its start
-SURVIVAL = 5.0  # s at work after which a lasting task didn't crash its worker
-YOUNG_LIFE = 10.0  # s for which a worker's life is young
-TRIAL = 2.0  # s that a task is watched which workers were lost under
+MAX_CRASHES = 5  # workers lost under a task after which it isn't started any more
+MAX_CRASHES_AT_START = 3  # the same of workers that were lost right after its start
+MIN_CONFIRMED_CRASHES = 2  # of them whose lives are surely over: others may only be cut off
+START_PERIOD_S = 1.0  # s at work after which a task has outlived its start
+SURVIVAL_PERIOD_S = 5.0  # s at work after which a lasting task didn't crash its worker
+NEW_WORKER_PERIOD_S = 10.0  # s for which a worker's life is young
+SUSPICION_PERIOD_S = 2.0  # s that a task is watched which workers were lost under
 
 
-def note_lost(cell: Cell, worker: Worker, run: Run) -> int:
+def record_loss(cell: Cell, worker: Worker, run: Run) -> int:
     """Count the loss of a worker against a run's task; return how many lives are counted."""
     live = cell.jobs.get(run.task.job)
     record = find_record(live, run.task) if live else None
@@ -56,21 +56,21 @@
         return 0
     if record.state == TaskState.DONE:
         return 0
-    if worker.entry.id not in record.crashed and _may_have_crashed(worker, run):
+    if worker.entry.id not in record.crashed and _may_have_caused_loss(worker, run):
         record.crashed[worker.entry.id] = _was_lost_at_start(run)
         mark_dirty(cell, live)
-        _remember(cell, run.task, record)
+        _index_losses(cell, run.task, record)
     return len(record.crashed)
 
 
-def note_alive(cell: Cell, worker: Worker) -> None:
+def clear_worker(cell: Cell, worker: Worker) -> None:
     """Take note that a worker's life goes on: nothing that was lost there crashed it."""
-    _clear_life(cell, worker.entry.id)
+    _discard_losses(cell, worker.entry.id)
 
 
-def note_survived(run: Run, record: TaskRecord) -> None:
+def clear_survivor(run: Run, record: TaskRecord) -> None:
     """Clear a lasting task that has been at work for long."""
-    if run.step.lasting and run.shown_at > run.started_at + SURVIVAL:
+    if run.step.lasting and run.shown_at > run.started_at + SURVIVAL_PERIOD_S:
         record.crashed = {}
         run.doubt = Doubt.NONE
 
@@ -78,7 +78,7 @@
 def restore_crashes(cell: Cell, task: TaskKey, record: TaskRecord) -> None:
     """Take up what an earlier owner counted against a task."""
     if record.crashed:
-        _remember(cell, task, record)
+        _index_losses(cell, task, record)
 
 
 def forget_crashes(cell: Cell) -> None:
@@ -89,7 +89,7 @@
             del cell.suspects[worker]
 
 
-def is_held(cell: Cell, live: LiveJob, task: TaskKey) -> bool:
+def is_start_blocked(cell: Cell, live: LiveJob, task: TaskKey) -> bool:
     """
     Tell whether a task may not be started until more is known of the workers lost under it.
 
@@ -97,42 +97,42 @@
     """
     record = _get_record(live, task)
     if not live.job.steps[task.step].speculative or not record.attempt:
-        return _are_too_many(record.crashed)
+        return _exceed_limit(record.crashed)
     runs = [run for run in cell.runs.get(task.job, ()) if run.task == task]
     silent = {run.worker: _was_lost_at_start(run) for run in runs if _is_silent(cell, run)}
-    return _are_too_many(record.crashed | silent)
+    return _exceed_limit(record.crashed | silent)
 
 
-def judge_doubt(record: TaskRecord) -> Doubt:
+def assess_suspicion(record: TaskRecord) -> Doubt:
     """Return how far a task is suspected of crashing its workers."""
     if not record.crashed:
         return Doubt.NONE
     one_more = record.crashed | {"": True}
-    return Doubt.LAST_TRY if _are_too_many(one_more) else Doubt.WATCHED
+    return Doubt.LAST_TRY if _exceed_limit(one_more) else Doubt.WATCHED
 
 
-def find_doubt(live: LiveJob, task: TaskKey) -> Doubt:
+def find_suspicion(live: LiveJob, task: TaskKey) -> Doubt:
     """Return how far a task of a job is suspected of crashing its workers."""
-    return judge_doubt(_get_record(live, task))
+    return assess_suspicion(_get_record(live, task))
 
 
-def count_watched(worker: Worker, now: Now) -> int:
+def count_suspected(worker: Worker, now: Now) -> int:
     """Return how many tasks are watched on a worker."""
-    return sum(_is_watched(run, now) for run in worker.runs.values())
+    return sum(_is_suspected(run, now) for run in worker.runs.values())
 
 
-def is_on_last_try(worker: Worker, now: Now) -> bool:
+def runs_last_attempt(worker: Worker, now: Now) -> bool:
     """Tell whether a worker runs a task that is given up if it is lost once more."""
     runs = (run for run in worker.runs.values() if run.doubt is Doubt.LAST_TRY)
-    return any(_is_watched(run, now) for run in runs)
+    return any(_is_suspected(run, now) for run in runs)
 
 
-def is_young(worker: Worker, now: Now) -> bool:
+def is_new(worker: Worker, now: Now) -> bool:
     """Tell whether a worker's life is new: it may be one of many that end soon."""
-    return now.steady < worker.known_at + YOUNG_LIFE
+    return now.steady < worker.known_at + NEW_WORKER_PERIOD_S
 
 
-def give_up_crashing(cell: Cell, now: Now) -> list[TaskKey]:
+def fail_crashing_jobs(cell: Cell, now: Now) -> list[TaskKey]:
     """
     Fail the jobs of tasks under which enough workers have surely crashed; return the tasks.
 
@@ -144,19 +144,19 @@
     for task in sorted(cell.crashing):
         live = cell.jobs.get(task.job)
         record = find_record(live, task) if live else None
-        if live is None or record is None or not _may_be_given_up(live, record):
+        if live is None or record is None or not _may_be_failed(live, record):
             cell.crashing.discard(task)
-        elif sum(worker not in cell.workers for worker in record.crashed) >= SURE_CRASHES:
+        elif sum(worker not in cell.workers for worker in record.crashed) >= MIN_CONFIRMED_CRASHES:
             cell.crashing.discard(task)
             end_job(cell, live, JobState.FAILED, now)
             # What was lost beside it counts no more against the others.
             for worker in record.crashed:
-                _clear_life(cell, worker, task)
+                _discard_losses(cell, worker, task)
             given_up.append(task)
     return given_up
 
 
-def _clear_life(cell: Cell, worker: str, cause: TaskKey | None = None) -> None:
+def _discard_losses(cell: Cell, worker: str, cause: TaskKey | None = None) -> None:
     """Count a worker's life against no task any more but the one that crashed it."""
     for task in cell.suspects.pop(worker, ()):
         live = cell.jobs.get(task.job)
@@ -167,17 +167,17 @@
             mark_dirty(cell, live)
 
 
-def _may_be_given_up(live: LiveJob, record: TaskRecord) -> bool:
+def _may_be_failed(live: LiveJob, record: TaskRecord) -> bool:
     if JobState(live.progress.state).ended or record.state == TaskState.DONE:
         return False
-    return _are_too_many(record.crashed)
+    return _exceed_limit(record.crashed)
 
 
-def _may_have_crashed(worker: Worker, run: Run) -> bool:
+def _may_have_caused_loss(worker: Worker, run: Run) -> bool:
     """Tell whether a run may be what ended its worker."""
     if run.phase is Phase.ORDERED and not run.ordered_at:
         return False
-    if run.step.lasting and run.shown_at > run.started_at + SURVIVAL:
+    if run.step.lasting and run.shown_at > run.started_at + SURVIVAL_PERIOD_S:
         return False
     # One that no list names any more, as its address tells, may have crashed before this owner
     # heard of it.
@@ -193,17 +193,17 @@
     """
     if run.phase is Phase.UNKNOWN or not run.ordered_at:
         return False
-    return run.shown_at < run.ordered_at + START
+    return run.shown_at < run.ordered_at + START_PERIOD_S
 
 
-def _are_too_many(lives: Mapping[str, bool]) -> bool:
-    return len(lives) >= MOST_CRASHES or sum(lives.values()) >= MOST_AT_START
+def _exceed_limit(lives: Mapping[str, bool]) -> bool:
+    return len(lives) >= MAX_CRASHES or sum(lives.values()) >= MAX_CRASHES_AT_START
 
 
-def _remember(cell: Cell, task: TaskKey, record: TaskRecord) -> None:
+def _index_losses(cell: Cell, task: TaskKey, record: TaskRecord) -> None:
     for worker in record.crashed:
         cell.suspects.setdefault(worker, set()).add(task)
-    if _are_too_many(record.crashed):
+    if _exceed_limit(record.crashed):
         cell.crashing.add(task)
 
 
@@ -217,7 +217,7 @@
     return worker is not None and worker.silent
 
 
-def _is_watched(run: Run, now: Now) -> bool:
+def _is_suspected(run: Run, now: Now) -> bool:
     if run.doubt is Doubt.NONE:
         return False
-    return not run.ordered_at or now.steady < run.ordered_at + TRIAL
+    return not run.ordered_at or now.steady < run.ordered_at + SUSPICION_PERIOD_S
--- a/toucanpin/scheduling/gangs.py
+++ b/toucanpin/scheduling/gangs.py
@@ -10,7 +10,7 @@
 from toucanpin.scheduling.assigning import assign, note_wait, renew_places
 from toucanpin.scheduling.cell import Cell, Group, LiveJob, WaitReason
 from toucanpin.scheduling.choosing import Places, Round
-from toucanpin.scheduling.crashing import find_doubt, is_held
+from toucanpin.scheduling.crashing import find_suspicion, is_start_blocked
 from toucanpin.scheduling.job import Step, TaskKey
 from toucanpin.scheduling.retrying import list_safe
 from toucanpin.scheduling.worker import Phase, Run, Worker, release_run, reserve_run
@@ -35,13 +35,13 @@
     members = [
         TaskKey(group.job, group.occurrence, group.step, index) for index in range(step.count)
     ]
-    if any(is_held(cell, live, member) for member in members):
+    if any(is_start_blocked(cell, live, member) for member in members):
         note_wait(cell, group, WaitReason.CRASHING, round_.now)
         return
     # All members share the failures of their gang, so any speaks for them.
-    doubted = max(members, key=lambda member: find_doubt(live, member))
+    doubted = max(members, key=lambda member: find_suspicion(live, member))
     safe = list_safe(live, doubted, able, round_.now)
-    places = Places(round_, live, group, step, safe, find_doubt(live, doubted))
+    places = Places(round_, live, group, step, safe, find_suspicion(live, doubted))
     chosen = _find_for_all(places, live, group, step)
     if len(chosen) < step.count:
         live.racks.pop(group, None)
--- a/toucanpin/scheduling/holding.py
+++ b/toucanpin/scheduling/holding.py
@@ -10,7 +10,7 @@
 from collections.abc import Collection, Iterable
 
 from toucanpin.scheduling.cell import Cell, Loss, LossCause, Now, find_record, mark_started
-from toucanpin.scheduling.crashing import note_alive, note_lost, note_survived
+from toucanpin.scheduling.crashing import clear_survivor, clear_worker, record_loss
 from toucanpin.scheduling.ending import apply_end, end_run
 from toucanpin.scheduling.orders import PollAnswer, PollOrder, RunningTask, StopOrder, WorkerEntry
 from toucanpin.scheduling.progress import JobState, TaskState
@@ -119,7 +119,7 @@
     _update_clock(worker, held.clock, now)
     worker.answered_at = now.steady
     worker.silent = False
-    note_alive(cell, worker)
+    clear_worker(cell, worker)
     for ended in held.ended:
         if ended.sequence > worker.seen:
             apply_end(cell, worker, ended, now)
@@ -176,7 +176,7 @@
 
 def _record_loss(cell: Cell, worker: Worker, run: Run, cause: LossCause, now: Now) -> None:
     age = now.steady - run.ordered_at if run.ordered_at else 0.0
-    crashes = note_lost(cell, worker, run)
+    crashes = record_loss(cell, worker, run)
     cell.unlogged_losses.append(
         Loss(run.task, run.attempt, run.worker, run.phase, cause, age, crashes)
     )
@@ -218,7 +218,7 @@
     run.shown_at = now.steady
     run.measure = running.measure
     if record is not None:
-        note_survived(run, record)
+        clear_survivor(run, record)
     if running.checkpoint:
         run.checkpoint = running.checkpoint
         placed = record is not None and record.state in (TaskState.PLACED, TaskState.LEAVING)
--- a/toucanpin/scheduling/intake.py
+++ b/toucanpin/scheduling/intake.py
@@ -17,7 +17,7 @@
     queue_ready_steps,
     sum_remaining_times,
 )
-from toucanpin.scheduling.crashing import forget_crashes, judge_doubt, restore_crashes
+from toucanpin.scheduling.crashing import assess_suspicion, forget_crashes, restore_crashes
 from toucanpin.scheduling.ending import end_job
 from toucanpin.scheduling.job import Job, TaskKey
 from toucanpin.scheduling.orders import WorkerEntry
@@ -53,7 +53,7 @@
                     run = Run(task, record.attempt, worker.entry.id, step, Phase.UNKNOWN)
                     run.checkpoint = record.checkpoint
                     run.priority = job.priority
-                    run.doubt = judge_doubt(record)
+                    run.doubt = assess_suspicion(record)
                     add_run(cell, worker, run)
         if not JobState(progress.state).ended:
             queue_ready_steps(cell, live, occurrence)
--- a/toucanpin/scheduling/placing.py
+++ b/toucanpin/scheduling/placing.py
@@ -27,7 +27,7 @@
     list_able,
     may_last,
 )
-from toucanpin.scheduling.crashing import find_doubt, is_held
+from toucanpin.scheduling.crashing import find_suspicion, is_start_blocked
 from toucanpin.scheduling.gangs import place_gang
 from toucanpin.scheduling.interference_model import InterferenceModel
 from toucanpin.scheduling.job import Step, TaskKey
@@ -184,7 +184,7 @@
         if known is not None:
             note_wait(cell, group, known, now)
             return
-        doubt = find_doubt(live, task)
+        doubt = find_suspicion(live, task)
         if places is None or places.doubt is not doubt:
             places = Places(round_, live, group, step, able, doubt)
         worker = places.find()
@@ -218,7 +218,7 @@
     """Return why a task may not be placed yet whatever room there is, None if it may."""
     if cell.delayed_until.get(task, 0.0) > now.steady:
         return WaitReason.BACKOFF
-    return WaitReason.CRASHING if is_held(cell, live, task) else None
+    return WaitReason.CRASHING if is_start_blocked(cell, live, task) else None
 
 
 def _recall_rack(cell: Cell, live: LiveJob, group: Group) -> None:
--- a/toucanpin/scheduling/retrying.py
+++ b/toucanpin/scheduling/retrying.py
@@ -11,7 +11,7 @@
 
 from toucanpin.scheduling.cell import Group, LiveJob, Now
 from toucanpin.scheduling.choosing import fits_rules
-from toucanpin.scheduling.crashing import find_doubt, is_on_last_try, is_young
+from toucanpin.scheduling.crashing import find_suspicion, is_new, runs_last_attempt
 from toucanpin.scheduling.job import TaskKey
 from toucanpin.scheduling.progress import Doubt
 from toucanpin.scheduling.trust import is_doubted
@@ -52,7 +52,7 @@
         # What a worker runs is known by its task: a copy there would hide the run that it is for,
         # whose failure nobody counts and whose room nobody gives back.
         able = [worker for worker in able if task not in worker.runs]
-    if find_doubt(live, task) is Doubt.LAST_TRY:
+    if find_suspicion(live, task) is Doubt.LAST_TRY:
         able = _list_for_last_try(live, task, able, now)
     if not _count_failures(live, task):
         return able
@@ -72,10 +72,10 @@
     """
     step = live.job.steps[task.step]
     group = Group(task.job, task.occurrence, task.step)
-    alone = [worker for worker in able if not is_on_last_try(worker, now)]
-    steady = [worker for worker in able if not is_young(worker, now)]
+    alone = [worker for worker in able if not runs_last_attempt(worker, now)]
+    steady = [worker for worker in able if not is_new(worker, now)]
     if any(fits_when_idle(worker, step) and fits_rules(worker, group, step) for worker in steady):
-        return [worker for worker in alone if not is_young(worker, now)]
+        return [worker for worker in alone if not is_new(worker, now)]
     return alone
 
 
--- a/toucanpin/scheduling/tests/fleet.py
+++ b/toucanpin/scheduling/tests/fleet.py
@@ -10,7 +10,7 @@
 from standins.site.worker_core import WorkerCore
 from toucanpin.scheduling.batches import apply_batch, take_batch
 from toucanpin.scheduling.cell import Cell, Now
-from toucanpin.scheduling.crashing import give_up_crashing
+from toucanpin.scheduling.crashing import fail_crashing_jobs
 from toucanpin.scheduling.holding import (
     OWNER_AUTHORITY_S,
     apply_answer,
@@ -132,7 +132,7 @@
         update_workers(self.cell, listed, self.now())
         self._hold_all()
         expire_leases(self.cell, self.now())
-        give_up_crashing(self.cell, self.now())
+        fail_crashing_jobs(self.cell, self.now())
         begin_due(self.cell, self.now())
         move_tasks(self.cell, self.now())
         control_pace(self.cell, self.model, self.now())
--- a/toucanpin/scheduling/tests/test_crashing.py
+++ b/toucanpin/scheduling/tests/test_crashing.py
@@ -7,7 +7,11 @@
 from collections import Counter
 from random import Random
 
-from toucanpin.scheduling.crashing import MOST_AT_START, YOUNG_LIFE, give_up_crashing
+from toucanpin.scheduling.crashing import (
+    MAX_CRASHES_AT_START,
+    NEW_WORKER_PERIOD_S,
+    fail_crashing_jobs,
+)
 from toucanpin.scheduling.job import Step, TaskKey
 from toucanpin.scheduling.progress import JobState, encode_progress
 from toucanpin.scheduling.tests.fleet import Fleet, make_job
@@ -111,7 +115,7 @@
         fleet.crashing = {TaskKey("bad", 0, 0, 0)}
         fleet.submit(make_job("good", (Step(count=3, cpu=500, lasting=True),)))
         fleet.submit(make_job("bad", (Step(cpu=500),)))
-        while len(fleet.crashes) < MOST_AT_START:
+        while len(fleet.crashes) < MAX_CRASHES_AT_START:
             fleet.run(0.05)
         fleet.run(0.5)
         record, *_ = fleet.cell.jobs["good"].progress.tasks[0]
@@ -144,7 +148,7 @@
         fleet = Fleet(workers=8)
         machines = [f"w{number}" for number in range(4)]
         names = [f"j{number}" for number in range(60)]
-        fleet.run(YOUNG_LIFE)
+        fleet.run(NEW_WORKER_PERIOD_S)
         for name in names:
             for worker in fleet.workers.values():
                 worker.lasts = 4.0
@@ -183,7 +187,7 @@
         progress.tasks[0][0].crashed = dict.fromkeys(("w0", "w1", "w2"), True)
         fleet.rows["j1"] = encode_progress(progress)
         fleet.replace_owner()
-        self.assertFalse(give_up_crashing(fleet.cell, fleet.now()))
+        self.assertFalse(fail_crashing_jobs(fleet.cell, fleet.now()))
         fleet.run(3.0)
         self.assertEqual(JobState.COMPLETED, fleet.state("j1"))
 
