--- a/toucanpin/entry/cell_workers.py
+++ b/toucanpin/entry/cell_workers.py
@@ -41,7 +41,7 @@
     plan_start,
     record_stop_acknowledged,
 )
-from toucanpin.scheduling.trust import is_doubted
+from toucanpin.scheduling.trust import is_distrusted
 from toucanpin.scheduling.worker import Phase, Run, Worker
 
 __all__ = ["CellWorkers"]
@@ -143,9 +143,9 @@
             now = self._clocks.now()
             self._answers.note(now.steady - sent_at - order.wait, now.steady)
             _log_ends(worker, answer.ended)
-            doubted = is_doubted(worker)
+            doubted = is_distrusted(worker)
             apply_answer(self._cell, worker, answer, sent_at, now)
-            if is_doubted(worker) and not doubted:
+            if is_distrusted(worker) and not doubted:
                 jobs = sorted(worker.failed_jobs)
                 _log.warning("tasks fail", event="worker.doubted", worker=identifier, jobs=jobs)
             learn_effects(self._sharing, worker, len(self._cell.workers), now)
--- a/toucanpin/scheduling/ending.py
+++ b/toucanpin/scheduling/ending.py
@@ -23,7 +23,7 @@
 from toucanpin.scheduling.orders import EndedRun, RunEnd
 from toucanpin.scheduling.progress import JobState, TaskRecord, TaskState
 from toucanpin.scheduling.stopping import requeue_task, stop_gang, stop_run
-from toucanpin.scheduling.trust import BRIEF_LIFE, note_done, note_failed
+from toucanpin.scheduling.trust import EARLY_FAILURE_S, record_failure, record_success
 from toucanpin.scheduling.worker import Run, Worker
 
 __all__ = [
@@ -93,7 +93,7 @@
         case RunEnd.FAILED | RunEnd.DONE:
             # One that ran for longer can't spin.  It goes back at once: on a full fleet another
             # task would take its place within the delay.
-            if now.steady < run.started_at + BRIEF_LIFE:
+            if now.steady < run.started_at + EARLY_FAILURE_S:
                 cell.delayed_until[run.task] = now.steady + RETRY_DELAY_S
     requeue_task(cell, run)
     if run.step.gang:
@@ -261,6 +261,6 @@
 def _update_trust(worker: Worker, run: Run, end: RunEnd, now: Now) -> None:
     match end:
         case RunEnd.DONE:
-            note_done(worker, run)
+            record_success(worker, run)
         case RunEnd.FAILED:
-            note_failed(worker, run, now)
+            record_failure(worker, run, now)
--- a/toucanpin/scheduling/moving.py
+++ b/toucanpin/scheduling/moving.py
@@ -13,7 +13,7 @@
 from toucanpin.scheduling.choosing import fits_rules, list_able
 from toucanpin.scheduling.progress import JobState, TaskState
 from toucanpin.scheduling.stopping import list_gang_runs, requeue_task, stop_gang, stop_run
-from toucanpin.scheduling.trust import note_failed
+from toucanpin.scheduling.trust import record_failure
 from toucanpin.scheduling.worker import Phase, Run, Worker, has_room
 
 __all__ = ["move_tasks"]
@@ -60,7 +60,7 @@
     if run.step.gang and not _is_whole(cell, run):
         _judge_gang(cell, run, now)
     elif _stands_still(run):
-        note_failed(worker, run, now, SUSPICION)
+        record_failure(worker, run, now, SUSPICION)
         _leave(cell, run, "stands still")
 
 
--- a/toucanpin/scheduling/retrying.py
+++ b/toucanpin/scheduling/retrying.py
@@ -14,7 +14,7 @@
 from toucanpin.scheduling.crashing import find_suspicion, is_new, runs_last_attempt
 from toucanpin.scheduling.job import TaskKey
 from toucanpin.scheduling.progress import Doubt
-from toucanpin.scheduling.trust import is_doubted
+from toucanpin.scheduling.trust import is_distrusted
 from toucanpin.scheduling.worker import Worker, count_fitting_when_idle, fits_when_idle
 
 __all__ = ["list_safe", "risks_attempt"]
@@ -28,7 +28,7 @@
 
     On a full fleet a failing worker has the only room, and took all attempts of a task in a row.
     """
-    if worker.failing_until <= now.steady and not is_doubted(worker):
+    if worker.failing_until <= now.steady and not is_distrusted(worker):
         return False
     step = live.job.steps[task.step]
     failures = _count_failures(live, task)
--- a/toucanpin/scheduling/trust.py
+++ b/toucanpin/scheduling/trust.py
@@ -10,27 +10,27 @@
 from toucanpin.scheduling.cell import Now
 from toucanpin.scheduling.worker import Phase, Run, Worker
 
-__all__ = ["BRIEF_LIFE", "is_doubted", "is_trusted", "note_done", "note_failed"]
+__all__ = ["EARLY_FAILURE_S", "is_distrusted", "is_trusted", "record_success", "record_failure"]
 
-SUSPICION = 3.0  # s that a worker is avoided after failures
-DOUBTED = 3  # jobs whose tasks failed in a row; fewer may themselves be at fault
-BRIEF_LIFE = 2.0  # s that a lasting task has to work for its failure to be its own
-TRIAL = 1.0  # s that one task is watched before a doubted worker gets the next
+AVOIDANCE_PERIOD_S = 3.0  # s that a worker is avoided after failures
+MIN_FAILED_JOBS = 3  # jobs whose tasks failed in a row; fewer may themselves be at fault
+EARLY_FAILURE_S = 2.0  # s that a lasting task has to work for its failure to be its own
+TRIAL_PERIOD_S = 1.0  # s that one task is watched before a doubted worker gets the next
 
 
-def note_failed(worker: Worker, run: Run, now: Now, avoided: float = SUSPICION) -> None:
+def record_failure(worker: Worker, run: Run, now: Now, avoided: float = AVOIDANCE_PERIOD_S) -> None:
     """Take note that a task failed or stood still on a worker."""
     until = now.steady + avoided
     worker.suspect_until = max(worker.suspect_until, until)
     # A lasting task may fail at any time; only one that fails at its start tells of its worker.
-    if run.step.lasting and now.steady > run.ordered_at + BRIEF_LIFE:
+    if run.step.lasting and now.steady > run.ordered_at + EARLY_FAILURE_S:
         return
     worker.failed_jobs.add(run.task.job)
     worker.failed_at = now.steady
     worker.failing_until = max(worker.failing_until, until)
 
 
-def note_done(worker: Worker, run: Run) -> None:
+def record_success(worker: Worker, run: Run) -> None:
     """Take note that a worker has done a task; one that began before a failure proves little."""
     worker.suspect_until = 0.0
     if run.ordered_at > worker.failed_at:
@@ -38,9 +38,9 @@
         worker.failing_until = 0.0
 
 
-def is_doubted(worker: Worker) -> bool:
+def is_distrusted(worker: Worker) -> bool:
     """Tell whether tasks of several jobs have failed on a worker since it did one."""
-    return len(worker.failed_jobs) >= DOUBTED
+    return len(worker.failed_jobs) >= MIN_FAILED_JOBS
 
 
 def is_trusted(worker: Worker, now: Now) -> bool:
@@ -51,7 +51,7 @@
     use up all attempts of job after job.  So it gets nothing for a while, and then one task at a
     time until it does one.
     """
-    if not is_doubted(worker):
+    if not is_distrusted(worker):
         return True
     if now.steady < worker.failing_until:
         return False
@@ -61,4 +61,4 @@
 def _is_on_trial(worker: Worker, run: Run, now: Now) -> bool:
     if run.phase is Phase.PLACED:
         return True
-    return run.ordered_at > worker.failed_at and now.steady < run.ordered_at + TRIAL
+    return run.ordered_at > worker.failed_at and now.steady < run.ordered_at + TRIAL_PERIOD_S
