--- a/toucanpin/scheduling/gangs.py
+++ b/toucanpin/scheduling/gangs.py
@@ -12,7 +12,7 @@
 from toucanpin.scheduling.choosing import Places, Round
 from toucanpin.scheduling.crashing import find_suspicion, is_start_blocked
 from toucanpin.scheduling.job import Step, TaskKey
-from toucanpin.scheduling.retrying import list_safe
+from toucanpin.scheduling.retrying import list_retry_workers
 from toucanpin.scheduling.worker import Phase, Run, Worker, release_run, reserve_run
 
 __all__ = ["place_gang"]
@@ -40,7 +40,7 @@
         return
     # All members share the failures of their gang, so any speaks for them.
     doubted = max(members, key=lambda member: find_suspicion(live, member))
-    safe = list_safe(live, doubted, able, round_.now)
+    safe = list_retry_workers(live, doubted, able, round_.now)
     places = Places(round_, live, group, step, safe, find_suspicion(live, doubted))
     chosen = _find_for_all(places, live, group, step)
     if len(chosen) < step.count:
--- a/toucanpin/scheduling/placing.py
+++ b/toucanpin/scheduling/placing.py
@@ -36,7 +36,7 @@
 from toucanpin.scheduling.progress import Doubt
 from toucanpin.scheduling.recalling import is_barren, note_barren, note_shortage, recall
 from toucanpin.scheduling.reserving import reserve_room
-from toucanpin.scheduling.retrying import list_safe, risks_attempt
+from toucanpin.scheduling.retrying import list_retry_workers, wastes_attempt
 from toucanpin.scheduling.worker import (
     Worker,
     has_room,
@@ -152,7 +152,7 @@
         lenient = step.lasting and _may_take_last(cell, live, group, index, now)
         if making.is_hopeless(step, lenient):
             return
-        safe = list_safe(live, task, able, now)
+        safe = list_retry_workers(live, task, able, now)
         if len(safe) < len(able):
             # What has failed is tried in fewer places, which tells nothing of its siblings.
             Openings(cell, group, step, safe, making, now, lenient).take()
@@ -196,10 +196,10 @@
             return
         chosen = places
         if task in worker.runs or doubt is Doubt.LAST_TRY:
-            safe = list_safe(live, task, able, now)
+            safe = list_retry_workers(live, task, able, now)
             chosen = Places(round_, live, group, step, safe, doubt)
             worker = chosen.find()
-        if worker is None or risks_attempt(live, task, worker, able, now):
+        if worker is None or wastes_attempt(live, task, worker, able, now):
             why = WaitReason.NO_ROOM if worker is None else WaitReason.FAILING_WORKERS
             note_wait(cell, group, why, now)
             continue
--- a/toucanpin/scheduling/retrying.py
+++ b/toucanpin/scheduling/retrying.py
@@ -17,10 +17,10 @@
 from toucanpin.scheduling.trust import is_distrusted
 from toucanpin.scheduling.worker import Worker, count_fitting_when_idle, fits_when_idle
 
-__all__ = ["list_safe", "risks_attempt"]
+__all__ = ["list_retry_workers", "wastes_attempt"]
 
 
-def risks_attempt(
+def wastes_attempt(
     live: LiveJob, task: TaskKey, worker: Worker, able: Iterable[Worker], now: Now
 ) -> bool:
     """
@@ -46,24 +46,26 @@
     )
 
 
-def list_safe(live: LiveJob, task: TaskKey, able: list[Worker], now: Now) -> list[Worker]:
+def list_retry_workers(live: LiveJob, task: TaskKey, able: list[Worker], now: Now) -> list[Worker]:
     """Return the workers on which a task may be tried after what became of it before."""
     if live.job.steps[task.step].speculative:
         # What a worker runs is known by its task: a copy there would hide the run that it is for,
         # whose failure nobody counts and whose room nobody gives back.
         able = [worker for worker in able if task not in worker.runs]
     if find_suspicion(live, task) is Doubt.LAST_TRY:
-        able = _list_for_last_try(live, task, able, now)
+        able = _list_for_last_attempt(live, task, able, now)
     if not _count_failures(live, task):
         return able
-    safe = [worker for worker in able if not risks_attempt(live, task, worker, able, now)]
+    safe = [worker for worker in able if not wastes_attempt(live, task, worker, able, now)]
     step = live.job.steps[task.step]
     if step.gang and sum(count_fitting_when_idle(worker, step) for worker in safe) < step.count:
         return able
     return safe
 
 
-def _list_for_last_try(live: LiveJob, task: TaskKey, able: list[Worker], now: Now) -> list[Worker]:
+def _list_for_last_attempt(
+    live: LiveJob, task: TaskKey, able: list[Worker], now: Now
+) -> list[Worker]:
     """
     Return the workers whose loss would tell most of a task.
 
