--- a/toucanpin/entry/cell_rows.py
+++ b/toucanpin/entry/cell_rows.py
@@ -39,7 +39,7 @@
 from toucanpin.scheduling.interference_model import InterferenceModel, LearnedModel
 from toucanpin.scheduling.job import Job, decode_job, find_job_fault
 from toucanpin.scheduling.ownership import OwnerRecord, decode_owner, encode_owner
-from toucanpin.scheduling.progress import Progress, decode_progress, fits_job
+from toucanpin.scheduling.progress import Progress, decode_progress, matches_job
 
 __all__ = ["CellRows", "DeposedError", "decode_job_row"]
 
@@ -114,7 +114,7 @@
         own = [row for row in rows if not split_key(row.key)[1]]
         for row, job in self._entries.read(own, decode_job_row):
             progress = known.get(row.key)
-            if progress is not None and not fits_job(progress, job):
+            if progress is not None and not matches_job(progress, job):
                 self.blocked.add(row.key)
                 _log.error("progress doesn't fit its job", event="job.blocked", job=row.key)
             elif row.key in self.blocked:
--- a/toucanpin/scheduling/choosing.py
+++ b/toucanpin/scheduling/choosing.py
@@ -18,7 +18,7 @@
 from toucanpin.scheduling.interference_model import InterferenceModel
 from toucanpin.scheduling.job import Step
 from toucanpin.scheduling.prediction import estimate_utilization, predict_rise, predict_share
-from toucanpin.scheduling.progress import Doubt
+from toucanpin.scheduling.progress import CrashSuspicion
 from toucanpin.scheduling.reserving import leaves_reserve
 from toucanpin.scheduling.shortage import Shortage
 from toucanpin.scheduling.trust import is_trusted
@@ -113,7 +113,7 @@
         group: Group,
         step: Step,
         able: Iterable[Worker],
-        doubt: Doubt = Doubt.NONE,
+        doubt: CrashSuspicion = CrashSuspicion.NONE,
     ) -> None:
         self._round = round_
         self.doubt = doubt
@@ -245,7 +245,7 @@
     return cost
 
 
-def _weigh_crash(worker: Worker, step: Step, doubt: Doubt, now: Now) -> float:
+def _weigh_crash(worker: Worker, step: Step, doubt: CrashSuspicion, now: Now) -> float:
     """
     Return the cost of a place for a task under which workers were lost.
 
@@ -253,7 +253,7 @@
     Strewn lasting tasks would shut batch work out of many workers for as long as they run.
     """
     cost = 0.0 if step.lasting else OTHER_WATCHED * count_suspected(worker, now)
-    if doubt is Doubt.LAST_TRY:
+    if doubt is CrashSuspicion.LAST_ATTEMPT:
         cost += AT_STAKE * (worker.cpu + worker.filling_cpu) / max(1, worker.entry.cpu)
     return cost
 
--- a/toucanpin/scheduling/crashing.py
+++ b/toucanpin/scheduling/crashing.py
@@ -18,7 +18,7 @@
 from toucanpin.scheduling.cell import Cell, LiveJob, Now, find_record, mark_dirty
 from toucanpin.scheduling.ending import end_job
 from toucanpin.scheduling.job import TaskKey
-from toucanpin.scheduling.progress import Doubt, JobState, TaskRecord, TaskState
+from toucanpin.scheduling.progress import CrashSuspicion, JobState, TaskRecord, TaskState
 from toucanpin.scheduling.worker import Phase, Run, Worker
 
 __all__ = [
@@ -72,7 +72,7 @@
     """Clear a lasting task that has been at work for long."""
     if run.step.lasting and run.shown_at > run.started_at + SURVIVAL_PERIOD_S:
         record.crashed = {}
-        run.doubt = Doubt.NONE
+        run.doubt = CrashSuspicion.NONE
 
 
 def restore_crashes(cell: Cell, task: TaskKey, record: TaskRecord) -> None:
@@ -103,15 +103,15 @@
     return _exceed_limit(record.crashed | silent)
 
 
-def assess_suspicion(record: TaskRecord) -> Doubt:
+def assess_suspicion(record: TaskRecord) -> CrashSuspicion:
     """Return how far a task is suspected of crashing its workers."""
     if not record.crashed:
-        return Doubt.NONE
+        return CrashSuspicion.NONE
     one_more = record.crashed | {"": True}
-    return Doubt.LAST_TRY if _exceed_limit(one_more) else Doubt.WATCHED
+    return CrashSuspicion.LAST_ATTEMPT if _exceed_limit(one_more) else CrashSuspicion.SUSPECTED
 
 
-def find_suspicion(live: LiveJob, task: TaskKey) -> Doubt:
+def find_suspicion(live: LiveJob, task: TaskKey) -> CrashSuspicion:
     """Return how far a task of a job is suspected of crashing its workers."""
     return assess_suspicion(_get_record(live, task))
 
@@ -123,7 +123,7 @@
 
 def runs_last_attempt(worker: Worker, now: Now) -> bool:
     """Tell whether a worker runs a task that is given up if it is lost once more."""
-    runs = (run for run in worker.runs.values() if run.doubt is Doubt.LAST_TRY)
+    runs = (run for run in worker.runs.values() if run.doubt is CrashSuspicion.LAST_ATTEMPT)
     return any(_is_suspected(run, now) for run in runs)
 
 
@@ -218,6 +218,6 @@
 
 
 def _is_suspected(run: Run, now: Now) -> bool:
-    if run.doubt is Doubt.NONE:
+    if run.doubt is CrashSuspicion.NONE:
         return False
     return not run.ordered_at or now.steady < run.ordered_at + SUSPICION_PERIOD_S
--- a/toucanpin/scheduling/ending.py
+++ b/toucanpin/scheduling/ending.py
@@ -72,7 +72,7 @@
         record.crashed = {}
     if checkpoint:
         record.checkpoint = checkpoint
-    counted = record.state == TaskState.LEAVING
+    counted = record.state == TaskState.GANG_FAILED
     record.worker = ""
     record.state = TaskState.WAITING
     if JobState(live.progress.state).ended:
@@ -130,7 +130,7 @@
     for member in _list_records(live, run.task):
         _add_failure(member, run.attempt)
         if member.state == TaskState.PLACED:
-            member.state = TaskState.LEAVING
+            member.state = TaskState.GANG_FAILED
 
 
 def _apply_late_success(cell: Cell, task: TaskKey, now: Now) -> None:
--- a/toucanpin/scheduling/holding.py
+++ b/toucanpin/scheduling/holding.py
@@ -221,7 +221,7 @@
         clear_survivor(run, record)
     if running.checkpoint:
         run.checkpoint = running.checkpoint
-        placed = record is not None and record.state in (TaskState.PLACED, TaskState.LEAVING)
+        placed = record is not None and record.state in (TaskState.PLACED, TaskState.GANG_FAILED)
         if record is not None and placed and record.attempt == run.attempt:
             record.checkpoint = running.checkpoint
 
--- a/toucanpin/scheduling/intake.py
+++ b/toucanpin/scheduling/intake.py
@@ -48,7 +48,7 @@
                 record = records[live.offsets[number] + index]
                 task = TaskKey(job.id, occurrence, number, index)
                 restore_crashes(cell, task, record)
-                if record.state in (TaskState.PLACED, TaskState.LEAVING):
+                if record.state in (TaskState.PLACED, TaskState.GANG_FAILED):
                     worker = _find_worker(cell, record.worker)
                     run = Run(task, record.attempt, worker.entry.id, step, Phase.UNKNOWN)
                     run.checkpoint = record.checkpoint
--- a/toucanpin/scheduling/placing.py
+++ b/toucanpin/scheduling/placing.py
@@ -33,7 +33,7 @@
 from toucanpin.scheduling.job import Step, TaskKey
 from toucanpin.scheduling.large_tasks import LargeTaskReservation
 from toucanpin.scheduling.preempting import Making, Openings
-from toucanpin.scheduling.progress import Doubt
+from toucanpin.scheduling.progress import CrashSuspicion
 from toucanpin.scheduling.recalling import is_barren, note_barren, note_shortage, recall
 from toucanpin.scheduling.reserving import reserve_room
 from toucanpin.scheduling.retrying import list_retry_workers, wastes_attempt
@@ -195,7 +195,7 @@
             note_shortage(round_, live, step, None, places.ruled)
             return
         chosen = places
-        if task in worker.runs or doubt is Doubt.LAST_TRY:
+        if task in worker.runs or doubt is CrashSuspicion.LAST_ATTEMPT:
             safe = list_retry_workers(live, task, able, now)
             chosen = Places(round_, live, group, step, safe, doubt)
             worker = chosen.find()
--- a/toucanpin/scheduling/progress.py
+++ b/toucanpin/scheduling/progress.py
@@ -14,14 +14,14 @@
 from toucanpin.scheduling.job import Job
 
 __all__ = [
-    "Doubt",
+    "CrashSuspicion",
     "JobState",
     "Progress",
     "TaskRecord",
     "TaskState",
     "decode_progress",
     "encode_progress",
-    "fits_job",
+    "matches_job",
 ]
 
 
@@ -46,15 +46,15 @@
     WAITING = 0
     PLACED = 1
     DONE = 2
-    LEAVING = 3  # placed in a gang whose failure is counted already; its own end counts no more
+    GANG_FAILED = 3  # placed in a gang whose failure is counted already; its own end counts no more
 
 
-class Doubt(enum.IntEnum):
+class CrashSuspicion(enum.IntEnum):
     """Say how far a task is suspected of crashing its workers."""
 
     NONE = 0
-    WATCHED = 1  # a worker was lost under it
-    LAST_TRY = 2  # one more such loss gives it up
+    SUSPECTED = 1  # a worker was lost under it
+    LAST_ATTEMPT = 2  # one more such loss gives it up
 
 
 class TaskRecord(msgspec.Struct, array_like=True, omit_defaults=True):
@@ -100,7 +100,7 @@
     return msgspec.msgpack.decode(value, type=Progress)
 
 
-def fits_job(progress: Progress, job: Job) -> bool:
+def matches_job(progress: Progress, job: Job) -> bool:
     """Tell whether progress is that of a job: as many tasks, and states that there are."""
     total = sum(step.count for step in job.steps)
     known = set(TaskState)
--- a/toucanpin/scheduling/retrying.py
+++ b/toucanpin/scheduling/retrying.py
@@ -13,7 +13,7 @@
 from toucanpin.scheduling.choosing import fits_rules
 from toucanpin.scheduling.crashing import find_suspicion, is_new, runs_last_attempt
 from toucanpin.scheduling.job import TaskKey
-from toucanpin.scheduling.progress import Doubt
+from toucanpin.scheduling.progress import CrashSuspicion
 from toucanpin.scheduling.trust import is_distrusted
 from toucanpin.scheduling.worker import Worker, count_fitting_when_idle, fits_when_idle
 
@@ -52,7 +52,7 @@
         # What a worker runs is known by its task: a copy there would hide the run that it is for,
         # whose failure nobody counts and whose room nobody gives back.
         able = [worker for worker in able if task not in worker.runs]
-    if find_suspicion(live, task) is Doubt.LAST_TRY:
+    if find_suspicion(live, task) is CrashSuspicion.LAST_ATTEMPT:
         able = _list_for_last_attempt(live, task, able, now)
     if not _count_failures(live, task):
         return able
--- a/toucanpin/scheduling/worker.py
+++ b/toucanpin/scheduling/worker.py
@@ -12,7 +12,7 @@
 
 from toucanpin.scheduling.job import Step, TaskKey
 from toucanpin.scheduling.orders import WorkerEntry
-from toucanpin.scheduling.progress import Doubt
+from toucanpin.scheduling.progress import CrashSuspicion
 from toucanpin.scheduling.utilization import WorkerUtilization
 
 __all__ = [
@@ -78,7 +78,7 @@
     # It began from a checkpoint, or before it was heard of, so its progress tells no time.
     untimed: bool = False
     priority: int = 0  # that of its job
-    doubt: Doubt = Doubt.NONE
+    doubt: CrashSuspicion = CrashSuspicion.NONE
 
 
 @dataclass(slots=True)
