--- a/toucanpin/entry/cell_rows.py
+++ b/toucanpin/entry/cell_rows.py
@@ -151,7 +151,7 @@
             await asyncio.sleep(RETRY)
 
         # Begun anew after each lost answer, a read of many pages might never end.
-        return await self._store.read_all(table, part, unread=pause, rest=rest)
+        return await self._store.read_all(table, part, on_error=pause, after_page=rest)
 
     async def write(self, batch: Batch, resigning: bool) -> None:
         """
--- a/toucanpin/entry/entries.py
+++ b/toucanpin/entry/entries.py
@@ -44,7 +44,7 @@
             if row.deleted:
                 continue
             try:
-                if not row.sound:
+                if not row.readable:
                     raise PlatformError("the value isn't base64")
                 value = decode(row)
             except UNREADABLE as error:
--- a/toucanpin/entry/tests/test_entries.py
+++ b/toucanpin/entry/tests/test_entries.py
@@ -118,7 +118,7 @@
 
     def test_an_unsound_entry_is_told_once(self) -> None:
         reader = EntryReader()
-        rows = [Row("servers", "", "x", b"", 3, sound=False)]
+        rows = [Row("servers", "", "x", b"", 3, readable=False)]
         with logbook.TestHandler() as handler:
             for _ in range(5):
                 self.assertEqual([], list(reader.read(rows, _decode)))
--- a/toucanpin/platform/store.py
+++ b/toucanpin/platform/store.py
@@ -53,7 +53,7 @@
     value: bytes
     version: int
     deleted: bool = False
-    sound: bool = True
+    readable: bool = True
 
 
 @dataclass(frozen=True, slots=True)
@@ -220,8 +220,8 @@
         part: str = "",
         start: str = "",
         end: str = "",
-        unread: Callable[[ToucanpinError], Awaitable[None]] | None = None,
-        rest: Callable[[float], Awaitable[None]] | None = None,
+        on_error: Callable[[ToucanpinError], Awaitable[None]] | None = None,
+        after_page: Callable[[float], Awaitable[None]] | None = None,
     ) -> Page:
         """
         Read all rows of a range in a part, however many pages they fill.
@@ -235,16 +235,18 @@
         while True:
             asked_at = steady_time()
             try:
-                page = await self.read(table, part, start, end, limit=PAGE if rest is None else FEW)
+                page = await self.read(
+                    table, part, start, end, limit=PAGE if after_page is None else FEW
+                )
             except (CallError, PlatformError) as error:
-                if unread is None:
+                if on_error is None:
                     raise
-                await unread(error)
+                await on_error(error)
                 continue
             first = first or page
             rows += page.rows
-            if rest is not None:
-                await rest(steady_time() - asked_at)
+            if after_page is not None:
+                await after_page(steady_time() - asked_at)
             if not page.more or not page.rows:
                 return Page(tuple(rows), False, first.version, first.clock)
             start = page.rows[-1].key + "\0"
