--- a/toucanpin/entry/relayed_store.py
+++ b/toucanpin/entry/relayed_store.py
@@ -89,7 +89,7 @@
             )
             try:
                 answer = await self._direct.call(
-                    method, path, body, timeout=direct_timeout, arriving=ARRIVING
+                    method, path, body, timeout=direct_timeout, total_timeout=ARRIVING
                 )
                 if answer.status not in _REFUSED:
                     STORE_CALLS.add(1, {"outcome": "answered"})
--- a/toucanpin/entry/root.py
+++ b/toucanpin/entry/root.py
@@ -139,7 +139,7 @@
         left = self._settings.bounds.shutdown - EXIT_MARGIN - (time.monotonic() - begun)
         # Callers may wait for longer than this process may live, above all while the store is away.
         # A request may have taken effect by now, so only 504 is true of all of them.
-        await self._front.drain(max(0.0, left), late=Response(504))
+        await self._front.drain(max(0.0, left), timeout_response=Response(504))
         await asyncio.sleep(0.05)
         _log.info("stopped", event="process.stopped")
 
--- a/toucanpin/http/client.py
+++ b/toucanpin/http/client.py
@@ -77,7 +77,7 @@
         body: bytes = b"",
         headers: tuple[tuple[str, str], ...] = (),
         timeout: float = 1.0,
-        arriving: float = 0.0,
+        total_timeout: float = 0.0,
     ) -> Answer:
         """
         Send one request and wait at most ``timeout`` seconds for the whole answer.
@@ -96,7 +96,7 @@
         connection = await self._connect(min(timeout, CONNECT_TIMEOUT))
         waiter = connection.send(request)
         try:
-            answer = await _await_answer(connection, waiter, deadline, timeout, arriving)
+            answer = await _await_answer(connection, waiter, deadline, timeout, total_timeout)
         except TimeoutError as error:
             connection.abort()
             # Kept connections go silent together, without a reset.  Left, each would cost a call.
@@ -227,9 +227,9 @@
     waiter: asyncio.Future[Answer],
     deadline: float,
     timeout: float,
-    arriving: float,
+    total_timeout: float,
 ) -> Answer:
-    latest = deadline - timeout + arriving
+    latest = deadline - timeout + total_timeout
     while True:
         try:
             return await _wait_until(waiter, deadline, timeout)
--- a/toucanpin/http/server.py
+++ b/toucanpin/http/server.py
@@ -53,7 +53,7 @@
         self.max_headers = max_headers
         self.max_body = max_body
         self.closing = False
-        self.open: set[_Session] = set()
+        self.sessions: set[_Session] = set()
         self._handler = handler
         self._server: asyncio.Server | None = None
 
@@ -65,7 +65,7 @@
             lambda: _Session(self), host, int(port), backlog=512, reuse_address=True
         )
 
-    async def drain(self, seconds: float, late: Response | None = None) -> None:
+    async def drain(self, seconds: float, timeout_response: Response | None = None) -> None:
         """
         Take no new connections, answer what was read, then close, within ``seconds``.
 
@@ -74,13 +74,13 @@
         self.closing = True
         loop = asyncio.get_running_loop()
         deadline = loop.time() + seconds
-        while loop.time() < deadline and any(session.busy for session in self.open):
+        while loop.time() < deadline and any(session.busy for session in self.sessions):
             await asyncio.sleep(0.02)
         if self._server is not None:
             self._server.close()
-        for session in tuple(self.open):
-            if late is not None:
-                session.give_up(late)
+        for session in tuple(self.sessions):
+            if timeout_response is not None:
+                session.give_up(timeout_response)
             session.close()
 
     async def handle(self, request: Request) -> Response | None:
@@ -134,10 +134,10 @@
         raw = transport.get_extra_info("socket")
         if raw is not None:
             raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        self._server.open.add(self)
+        self._server.sessions.add(self)
 
     def connection_lost(self, error: Exception | None) -> None:
-        self._server.open.discard(self)
+        self._server.sessions.discard(self)
 
     def data_received(self, data: bytes) -> None:
         if self._broken:
--- a/toucanpin/http/tests/test_http.py
+++ b/toucanpin/http/tests/test_http.py
@@ -56,7 +56,7 @@
         for size in (0, 1, 4_000):
             answer = await self.client.call("POST", "/echo", b"x" * size)
             self.assertEqual((200, b"x" * size), (answer.status, answer.body))
-        self.assertEqual(1, len(self.server.open))
+        self.assertEqual(1, len(self.server.sessions))
 
     async def test_requests_that_come_together_are_answered_in_their_order(self) -> None:
         one = b"POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 1\r\n\r\n1"
@@ -139,7 +139,7 @@
         writer.write(b"GET /a HTTP/1.1\r\n\r\n" * 2)
         while not self.seen:
             await asyncio.sleep(0.01)
-        await self.server.drain(0.05, late=Response(504))
+        await self.server.drain(0.05, timeout_response=Response(504))
         answers = await reader.read()
         writer.close()
         self.assertEqual(2, answers.count(b"HTTP/1.1 504"))
--- a/toucanpin/http/tests/test_late_process.py
+++ b/toucanpin/http/tests/test_late_process.py
@@ -39,7 +39,7 @@
             await asyncio.sleep(0)
         time.sleep(BUSY)  # noqa: ASYNC251
         self.assertEqual(b"second", (await call).body)
-        self.assertEqual(1, len(self.server.open))
+        self.assertEqual(1, len(self.server.sessions))
 
     async def test_a_connection_that_is_there_is_used(self) -> None:
         """Guards against a host that counts as away since this process was busy meanwhile."""
@@ -47,4 +47,4 @@
         await asyncio.sleep(0)
         time.sleep(BUSY)  # noqa: ASYNC251
         self.assertEqual(b"first", (await call).body)
-        self.assertEqual(1, len(self.server.open))
+        self.assertEqual(1, len(self.server.sessions))
