--- a/toucanpin/wire/client.py
+++ b/toucanpin/wire/client.py
@@ -49,7 +49,7 @@
         """Send one request and wait at most ``timeout`` seconds for its answer."""
         deadline = time.monotonic() + timeout
         nonce = secrets.randbelow(_NONCE_LIMIT) + 1
-        envelope = self._identity.stamp(member.name, nonce)
+        envelope = self._identity.make_envelope(member.name, nonce)
         frame = encode(self._keys, Purpose.REQUEST, envelope, request)
         try:
             connection = socket.create_connection((member.address, member.port), timeout)
--- a/toucanpin/wire/datagram.py
+++ b/toucanpin/wire/datagram.py
@@ -44,7 +44,7 @@
 
     def send(self, heartbeat: Heartbeat, endpoints: Iterable[tuple[str, int]]) -> None:
         """Send one heartbeat, as the same bytes, to each endpoint."""
-        frame = encode(self._keys, Purpose.HEARTBEAT, self._identity.stamp(), heartbeat)
+        frame = encode(self._keys, Purpose.HEARTBEAT, self._identity.make_envelope(), heartbeat)
         if len(frame) > MAX_DATAGRAM:
             raise WireError(f"heartbeat of {len(frame)} bytes; at most {MAX_DATAGRAM} are allowed")
         for endpoint in endpoints:
--- a/toucanpin/wire/identity.py
+++ b/toucanpin/wire/identity.py
@@ -41,10 +41,10 @@
     incarnation: Callable[[], int]
     bundle: Callable[[], int] = _zero
     event: Callable[[], int] = _zero
-    hear: Callable[[Envelope], None] = _ignore
+    on_message: Callable[[Envelope], None] = _ignore
     _sequences: itertools.count[int] = field(default_factory=lambda: itertools.count(1))
 
-    def stamp(self, audience: str = "", nonce: int = 0) -> Envelope:
+    def make_envelope(self, audience: str = "", nonce: int = 0) -> Envelope:
         """Return the envelope of the next message."""
         return Envelope(
             MINOR,
@@ -69,5 +69,5 @@
             If it can't be understood or trusted.
         """
         received = decode(keys, purpose, self.deployment, frame)
-        self.hear(received.envelope)
+        self.on_message(received.envelope)
         return received
--- a/toucanpin/wire/server.py
+++ b/toucanpin/wire/server.py
@@ -181,5 +181,5 @@
         return handler(envelope, received.message)
 
     def _seal(self, request: Envelope, message: Message) -> bytes:
-        envelope = self._identity.stamp(request.sender, request.nonce)
+        envelope = self._identity.make_envelope(request.sender, request.nonce)
         return encode(self._keys, Purpose.ANSWER, envelope, message)
--- a/toucanpin/wire/tests/test_exchange.py
+++ b/toucanpin/wire/tests/test_exchange.py
@@ -150,7 +150,7 @@
         A promise to stand still is captured.  Later the same owner asks again, and someone on the
         path answers with the old bytes.  Sender, key and purpose are right; the nonce is not.
         """
-        envelope = identify("b/control").stamp("a/control", nonce=5)
+        envelope = identify("b/control").make_envelope("a/control", nonce=5)
         answer = encode(KEYS, Purpose.ANSWER, envelope, StandstillAnswer(True, ""))
         with socket.create_server((HOME, 0)) as listener:
             replayer = threading.Thread(target=self.replay, args=(listener, answer))
