--- a/toucanpin/entry/configuration.py
+++ b/toucanpin/entry/configuration.py
@@ -18,10 +18,10 @@
 from toucanpin.http import CallError
 from toucanpin.platform.queues import (
     CONFIGURATION_KEY,
-    EVACUATION_END,
+    EVACUATION_END_KEY,
     OPERATORS_TABLE,
     decode_configuration,
-    list_evacuated,
+    list_evacuated_data_centres,
 )
 from toucanpin.platform.store import Store
 from toucanpin.scheduling.configuration import Configuration, Queue, QueueIndex
@@ -52,7 +52,7 @@
     def __init__(self, store: Store) -> None:
         self._index = QueueIndex(())
         self._reading: asyncio.Task[bool] | None = None
-        self._followed = FollowedRows(store, OPERATORS_TABLE, CONFIGURATION_KEY, EVACUATION_END)
+        self._followed = FollowedRows(store, OPERATORS_TABLE, CONFIGURATION_KEY, EVACUATION_END_KEY)
         self._value = b""
         self._unreadable: bytes | None = None
         self.current: Configuration | None = None
@@ -96,7 +96,7 @@
         except (CallError, PlatformError) as error:
             _log.warning("configuration not read", event="configuration.unread", reason=error)
             return False
-        self.evacuated = Evacuated(list_evacuated(self._followed.rows), sent_at)
+        self.evacuated = Evacuated(list_evacuated_data_centres(self._followed.rows), sent_at)
         row = self._followed.rows.get(CONFIGURATION_KEY)
         if row is not None:
             self._take(row.value)
--- a/toucanpin/platform/queues.py
+++ b/toucanpin/platform/queues.py
@@ -16,16 +16,16 @@
 
 __all__ = [
     "CONFIGURATION_KEY",
-    "EVACUATION_END",
+    "EVACUATION_END_KEY",
     "OPERATORS_TABLE",
     "decode_configuration",
-    "list_evacuated",
+    "list_evacuated_data_centres",
 ]
 
 OPERATORS_TABLE = "op"
 CONFIGURATION_KEY = "config"
 EVACUATION_PREFIX = "evacuate/"
-EVACUATION_END = "evacuate0"  # the first key behind those of evacuations
+EVACUATION_END_KEY = "evacuate0"  # the first key behind those of evacuations
 
 
 class _Advice(msgspec.Struct, rename="camel"):
@@ -96,7 +96,7 @@
     )
 
 
-def list_evacuated(keys: Iterable[str]) -> frozenset[str]:
+def list_evacuated_data_centres(keys: Iterable[str]) -> frozenset[str]:
     """Return the data centres that operators' rows name as evacuated, whatever the rows hold."""
     named = (
         key.removeprefix(EVACUATION_PREFIX) for key in keys if key.startswith(EVACUATION_PREFIX)
