--- a/toucanpin/platform/store.py
+++ b/toucanpin/platform/store.py
@@ -33,7 +33,7 @@
     "Store",
 ]
 
-READ_TIMEOUT = 2.0  # s: a healthy answer takes 10 ms, one of a store 60 times slower 0.6 s
+READ_TIMEOUT_S = 2.0  # s: a healthy answer takes 10 ms, one of a store 60 times slower 0.6 s
 PAGE = 150  # rows asked for at a time, so that a page also passes the inner protocol
 FEW = 40  # rows asked for at a time where nobody waits for them
 MAX_PAGE_ROWS = 500  # rows of one answer, by the platform's page
@@ -174,7 +174,7 @@
         part: str,
         expected: Sequence[ExpectedVersion],
         puts: Sequence[Put],
-        timeout: float = READ_TIMEOUT,
+        timeout: float = READ_TIMEOUT_S,
     ) -> Committed | Conflict:
         """
         Apply all of ``puts`` in one part if all of ``expected`` holds, or nothing.
@@ -202,7 +202,7 @@
         start: str = "",
         end: str = "",
         limit: int = MAX_PAGE_ROWS,
-        timeout: float = READ_TIMEOUT,
+        timeout: float = READ_TIMEOUT_S,
     ) -> Page:
         """Read the rows of a range of keys that excludes ``end``, as of one moment."""
         path = f"/rows-get?table={quote(table)}&part={quote(part)}&limit={limit}"
@@ -252,7 +252,7 @@
             start = page.rows[-1].key + "\0"
 
     async def follow(
-        self, table: str, after: int, wait: float, margin: float = READ_TIMEOUT
+        self, table: str, after: int, wait: float, margin: float = READ_TIMEOUT_S
     ) -> Page | None:
         """
         Wait for changes of a table after a version; None if that history is gone.
