--- a/toucanpin/entry/tests/test_loading.py
+++ b/toucanpin/entry/tests/test_loading.py
@@ -12,7 +12,7 @@
 from toucanpin.entry.entries import EntryReader
 from toucanpin.entry.rows import COUNTS, COUNTS_KEY, PROGRESS
 from toucanpin.http import Answer, CallError, Client
-from toucanpin.platform.store import PAGE, Store
+from toucanpin.platform.store import PAGE_ROWS, Store
 from toucanpin.scheduling.cell import Cell
 from toucanpin.scheduling.interference_model import InterferenceModel
 from toucanpin.scheduling.ownership import OwnerRecord, decode_owner
@@ -99,7 +99,7 @@
         address = f"127.0.0.1:{free_port()}"
         core = SiteStore()
         ended = encode_progress(Progress(JobState.COMPLETED, 0, [], {}))
-        for number in range(PAGES * PAGE):
+        for number in range(PAGES * PAGE_ROWS):
             core.put(PROGRESS, f"{number:016x}", ended, part="c")
         server = await core.listen(address, Faults())
         self.addAsyncCleanup(server.drain, 0.0)
