--- a/toucanpin/platform/store.py
+++ b/toucanpin/platform/store.py
@@ -35,7 +35,7 @@
 
 READ_TIMEOUT_S = 2.0  # s: a healthy answer takes 10 ms, one of a store 60 times slower 0.6 s
 PAGE_ROWS = 150  # rows asked for at a time, so that a page also passes the inner protocol
-FEW = 40  # rows asked for at a time where nobody waits for them
+BACKGROUND_PAGE_ROWS = 40  # rows asked for at a time where nobody waits for them
 MAX_PAGE_ROWS = 500  # rows of one answer, by the platform's page
 
 
@@ -236,7 +236,11 @@
             asked_at = steady_time()
             try:
                 page = await self.read(
-                    table, part, start, end, limit=PAGE_ROWS if after_page is None else FEW
+                    table,
+                    part,
+                    start,
+                    end,
+                    limit=PAGE_ROWS if after_page is None else BACKGROUND_PAGE_ROWS,
                 )
             except (CallError, PlatformError) as error:
                 if on_error is None:
