--- a/toucanpin/entry/frames.py
+++ b/toucanpin/entry/frames.py
@@ -12,7 +12,7 @@
 from typing import TYPE_CHECKING
 
 from toucanpin.exception import WireError
-from toucanpin.http.client import MAX_ANSWER
+from toucanpin.http.client import MAX_ANSWER_BYTES
 
 if TYPE_CHECKING:
     from toucanpin.wire.codec import Purpose
@@ -30,7 +30,9 @@
 
 _LENGTH = struct.Struct(">I")
 # Whatever the store may answer has to pass: a host that it turns away kept an old configuration.
-MAX_FRAME = MAX_ANSWER + 65_536  # bytes, of the inner protocol; what is around an answer besides
+MAX_FRAME = (
+    MAX_ANSWER_BYTES + 65_536
+)  # bytes, of the inner protocol; what is around an answer besides
 # A weak link takes seconds for a document with thousands of queues.
 ARRIVING = 6.0  # s that an answer may take that keeps arriving
 
--- a/toucanpin/http/client.py
+++ b/toucanpin/http/client.py
@@ -22,7 +22,7 @@
 CONNECT_TIMEOUT = (
     0.6  # s: one lost opening packet is sent again after 1 s, a dead host never answers
 )
-MAX_ANSWER = 4_194_304  # bytes: four times the platform's largest page
+MAX_ANSWER_BYTES = 4_194_304  # bytes: four times the platform's largest page
 MAX_IDLE = 8  # kept connections to one address
 LATE = 0.05  # s by which time-outs come late in a process that was busy or suspended
 T = TypeVar("T")
@@ -180,8 +180,8 @@
         if self._waiter is None:
             self._fail("an answer that nobody asked for")
             return
-        if self._size > MAX_ANSWER:
-            self._end(TooLargeError(f"an answer of more than {MAX_ANSWER} bytes"))
+        if self._size > MAX_ANSWER_BYTES:
+            self._end(TooLargeError(f"an answer of more than {MAX_ANSWER_BYTES} bytes"))
             return
         try:
             self._parser.feed_data(data)
