--- a/toucanpin/wire/codec.py
+++ b/toucanpin/wire/codec.py
@@ -30,7 +30,7 @@
 __all__ = [
     "MAJOR",
     "MAX_DATAGRAM",
-    "MAX_FRAME",
+    "MAX_FRAME_BYTES",
     "MINOR",
     "MajorVersionError",
     "Purpose",
@@ -41,7 +41,7 @@
 
 MAJOR = 1
 MINOR = 0
-MAX_FRAME = 1_048_576
+MAX_FRAME_BYTES = 1_048_576
 MAX_DATAGRAM = 1_400
 
 _MAGIC = b"TP"
--- a/toucanpin/wire/stream.py
+++ b/toucanpin/wire/stream.py
@@ -12,7 +12,7 @@
 import time
 
 from toucanpin.exception import WireError
-from toucanpin.wire.codec import MAX_FRAME
+from toucanpin.wire.codec import MAX_FRAME_BYTES
 
 __all__ = ["receive_frame", "send_frame"]
 
@@ -21,8 +21,8 @@
 
 def send_frame(connection: socket.socket, frame: bytes, deadline: float) -> None:
     """Send one frame; ``deadline`` is on the monotonic clock, in seconds."""
-    if len(frame) > MAX_FRAME:
-        raise WireError(f"frame of {len(frame)} bytes; at most {MAX_FRAME} are allowed")
+    if len(frame) > MAX_FRAME_BYTES:
+        raise WireError(f"frame of {len(frame)} bytes; at most {MAX_FRAME_BYTES} are allowed")
     _limit(connection, deadline)
     connection.sendall(_LENGTH.pack(len(frame)) + frame)
 
@@ -45,8 +45,8 @@
         raise WireError("connection closed within a frame's length")
     (size,) = _LENGTH.unpack(header)
     # The length comes before any proof of who sends it, so it is refused before memory is taken.
-    if not 0 < size <= MAX_FRAME:
-        raise WireError(f"frame of {size} bytes; allowed are 1 to {MAX_FRAME}")
+    if not 0 < size <= MAX_FRAME_BYTES:
+        raise WireError(f"frame of {size} bytes; allowed are 1 to {MAX_FRAME_BYTES}")
     frame = _receive(connection, size, deadline)
     if len(frame) < size:
         raise WireError("connection closed within a frame")
--- a/toucanpin/wire/tests/test_exchange.py
+++ b/toucanpin/wire/tests/test_exchange.py
@@ -12,7 +12,7 @@
 from toucanpin.membership.member import Member
 from toucanpin.verdict import Verdict
 from toucanpin.wire.client import CallFault, InnerClient
-from toucanpin.wire.codec import MAJOR, MAX_FRAME, Purpose, encode, seal
+from toucanpin.wire.codec import MAJOR, MAX_FRAME_BYTES, Purpose, encode, seal
 from toucanpin.wire.datagram import DatagramSocket
 from toucanpin.wire.identity import Identity
 from toucanpin.wire.keys import PeerKeys
@@ -118,7 +118,7 @@
             struct.pack(">I", len(frame)) + frame[:-1],
             struct.pack(">I", 0),
             struct.pack(">I", 0xFFFFFFFF),
-            struct.pack(">I", MAX_FRAME + 1),
+            struct.pack(">I", MAX_FRAME_BYTES + 1),
         ):
             self.assertEqual(self.send(data), b"")
         self.assertTrue(self.call(Standstill("a/control", 6.0)).is_ok())
