--- a/toucanpin/entry/frames.py
+++ b/toucanpin/entry/frames.py
@@ -63,11 +63,11 @@
 
 
 def encode_frame(name: str, secret: bytes, purpose: Purpose, nonce: int, message: Message) -> bytes:
-    from toucanpin.wire.codec import MINOR, encode
+    from toucanpin.wire.codec import MINOR_VERSION, encode
     from toucanpin.wire.keys import PeerKeys
     from toucanpin.wire.messages import Envelope
 
-    envelope = Envelope(MINOR, "entry", name, "", 0, 0, 0, 0, "", nonce)
+    envelope = Envelope(MINOR_VERSION, "entry", name, "", 0, 0, 0, 0, "", nonce)
     frame = encode(PeerKeys("table", {"table": secret}), purpose, envelope, message)
     if len(frame) > MAX_FRAME:
         raise WireError(f"frame of {len(frame)} bytes; allowed are 1 to {MAX_FRAME}")
--- a/toucanpin/wire/codec.py
+++ b/toucanpin/wire/codec.py
@@ -31,7 +31,7 @@
     "MAJOR",
     "MAX_DATAGRAM",
     "MAX_FRAME_BYTES",
-    "MINOR",
+    "MINOR_VERSION",
     "MajorVersionError",
     "Purpose",
     "decode",
@@ -40,7 +40,7 @@
 ]
 
 MAJOR = 1
-MINOR = 0
+MINOR_VERSION = 0
 MAX_FRAME_BYTES = 1_048_576
 MAX_DATAGRAM = 1_400
 
--- a/toucanpin/wire/identity.py
+++ b/toucanpin/wire/identity.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from toucanpin.wire.codec import MINOR, Purpose, decode
+from toucanpin.wire.codec import MINOR_VERSION, Purpose, decode
 from toucanpin.wire.keys import PeerKeys
 from toucanpin.wire.messages import Envelope, Received
 
@@ -47,7 +47,7 @@
     def make_envelope(self, audience: str = "", nonce: int = 0) -> Envelope:
         """Return the envelope of the next message."""
         return Envelope(
-            MINOR,
+            MINOR_VERSION,
             self.deployment,
             self.name,
             self.site,
