--- a/toucanpin/wire/codec.py
+++ b/toucanpin/wire/codec.py
@@ -28,7 +28,7 @@
 from toucanpin.wire.structure import check_struct
 
 __all__ = [
-    "MAJOR",
+    "MAJOR_VERSION",
     "MAX_DATAGRAM",
     "MAX_FRAME_BYTES",
     "MINOR_VERSION",
@@ -39,7 +39,7 @@
     "seal",
 ]
 
-MAJOR = 1
+MAJOR_VERSION = 1
 MINOR_VERSION = 0
 MAX_FRAME_BYTES = 1_048_576
 MAX_DATAGRAM = 1_400
@@ -106,7 +106,7 @@
     return seal(keys, purpose, buffer.getvalue())
 
 
-def seal(keys: PeerKeys, purpose: Purpose, payload: bytes, major: int = MAJOR) -> bytes:
+def seal(keys: PeerKeys, purpose: Purpose, payload: bytes, major: int = MAJOR_VERSION) -> bytes:
     """Put the header and the MAC before a payload."""
     key_id = keys.current.encode()
     header = _PREFIX.pack(_MAGIC, major, purpose, len(key_id)) + key_id
@@ -133,9 +133,9 @@
     protocol = TCyBinaryProtocol(buffer, strict_decode=True)
     try:
         envelope = _from_thrift(Envelope, protocol.read_struct(_THRIFT.Envelope()))
-        if major != MAJOR:
+        if major != MAJOR_VERSION:
             raise MajorVersionError(
-                f"{envelope.sender} speaks major version {major}, this process {MAJOR}"
+                f"{envelope.sender} speaks major version {major}, this process {MAJOR_VERSION}"
             )
         if check_struct(payload, end) != len(payload):
             raise WireError("bytes follow the message")
--- a/toucanpin/wire/tests/test_codec.py
+++ b/toucanpin/wire/tests/test_codec.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 
 from toucanpin.exception import SettingsError, WireError
-from toucanpin.wire.codec import MAJOR, MajorVersionError, Purpose, decode, encode, seal
+from toucanpin.wire.codec import MAJOR_VERSION, MajorVersionError, Purpose, decode, encode, seal
 from toucanpin.wire.keys import MAC_SIZE, PeerKeys, parse_peer_keys
 from toucanpin.wire.messages import (
     Envelope,
@@ -92,7 +92,7 @@
 
     def test_an_unknown_major_version_is_refused_by_name(self):
         end = check_struct(PAYLOAD)
-        foreign = seal(KEYS, Purpose.REQUEST, PAYLOAD[:end] + b"\xff", MAJOR + 1)
+        foreign = seal(KEYS, Purpose.REQUEST, PAYLOAD[:end] + b"\xff", MAJOR_VERSION + 1)
         with self.assertRaisesRegex(MajorVersionError, "h1/request speaks major version 2"):
             decode(KEYS, Purpose.REQUEST, "swan", foreign)
 
--- a/toucanpin/wire/tests/test_exchange.py
+++ b/toucanpin/wire/tests/test_exchange.py
@@ -12,7 +12,7 @@
 from toucanpin.membership.member import Member
 from toucanpin.verdict import Verdict
 from toucanpin.wire.client import CallFault, InnerClient
-from toucanpin.wire.codec import MAJOR, MAX_FRAME_BYTES, Purpose, encode, seal
+from toucanpin.wire.codec import MAJOR_VERSION, MAX_FRAME_BYTES, Purpose, encode, seal
 from toucanpin.wire.datagram import DatagramSocket
 from toucanpin.wire.identity import Identity
 from toucanpin.wire.keys import PeerKeys
@@ -140,7 +140,7 @@
         A process of the next major version asks.  It must learn why nothing works, on both sides,
         instead of waiting for its timeout.
         """
-        frame = seal(KEYS, Purpose.REQUEST, PAYLOAD, MAJOR + 1)
+        frame = seal(KEYS, Purpose.REQUEST, PAYLOAD, MAJOR_VERSION + 1)
         self.assertIn(b"major version 2", self.send(struct.pack(">I", len(frame)) + frame))
 
 
