--- a/toucanpin/entry/tests/test_clocks.py
+++ b/toucanpin/entry/tests/test_clocks.py
@@ -8,13 +8,13 @@
 
 from toucanpin.entry.clocks import Clocks, measure_wall, steady_time
 from toucanpin.platform.store import Store
-from toucanpin.platform.tests.test_site_calls import ScriptedCaller
+from toucanpin.platform.tests.test_site_calls import ScriptedTransport
 from toucanpin.scheduling.timing import ClockEstimate
 
 
 class ClocksTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.store = Store(ScriptedCaller())
+        self.store = Store(ScriptedTransport())
         self._tell(50_000)
         self.clocks = Clocks(self.store)
 
--- a/toucanpin/platform/tests/test_site_calls.py
+++ b/toucanpin/platform/tests/test_site_calls.py
@@ -24,7 +24,7 @@
 TASK = TaskKey("00000000000000a1", 0, 1, 2)
 
 
-class ScriptedCaller:
+class ScriptedTransport:
     """Answer each call of the store with the next scripted answer."""
 
     def __init__(self, *answers: Answer) -> None:
@@ -44,7 +44,7 @@
 
 class StoreCallsTest(unittest.IsolatedAsyncioTestCase):
     async def test_a_transaction_names_what_it_expects(self) -> None:
-        caller = ScriptedCaller(_answer(200, rowVersion=7, nowMs=50))
+        caller = ScriptedTransport(_answer(200, rowVersion=7, nowMs=50))
         store = Store(caller)
         result = await store.transact("p", (ExpectedVersion("t", "k", 3),), (Put("t", "k", b"v"),))
         self.assertEqual(Committed(7, 50), result)
@@ -55,7 +55,7 @@
 
     async def test_a_conflict_carries_the_rows_as_they_are(self) -> None:
         row = {"table": "t", "part": "p", "key": "k", "value": "dg==", "rowVersion": 9}
-        store = Store(ScriptedCaller(_answer(412, rows=[row], rowVersion=9, nowMs=1)))
+        store = Store(ScriptedTransport(_answer(412, rows=[row], rowVersion=9, nowMs=1)))
         result = await store.transact("p", (ExpectedVersion("t", "k", 3),), ())
         assert isinstance(result, Conflict)
         self.assertEqual((b"v", 9), (result.rows[0].value, result.rows[0].version))
@@ -69,17 +69,17 @@
         )
         for answer, verdict in cases:
             with self.subTest(answer.status), self.assertRaises(CallError) as caught:
-                await Store(ScriptedCaller(answer)).transact("p", (), ())
+                await Store(ScriptedTransport(answer)).transact("p", (), ())
             self.assertIs(verdict, caught.exception.verdict)
 
     async def test_an_unknown_status_is_a_fault_of_the_protocol(self) -> None:
         with self.assertRaises(PlatformError):
-            await Store(ScriptedCaller(_answer(302))).read("t")
+            await Store(ScriptedTransport(_answer(302))).read("t")
 
     async def test_pages_are_put_together(self) -> None:
         first = {"table": "t", "part": "", "key": "a", "value": "dg==", "rowVersion": 1}
         second = {**first, "key": "b", "rowVersion": 2}
-        caller = ScriptedCaller(
+        caller = ScriptedTransport(
             _answer(200, rows=[first], morePages=True, rowVersion=5, nowMs=1),
             _answer(200, rows=[second], morePages=False, rowVersion=6, nowMs=2),
         )
@@ -94,7 +94,9 @@
         time of the newest answer, so an owner claimed to know all jobs of a moment that it hadn't
         seen, and callers were told counts without the jobs handed in since.
         """
-        caller = ScriptedCaller(_answer(200, nowMs=9_000), _answer(200, rowVersion=4, nowMs=7_000))
+        caller = ScriptedTransport(
+            _answer(200, nowMs=9_000), _answer(200, rowVersion=4, nowMs=7_000)
+        )
         store = Store(caller)
         await store.read("t")
         page = await store.follow("t", 3, 1.0)
@@ -103,7 +105,7 @@
         self.assertEqual(9_000, store.clock)
 
     async def test_a_dropped_history_is_told_from_silence(self) -> None:
-        self.assertIsNone(await Store(ScriptedCaller(_answer(410))).follow("t", 3, 1.0))
+        self.assertIsNone(await Store(ScriptedTransport(_answer(410))).follow("t", 3, 1.0))
 
 
 class WorkerCallsTest(unittest.IsolatedAsyncioTestCase):
