--- a/toucanpin/entry/frames.py
+++ b/toucanpin/entry/frames.py
@@ -30,9 +30,8 @@
 
 _LENGTH = struct.Struct(">I")
 # Whatever the store may answer has to pass: a host that it turns away kept an old configuration.
-MAX_FRAME = (
-    MAX_ANSWER_BYTES + 65_536
-)  # bytes, of the inner protocol; what is around an answer besides
+# The second term, in bytes, is for what the inner protocol adds around an answer.
+MAX_FRAME = MAX_ANSWER_BYTES + 65_536
 # A weak link takes seconds for a document with thousands of queues.
 ARRIVING = 6.0  # s that an answer may take that keeps arriving
 
--- a/toucanpin/entry/requests.py
+++ b/toucanpin/entry/requests.py
@@ -24,7 +24,7 @@
 from toucanpin.entry.rows import JOBS, PROGRESS, cancel_key, job_part
 from toucanpin.exception import PlatformError
 from toucanpin.http import CallError, Request, Response
-from toucanpin.platform.callers import (
+from toucanpin.platform.job_messages import (
     DEADLINE_HEADER,
     JobSyntaxError,
     decode_submission,
