--- a/toucanpin/entry/tests/test_clocks.py
+++ b/toucanpin/entry/tests/test_clocks.py
@@ -8,7 +8,7 @@
 
 from toucanpin.entry.clocks import Clocks, measure_wall, steady_time
 from toucanpin.platform.store import Store
-from toucanpin.platform.tests.test_site_calls import ScriptedTransport
+from toucanpin.platform.tests.test_store_and_workers import ScriptedTransport
 from toucanpin.scheduling.timing import ClockEstimate
 
 
--- a/toucanpin/platform/tests/test_http.py
+++ b/toucanpin/platform/tests/test_http.py
@@ -15,7 +15,7 @@
     Unknown,
     Write,
 )
-from toucanpin.platform.tests.scripted import Reply, ScriptedServer, find_closed_port
+from toucanpin.platform.tests.scripted_server import Reply, ScriptedServer, find_closed_port
 
 TRANSACTION = Transaction("t1", (Write("job/1", 0, b"value"),))
 POLL = Poll(3, "", 0, ())
