--- a/toucanpin/placement/__init__.py
+++ b/toucanpin/placement/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions on jobs and standing tasks: ledger, queue, quotas, leases and life cycle."""
+"""Placement of jobs and standing tasks: capacity, queues, quotas, leases and task life cycle."""
--- a/toucanpin/placement/actions.py
+++ b/toucanpin/placement/actions.py
@@ -1,9 +1,9 @@
 """
-Actions of placement
+Actions of decisions
 ====================
 
-What a placement decision asks of the outside, one typed action at a time, and how it is answered.
-A decision is a generator: it yields an action and is sent an `Answer`.
+Typed actions through which placement decisions do their input and output.  A decision is a
+generator that yields one action at a time and is sent its `Answer`.
 """
 
 from __future__ import annotations
@@ -55,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkerPoll:
-    """Address one poll to one worker."""
+    """Poll addressed to one worker."""
 
     host: ListedHost
     poll: Poll
@@ -70,7 +70,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AskStandstill:
-    """Ask peers not to fence ``holder``; answered with the frozenset of lives that promised."""
+    """Ask peers not to fence ``holder``; answered with the frozenset of those that promised."""
 
     holder: ControllerId
     peers: tuple[ControllerId, ...]
@@ -78,7 +78,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RecordEvent:
-    """Put one event on the time line; answered with None."""
+    """Record one event on the timeline; answered with None."""
 
     kind: str
     ids: dict[str, str]
@@ -90,7 +90,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """Hold the outcome of an action and the monotonic time (seconds) after it was known."""
+    """Outcome of an action and the monotonic time (s) at which it was known."""
 
     now: float
     value: Any
--- a/toucanpin/placement/authority.py
+++ b/toucanpin/placement/authority.py
@@ -2,13 +2,13 @@
 Authority of control processes
 ==============================
 
-How long a control process may grant leases, how it goes on through an outage of the table, and when
-another may take for proven that it has ended.
+Decides how long a control process may grant leases, how its authority is extended during an outage
+of the table, and when another process may rely on its end.
 
-A life renews its own row by compare-and-set; its authority ends one term after the *start* of the
-last renewal that surely succeeded.  In an outage every life on its roster is asked for a standstill
-promise not to fence it for one term.  Whoever isn't on the roster waits the long hold, which no
-chain of promises outlives.
+A control process renews its own row by compare-and-set.  Its authority ends one term after the
+*start* of the last renewal that is known to have succeeded.  During an outage it asks every process
+on its roster for a standstill: a promise not to fence it for one term.  A process that isn't on
+the roster has to wait for ``max_authority``, which bounds any chain of promises.
 """
 
 from __future__ import annotations
@@ -34,11 +34,11 @@
 
 __all__ = ["Authority", "AuthorityWatch", "ObservedRow"]
 
-RETRIES_PER_TERM = 9
+RENEWAL_RETRIES_PER_TERM = 9  # while the table does not answer
 
 
 class Authority:
-    """Keep this life's own row and the end of what it may grant."""
+    """Authority of this process: its row and the time until which it may grant leases."""
 
     def __init__(self, controller_id: ControllerId, terms: LeaseTerms) -> None:
         """Start without authority."""
@@ -54,14 +54,14 @@
         self._possible_roster: frozenset[ControllerId] = frozenset()
 
     def holds(self, now: float) -> bool:
-        """Tell whether leases may be granted."""
+        """Return whether leases may be granted."""
         return not self.fenced and now < self.until
 
     def renew(
         self, now: float, roster: tuple[ControllerId, ...], ceded: dict[str, int]
     ) -> Decision[bool]:
         """
-        Renew the row when it is due; go on by standstill promises if the table is out.
+        Renew the row when due; extend the authority by promises if the table does not answer.
 
         Return whether the table was asked; ``table_answered`` then says whether it answered.
         """
@@ -74,8 +74,8 @@
             f"renew/{self._renewal}"
         )
         write = Write(authority_key(self.controller_id), self._version, encode(row))
-        # A write whose answer is lost may take effect, also later: until a renewal surely succeeds
-        # the lives of every roster that may stand in the row have to promise.
+        # A write whose answer is lost may still take effect.  Until a renewal is known to have
+        # succeeded, the processes of every roster that the row may hold have to promise.
         self._possible_roster |= frozenset(roster)
         answer = yield Commit(Transaction(token, (write,)))
         self.table_answered = True
@@ -91,16 +91,16 @@
                 yield from self._adopt_own_row(rows)
             case Result(tag="error", error=Unavailable() | Unknown()):
                 self.table_answered = False
-                self._next_renewal = now + self.terms.authority / RETRIES_PER_TERM
+                self._next_renewal = now + self.terms.authority / RENEWAL_RETRIES_PER_TERM
                 yield from self._extend_by_promises(answer.now)
         return True
 
     def _adopt_own_row(self, rows: tuple[Row, ...]) -> Decision[None]:
-        """Learn what stands in our row: an own write whose answer was lost, or a fence."""
+        """Adopt the stored row: the result of an own write whose answer was lost, or of a fence."""
         for row in rows:
             self._version = row.version
             if row.version == ABSENT:
-                # The row was collected: nothing refers to this life as an owner any more.
+                # The row was deleted as expired: no cell names this process as an owner any more.
                 self.fenced = True
                 self.until = 0.0
                 continue
@@ -112,7 +112,7 @@
                 yield RecordEvent("authority.fenced", {}, self.controller_id.process)
 
     def _extend_by_promises(self, now: float) -> Decision[None]:
-        """Go on for a term if every life that could fence us has promised not to."""
+        """Extend the authority by a term if every process that could fence us promises not to."""
         peers = tuple(sorted(self._possible_roster - {self.controller_id}))
         limit = self._renewed_at + self.terms.max_authority
         if self.fenced or self._version == ABSENT or now >= self.until or now >= limit:
@@ -122,14 +122,14 @@
             answer = yield AskStandstill(self.controller_id, peers)
             promised = answer.value
         if promised >= frozenset(peers):
-            # Counted from before the question, the promise began later and ends later for them.
+            # Counted from before the question was sent, so the promises end later than this.
             self.until = max(self.until, min(now + self.terms.authority, limit))
         else:
             missing = ", ".join(peer.process for peer in peers if peer not in promised)
             yield RecordEvent("authority.promise-missing", {}, missing)
 
     def release(self) -> Decision[None]:
-        """Give up all authority, after the cells were released."""
+        """Release the authority, after all cells have been released."""
         self.until = 0.0
         row = AuthorityRow(self.controller_id, self._renewal + 1, (), released=True)
         write = Write(authority_key(self.controller_id), self._version, encode(row))
@@ -139,7 +139,7 @@
 
 @dataclass(slots=True)
 class ObservedRow:
-    """Hold another life's row and since when (own clock, seconds) its version is unchanged."""
+    """Authority row of another process and when (own clock, s) this version was first read."""
 
     row: AuthorityRow
     version: int
@@ -148,14 +148,14 @@
 
 class AuthorityWatch:
     """
-    Watch the rows of other lives, fence them, and promise not to.
+    Observer of the authority rows of other processes, which fences them or promises not to.
 
-    ``answer_standstill`` is called by another thread between steps of a decision; the fences that
-    are under way are therefore marked before the transaction is sent.
+    ``answer_standstill`` is called by another thread between the steps of a decision.  Fences are
+    therefore marked as in flight before the transaction is sent.
     """
 
     def __init__(self, controller_id: ControllerId, terms: LeaseTerms) -> None:
-        """Start without having seen any row."""
+        """Start without any observed row."""
         self.controller_id = controller_id
         self.terms = terms
         self.table_reachable = False
@@ -165,7 +165,7 @@
         self._fencing: dict[ControllerId, int] = {}
 
     def observe(self, rows: Iterable[Row], now: float) -> None:
-        """Take in rows read at or before ``now``."""
+        """Record rows that were read at or before ``now``."""
         for row in rows:
             stored = decode(row.value, AuthorityRow)
             observed = self._observed.get(stored.holder)
@@ -173,17 +173,17 @@
                 self._observed[stored.holder] = ObservedRow(stored, row.version, now)
 
     def unchanged_for(self, controller: ControllerId, now: float) -> float | None:
-        """Return for how many seconds a life's row has stood unchanged, None if never seen."""
+        """Return for how long (s) a process's row has been unchanged, None if never read."""
         observed = self._observed.get(controller)
         return None if observed is None else now - observed.since
 
     def has_no_authority(self, controller: ControllerId) -> bool:
-        """Tell whether a life's row says that it grants nothing any more."""
+        """Return whether a process's row says that it has been fenced or released."""
         observed = self._observed.get(controller)
         return observed is not None and (observed.row.fenced or observed.row.released)
 
     def has_ended(self, controller: ControllerId, cell: str, epoch: int, now: float) -> bool:
-        """Tell whether a life can certainly not renew a lease of a cell at an epoch any more."""
+        """Return whether a process is proven unable to renew leases of a cell at an epoch."""
         observed = self._observed.get(controller)
         if observed is None:
             return False
@@ -191,11 +191,11 @@
             return True
         if observed.row.released and now - observed.since >= self.terms.add_drift(self.terms.lease):
             return True
-        # The long hold bounds every chain of promises, so it needs no place on the roster.
+        # This bounds every chain of promises, so it holds for processes off the roster too.
         return now - observed.since >= self.terms.add_drift(self.terms.max_authority)
 
     def may_fence(self, controller: ControllerId, now: float) -> bool:
-        """Tell whether a life's authority has ended as far as this member of its roster knows."""
+        """Return whether this process, as a member of the roster, may fence another one now."""
         observed = self._observed.get(controller)
         if observed is None or observed.row.fenced or self.controller_id not in observed.row.roster:
             return False
@@ -204,7 +204,7 @@
         return now - observed.since >= self.terms.add_drift(self.terms.authority)
 
     def fence(self, controller: ControllerId, now: float) -> Decision[None]:
-        """Mark a life's row as fenced if it still stands as it was seen."""
+        """Mark the row of a process as fenced, unless it has changed since it was last read."""
         if not self.may_fence(controller, now):
             return
         observed = self._observed[controller]
@@ -220,8 +220,8 @@
             f"fence/{controller.process}/{observed.version}"
         )
         write = Write(authority_key(controller), observed.version, encode(fenced))
-        # A promise given while this write is under way, or after its answer was lost, would be
-        # broken by the write: the mark stays until the row is seen at another version.
+        # The write would break a promise that is given while it is in flight or after its answer
+        # was lost, so the mark stays until the row is read at a higher version.
         self._fencing[controller] = observed.version
         answer = yield Commit(Transaction(token, (write,)))
         match answer.value:
@@ -236,7 +236,7 @@
     def find_expired(
         self, now: float, present: frozenset[ControllerId]
     ) -> tuple[tuple[ControllerId, int], ...]:
-        """Return the lives, with the versions of their rows, that are gone for good."""
+        """Return the processes that have ended for good, with the versions of their rows."""
         gone = (
             (controller, observed)
             for controller, observed in self._observed.items()
@@ -255,13 +255,13 @@
         return now - observed.since >= self.terms.add_drift(wait)
 
     def forget(self, controller: ControllerId) -> None:
-        """Drop a life whose row was deleted."""
+        """Drop a process whose row was deleted."""
         self._observed.pop(controller, None)
         self._promised.pop(controller, None)
         self._fencing.pop(controller, None)
 
     def answer_standstill(self, holder: ControllerId, now: float) -> bool:
-        """Promise not to fence a holder for one term, unless the table can be read here."""
+        """Promise not to fence a holder for one term, or refuse if the table is reachable here."""
         observed = self._observed.get(holder)
         if self.table_reachable or self._is_fencing(holder) or (observed and observed.row.fenced):
             return False
--- a/toucanpin/placement/cells.py
+++ b/toucanpin/placement/cells.py
@@ -2,8 +2,8 @@
 Cells in memory
 ===============
 
-What an owner knows of a cell besides its row: the queue, and a link to each worker with the leases
-that were granted over it.  All of it can be rebuilt from rows and reports.
+State that an owner keeps for a cell besides its row: the queue, and for each worker the link with
+the leases granted over it.  All of it can be rebuilt from rows and reports.
 """
 
 from __future__ import annotations
@@ -19,11 +19,11 @@
 
 __all__ = ["Cell", "StopReason", "WorkerIncarnation", "WorkerLink", "worker_host"]
 
-MAX_DOUBLINGS = 16
+MAX_BACKOFF_DOUBLINGS = 16
 
 
 class StopReason(enum.Enum):
-    """Say why an owner stops a running task; a higher value takes the place of a lower one."""
+    """Reasons for stopping a running task; a higher value replaces a lower one."""
 
     EVICT = 1
     REPLACE = 2
@@ -34,10 +34,10 @@
 @dataclass(slots=True)
 class WorkerIncarnation:
     """
-    Bound the leases of one incarnation of a worker.
+    Leases of one incarnation of a worker.
 
-    ``ends`` is the latest end (own clock) of a lease that this owner granted; ``reached`` is True
-    once it has accepted a poll of this owner, since when it refuses those of earlier owners.
+    ``lease_end`` is the latest end (own clock, s) of a lease that this owner granted.  ``reached``
+    is True once the worker has accepted a poll of this owner; it then refuses earlier owners.
     """
 
     lease_end: float = 0.0
@@ -46,7 +46,7 @@
 
 @dataclass(slots=True)
 class WorkerLink:
-    """Hold what is known of one worker from its polls; times are on the own clock in seconds."""
+    """State of one worker as known from its polls; times are on the own clock in seconds."""
 
     name: str
     incarnation: str = ""
@@ -65,16 +65,16 @@
     quarantined_at: float = 0.0
 
     def incarnation_state(self, incarnation: str) -> WorkerIncarnation:
-        """Return the bound of one incarnation."""
+        """Return the leases of one incarnation."""
         return self.incarnations.setdefault(incarnation, WorkerIncarnation())
 
     def set_share(self, task: str, attempt: int, share: float) -> None:
-        """Have an attempt limited to a share in the next poll and in each that is due later."""
+        """Set the processor share of an attempt, to be sent with each poll from the next one on."""
         self.shares[(task, attempt)] = share
         self.unsent_shares.add((task, attempt))
 
     def grant(self, until: float, terms: LeaseTerms) -> Grant:
-        """Return the lease to grant now, and remember its end before it is sent."""
+        """Return the lease to grant now, after recording its end."""
         if not self.incarnation:
             return NO_GRANT
         grant = compute_grant(self.clock, self.received, until, terms)
@@ -83,7 +83,7 @@
         return grant
 
     def update_from_report(self, report: Report, received: float) -> None:
-        """Take in a report whose poll was accepted."""
+        """Update the state from the report of an accepted poll."""
         self.update_clock(report, received)
         self.incarnation_state(report.incarnation).reached = True
         self.lapsed = report.lapsed
@@ -92,7 +92,7 @@
         self.unsent_shares &= self.shares.keys()
 
     def update_clock(self, report: Report, received: float) -> None:
-        """Take in the worker's clock and incarnation."""
+        """Update the worker's clock, size and incarnation."""
         if report.incarnation != self.incarnation:
             self.tasks = {}
             self.lapsed = True
@@ -105,7 +105,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Backoff:
-    """Keep a task from being placed before ``until``, after ``count`` bad starts in a row."""
+    """Back-off of a task until ``until`` after ``count`` consecutive bad starts."""
 
     count: int
     until: float
@@ -152,7 +152,7 @@
         return known
 
     def tasks_on(self, worker: str) -> list[TaskRecord]:
-        """Return what is committed on a worker."""
+        """Return the tasks committed to a worker."""
         if self._grouped_row is not self.row:
             self._grouped_row = self.row
             self._grouped = {}
@@ -161,29 +161,29 @@
         return list(self._grouped.get(worker, ()))
 
     def back_off(self, task: str, now: float, first: float, longest: float) -> None:
-        """Let a task that was refused or ended at once wait, longer each time in a row."""
+        """Delay the next start of a task, doubling the delay for consecutive calls."""
         known = self.backoffs.get(task, Backoff(0, 0.0))
         count = known.count + 1 if now < known.until + longest else 1
-        pause = min(longest, first * 2 ** min(count - 1, MAX_DOUBLINGS))
+        pause = min(longest, first * 2 ** min(count - 1, MAX_BACKOFF_DOUBLINGS))
         self.backoffs[task] = Backoff(count, now + pause)
 
     def request_stop(self, task: str, reason: StopReason) -> None:
-        """Have a running task stopped."""
+        """Request the stop of a running task."""
         known = self.stopping.get(task)
         if known is None or known.value < reason.value:
             self.stopping[task] = reason
 
     def last_lease_end(self) -> float:
-        """Return when every lease that was granted here has ended, on the own clock."""
+        """Return when every lease granted for this cell has ended (own clock)."""
         incarnations = (it for link in self.links.values() for it in link.incarnations.values())
         return max((it.lease_end for it in incarnations), default=0.0)
 
     def has_stopped(self, worker: str, incarnation: str, watch: AuthorityWatch, now: float) -> bool:
         """
-        Tell whether a worker's incarnation certainly runs nothing any more.
+        Return whether a worker's incarnation is proven to run nothing any more.
 
-        Nobody can have renewed its lease for a whole term: our own grants have ended, and if it has
-        not refused earlier owners since we came, their authority has ended too.
+        That is so once nobody can have renewed its lease for a whole term: our own grants have
+        ended, and either it refuses earlier owners or their authority has ended too.
         """
         state = self.link(worker).incarnation_state(incarnation)
         if now < state.lease_end:
@@ -191,7 +191,7 @@
         return state.reached or self.earlier_owners_ended(watch, now)
 
     def earlier_owners_ended(self, watch: AuthorityWatch, now: float) -> bool:
-        """Tell whether no earlier owner can renew a lease here."""
+        """Return whether no earlier owner can renew leases in this cell."""
         if now < self.released_leases_end:
             return False
         return not self.unproven_owners(watch, now)
@@ -199,7 +199,7 @@
     def unproven_owners(
         self, watch: AuthorityWatch, now: float
     ) -> tuple[tuple[ControllerId, int], ...]:
-        """Return the earlier owners whose authority isn't proven to have ended."""
+        """Return the earlier owners whose authority is not proven to have ended."""
         return tuple(
             (controller, epoch)
             for controller, epoch in self.row.unproven
@@ -208,7 +208,7 @@
 
 
 def worker_host(row: WorkerRow) -> ListedHost:
-    """Return the address of a worker, also when the host list no longer names it."""
+    """Return a worker as a listed host, even if the host list no longer names it."""
     return ListedHost(
         row.name, HostRole.WORKER, row.site, row.rack, row.address, row.port, size=row.size
     )
--- a/toucanpin/placement/controller.py
+++ b/toucanpin/placement/controller.py
@@ -1,9 +1,9 @@
 """
-One turn of a control process
-=============================
+Turns of a control process
+==========================
 
-Read top-down: authority first, then whose cells these are, then what the workers reported, what the
-bundle wants, what is placed, and last the polls that carry it all to the workers.
+A turn renews the authority, settles which cells this process owns, commits what the workers
+reported and what the bundle requires, places waiting tasks, and polls the workers with the results.
 """
 
 from __future__ import annotations
@@ -29,13 +29,13 @@
 
 
 def take_turn(state: ControlState, view: ClusterView) -> Decision[None]:
-    """Take one turn; a turn that is cut short anywhere leaves nothing to repair."""
+    """Run one turn; a turn that is interrupted at any step leaves nothing to repair."""
     state.now = view.now
     yield from renew_leases_during(state, _take_steps(state, view))
 
 
 def _take_steps(state: ControlState, view: ClusterView) -> Decision[None]:
-    """Take the steps of a turn in their order."""
+    """Run the steps of a turn in order."""
     state.health.begin_turn(view.now)
     yield from renew_authority(state, view)
     if not state.health.down:
@@ -57,7 +57,7 @@
 
 
 def renew_authority(state: ControlState, view: ClusterView) -> Decision[None]:
-    """Renew the own row, also as the probe that tells when the table answers again."""
+    """Renew this process's authority row, which also probes whether the table answers again."""
     asked = yield from state.authority.renew(
         view.now, view.known_controllers(), state.ceded(view.now)
     )
@@ -72,10 +72,11 @@
 
 def fence_earlier_owners(state: ControlState, view: ClusterView) -> Decision[None]:
     """
-    Prove that the authority of earlier owners has ended, of cells of ours or of others.
+    Fence the earlier owners of any cell whose authority is not yet proven to have ended.
 
-    The new owner may have started too late to be on the earlier one's roster; then only a life
-    that is on it can prove the end before the long hold.
+    Cells of other owners count too: a new owner that started too late to be on the earlier owner's
+    roster must not fence it, so only a process on that roster can prove the end of its authority
+    before ``max_authority`` has passed.
     """
     rows = (stored.row for stored in state.stored.values())
     owners = {
@@ -90,7 +91,7 @@
 
 
 def release_all(state: ControlState) -> Decision[None]:
-    """Release every cell and all authority, so that others take over at once."""
+    """Release all cells and the authority, so that other processes take over at once."""
     state.draining = True
     for cell in list(state.cells.values()):
         yield from release_cell(state, cell)
--- a/toucanpin/placement/drains.py
+++ b/toucanpin/placement/drains.py
@@ -1,8 +1,8 @@
 """
-Drains
-======
+Drains of hosts
+===============
 
-Hosts that operators take out of use: a row for each, beside what the platform's list says of it.
+Rows of the hosts that operators take out of use, in addition to the platform's host list.
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
 
 
 class DrainRow(msgspec.Struct, frozen=True):
-    """Say who drained a host, and when (seconds since 1970)."""
+    """Drain of a host: the operator, and its start in seconds since 1970."""
 
     host: str
     operator: str
@@ -43,9 +43,9 @@
 
 def set_drain(drain: DrainRow, wanted: bool) -> Decision[Result[bool, Refusal]]:
     """
-    Begin or end the drain of a host; return whether that changed anything.
+    Start or end the drain of a host; return whether anything changed.
 
-    Repeating it is safe: the row is there or it isn't, whoever wrote it.
+    Repeating the call is safe, since only the existence of the row matters.
     """
     uncertain = False
     for attempt in range(MAX_TRIES):
@@ -64,7 +64,7 @@
             case Result(tag="error", error=Unavailable(detail)) if not uncertain:
                 return Error(_refuse(detail, uncertain))
             case _:
-                # A lost answer or another operator's change: what stands now decides.
+                # The answer was lost or another operator changed the row: read it back.
                 uncertain = True
     return Error(_refuse("the outcome could not be read back", uncertain))
 
@@ -75,18 +75,18 @@
 
 
 def read_drains(rows: Iterable[Row]) -> tuple[DrainRow, ...]:
-    """Read the rows of drains."""
+    """Return the decoded drains."""
     return tuple(decode(row.value, DrainRow) for row in rows)
 
 
 def _make_write(drain: DrainRow, row: Row | None, wanted: bool) -> Write:
-    """Return the write that brings the row about or takes it away."""
+    """Return the write that inserts or deletes a drain's row."""
     version = ABSENT if row is None else row.version
     return Write(DRAIN_PREFIX + drain.host, version, encode(drain) if wanted else None)
 
 
 def _refuse(detail: str, uncertain: bool) -> Refusal:
-    """Refuse with what is certain."""
+    """Return a refusal that says whether the change may have taken effect."""
     if uncertain:
         return Refusal(Verdict.MAY_HAVE_RUN, Reason.STORE_UNCERTAIN, detail, RETRY_AFTER_S)
     return Refusal(Verdict.NOT_RUN, Reason.STORE_UNAVAILABLE, detail, RETRY_AFTER_S)
--- a/toucanpin/placement/interference_aware.py
+++ b/toucanpin/placement/interference_aware.py
@@ -1,9 +1,9 @@
 """
-Placement by interference
-=========================
+Interference-aware placement
+============================
 
-Adapts the policy of `toucanpin.interference` to the seam of placement: reports become views and
-samples, its actions become limits and evictions.  It does no input or output.
+Adapts the policy of `toucanpin.interference` to the placement policy interface: reports become
+views and samples, and its actions become limits and evictions.  It does no input or output.
 """
 
 from __future__ import annotations
@@ -33,9 +33,9 @@
 
 class InterferenceAwarePolicy:
     """
-    Choose by what a task costs the services beside it; throttle and evict what harms them.
+    Policy that places tasks by their cost to colocated services, and throttles or evicts them.
 
-    Workers whose services were never measured are filled tightest first.
+    Workers without measured services are filled tightest first.
     """
 
     def __init__(self, budget: Budget | None = None, tuning: Tuning | None = None) -> None:
@@ -47,7 +47,7 @@
         self._now = 0.0
 
     def prepare(self, now: float, bundle: Bundle | None, workers: Collection[str]) -> None:
-        """Take the weights in force, and forget hosts that are gone or of another owner."""
+        """Adopt the weights in force, and forget hosts that are no longer owned."""
         self._now = now
         if bundle is not None:
             self._learner.weights = bundle.weights
@@ -59,12 +59,12 @@
     def choose(
         self, task: TaskRecord, workers: Sequence[str], cell: CellRow, waited: float
     ) -> str | None:
-        """Return the worker to whose cost the task adds least, None if it had better wait."""
+        """Return the worker whose cost the task raises least, None if the task should wait."""
         if not workers:
             return None
         candidate = Candidate(task.kind, self._estimate(task))
         preferred = [it for it in workers if not self._is_avoided(it)]
-        # Standing and urgent tasks never wait, and no other waits for ever.
+        # Standing and urgent tasks never wait; the others wait for a limited time.
         waits = not (task.standing or task.urgent or waited >= self._tuning.max_wait)
         if waits and not preferred:
             return None
@@ -80,7 +80,7 @@
         return best
 
     def observe(self, now: float, report: Report, tasks: Sequence[TaskRecord]) -> None:
-        """Learn from a report who was there, what they used and what services measured."""
+        """Learn the running tasks, their usage and the service samples of a report."""
         tracker = self._hosts.get(report.worker)
         if tracker is None:
             tracker = self._hosts[report.worker] = HostTracker(report.worker)
@@ -93,7 +93,7 @@
         self._summaries.pop(report.worker, None)
 
     def act(self, now: float, cell: CellRow) -> tuple[PolicyAction, ...]:
-        """Return what follows from the reports that came since it was last asked."""
+        """Return the actions that follow from the reports since the last call."""
         acts: list[PolicyAction] = []
         for name in cell.workers:
             tracker = self._hosts.get(name)
@@ -103,11 +103,11 @@
         return tuple(acts)
 
     def _act_on(self, now: float, tracker: HostTracker) -> Iterator[PolicyAction]:
-        """Yield the acts on one host."""
+        """Yield the actions for one host."""
         yield from (Limit(task, 1.0) for task in tracker.unthrottled)
         yield from tracker.pending_events
         tracker.unthrottled, tracker.pending_events = [], []
-        # Without a new sample nothing new is known, and deciding is half of a report's cost.
+        # Without a new sample the decision would not change, and it is half of a report's cost.
         actions = list(self._learner.decide(now, tracker.view())) if tracker.measured else []
         tracker.measured = False
         for action in actions:
@@ -125,7 +125,7 @@
     def _limit(
         self, now: float, tracker: HostTracker, task: str, share: float | None = None
     ) -> Iterator[Limit]:
-        """Yield the share of a task, at most its ceiling, if it isn't in force yet."""
+        """Yield the limit of a task, bounded by its ceiling, unless it is already in force."""
         known = tracker.attempts.get(task)
         if known is None:
             return
@@ -140,17 +140,17 @@
         return self._usage.estimate(task.kind, task.size.processors)
 
     def _is_avoided(self, worker: str) -> bool:
-        """Tell whether nothing more is placed on a host for a while."""
+        """Return whether placement on a host is suspended at present."""
         tracker = self._hosts.get(worker)
         return tracker is not None and self._now < tracker.avoided_until
 
     def _is_measured(self, worker: str) -> bool:
-        """Tell whether services were measured on a host not long ago."""
+        """Return whether a host has recent samples of services."""
         tracker = self._hosts.get(worker)
         return tracker is not None and bool(tracker.services())
 
     def _score(self, worker: str, candidate: Candidate) -> float:
-        """Return what a task adds to the cost of a host."""
+        """Return the increase of a host's cost by a task."""
         tracker = self._hosts.get(worker)
         if tracker is None or not tracker.services():
             size = tracker.processors if tracker is not None else candidate.processors
@@ -160,7 +160,7 @@
         return self._learner.score_summary(self._summaries[worker], candidate)
 
     def _add_expected(self, worker: str, task: TaskRecord, candidate: Candidate) -> None:
-        """Count a chosen task at once, so that a whole turn's tasks don't crowd on one host."""
+        """Add a placed task at once, so that the tasks of a turn spread over the hosts."""
         tracker = self._hosts.get(worker)
         if tracker is None:
             return
--- a/toucanpin/placement/jobs.py
+++ b/toucanpin/placement/jobs.py
@@ -1,8 +1,8 @@
 """
-Inquiry and cancellation of jobs
-================================
+Status and cancellation of jobs
+===============================
 
-Show, list and cancel jobs, and show where standing tasks are.
+Shows, lists and cancels jobs, and lists standing tasks with their hosts.
 """
 
 from __future__ import annotations
@@ -57,7 +57,7 @@
 
 
 class JobStatus(msgspec.Struct, frozen=True):
-    """Show a job: ``state`` is queued or running while it is accepted."""
+    """Status of a job; ``state`` is queued or running while the job is accepted."""
 
     job: str
     state: str
@@ -72,7 +72,7 @@
 
 
 class StandingStatus(msgspec.Struct, frozen=True):
-    """Show a standing task: running on a host, or queued in a cell."""
+    """Status of a standing task, which is running on a host or queued in a cell."""
 
     task: str
     state: str
@@ -83,7 +83,7 @@
 
 @dataclass(frozen=True, slots=True)
 class JobFilter:
-    """Choose jobs to list; empty texts match all."""
+    """Filter of jobs to list; an empty string matches every job."""
 
     team: str = ""
     kind: str = ""
@@ -91,18 +91,18 @@
     limit: int = 1000
 
     def matches(self, status: JobStatus) -> bool:
-        """Tell whether a job is to be listed."""
+        """Return whether a job passes the filter."""
         wanted = ((self.team, status.team), (self.kind, status.kind), (self.state, status.state))
         return all(not want or want == found for want, found in wanted)
 
 
 def refuse(reason: Reason, detail: str, retry_after: float | None = None) -> Refusal:
-    """Return a refusal of a request that certainly changed nothing."""
+    """Return a refusal of a request that has had no effect."""
     return Refusal(Verdict.NOT_RUN, reason, detail, retry_after)
 
 
 def show_job(job: JobRow, cell: CellRow | None) -> JobStatus:
-    """Show a job by its row, and by its cell's row while it is accepted."""
+    """Return the status of a job by its row and, while it is accepted, its cell's row."""
     record = job.record
     state = job.state.value
     if job.state is JobState.ACCEPTED:
@@ -137,7 +137,7 @@
 
 
 def read_status(job: str) -> Decision[Result[JobStatus, Refusal]]:
-    """Read how far a job has come."""
+    """Read the status of a job."""
     found = yield from read_job(job)
     if found.is_error():
         return Error(found.error)
@@ -153,7 +153,7 @@
 
 
 def list_jobs(wanted: JobFilter) -> Decision[Result[tuple[JobStatus, ...], Refusal]]:
-    """List the jobs that match a filter, newest last."""
+    """List the newest jobs that match a filter, in order of submission."""
     cells: dict[str, CellRow] = {}
     answer = yield Scan(CELL_PREFIX)
     if answer.value.is_ok():
@@ -169,7 +169,7 @@
 
 
 def list_standing() -> Decision[Result[tuple[StandingStatus, ...], Refusal]]:
-    """List the standing tasks that are wanted."""
+    """List the standing tasks that the bundle asks for."""
     rows: list[tuple[Row, ...]] = []
     for prefix in (STANDING_PREFIX, CELL_PREFIX):
         answer = yield Scan(prefix)
@@ -199,16 +199,16 @@
 
 def cancel_job(job: str) -> Decision[Result[JobStatus, Refusal]]:
     """
-    Cancel a job, or show the end that came first.
+    Cancel a job, or return its status if it has already ended.
 
-    The job's row decides: a finish and a cancel both change it from the same version, so one of
-    them conflicts and tells its caller the other's outcome.
+    A finish and a cancellation both change the job's row from the same version, so the later one
+    conflicts and returns the outcome of the other.
     """
     uncertain = False
     for _ in range(MAX_TRIES):
         found = yield from read_job(job)
         if found.is_error():
-            return Error(_may_have_cancelled() if uncertain else found.error)
+            return Error(_refuse_uncertain_cancellation() if uncertain else found.error)
         row, version = found.ok
         if row.state is not JobState.ACCEPTED:
             return Ok(show_job(row, None))
@@ -229,10 +229,10 @@
             case _:
                 uncertain = True
     if uncertain:
-        return Error(_may_have_cancelled())
+        return Error(_refuse_uncertain_cancellation())
     return Error(refuse(Reason.CONFLICT, "the job moves between cells: repeat", RETRY_AFTER_S))
 
 
-def _may_have_cancelled() -> Refusal:
+def _refuse_uncertain_cancellation() -> Refusal:
     detail = "the job may have been cancelled: read its status"
     return Refusal(Verdict.MAY_HAVE_RUN, Reason.STORE_UNCERTAIN, detail, RETRY_AFTER_S)
--- a/toucanpin/placement/lease_renewal.py
+++ b/toucanpin/placement/lease_renewal.py
@@ -1,8 +1,8 @@
 """
-Leases during slow decisions
-============================
+Lease renewal during slow turns
+===============================
 
-Renew the leases of workers in between the steps of a turn, however long the table takes.
+Renews the leases of workers between the steps of a turn, however slow the table is.
 """
 
 from __future__ import annotations
@@ -21,16 +21,16 @@
 
 T = TypeVar("T")
 
-LEASE_CHECK_FRACTION = 0.25
+LEASE_CHECK_FRACTION = 0.25  # of the poll interval
 
 
 def renew_leases_during(state: ControlState, decision: Decision[T]) -> Decision[T]:
     """
-    Run a decision and renew each lease that is due after every one of its steps.
+    Run a decision, and renew the leases that are due after each of its steps.
 
-    A table that hangs holds each step until its timeout.  With renewals only at the end of a turn
-    two such steps used up a lease, and the guards of all workers stopped every task although all
-    owners were alive.  A step ends after one timeout, which is well below a lease.
+    A table that hangs delays each step until its timeout.  With renewals only at the end of a turn,
+    two such steps would use up a lease, and the guards of all workers would stop every task
+    although all owners are alive.  One timeout is well below a lease.
     """
     answer: Answer | None = None
     while True:
@@ -46,7 +46,7 @@
 
 
 def _renew_due(state: ControlState) -> Decision[None]:
-    """Renew the leases whose workers were not polled for longer than the pace of polls."""
+    """Renew the leases of workers that have not been polled for longer than a poll interval."""
     if state.now < state.next_lease_check:
         return
     state.next_lease_check = state.now + LEASE_CHECK_FRACTION * state.options.poll
@@ -66,13 +66,13 @@
 def _observe_samples(
     state: ControlState, cell: Cell, link: WorkerLink, report: Report, now: float
 ) -> None:
-    """Let the policy have the samples, which no later report repeats."""
+    """Pass the report to the policy, since its samples are not repeated in later ones."""
     if report.accepted and report.incarnation == link.incarnation:
         state.policy.observe(now, report, cell.tasks_on(link.name))
 
 
 def _find_due(state: ControlState) -> Iterator[tuple[Cell, WorkerLink]]:
-    """Yield the workers whose leases run and whose next poll is late."""
+    """Yield the workers with a running lease whose next poll is overdue."""
     if not state.authority.holds(state.now):
         return
     for cell in state.cells.values():
@@ -86,7 +86,7 @@
 
 
 def _make_poll(state: ControlState, cell: Cell, link: WorkerLink) -> WorkerPoll:
-    """Make a poll that renews a lease and orders nothing."""
+    """Return a poll that renews a lease without orders."""
     link.renewed = state.now
     grant = link.grant(state.authority.until, state.terms)
     poll = Poll(cell.row.epoch, link.incarnation, grant.lease_until, ())
@@ -95,10 +95,10 @@
 
 def _update_clock(cell: Cell, link: WorkerLink, poll: Poll, report: Report, now: float) -> None:
     """
-    Take in the worker's clock, on which the next grant is based, and nothing else.
+    Update only the worker's clock, on which the next grant is based.
 
-    The step that is under way may hold what the last report said; the next poll of the turn brings
-    the news of tasks.
+    The decision in progress may rely on the tasks of the last report; changes of tasks are handled
+    with the next regular poll.
     """
     if report.epoch > poll.epoch:
         cell.refused = True
--- a/toucanpin/placement/leases.py
+++ b/toucanpin/placement/leases.py
@@ -2,8 +2,9 @@
 Leases of workers
 =================
 
-When a lease ends, on the worker's clock for the worker's guard and on the owner's clock for the
-owner's proof.  Monotonic clocks run at rates that differ by ``drift`` at most and share no zero.
+Computes when a lease ends: on the worker's clock, for the worker's own guard, and on the owner's
+clock, for the owner's proof that the worker has stopped.  The monotonic clocks have no common zero,
+and their rates differ by at most ``drift``.
 """
 
 from __future__ import annotations
@@ -20,7 +21,7 @@
 @dataclass(frozen=True, slots=True)
 class LeaseTerms:
     """
-    Set the times of leases and authority, in seconds; ``drift`` is a share.
+    Durations of leases and authority in seconds; ``drift`` is a ratio.
 
     ``lease`` must be well above ``takeover_after``, so that the new owner of a dead owner's cells
     renews the workers before their leases lapse, and below ``authority``.
@@ -33,40 +34,40 @@
 
     @property
     def renew_every(self) -> float:
-        """Return the time between renewals of a process's own authority."""
+        """Return the interval between renewals of a process's authority."""
         return self.authority / RENEWALS_PER_TERM
 
     @property
     def takeover_after(self) -> float:
         """
-        Return how long the row of an owner that is not heard of must stand before it is taken.
+        Return how long the row of an owner that is not alive must be unchanged before a takeover.
 
-        A live owner's row stands for a whole period of its renewals.  A shorter wait took cells
-        from owners that were alive but not heard, which took them back at once, again and again.
+        A live owner's row is unchanged for a whole renewal interval.  After a shorter wait cells
+        would be taken from live but unheard owners, which would take them back at once.
         """
         return self.renew_every + RENEWAL_SLACK_S
 
     def add_drift(self, seconds: float) -> float:
-        """Return how long to wait here until ``seconds`` have surely passed on another clock."""
+        """Return how long to wait here until ``seconds`` have passed on any other clock."""
         return seconds * (1 + self.drift)
 
     def missed_renewal_after(self) -> float:
         """
-        Return after which time an unchanged row shows that its owner has missed a renewal.
+        Return after how long an unchanged row shows that its owner has missed a renewal.
 
-        It is two periods of renewals and less than a lease, so workers are renewed by another owner
-        in time although membership still believes in the first.
+        It is two renewal intervals and less than a lease, so another owner renews the workers'
+        leases in time even if membership still considers the first owner alive.
         """
         return 2 * self.renew_every
 
     def subtract_drift(self, seconds: float) -> float:
-        """Return how long another clock may run until surely no more than ``seconds`` passed."""
+        """Return how long another clock may run while at most ``seconds`` pass here."""
         return seconds / (1 + self.drift)
 
 
 @dataclass(frozen=True, slots=True)
 class Grant:
-    """Give the end of a lease on the worker's clock (ms) and its latest end on ours (s)."""
+    """End of a lease on the worker's clock (ms), and its latest end on ours (s)."""
 
     lease_until: int
     latest_end: float
@@ -79,10 +80,10 @@
     """
     Return the lease that may be granted after a report.
 
-    ``clock`` was read by the worker before ``received``, so counting the term from ``clock`` there
-    and from ``received`` here makes our end the later one, however long the next poll is delayed.
-    The lease never outlives our authority: a taker that has waited for its end needs no word from
-    the worker.
+    The worker read ``clock`` before we received its report at ``received``.  The term counts from
+    ``clock`` there and from ``received`` here, so our end is the later one, however long the next
+    poll is delayed.  The lease never outlasts our authority, so a new owner that has waited for the
+    end of the authority needs no answer from the worker.
     """
     length = min(terms.lease, terms.subtract_drift(authority_until - received))
     if length <= 0:
--- a/toucanpin/placement/ledger.py
+++ b/toucanpin/placement/ledger.py
@@ -1,9 +1,10 @@
 """
-Ledger of a cell
-================
+Capacity ledger of a cell
+=========================
 
-What is committed on each worker, counted by declaration.  The cell's row is the truth; the index
-keeps free sizes sorted so that a decision looks at a few workers and not at all of them.
+Accounts for the declared sizes of the tasks committed to each worker.  The cell's row is
+authoritative; the index keeps workers sorted by free capacity, so that a placement decision
+inspects only a few of them.
 """
 
 from __future__ import annotations
@@ -40,7 +41,7 @@
 
 
 def subtract(left: Size, right: Size) -> Size:
-    """Return what is left of a size; parts may be negative if it shrank."""
+    """Return the difference of two sizes; components may be negative if a worker shrank."""
     return Size(
         left.processors - right.processors,
         left.memory - right.memory,
@@ -49,7 +50,7 @@
 
 
 def minimum(left: Size, right: Size) -> Size:
-    """Return the lesser of each part of two sizes."""
+    """Return the component-wise minimum of two sizes."""
     return Size(
         min(left.processors, right.processors),
         min(left.memory, right.memory),
@@ -58,7 +59,7 @@
 
 
 def fits(wanted: Size, free: Size) -> bool:
-    """Tell whether every part of a size is free."""
+    """Return whether every component of a size fits into a free size."""
     return (
         wanted.processors <= free.processors
         and wanted.memory <= free.memory
@@ -67,7 +68,7 @@
 
 
 def used_by_worker(tasks: Iterable[TaskRecord]) -> dict[str, Size]:
-    """Return what the tasks take on each worker."""
+    """Return the total size of the tasks on each worker."""
     used: dict[str, Size] = {}
     for task in tasks:
         used[task.worker] = add(used.get(task.worker, EMPTY_SIZE), task.size)
@@ -75,7 +76,7 @@
 
 
 def used_by_team(tasks: Iterable[TaskRecord]) -> dict[str, Size]:
-    """Return what the tasks of each team take."""
+    """Return the total size of the tasks of each team."""
     used: dict[str, Size] = {}
     for task in tasks:
         used[task.team] = add(used.get(task.team, EMPTY_SIZE), task.size)
@@ -84,27 +85,31 @@
 
 def check_capacity(before: CellRow | None, after: CellRow) -> None:
     """
-    Raise LedgerError if a cell's new row commits a worker beyond its size.
+    Raise LedgerError if a cell's new row commits more to a worker than its size.
 
-    A worker that itself became smaller keeps what ran there, but receives nothing more.
+    A worker that has itself become smaller keeps its tasks, but receives no more.
     """
     used = used_by_worker(after.tasks.values())
     previous = used_by_worker(before.tasks.values()) if before else {}
     for name, size in used.items():
         worker = after.workers.get(name)
         if worker is None:
-            raise LedgerError(f"task committed to {name}, which is not in the cell")
+            raise LedgerError(
+                f"tasks of {size} committed to worker {name}, which is not in the cell"
+            )
         grown = not fits(size, previous.get(name, EMPTY_SIZE))
         if grown and not fits(size, worker.size):
-            raise LedgerError(f"{name} would hold {size} of {worker.size}")
+            raise LedgerError(
+                f"worker {name} overcommitted: {size} committed, its size is {worker.size}"
+            )
 
 
 class FreeCapacityIndex:
     """
-    Find workers with room, tightest first.
+    Index of workers by free capacity, for best-fit searches.
 
-    Workers are sorted by (accelerators, processors, memory) free, so the search starts at the
-    first that has the processors and touches ``limit`` fitting workers at most.
+    Workers are sorted by free (accelerators, processors, memory), so a search starts at the first
+    worker with enough processors and stops after ``limit`` fitting ones.
     """
 
     def __init__(self) -> None:
@@ -113,37 +118,37 @@
         self._lists: dict[int, SortedList] = {}
 
     def __len__(self) -> int:
-        """Return the number of workers that may receive work."""
+        """Return the number of workers that may receive tasks."""
         return len(self._free)
 
     def free(self, worker: str) -> Size | None:
-        """Return what is free on a worker, None if it may receive nothing."""
+        """Return the free capacity of a worker, None if it may receive no tasks."""
         return self._free.get(worker)
 
     def set(self, worker: str, free: Size) -> None:
-        """Set what is free on a worker."""
+        """Set the free capacity of a worker."""
         self.remove(worker)
         self._free[worker] = free
         entries = self._lists.setdefault(free.accelerators, SortedList())
         entries.add((free.processors, free.memory, worker))
 
     def remove(self, worker: str) -> None:
-        """Take a worker out."""
+        """Remove a worker."""
         free = self._free.pop(worker, None)
         if free is not None:
             self._lists[free.accelerators].remove((free.processors, free.memory, worker))
 
     def allocate(self, worker: str, size: Size) -> None:
-        """Count a new commitment."""
+        """Subtract a new commitment from the free capacity of a worker."""
         self.set(worker, subtract(self._free[worker], size))
 
     def release(self, worker: str, size: Size) -> None:
-        """Count a release."""
+        """Add a released commitment to the free capacity of a worker."""
         if worker in self._free:
             self.set(worker, add(self._free[worker], size))
 
     def candidates(self, wanted: Size, limit: int, scan: int = 64) -> list[str]:
-        """Return up to ``limit`` workers with room, after looking at ``scan`` at most."""
+        """Return up to ``limit`` fitting workers, tightest first, inspecting ``scan`` per group."""
         found: list[str] = []
         for worker in self._ascending(wanted, scan):
             if fits(wanted, self._free[worker]):
@@ -162,7 +167,7 @@
 
     @classmethod
     def from_cell(cls, row: CellRow, usable: Iterable[str]) -> FreeCapacityIndex:
-        """Build the index of a cell over the workers that may receive work now."""
+        """Build the index of a cell over the workers that may receive tasks now."""
         index = cls()
         used = used_by_worker(row.tasks.values())
         for name in usable:
--- a/toucanpin/placement/lifecycle.py
+++ b/toucanpin/placement/lifecycle.py
@@ -1,9 +1,9 @@
 """
-Life of a task
-==============
+Task life cycle
+===============
 
-The edges of a task's state machine.  Each edge is a `Change`: what becomes of the record in the
-cell row and which other rows change in the same transaction.
+State transitions of a task.  Each transition is a `Change`: the new state of the task's record in
+the cell row, and the other rows that change in the same transaction.
 
     queued --place--> committed --finish--> job finished
        ^                  |------fail-----> queued again, or job failed
@@ -46,16 +46,16 @@
     "requeue",
 ]
 
-FAILED_ON_KEPT = 16
+MAX_FAILED_ON = 16  # workers remembered per task
 
 
 @dataclass(frozen=True, slots=True)
 class Change:
     """
-    Change one task within a transaction on a cell's row.
+    Change of one task within a transaction on a cell's row.
 
-    ``record`` replaces the task in the cell row, None takes it out.  ``queued`` is the record that
-    then waits in this cell's queue.  ``kind`` names the event on the time line.
+    ``record`` replaces the task in the cell row, None removes it.  ``queued`` is the record added
+    to this cell's queue.  ``kind`` names the event on the timeline.
     """
 
     kind: str
@@ -67,12 +67,12 @@
 
 
 def name_result(task: str, attempt: int) -> str:
-    """Return the object that receives an attempt's result: no other attempt writes there."""
+    """Return the name of the object for an attempt's result, which no other attempt writes."""
     return f"result/{task}/{attempt}"
 
 
 def name_checkpoint(task: str, attempt: int, sequence: int) -> str:
-    """Return the object of an attempt's checkpoint."""
+    """Return the name of the object for a checkpoint of an attempt."""
     return f"checkpoint/{task}/{attempt}/{sequence}"
 
 
@@ -98,14 +98,14 @@
 
 
 def finish(cell: str, record: TaskRecord, result: str) -> Change:
-    """End a job with the result of its running attempt; the job row decides against a cancel."""
+    """Finish a job; its row's version makes a concurrent cancellation conflict."""
     done = JobRow(record.task, JobState.FINISHED, record, cell, record.attempt, result)
     write = Write(job_key(record.task), record.job_version, encode(done))
     return Change("job.finish", record.task, None, (write,))
 
 
 def requeue(cell: str, record: TaskRecord, checkpoint: str, evicted: bool) -> Change:
-    """Let a stopped or lost attempt wait again, to resume from its newest checkpoint."""
+    """Queue a stopped or lost attempt again, to resume from its newest checkpoint."""
     waiting = msgspec.structs.replace(
         record,
         worker="",
@@ -119,10 +119,10 @@
 
 def requeue_lost(cell: str, record: TaskRecord, checkpoint: str, max_attempts: int) -> Change:
     """
-    Let an attempt that was lost with its worker wait again, and end the job after too many of them.
+    Queue an attempt that was lost with its worker again, or fail the job after too many of them.
 
-    One that crashes its workers would otherwise take one after the other.  A standing task has no
-    end.
+    Without the bound a job that crashes its workers takes down one after the other.  A standing
+    task is always queued again.
     """
     lost = record.lost + 1
     if lost >= max_attempts and not record.standing:
@@ -136,14 +136,15 @@
     cell: str, record: TaskRecord, checkpoint: str, max_attempts: int, detail: str, counts: bool
 ) -> Change:
     """
-    Count a failed attempt, and end the job if it has failed too often.
+    Queue a failed attempt again, or fail the job after too many failures.
 
-    ``counts`` is False where the worker is known to be at fault.  A standing task has no end.
+    ``counts`` is False if the worker is known to be at fault.  A standing task is always queued
+    again.
     """
     failures = record.failures + int(counts)
     failed_on = record.failed_on
     if record.worker not in failed_on:
-        failed_on = (*failed_on, record.worker)[-FAILED_ON_KEPT:]
+        failed_on = (*failed_on, record.worker)[-MAX_FAILED_ON:]
     if failures >= max_attempts and not record.standing:
         hosts = ", ".join(failed_on)
         return _end(cell, record, f"failed {failures} times on {hosts}: {detail}")
@@ -170,7 +171,7 @@
 
 
 def cancel(cell: str, task: str, cancel_version: int, waiting: WaitingTask | None) -> Change:
-    """Drop the record of a cancelled job, which has stopped or waits."""
+    """Drop a cancelled job that has stopped or is waiting, with its cancellation request."""
     writes: tuple[Write, ...] = (Write(cancel_key(cell, task), cancel_version, None),)
     if waiting is not None:
         writes += (Write(queue_key(cell, task), waiting.version, None),)
@@ -180,7 +181,7 @@
 def remove_standing(
     cell: str, record: TaskRecord, row_version: int, bundle: int, waiting: WaitingTask | None
 ) -> Change:
-    """Drop a standing task that a newer bundle no longer names, once it has stopped."""
+    """Drop a stopped standing task that a newer bundle no longer names."""
     task = record.task
     row = StandingRow(task, cell, bundle, removed=bundle, attempt=record.attempt)
     writes: tuple[Write, ...] = (Write(standing_key(task), row_version, encode(row)),)
@@ -193,7 +194,7 @@
     """Return the writes that move a waiting task to another cell's queue."""
     record = waiting.record
     version = record.job_version or waiting.version
-    # Zero stands for the version of the new queue row, which the job row receives as well.
+    # Zero means the version of the new queue row, which the job row receives as well.
     moved = msgspec.structs.replace(
         record,
         job_version=0,
--- a/toucanpin/placement/ownership.py
+++ b/toucanpin/placement/ownership.py
@@ -2,12 +2,13 @@
 Ownership of cells
 ==================
 
-Which cells are ours, by hints, and how they are taken, handed over and lost, by compare-and-set.
+Decides from membership hints which cells this process should own, and takes, hands over and gives
+up cells by compare-and-set.
 
-Taking a cell raises its epoch: its row then refuses the earlier owner's writes, and each worker
-that accepts a poll of ours refuses the earlier owner's polls.  So workers go on without a gap while
-the earlier owner's authority still stands; only for a worker that we can't reach does it matter,
-and there `Cell.has_stopped` waits for the proof.
+Taking a cell raises its epoch: the row then refuses the earlier owner's writes, and every worker
+that accepts one of our polls refuses the earlier owner's polls.  Reachable workers therefore go on
+without a gap while the earlier owner's authority lasts.  For an unreachable worker,
+`Cell.has_stopped` waits until that authority is proven to have ended.
 """
 
 from __future__ import annotations
@@ -59,10 +60,10 @@
 
 def read_plan_rows(state: ControlState) -> Decision[None]:
     """
-    Read what changed in the rows of authority, cells and standing tasks.
+    Read the changed rows of authority, cells and standing tasks.
 
-    They share a prefix: one scan a turn instead of three is a third less processor time of an idle
-    control process, and fewer reads of the table.
+    They share a prefix, since one scan per turn instead of three saves a third of the processor
+    time of an idle control process, and reads of the table.
     """
     rows = yield from _scan(state, PLAN_PREFIX, state.scanned_version)
     authority = [row for row in rows if row.key.startswith(AUTHORITY_PREFIX)]
@@ -74,7 +75,7 @@
 
 
 def _store_row(state: ControlState, row: Row) -> None:
-    """Take in a cell's row or a standing task's."""
+    """Store the row of a cell or of a standing task."""
     if row.key.startswith(CELL_PREFIX):
         name = row.key.removeprefix(CELL_PREFIX)
         state.stored[name] = StoredCell(decode(row.value, CellRow), row.version)
@@ -84,7 +85,7 @@
 
 
 def _scan(state: ControlState, prefix: str, after: int) -> Decision[tuple[Row, ...]]:
-    """Read the changed rows below a prefix, none while the table is out."""
+    """Read the changed rows below a prefix; return none while the table is down."""
     if state.health.down:
         return ()
     answer = yield Scan(prefix, after)
@@ -103,7 +104,7 @@
 
 
 def _refresh_cells(state: ControlState) -> Decision[None]:
-    """Drop the cells that another life has taken, and read back those that may have changed."""
+    """Give up cells that another process has taken, and read back rows that may have changed."""
     for cell in list(state.cells.values()):
         stored = state.stored.get(cell.name)
         if stored is not None and stored.version > cell.version:
@@ -119,12 +120,12 @@
 
 
 def _adopt_row(state: ControlState, cell: Cell, stored: StoredCell) -> Decision[None]:
-    """Go on from a cell's row as it stands, or let the cell go."""
+    """Adopt the stored row of a cell, or give the cell up if we no longer own it."""
     if stored.row.owner != state.controller_id or stored.row.epoch < cell.row.epoch:
         yield from lose_cell(state, cell, stored.row.epoch - 1)
         return
     if stored.version != cell.version:
-        # An own write took effect although its answer was lost: what waits is read anew.
+        # An own write took effect although its answer was lost: scan the whole queue again.
         cell.row = stored.row
         cell.version = stored.version
         cell.scanned_version = 0
@@ -135,7 +136,7 @@
 
 
 def lose_cell(state: ControlState, cell: Cell, epoch: int) -> Decision[None]:
-    """Stop acting on a cell; it is ceded once the leases granted there have ended."""
+    """Give up a cell; it is listed as ceded once the leases granted there have ended."""
     del state.cells[cell.name]
     known = state.lost_cells.get(cell.name, (0, 0.0))
     last = max(epoch, cell.row.epoch, known[0])
@@ -144,14 +145,14 @@
 
 
 def lose_all_cells(state: ControlState) -> Decision[None]:
-    """Let every cell go after a fence: whoever fenced us waited for the end of our leases."""
+    """Give up every cell after a fence, which nobody sets before our leases have ended."""
     for cell in list(state.cells.values()):
         yield from lose_cell(state, cell, cell.row.epoch)
     state.lost_cells = {name: (epoch, 0.0) for name, (epoch, _) in state.lost_cells.items()}
 
 
 def take_cells(state: ControlState, view: ClusterView) -> Decision[None]:
-    """Take the cells that are ours by rendezvous and that nobody else is known to hold."""
+    """Take the cells that prefer this process and have no live owner."""
     controllers = view.alive_controllers()
     eligible = state.eligible_controllers(view)
     listed = {shape.name for shape in view.shapes}
@@ -169,7 +170,7 @@
 def _may_take(
     state: ControlState, row: CellRow, controllers: tuple[ControllerId, ...], now: float
 ) -> bool:
-    """Tell whether a cell may be taken from its owner without disturbing a live one."""
+    """Return whether a cell may be taken without disturbing a live owner."""
     owner = row.owner
     if owner is None or owner == state.controller_id:
         return True
@@ -188,7 +189,7 @@
 def _take_cell(
     state: ControlState, view: ClusterView, name: str, stored: StoredCell | None
 ) -> Decision[None]:
-    """Write ourselves into a cell's row as its owner, with a higher epoch."""
+    """Commit this process as the owner of a cell, with a higher epoch."""
     before = stored.row if stored else CellRow(0, None, {}, {})
     unproven = tuple(
         (controller, epoch)
@@ -215,8 +216,8 @@
     match answer.value:
         case Result(tag="ok", ok=Committed(committed)):
             cell.version = committed
-            # Leases of an owner that released the cell, or our own of an earlier time here, end
-            # one term after the row was seen.
+            # Leases of an owner that released the cell, or our own from an earlier ownership, end
+            # at most one lease after the row was read.
             cell.released_leases_end = answer.now + state.terms.add_drift(state.terms.lease)
             state.cells[name] = cell
             yield RecordEvent("cell.take", {"cell": name}, f"epoch {row.epoch}")
@@ -229,7 +230,7 @@
 
 
 def list_changed_workers(row: CellRow, view: ClusterView, cell: str) -> dict[str, WorkerRow]:
-    """Return the workers of a cell whose rows differ from the host list."""
+    """Return the new rows of the workers that differ from the host list."""
     changed: dict[str, WorkerRow] = {}
     for host in view.workers_of_cells.get(cell, ()):
         known = row.workers.get(host.name)
@@ -252,7 +253,7 @@
 
 
 def delete_expired_authority(state: ControlState, view: ClusterView) -> Decision[None]:
-    """Delete the authority rows of lives that are gone and that no cell refers to."""
+    """Delete the authority rows of ended processes that no cell refers to."""
     rows = [stored.row for stored in state.stored.values()]
     used = {row.owner for row in rows} | {
         controller for row in rows for controller, _ in row.unproven
@@ -276,7 +277,7 @@
 
 
 def read_queues(state: ControlState) -> Decision[None]:
-    """Read what was added to the queues of the owned cells, and the wishes to cancel."""
+    """Read new tasks and cancellation requests from the queues of the owned cells."""
     for cell in state.cells.values():
         prefix = queue_prefix(cell.name)
         rebuild = cell.scanned_version == 0
@@ -299,7 +300,7 @@
 
 
 def _drop_deleted(cell: Cell, rows: tuple[Row, ...]) -> None:
-    """Forget the waiting tasks whose rows are gone."""
+    """Drop the waiting tasks whose rows have been deleted."""
     present = {row.key.rpartition("/")[2] for row in rows}
     for waiting in list(cell.queue.in_order()):
         if waiting.record.task not in present:
@@ -307,7 +308,7 @@
 
 
 def hand_over_cells(state: ControlState, view: ClusterView) -> Decision[None]:
-    """Release the cells that another live process should own for some time now."""
+    """Release the cells that have preferred another live process for ``hand_over_after``."""
     eligible = state.eligible_controllers(view)
     for cell in list(state.cells.values()):
         if state.preferred_owner(cell.name, eligible) == state.controller_id:
@@ -318,7 +319,7 @@
         if view.now - cell.not_preferred_since >= state.options.hand_over_after:
             yield from release_cell(state, cell)
     for name, stored in list(state.stored.items()):
-        # The answer of an earlier release was lost and the row shows that it had no effect.
+        # The answer of an earlier release was lost, and the row shows that it had no effect.
         unreleased = stored.row.owner == state.controller_id and name not in state.cells
         if (
             unreleased
@@ -329,12 +330,12 @@
 
 
 def release_cell(state: ControlState, cell: Cell) -> Decision[None]:
-    """Write that a cell has no owner, so that its next one needn't wait."""
+    """Remove the owner from a cell's row, so that the next owner need not wait."""
     if cell.stale or state.health.down:
         return
-    # The next owner counts one lease from the release.  Whatever was granted after the release was
-    # sent, because its answer was slow or lost, could outlast that: so the cell is let go first,
-    # and taken back only if the release certainly had no effect.
+    # The next owner waits for one lease from the release.  Leases that are granted after the
+    # release was sent, while its answer is late or lost, would outlast that wait.  So the cell is
+    # given up first, and taken back only if the release is known to have had no effect.
     before = state.lost_cells.get(cell.name)
     yield from lose_cell(state, cell, cell.row.epoch)
     stored = StoredCell(cell.row, cell.version)
@@ -347,7 +348,7 @@
 
 
 def _write_release(state: ControlState, name: str, stored: StoredCell) -> Decision[bool]:
-    """Commit a release; return whether it certainly had no effect and the row is as it was."""
+    """Commit a release; return True if it is known to have had no effect."""
     row = msgspec.structs.replace(stored.row, owner=None)
     token = f"{name}/{row.epoch}/release"
     write = Write(cell_key(name), stored.version, encode(row))
--- a/toucanpin/placement/placing.py
+++ b/toucanpin/placement/placing.py
@@ -1,9 +1,9 @@
 """
-Placing
-=======
+Placement of waiting tasks
+==========================
 
-Which waiting task goes to which worker: as many as fit one transaction, in the queue's order,
-within quotas.  What this cell can't hold moves to another cell's queue.
+Assigns waiting tasks to workers in queue order and within quotas, as many per transaction as fit.
+Tasks for which a cell has no capacity move to another cell's queue.
 """
 
 from __future__ import annotations
@@ -51,7 +51,7 @@
 
 
 def drain_workers(state: ControlState, view: ClusterView) -> None:
-    """Have the tasks of leaving workers checkpointed and evicted."""
+    """Request the eviction, with a checkpoint, of all tasks on leaving workers."""
     listed = view.workers
     for cell in state.cells.values():
         for name, worker in cell.row.workers.items():
@@ -64,7 +64,7 @@
 
 
 def apply_policy(state: ControlState, view: ClusterView) -> Decision[None]:
-    """Take over what the policy wants done to running tasks."""
+    """Carry out the actions that the policy requests for running tasks."""
     owned = {name for cell in state.cells.values() for name in cell.row.workers}
     state.policy.prepare(view.now, view.bundle, owned)
     for cell in state.cells.values():
@@ -88,7 +88,7 @@
 
 
 def count_team_usage(state: ControlState) -> dict[str, Size]:
-    """Return what each team uses: here as committed, elsewhere as last read."""
+    """Return each team's usage: as committed in owned cells, as last read in the others."""
     used: dict[str, Size] = {}
     rows = [cell.row for cell in state.cells.values()]
     rows.extend(it.row for name, it in state.stored.items() if name not in state.cells)
@@ -99,7 +99,7 @@
 
 
 def place_tasks(state: ControlState, view: ClusterView) -> Decision[None]:
-    """Commit waiting tasks to workers, up to 63 in a transaction."""
+    """Commit waiting tasks to workers, up to 63 in one transaction."""
     if not any(len(cell.queue) for cell in state.cells.values()):
         return
     teams = view.bundle.teams if view.bundle else ()
@@ -121,10 +121,10 @@
 
 def find_usable_workers(state: ControlState, cell: Cell, view: ClusterView) -> list[str]:
     """
-    Return the workers that may receive work now: listed, heard from, and under our lease.
+    Return the workers that may receive tasks now: listed, answering and under a lease of ours.
 
-    A process that started while the host list is away has none.  It goes by the cell's row then:
-    work that had lost its worker would otherwise wait for the list, beside workers that answer.
+    A process that started while the host list is unavailable uses the workers of the cell's row.
+    Tasks of a lost worker would otherwise wait for the list although other workers answer.
     """
     listed = view.workers
     usable = []
@@ -148,7 +148,7 @@
 def choose_placements(
     state: ControlState, cell: Cell, view: ClusterView, quotas: Quotas
 ) -> Iterator[Change]:
-    """Yield the placements that the free sizes and the quotas allow, in the queue's order."""
+    """Yield the placements that free capacity and quotas allow, in queue order."""
     if not state.authority.holds(view.now):
         return
     usable = find_usable_workers(state, cell, view)
@@ -167,7 +167,7 @@
         waited = view.now - waiting.since
         worker = state.policy.choose(record, found, cell.row, waited)
         if worker is None:
-            if not found and _wants_reserve(state, waiting, view.now) and reserved == 0:
+            if not found and _needs_reservation(state, waiting, view.now) and reserved == 0:
                 reserved += 1
                 _reserve(cell, record, index)
             continue
@@ -178,10 +178,10 @@
 
 def _trim_to_reported(cell: Cell, usable: list[str], index: FreeCapacityIndex) -> None:
     """
-    Count no more on a worker than it says itself to have.
+    Limit the free capacity of each worker by the size that the worker itself reports.
 
-    The list may be wrong or old: a worker that is smaller would refuse what is placed on it, again
-    and again.
+    The host list may be wrong or outdated; a worker smaller than listed would refuse the tasks
+    placed on it again and again.
     """
     for name in usable:
         free = index.free(name)
@@ -200,21 +200,21 @@
 
 
 def _avoid_failed(record: TaskRecord, workers: list[str]) -> list[str]:
-    """Prefer workers on which the task hasn't failed."""
+    """Return the workers on which the task has not failed, or all if it failed on each."""
     others = [it for it in workers if it not in record.failed_on]
     return others or workers
 
 
-def _wants_reserve(state: ControlState, waiting: WaitingTask, now: float) -> bool:
+def _needs_reservation(state: ControlState, waiting: WaitingTask, now: float) -> bool:
     return waiting.record.urgent or now - waiting.since >= state.options.reserve_after
 
 
 def _reserve(cell: Cell, record: TaskRecord, index: FreeCapacityIndex) -> None:
     """
-    Keep the emptiest worker that can ever hold a task free of others for this turn.
+    Reserve the emptiest worker that is large enough for a task until the end of the turn.
 
-    Small tasks would otherwise fill every gap before it grows large enough, and a large task would
-    wait for ever.  For an urgent task the least important work there is evicted.
+    Without a reservation small tasks take every gap before it is large enough, and a large task
+    starves.  For an urgent task the least important tasks on that worker are evicted.
     """
     eligible = [
         name
@@ -236,7 +236,7 @@
 
 
 def _evict_for(cell: Cell, record: TaskRecord, worker: str, free: Size) -> None:
-    """Evict the fewest of the least important batch tasks that make room, or none."""
+    """Evict as few of the least important batch tasks as make room, or none if that fails."""
     victims = []
     for other in sorted(cell.tasks_on(worker), key=lambda it: (it.priority, it.evictions)):
         if fits(record.size, free):
@@ -252,7 +252,7 @@
 
 
 def move_tasks(state: ControlState, view: ClusterView) -> Decision[None]:
-    """Move what has waited here too long to a cell that has room, or can ever hold it."""
+    """Move tasks that have waited too long, or can never run in their cell, to cells with room."""
     if view.now < state.next_move_at:
         return
     shapes = {it.name: it for it in view.shapes}
@@ -274,7 +274,7 @@
 def _find_due(
     state: ControlState, cell: Cell, now: float, shape: CellShape | None
 ) -> Iterator[WaitingTask]:
-    """Yield the first waiting tasks that have waited long enough, or that can never run here."""
+    """Yield the waiting tasks that are due to move, or that can never run in this cell."""
     for waiting in islice(cell.queue.in_order(), state.options.tries_per_turn):
         if not _may_place(cell, waiting, now):
             continue
@@ -285,7 +285,7 @@
 
 
 class MoveFinder:
-    """Find room in the listed cells as their rows were last read."""
+    """Finder of free capacity in the listed cells, by their rows as last read."""
 
     def __init__(self, state: ControlState, shapes: dict[str, CellShape]) -> None:
         """Index the workers of every listed cell."""
@@ -303,7 +303,7 @@
                     self._index.set(name, subtract(worker.size, used.get(name, EMPTY_SIZE)))
 
     def find_moves(self, cell: str, due: list[WaitingTask]) -> Iterator[tuple[WaitingTask, str]]:
-        """Yield the tasks for which another cell has room, and count the room as taken."""
+        """Yield tasks with a cell that has capacity for them, and count that capacity as used."""
         for waiting in due:
             size = waiting.record.size
             found = self._index.candidates(size, MAX_MOVE_CANDIDATES)
@@ -330,7 +330,7 @@
                 ids = {"cell": cell.name, "task": waiting.record.task}
                 yield RecordEvent("task.move", ids, target)
         case Result(tag="error", error=Conflict()):
-            # A cancelled job or a row that is gone: read the whole queue anew.
+            # The job was cancelled or a row is gone: scan the whole queue again.
             cell.scanned_version = 0
         case _:
             cell.scanned_version = 0
--- a/toucanpin/placement/policy.py
+++ b/toucanpin/placement/policy.py
@@ -1,9 +1,9 @@
 """
-Seam of the policy
-==================
+Placement policy interface
+==========================
 
-Where a policy that knows about interference takes part: it chooses among workers that have room, it
-sees every report, and it may throttle or evict.  It can't overcommit: the ledger decides what fits.
+A policy chooses among workers with enough free capacity, observes every report, and may throttle
+or evict running tasks.  It can't overcommit a worker, since the ledger decides what fits.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Evict:
-    """Checkpoint a running task, stop it and let it wait again."""
+    """Checkpoint a running task, stop it and queue it again."""
 
     task: str
 
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PolicyEvent:
-    """Put on the time line what was noticed, of a task if it is named."""
+    """Record an event on the timeline, about a task unless ``task`` is empty."""
 
     kind: str
     task: str
@@ -55,54 +55,54 @@
 
 
 class PlacementPolicy(Protocol):
-    """Choose workers and act on what they report."""
+    """Interface of policies that choose workers and act on their reports."""
 
     def prepare(self, now: float, bundle: Bundle | None, workers: Collection[str]) -> None:
-        """Take in, once a turn, the bundle in force and the workers of all owned cells."""
+        """Prepare a turn with the bundle in force and the workers of all owned cells."""
         ...
 
     def choose(
         self, task: TaskRecord, workers: Sequence[str], cell: CellRow, waited: float
     ) -> str | None:
-        """Return one of the workers, tightest first, or None to let the task wait."""
+        """Return one of the workers, given tightest first, or None to let the task wait."""
         ...
 
     def observe(self, now: float, report: Report, tasks: Sequence[TaskRecord]) -> None:
-        """Take in a report of a worker and the tasks committed there."""
+        """Observe a report of a worker and the tasks committed to it."""
         ...
 
     def act(self, now: float, cell: CellRow) -> tuple[PolicyAction, ...]:
-        """Return what to do to running tasks of a cell now."""
+        """Return the actions to take now on running tasks of a cell."""
         ...
 
 
 class BestFitPolicy:
-    """Choose the worker with the least room, and never act."""
+    """Policy that chooses the worker with the least free capacity and never acts."""
 
     def prepare(self, now: float, bundle: Bundle | None, workers: Collection[str]) -> None:
-        """Need nothing."""
+        """Do nothing."""
 
     def choose(
         self, task: TaskRecord, workers: Sequence[str], cell: CellRow, waited: float
     ) -> str | None:
-        """Return the first, which has the least room."""
+        """Return the first worker, which has the least free capacity."""
         return workers[0] if workers else None
 
     def observe(self, now: float, report: Report, tasks: Sequence[TaskRecord]) -> None:
-        """Learn nothing."""
+        """Ignore the report."""
 
     def act(self, now: float, cell: CellRow) -> tuple[PolicyAction, ...]:
-        """Do nothing."""
+        """Return no actions."""
         return ()
 
 
 class GuardedPolicy:
     """
-    Keep the faults of a policy from the turn that asks it.
+    Wrapper that shields control turns from exceptions of a policy.
 
-    An exception would end the turn before its polls, and the next one too: no lease would be
-    renewed and every task here would stop, for the sake of advice.  Where the policy fails, the
-    tightest worker is taken and nothing is done; the first fault of each turn is remarked.
+    An exception would end every turn before its polls, so no lease would be renewed and all tasks
+    would stop.  If the policy fails, the tightest worker is chosen and no action is taken; the
+    first failure of each turn is recorded on the timeline.
     """
 
     def __init__(self, policy: PlacementPolicy) -> None:
@@ -111,7 +111,7 @@
         self._fault = ""
 
     def prepare(self, now: float, bundle: Bundle | None, workers: Collection[str]) -> None:
-        """Take in the bundle in force and the workers."""
+        """Prepare the policy for a turn."""
         try:
             self.policy.prepare(now, bundle, workers)
         except Exception as error:
@@ -129,14 +129,14 @@
         return chosen if chosen in workers else None
 
     def observe(self, now: float, report: Report, tasks: Sequence[TaskRecord]) -> None:
-        """Let the policy learn."""
+        """Pass a report to the policy."""
         try:
             self.policy.observe(now, report, tasks)
         except Exception as error:
             self._record_fault(error)
 
     def act(self, now: float, cell: CellRow) -> tuple[PolicyAction, ...]:
-        """Return the policy's acts, or the remark that it failed."""
+        """Return the policy's actions, with an event if the policy has failed."""
         acts: tuple[PolicyAction, ...] = ()
         try:
             acts = self.policy.act(now, cell)
@@ -148,5 +148,5 @@
         return acts
 
     def _record_fault(self, error: Exception) -> None:
-        """Remember the first fault until it is remarked."""
+        """Keep the first failure until it is recorded."""
         self._fault = self._fault or f"{type(error).__name__}: {error}"
--- a/toucanpin/placement/polling.py
+++ b/toucanpin/placement/polling.py
@@ -2,8 +2,8 @@
 Polls of workers
 ================
 
-Which orders each worker of a cell gets in its next poll, under which lease, and what its report
-says.  Every order may be repeated: the worker knows attempts by their numbers.
+Chooses the orders and the lease for each worker's next poll, and handles the reports.  Every order
+may be repeated, since a worker identifies attempts by their numbers.
 """
 
 from __future__ import annotations
@@ -36,7 +36,7 @@
 
 
 def fetch_payloads(state: ControlState, view: ClusterView) -> Decision[None]:
-    """Read the payloads of committed tasks that have yet to be started."""
+    """Read the payloads of committed tasks that have not been started yet."""
     for cell in state.cells.values():
         for record in cell.row.tasks.values():
             if state.health.down or not _lacks_payload(cell, record):
@@ -57,13 +57,14 @@
 
 
 def poll_workers(state: ControlState, view: ClusterView) -> Decision[None]:
-    """Poll every worker that is due or for which there are orders, all at once."""
+    """Poll at once all workers that are due or have orders."""
     now = max(view.now, state.now)
     asked: list[tuple[Cell, WorkerLink, Poll]] = []
     polls: list[WorkerPoll] = []
     for cell in state.cells.values():
         if cell.refused:
-            # Another life owns the cell: what it can't reach must not be renewed from here.
+            # Another process owns the cell; renewing leases of workers that it can't reach would
+            # delay its proof that they have stopped.
             continue
         for name, worker in cell.row.workers.items():
             link = cell.link(name)
@@ -94,9 +95,9 @@
 def _make_orders(
     state: ControlState, cell: Cell, link: WorkerLink, bundle: Bundle | None, now: float
 ) -> Iterator[Order]:
-    """Yield the orders that bring a worker in line with the cell's row."""
+    """Yield the orders that make a worker's tasks match the cell's row."""
     if not link.incarnation or cell.stale:
-        # A row that may have changed must start nothing, and stop nothing that it may hold.
+        # The row may have changed, so it must neither start nor stop any task.
         return
     committed = {(it.task, it.attempt): it for it in cell.tasks_on(link.name)}
     for (task, attempt), reported in link.tasks.items():
@@ -130,8 +131,8 @@
         yield Stop(record.task, record.attempt, checkpoint if keeps else "")
     elif reported is None:
         payload = _find_payload(cell, record, bundle)
-        # A lease that is computed from an old reading of the worker's clock may have ended when it
-        # arrives; the worker would refuse the start, and the attempt would be used up.
+        # A lease computed from an old reading of the worker's clock may have ended on arrival.  The
+        # worker would then refuse the start, and the attempt would be used up.
         fresh = now - link.received < state.terms.lease / 2
         if payload is not None and fresh and state.authority.holds(now):
             yield _make_start(record, payload)
@@ -142,11 +143,11 @@
 def _order_running(
     state: ControlState, link: WorkerLink, record: TaskRecord, now: float
 ) -> Iterator[Order]:
-    """Yield the throttle that was asked for and the checkpoint that is due."""
+    """Yield the requested throttle and the checkpoint that is due."""
     key = (record.task, record.attempt)
     share = link.shares.get(key)
-    # No report tells which share is in force.  A throttle whose poll got lost would be believed by
-    # the policy for good, so it is repeated; a worker that has it already changes nothing.
+    # Reports don't include the share in force, so the policy would not notice that a throttle was
+    # lost with its poll.  It is repeated with each due poll, which is harmless for the worker.
     if share is not None and (key in link.unsent_shares or now >= link.next_poll):
         link.unsent_shares.discard(key)
         yield Throttle(record.task, record.attempt, share)
@@ -158,7 +159,7 @@
 
 
 def _find_payload(cell: Cell, record: TaskRecord, bundle: Bundle | None) -> bytes | None:
-    """Return a task's payload, None while it isn't known."""
+    """Return the payload of a task, None if it has not been read yet."""
     if record.standing:
         wanted = bundle.standing if bundle else ()
         return next((it.payload.encode() for it in wanted if it.name == record.task), None)
@@ -183,7 +184,7 @@
 def _handle_report(
     state: ControlState, cell: Cell, link: WorkerLink, poll: Poll, report: Report, now: float
 ) -> Decision[None]:
-    """Take in a report; a refused poll says that we are not the owner or that the life is new."""
+    """Handle a report; a refused poll means a newer owner or a new incarnation of the worker."""
     if report.accepted:
         link.update_from_report(report, now)
         state.policy.observe(now, report, cell.tasks_on(link.name))
--- a/toucanpin/placement/queue.py
+++ b/toucanpin/placement/queue.py
@@ -2,7 +2,7 @@
 Queue of a cell
 ===============
 
-The order in which waiting tasks are tried, quotas of teams, and the choice of a cell.
+Orders waiting tasks, enforces the quotas of teams and chooses the cell of a new task.
 """
 
 from __future__ import annotations
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WaitingTask:
-    """Hold one waiting task; ``version`` is that of its queue row, ``since`` in seconds."""
+    """Waiting task; ``version`` is that of its queue row, ``since`` is in seconds."""
 
     record: TaskRecord
     version: int
@@ -44,10 +44,10 @@
 
 class TaskQueue:
     """
-    Order the waiting tasks of one cell.
+    Ordered queue of the waiting tasks of one cell.
 
-    Urgent tasks go first, but after seven of them one other is tried.  Among the others a step of
-    priority is worth a minute of waiting, so whatever waits long enough comes to the front.
+    Urgent tasks come first, but after seven of them one other task is tried.  Among the others one
+    step of priority is worth a minute of waiting, so that low priorities do not starve.
     """
 
     def __init__(self) -> None:
@@ -61,7 +61,7 @@
         return len(self._entries)
 
     def __contains__(self, task: str) -> bool:
-        """Tell whether a task waits here."""
+        """Return whether a task waits here."""
         return task in self._entries
 
     def get(self, task: str) -> WaitingTask | None:
@@ -69,7 +69,7 @@
         return self._entries.get(task)
 
     def put(self, record: TaskRecord, version: int, since: float) -> None:
-        """Add a task, or replace it by its newer row without losing its place."""
+        """Add a task, or replace it by its newer row without resetting its waiting time."""
         known = self._entries.get(record.task)
         if known is not None:
             self.drop(record.task)
@@ -79,17 +79,17 @@
         self._lane(record)[self._key(entry)] = entry
 
     def drop(self, task: str) -> None:
-        """Take a task out."""
+        """Remove a task."""
         entry = self._entries.pop(task, None)
         if entry is not None:
             del self._lane(entry.record)[self._key(entry)]
 
     def has_urgent(self) -> bool:
-        """Tell whether an urgent task waits."""
+        """Return whether an urgent task waits."""
         return bool(self._urgent)
 
     def in_order(self) -> Iterator[WaitingTask]:
-        """Yield the waiting tasks as they are to be tried; the queue may change meanwhile."""
+        """Yield the waiting tasks in order; the queue may change during the iteration."""
         urgent = list(self._urgent.values())
         others = iter(list(self._others.values()))
         for position, entry in enumerate(urgent, start=1):
@@ -110,48 +110,48 @@
 
 class Quotas:
     """
-    Bound what the tasks of a team hold at one time, over all cells.
+    Quotas of teams over all cells, by the total size of a team's committed tasks.
 
-    The use of cells that other processes own is as old as the last scan: two owners may together
-    pass a quota by what both place within one turn.  A host's size never depends on this.
+    Usage in cells of other owners is as old as the last scan, so two owners together may exceed a
+    quota by what both place within one turn.  The size of a worker is never exceeded.
     """
 
     def __init__(self, teams: Iterable[Team], used: Mapping[str, Size]) -> None:
-        """Start from the teams of the bundle in force and what they use now."""
+        """Start from the teams of the bundle in force and their present usage."""
         self._limits = {it.name: Size(it.processors, it.memory, it.accelerators) for it in teams}
         self._used = dict(used)
 
     def allows(self, team: str, size: Size) -> bool:
-        """Tell whether a team may hold this much more; without teams there are no quotas."""
+        """Return whether a team may use this much more; without teams there are no quotas."""
         if not self._limits:
             return True
         limit = self._limits.get(team)
         return limit is not None and fits(add(self._used.get(team, EMPTY_SIZE), size), limit)
 
     def allocate(self, team: str, size: Size) -> None:
-        """Count a new commitment."""
+        """Add a new commitment to the usage of a team."""
         self._used[team] = add(self._used.get(team, EMPTY_SIZE), size)
 
 
 @dataclass(frozen=True, slots=True)
 class CellShape:
-    """Describe a cell by the sizes of its listed workers."""
+    """Name of a cell and the sizes of its listed workers."""
 
     name: str
     sizes: tuple[Size, ...]
 
     def can_hold(self, size: Size) -> bool:
-        """Tell whether an empty worker of the cell could hold a size."""
+        """Return whether an empty worker of the cell could hold a size."""
         return any(fits(size, it) for it in self.sizes)
 
 
 def cell_name(host: ListedHost) -> str:
-    """Return the cell of a worker: its rack, which is named within its site."""
+    """Return the name of a worker's cell, which is its rack, qualified by its site."""
     return f"{host.site}.{host.rack}"
 
 
 def list_cell_shapes(hosts: Iterable[ListedHost]) -> tuple[CellShape, ...]:
-    """Return the cells of a host list, in order of their names."""
+    """Return the shapes of the cells of a host list, sorted by name."""
     sizes: dict[str, list[Size]] = {}
     for host in hosts:
         if host.role is HostRole.WORKER:
@@ -165,6 +165,6 @@
 
 
 def choose_cell(task: str, size: Size, shapes: Iterable[CellShape]) -> str | None:
-    """Return the rendezvous cell among those that can ever hold a size, None if none can."""
+    """Return a task's cell by rendezvous hashing among those that can hold it, None if none can."""
     eligible = (shape.name for shape in shapes if shape.can_hold(size))
     return max(eligible, key=lambda name: rendezvous_weight(task, name), default=None)
--- a/toucanpin/placement/records.py
+++ b/toucanpin/placement/records.py
@@ -1,9 +1,9 @@
 """
-Records of the table
-====================
+Table records
+=============
 
-The typed rows of jobs, queues, cells and authority, and the keys under which they stand.  A task's
-record stands in exactly one row, a queue row or a cell row, and moves in one transaction.
+Typed rows of jobs, queues, cells and authority, and their keys.  A task's record is stored in
+exactly one row, a queue row or a cell row, and moves between them in one transaction.
 """
 
 from __future__ import annotations
@@ -47,14 +47,14 @@
 
 
 class ControllerId(msgspec.Struct, frozen=True, order=True):
-    """Name one life of a process: its name and incarnation."""
+    """Identity of a control process: its name and incarnation."""
 
     process: str
     incarnation: int
 
 
 class WorkerState(enum.Enum):
-    """Say whether a worker may receive new work."""
+    """States of a worker; only an active one receives new tasks."""
 
     ACTIVE = "active"
     LEAVING = "leaving"
@@ -63,7 +63,7 @@
 
 
 class JobState(enum.Enum):
-    """Say how far a job has come; all but ACCEPTED are final."""
+    """States of a job; all but ACCEPTED are final."""
 
     ACCEPTED = "accepted"
     FINISHED = "finished"
@@ -72,7 +72,7 @@
 
 
 class WorkerRow(msgspec.Struct, frozen=True, omit_defaults=True):
-    """Describe one worker of a cell; ``faults`` counts failures of distinct tasks in a row."""
+    """Worker of a cell; ``faults`` counts consecutive failures of distinct tasks."""
 
     name: str
     site: str
@@ -87,13 +87,13 @@
 
 class TaskRecord(msgspec.Struct, frozen=True, omit_defaults=True):
     """
-    Describe one task, queued or committed to a worker.
+    Record of a task that is queued or committed to a worker.
 
-    ``attempt`` is that of the newest commitment.  ``order`` and ``job_version`` are versions of
-    rows, zero until the task is first committed: then both are the version of its queue row.
-    ``checkpoint`` is the newest accepted one; ``lost`` counts the workers lost since it was
-    accepted.  ``bundle`` is the version that asked for a standing task.  ``priority`` grows with
-    importance.
+    ``attempt`` is the number of the newest commitment.  ``order`` and ``job_version`` are row
+    versions, zero until the task is first committed; then both are the version of its queue row.
+    ``checkpoint`` is the newest accepted one, and ``lost`` counts the workers lost since then.
+    ``bundle`` is the bundle version that asked for a standing task.  A higher ``priority`` is more
+    important.
     """
 
     task: str
@@ -121,24 +121,24 @@
 
 
 class QueueRow(msgspec.Struct, frozen=True, omit_defaults=True):
-    """Hold a task that waits; ``payload`` is there from submission until the first commitment."""
+    """Waiting task; ``payload`` is set from submission until the first commitment."""
 
     record: TaskRecord
     payload: bytes = b""
 
 
 class CancelRow(msgspec.Struct, frozen=True):
-    """Tell the owner of a cell to stop a task whose job is already cancelled."""
+    """Request to the owner of a cell to stop a task whose job has been cancelled."""
 
     task: str
 
 
 class CellRow(msgspec.Struct, frozen=True, omit_defaults=True):
     """
-    Hold one cell: who may order its workers and everything that is committed there.
+    Cell: its owner, workers and committed tasks.
 
-    ``owner`` is None after a release.  ``unproven`` are earlier owners whose leases may still be
-    renewed at a worker that no newer owner has reached, with the epoch that each had.
+    ``owner`` is None after a release.  ``unproven`` lists, with their epochs, earlier owners that
+    may still renew the lease of a worker that no newer owner has reached.
     """
 
     epoch: int
@@ -149,7 +149,7 @@
 
 
 class JobRow(msgspec.Struct, frozen=True, omit_defaults=True):
-    """Hold one job for its submitter; ``cell`` is where it waits or runs while accepted."""
+    """Job as shown to its submitter; ``cell`` is where it waits or runs while accepted."""
 
     job: str
     state: JobState
@@ -162,11 +162,12 @@
 
 class StandingRow(msgspec.Struct, frozen=True, omit_defaults=True):
     """
-    Hold the place of a standing task's one record.
+    Location of a standing task's only record.
 
-    ``removed`` is the bundle version that took it out, zero while it is wanted: a process with an
-    older bundle would otherwise bring it back.  ``attempt`` is then its last one: a task that comes
-    back must go on counting, as workers refuse the attempts that they have seen.
+    ``removed`` is the version of the bundle that removed the task, zero while it is wanted.
+    Without it a process with an older bundle would add the task again.  ``attempt`` is then the
+    last attempt: workers refuse attempts that they have seen, so a task that is added again
+    continues the numbering.
     """
 
     task: str
@@ -178,9 +179,10 @@
 
 class AuthorityRow(msgspec.Struct, frozen=True, omit_defaults=True):
     """
-    Bound what one life of a control process may grant.
+    Authority of a control process to grant leases.
 
-    ``ceded`` holds the last own epoch of cells that are lost and whose own leases have all ended.
+    ``ceded`` maps each lost cell in which all leases of the holder have ended to the holder's last
+    epoch there.
     """
 
     holder: ControllerId
@@ -197,17 +199,17 @@
 
 
 def encode(row: msgspec.Struct) -> bytes:
-    """Return the bytes of a row."""
+    """Return a row encoded as JSON."""
     return _encoder.encode(row)
 
 
 def decode(value: bytes, kind: type[R]) -> R:
-    """Return the row of a kind; fields of newer writers are ignored."""
+    """Return the decoded row; unknown fields of newer writers are ignored."""
     return msgspec.json.decode(value, type=kind)
 
 
 def authority_key(controller: ControllerId) -> str:
-    """Return the key of a life's authority row."""
+    """Return the key of a control process's authority row."""
     return f"{AUTHORITY_PREFIX}{controller.process}/{controller.incarnation}"
 
 
@@ -217,17 +219,17 @@
 
 
 def queue_prefix(cell: str) -> str:
-    """Return the prefix of what waits for a cell's owner: tasks and wishes to cancel."""
+    """Return the prefix of a cell's waiting tasks and cancellation requests."""
     return f"queue/{cell}/"
 
 
 def queue_key(cell: str, task: str) -> str:
-    """Return the key of a waiting task."""
+    """Return the key of a waiting task's row."""
     return f"queue/{cell}/task/{task}"
 
 
 def cancel_key(cell: str, task: str) -> str:
-    """Return the key of a wish to cancel, in the same prefix as the cell's waiting tasks."""
+    """Return the key of a cancellation request, below the same prefix as the waiting tasks."""
     return f"queue/{cell}/cancel/{task}"
 
 
@@ -237,7 +239,7 @@
 
 
 def payload_key(job: str) -> str:
-    """Return the key of a job's payload, which never changes."""
+    """Return the key of a job's payload, which is immutable."""
     return f"payload/{job}"
 
 
--- a/toucanpin/placement/reports.py
+++ b/toucanpin/placement/reports.py
@@ -1,9 +1,9 @@
 """
-Reports into changes
-====================
+Processing of worker reports
+============================
 
-What follows from the workers' reports and from their silence: finished, failed, stopped and lost
-attempts, each as a `Change` of the cell's row.
+Turns the reports of workers, and the absence of reports, into changes of the cell's row: attempts
+that have finished, failed, stopped or been lost.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 
 
 def process_reports(state: ControlState, view: ClusterView) -> Decision[None]:
-    """Commit what the reports of each cell's workers brought about."""
+    """Commit the changes that follow from the reports of each cell's workers."""
     for cell in state.cells_after(state.last_reported_cell):
         if cell.stale or not state.health.may_commit_reports():
             continue
@@ -61,10 +61,10 @@
     lost: set[str],
     now: float,
 ) -> Decision[None]:
-    """Write the changes in groups; workers and epoch go with the first."""
-    # A start that was sent to a lost worker may still be under way in the network.  Were it to
-    # arrive once the worker has a lease again, the task would run there and elsewhere: with the
-    # higher epoch the worker refuses it from our next poll on, and before that it has no lease.
+    """Commit the changes in groups, workers and epoch with the first group."""
+    # A start that was sent to a lost worker may still be in flight.  If it arrived after the
+    # worker has a lease again, the task would run there and elsewhere.  With the higher epoch the
+    # worker refuses it from our next poll on, and before that poll it has no lease.
     epoch = cell.row.epoch + 1 if lost else None
     unproven = cell.unproven_owners(state.watch, now)
     groups = list(split_changes(changes)) or [[]]
@@ -78,7 +78,7 @@
 
 
 def _find_lost(state: ControlState, cell: Cell, now: float) -> set[str]:
-    """Return the workers with tasks that can't be reached and certainly run nothing any more."""
+    """Return the unreachable workers whose committed tasks are proven to have stopped."""
     lost: set[str] = set()
     for worker in cell.row.workers.values():
         link = cell.link(worker.name)
@@ -92,7 +92,7 @@
 
 
 def _find_removed(cell: Cell, view: ClusterView) -> list[str]:
-    """Return the workers that are neither listed nor reached and hold nothing."""
+    """Return the unlisted, unreachable workers without committed tasks."""
     listed = view.workers
     return [
         name
@@ -102,7 +102,7 @@
 
 
 def _requeue_all(cell: Cell, worker: WorkerRow, view: ClusterView) -> Iterator[Change]:
-    """Let everything that was committed on a lost worker wait again, or end it."""
+    """Yield the requeueing, or the end, of every task on a lost worker."""
     for record in cell.tasks_on(worker.name):
         reported = cell.link(worker.name).tasks.get((record.task, record.attempt))
         checkpoint = reported.checkpoint if reported else ""
@@ -116,14 +116,14 @@
     workers: dict[str, WorkerRow],
     view: ClusterView,
 ) -> Iterator[Change]:
-    """Yield the changes that one worker's newest report brings."""
+    """Yield the changes that follow from the newest report of one worker."""
     link = cell.link(worker.name)
     if link.failed or not link.incarnation:
         return
     _reactivate(state, link, worker, workers, view)
     for record in cell.tasks_on(worker.name):
         if record.incarnation != link.incarnation:
-            # An agent that was replaced doesn't prove that its predecessor isn't merely paused.
+            # A new agent doesn't prove that its predecessor has ended: it may only be paused.
             if cell.has_stopped(worker.name, record.incarnation, state.watch, view.now):
                 yield _end_lost(cell, record, worker, "", view)
             continue
@@ -138,7 +138,7 @@
 def _back_off_bad_start(
     state: ControlState, cell: Cell, record: TaskRecord, reported: TaskReport, now: float
 ) -> None:
-    """Keep a task that its worker refused, or a standing one that failed, from a busy loop."""
+    """Back off a refused start, or a standing task that ended, to avoid a busy loop."""
     refused = reported.detail.startswith(REFUSED_PREFIX)
     ended = record.standing and reported.state in (TaskState.FAILED, TaskState.FINISHED)
     if refused or ended:
@@ -153,7 +153,7 @@
     workers: dict[str, WorkerRow],
     view: ClusterView,
 ) -> None:
-    """Let a worker that is back, or whose quarantine is over, receive work again."""
+    """Reactivate a lost worker that answers again, or one whose quarantine is over."""
     if worker.state is WorkerState.LOST:
         workers[worker.name] = msgspec.structs.replace(
             workers.get(worker.name, worker), state=WorkerState.ACTIVE, incarnation=link.incarnation
@@ -176,7 +176,7 @@
     workers: dict[str, WorkerRow],
     view: ClusterView,
 ) -> Change | None:
-    """Return the change that the report of one attempt brings, if any."""
+    """Return the change that follows from the report of one attempt, if any."""
     match reported.state:
         case TaskState.RUNNING:
             if reported.checkpoint and reported.checkpoint != record.checkpoint:
@@ -198,7 +198,7 @@
 
 
 def _drop_task(cell: Cell, record: TaskRecord) -> Change:
-    """Take out a task whose job is already decided, with the wish to cancel if it was read."""
+    """Drop a task whose job has already ended, with its cancellation request if one was read."""
     version = cell.cancels.get(record.task)
     if version is None:
         return Change("task.cancel", record.task, None)
@@ -208,7 +208,7 @@
 def _end_lost(
     cell: Cell, record: TaskRecord, worker: WorkerRow, checkpoint: str, view: ClusterView
 ) -> Change:
-    """Return what becomes of a task whose worker is lost, which the task may have crashed."""
+    """Return the change for a task whose worker was lost, possibly crashed by the task."""
     expected = worker.state is WorkerState.LEAVING or record.task in cell.stopping
     if expected or record.task in cell.cancels or record.task in cell.closed:
         return _end_stopped(cell, record, checkpoint, view)
@@ -217,12 +217,12 @@
 
 
 def _end_stopped(cell: Cell, record: TaskRecord, checkpoint: str, view: ClusterView) -> Change:
-    """Return what becomes of a task that has stopped without an end of its own."""
+    """Return the change for a task that was stopped before it ended."""
     reason = cell.stopping.get(record.task)
     if record.task in cell.cancels or record.task in cell.closed:
         return _drop_task(cell, record)
     if reason in (StopReason.REMOVE, StopReason.REPLACE) and view.bundle is not None:
-        # A still newer bundle may have brought the task back while it was being stopped.
+        # A newer bundle may have added the task again while it was being stopped.
         if is_removed(record, view.bundle):
             return lifecycle.remove_standing(
                 cell.name, record, record.job_version, view.bundle.version, None
@@ -240,7 +240,7 @@
     workers: dict[str, WorkerRow],
     view: ClusterView,
 ) -> Change:
-    """Count a failure against the task or its worker, or drop a task that is cancelled."""
+    """Count a failure against the task or its worker, or drop a cancelled task."""
     if record.task in cell.stopping or record.task in cell.closed:
         return _end_stopped(cell, record, reported.checkpoint, view)
     at_fault = worker.state is WorkerState.QUARANTINED
@@ -261,10 +261,10 @@
     cell: Cell, record: TaskRecord, worker: WorkerRow, workers: dict[str, WorkerRow]
 ) -> None:
     """
-    Count a task's first failure against its worker, and withdraw it if it fails elsewhere too.
+    Count a task's first failure against its worker; take it back if the task fails elsewhere too.
 
-    A wave of jobs that fail everywhere must not quarantine the cell, so a third of its workers is
-    the most.
+    At most a third of a cell's workers is quarantined, so that jobs that fail on every worker
+    cannot take the whole cell out of service.
     """
     if not record.failed_on:
         now = workers.get(worker.name, worker)
@@ -297,7 +297,7 @@
 
 
 def _apply_cancellations(cell: Cell) -> Iterator[Change]:
-    """Carry out the wishes to cancel: at once for what waits, after a stop for what runs."""
+    """Yield the cancellations of waiting tasks, and request the stop of running ones."""
     for task, version in list(cell.cancels.items()):
         waiting = cell.queue.get(task)
         if waiting is not None:
--- a/toucanpin/placement/standing.py
+++ b/toucanpin/placement/standing.py
@@ -2,8 +2,9 @@
 Standing tasks
 ==============
 
-Bring the records of standing tasks in line with the bundle: one record each, inserted once, stopped
-when a newer bundle no longer names it, replaced when its description changed.
+Reconciles the records of standing tasks with the bundle.  Each task has one record, which is
+inserted once, removed when a newer bundle no longer names the task, and replaced when its
+description changes.
 """
 
 from __future__ import annotations
@@ -80,7 +81,7 @@
 
 
 def reconcile_standing(state: ControlState, view: ClusterView) -> Decision[None]:
-    """Insert, replace and remove standing tasks as the bundle in force says."""
+    """Insert, replace and remove standing tasks according to the bundle in force."""
     bundle = view.bundle
     if bundle is None or state.health.down:
         return
@@ -97,7 +98,7 @@
 
 
 def _insert(state: ControlState, task: StandingTask, bundle: Bundle, home: str) -> Decision[None]:
-    """Insert a standing task's one record, unless it has been inserted by anyone."""
+    """Insert the record of a standing task, unless any process has already done so."""
     known, version = state.standing.get(task.name, (None, ABSENT))
     if known is not None and (known.removed == 0 or known.removed >= bundle.version):
         return
@@ -125,7 +126,7 @@
 
 
 def is_removed(record: TaskRecord, bundle: Bundle) -> bool:
-    """Tell whether a bundle that is newer than a standing task's record no longer names it."""
+    """Return whether a bundle that is newer than a standing task's record no longer names it."""
     if not record.standing or bundle.version <= record.bundle:
         return False
     return all(it.name != record.task for it in bundle.standing)
@@ -138,7 +139,7 @@
 
 
 def _mark_running(cell: Cell, wanted: dict[str, StandingTask], bundle: Bundle) -> None:
-    """Have the running tasks stopped that the bundle removed or changed."""
+    """Request the stop of running tasks that the bundle has removed or changed."""
     for record in cell.row.tasks.values():
         if is_removed(record, bundle):
             cell.request_stop(record.task, StopReason.REMOVE)
@@ -149,7 +150,7 @@
 def _change_waiting(
     state: ControlState, cell: Cell, wanted: dict[str, StandingTask], bundle: Bundle
 ) -> Decision[None]:
-    """Remove or replace the waiting tasks that the bundle removed or changed."""
+    """Remove or replace the waiting tasks that the bundle has removed or changed."""
     changes: list[lifecycle.Change] = []
     for waiting in cell.queue.in_order():
         if is_removed(waiting.record, bundle):
--- a/toucanpin/placement/state.py
+++ b/toucanpin/placement/state.py
@@ -2,7 +2,7 @@
 State of a control process
 ==========================
 
-Everything that the decisions of one control process share between turns.
+State that the decisions of one control process share between turns.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ControlOptions:
-    """Set the times (seconds) and bounds of a control process beside those of its leases."""
+    """Intervals (s) and limits of a control process, except those of its leases."""
 
     poll: float = 1.0
     checkpoint: float = 30.0
@@ -45,10 +45,10 @@
 @dataclass(frozen=True)
 class ClusterView:
     """
-    Show a turn what the outside hints at; ``now`` is monotonic.
+    Inputs of a turn from outside the table, which are hints only; ``now`` is monotonic.
 
-    The host list is sorted by cells once: to go through all of it for each cell made the cost of a
-    turn grow with the square of the hosts.
+    The host list is grouped by cell once, since scanning it for each cell would make the cost of a
+    turn quadratic in the number of hosts.
     """
 
     now: float
@@ -75,15 +75,15 @@
         return cells
 
     def known_controllers(self) -> tuple[ControllerId, ...]:
-        """Return the control processes that membership believes to be there, suspects too."""
+        """Return the control processes that are alive or suspected according to membership."""
         return self._list_controllers((Standing.ALIVE, Standing.SUSPECT))
 
     def alive_controllers(self) -> tuple[ControllerId, ...]:
         """
-        Return the control processes that are heard of.
+        Return the control processes that are alive, and not suspected, according to membership.
 
-        Cells are divided among these.  Waiting until a suspect is given up let the leases of a
-        dead owner's workers lapse, and every task there stopped.
+        Cells are divided among these.  If suspects were included until they are declared dead, the
+        leases of a dead owner's workers would lapse and all its tasks would stop.
         """
         return self._list_controllers((Standing.ALIVE,))
 
@@ -94,7 +94,7 @@
 
 @dataclass(slots=True)
 class StoredCell:
-    """Hold a cell's row as it was last read."""
+    """Row of a cell as last read."""
 
     row: CellRow
     version: int
@@ -102,7 +102,7 @@
 
 @dataclass(slots=True)
 class ControlState:
-    """Hold one control process's authority, its cells and what it read of the others."""
+    """Authority of a control process, its cells and the rows that it has read of other cells."""
 
     controller_id: ControllerId
     terms: LeaseTerms = field(default_factory=LeaseTerms)
@@ -125,7 +125,7 @@
     health: TableHealth = field(init=False)
 
     def __post_init__(self) -> None:
-        """Build the parts that depend on this life."""
+        """Build the parts that depend on the process's identity and options."""
         self.authority = Authority(self.controller_id, self.terms)
         self.watch = AuthorityWatch(self.controller_id, self.terms)
         self.health = TableHealth(self.options.commits_per_turn)
@@ -133,39 +133,39 @@
 
     def cells_after(self, last: str) -> list[Cell]:
         """
-        Return the cells in the order of their names, beginning after the one that was served last.
+        Return the cells in order of their names, rotated to begin after the last one served.
 
-        A turn commits to a few cells only; always from the same first one, the others would starve.
+        A turn commits to a few cells only, so without rotation the later ones would starve.
         """
         names = sorted(self.cells, key=lambda name: (name <= last, name))
         return [self.cells[name] for name in names]
 
     def next_sequence(self) -> int:
-        """Return a number that no earlier call of this life returned."""
+        """Return a number that is unique within this incarnation of the process."""
         self.sequence += 1
         return self.sequence
 
     def preferred_owner(self, cell: str, controllers: tuple[ControllerId, ...]) -> ControllerId:
-        """Return the life that should own a cell among those believed to be there."""
+        """Return the process that should own a cell, among the given ones and this one."""
         names = {it.process: it for it in (*controllers, self.controller_id)}
         return names[max(names, key=lambda name: rendezvous_weight(cell, name))]
 
     def in_grace_period(self, now: float) -> bool:
         """
-        Tell whether the table has just come back.
+        Return whether the table has only recently recovered.
 
-        Every row then stands unchanged for as long as it was out; its owner gets time to renew it
-        before anybody takes that for a death.
+        All authority rows are then unchanged since before the outage.  Their owners get time to
+        renew them before an unchanged row counts as a sign of death.
         """
         quiet = self.terms.takeover_after + self.terms.renew_every
         return self.health.recovered_at > 0 and now < self.health.recovered_at + quiet
 
     def eligible_controllers(self, view: ClusterView) -> tuple[ControllerId, ...]:
         """
-        Return the lives that may own cells: heard of, and renewing their authority.
+        Return the processes that may own cells: alive, and renewing their authority.
 
-        A process that still sends heartbeats but is cut off from the table would otherwise keep the
-        claim to cells that it can't serve.
+        A process that sends heartbeats but is cut off from the table would otherwise remain the
+        preferred owner of cells that it can't serve.
         """
         controllers = view.alive_controllers()
         if self.in_grace_period(view.now):
@@ -179,5 +179,5 @@
         return unchanged_for < self.terms.missed_renewal_after()
 
     def ceded(self, now: float) -> dict[str, int]:
-        """Return the cells that are lost and on which no own lease can be live."""
+        """Return the last epochs of lost cells in which all own leases have ended."""
         return {cell: epoch for cell, (epoch, ends) in self.lost_cells.items() if now >= ends}
--- a/toucanpin/placement/submission.py
+++ b/toucanpin/placement/submission.py
@@ -2,8 +2,8 @@
 Submission of jobs
 ==================
 
-Accept jobs.  Accepting is one transaction, so a job that was accepted is
-durable; the id follows from the idempotency key, so a repeated submission finds the first.
+Accepts jobs in one transaction, so that an accepted job is durable.  The job's id is derived from
+the idempotency key, so a repeated submission finds the first one.
 """
 
 from __future__ import annotations
@@ -63,7 +63,7 @@
 
 
 class Submission(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Describe a job as it is submitted; ``memory`` is in MiB, ``payload`` goes to the worker."""
+    """Job as submitted; ``memory`` is in MiB, ``payload`` is passed to the worker."""
 
     kind: str
     team: str
@@ -87,7 +87,7 @@
 def check_submission(
     request: Submission, key: str, shapes: Sequence[CellShape], bundle: Bundle | None
 ) -> Refusal | None:
-    """Return why a job can't be accepted, or can never run, None if it may."""
+    """Return the refusal of a job that can't be accepted or can never run, None if it can."""
     if bundle is None or not shapes:
         detail = "the bundle in force or the host list isn't known yet"
         return refuse(Reason.NOT_READY, detail, RETRY_AFTER_S)
@@ -113,7 +113,7 @@
 
 
 def explain_misfit(size: Size, shapes: Sequence[CellShape]) -> str:
-    """Return which part of a size no worker has, or that none has all parts together."""
+    """Return why a size fits on no worker: too large in one component, or only in combination."""
     workers = [it for shape in shapes for it in shape.sizes]
     for part in ("processors", "memory", "accelerators"):
         most = max(getattr(it, part) for it in workers)
@@ -130,10 +130,10 @@
     submitted: float,
 ) -> Decision[Result[JobStatus, Refusal]]:
     """
-    Accept a job durably, once for each key; ``submitted`` is wall time in seconds.
+    Accept a job durably, once per key; ``submitted`` is the wall time in seconds.
 
-    A lost answer is settled by the same conditional insert: if the first took effect, the second
-    conflicts and shows the job.
+    After a lost answer the same conditional insert is repeated: if the first one took effect, the
+    second conflicts and returns the job.
     """
     refusal = check_submission(request, key, shapes, bundle)
     if refusal is not None:
@@ -182,7 +182,7 @@
 
 
 def _make_inserts(request: Submission, record: TaskRecord, cell: str) -> tuple[Write, ...]:
-    """Return the inserts of a job; its payload stands alone, so that no later write carries it."""
+    """Return the inserts of a job; a row of its own keeps the payload out of later writes."""
     job = JobRow(record.task, JobState.ACCEPTED, record, cell)
     payload = request.payload.encode()
     writes: tuple[Write, ...] = (
@@ -197,7 +197,7 @@
 def _resolve_conflict(
     job: str, record: TaskRecord, rows: Sequence[Row]
 ) -> Result[JobStatus, Refusal]:
-    """Return the job that stands under the key already, if it is the same."""
+    """Return the status of the job that already has the key, or refuse if it differs."""
     for row in rows:
         if row.key != job_key(job) or row.version == ABSENT:
             continue
--- a/toucanpin/placement/tests/test_interference_aware.py
+++ b/toucanpin/placement/tests/test_interference_aware.py
@@ -209,7 +209,7 @@
 
     def test_task_that_outgrows_its_declaration_is_throttled(self):
         """
-        A job that uses three times what it declared is named on the time line and held to a lower
+        A job that uses three times what it declared is named on the timeline and held to a lower
         share; what is committed stays by its declaration, and it finishes.
         """
         world = make_world(workers=1)
--- a/toucanpin/placement/tests/world.py
+++ b/toucanpin/placement/tests/world.py
@@ -83,7 +83,7 @@
 
     @property
     def paused(self) -> bool:
-        """Tell whether the process is frozen."""
+        """Return whether the process is frozen."""
         return self.paused_at is not None
 
     @paused.setter
@@ -239,7 +239,7 @@
             self.run(2.0)
 
     def is_settled(self) -> bool:
-        """Tell whether every job has ended and every standing task runs once."""
+        """Return whether every job has ended and every standing task runs once."""
         ended = all(it.state is not JobState.ACCEPTED for it in self.jobs().values())
         return ended and all(len(self.running(it.name)) == 1 for it in self.bundle.standing)
 
--- a/toucanpin/placement/tracking.py
+++ b/toucanpin/placement/tracking.py
@@ -1,9 +1,9 @@
 """
-Residency
-=========
+Tracking of hosts and attempts
+==============================
 
-What an owner learns of one worker from its reports for the policy of interference: who runs there
-at which share, how much of its declaration each task uses, and the late samples of services.
+Data that the interference-aware policy collects from the reports of a worker: the running tasks
+with their shares, their usage relative to the declared size, and the delayed samples of services.
 """
 
 from __future__ import annotations
@@ -31,11 +31,11 @@
 @dataclass(slots=True)
 class AttemptTracker:
     """
-    Remember of one attempt what was ordered and measured; times are on the owner's clock.
+    Orders and measurements of one attempt; times are on the owner's clock unless noted.
 
     ``share`` is in force, ``wanted`` is what the policy asked for.  ``sampled_at`` is on the
-    worker's clock.  ``excess`` counts samples in a row far above the declaration; ``ceiling`` is
-    the highest share while it is so.
+    worker's clock.  ``excess`` counts consecutive samples far above the declared size; ``ceiling``
+    is the highest share allowed meanwhile.
     """
 
     attempt: int
@@ -52,11 +52,11 @@
 @dataclass(slots=True)
 class HostTracker:
     """
-    Remember one worker.
+    Reported state of one worker.
 
-    ``changed`` tells of a report, ``measured`` of a sample, that wasn't acted on yet.
-    ``residents`` are the batch and standing tasks that run by the last report, ``expected`` all
-    that will.
+    ``changed`` and ``measured`` are set by a report and a service sample until the policy has acted
+    on them.  ``residents`` are the batch and standing tasks that run according to the last report;
+    ``expected`` also has those that are committed but not yet running.
     """
 
     name: str
@@ -74,21 +74,21 @@
     _loads: dict[str, tuple[float, float]] = field(default_factory=dict)
 
     def services(self) -> tuple[ServiceLoad, ...]:
-        """Return the services that were measured here not long ago."""
+        """Return the services with a recent sample on this worker."""
         return tuple(ServiceLoad(name, load) for name, (load, _) in self._loads.items())
 
     def view(self) -> HostView:
-        """Return the worker as it was reported."""
+        """Return the worker as last reported."""
         return HostView(self.name, self.processors, self.services(), self.residents)
 
     def expected_view(self) -> HostView:
-        """Return the worker as it will be once everything committed there has started."""
+        """Return the worker as it will be once all committed tasks have started."""
         return HostView(self.name, self.processors, self.services(), tuple(self.expected))
 
     def update_from_report(
         self, now: float, report: Report, tasks: Sequence[TaskRecord], usage: KindUsage
     ) -> None:
-        """Take in who runs and what it uses."""
+        """Update the running tasks and their usage from a report."""
         self._reset_if_new(report, tasks)
         self.processors = max(1, report.size.processors)
         self.changed = True
@@ -115,10 +115,10 @@
 
     def _reset_if_new(self, report: Report, tasks: Sequence[TaskRecord]) -> None:
         """
-        Start anew with a worker, or life of it, that was not known.
+        Reset the state if a worker reports a new incarnation.
 
-        An earlier owner may have throttled tasks here, and nothing tells by how much: without
-        being given back their shares they would stay throttled for good.
+        An earlier owner may have throttled tasks here by an unknown share.  They are returned to
+        their full share, as they would otherwise stay throttled.
         """
         if report.incarnation == self.incarnation:
             return
@@ -129,10 +129,10 @@
         self.unthrottled = [it.task for it in tasks if it.task in running and not it.standing]
 
     def take_new_samples(self, now: float, report: Report) -> Iterator[Sample]:
-        """Yield the samples that were not seen before, on the owner's clock."""
+        """Yield the new samples, with their times on the owner's clock."""
         for it in sorted(report.samples, key=lambda sample: sample.sampled_at):
-            # Compared on the worker's own clock: the conversion moves by the time that a report
-            # takes, and a sample that came twice would count as a newer one.
+            # Compared on the worker's clock, as the converted time varies with the report's delay
+            # and a repeated sample would count as a newer one.
             if it.sampled_at <= self._sampled.get(it.service, -1):
                 continue
             self._sampled[it.service] = it.sampled_at
@@ -154,7 +154,7 @@
         tracker: AttemptTracker,
         usage: KindUsage,
     ) -> None:
-        """Learn from the usage of one attempt, unless it is known or older than its share."""
+        """Learn from the usage of an attempt, unless it is known or precedes the share in force."""
         if it.checkpoint != tracker.checkpoint:
             tracker.checkpoint, tracker.saved_at = it.checkpoint, now
         if it.sampled_at <= tracker.sampled_at:
@@ -169,8 +169,8 @@
         self._detect_overuse(record, it, tracker)
 
     def _detect_overuse(self, record: TaskRecord, it: TaskReport, tracker: AttemptTracker) -> None:
-        """Remark a task that uses far more than it declared, and bound its share."""
-        # At a lower share it would use less; what it would take at a full one is compared.
+        """Bound the share of a task that uses far more than declared, and record an event."""
+        # Usage is scaled to the full share, since a throttled task uses less.
         processors = it.processors / tracker.share / max(1, record.size.processors)
         memory = it.memory / max(1, record.size.memory)
         excess = max(processors, memory)
@@ -188,14 +188,14 @@
 
 
 def convert_to_owner_clock(now: float, report: Report, instant: int) -> float:
-    """Return an instant of the worker's clock on the owner's."""
+    """Convert an instant from the worker's clock (ms) to the owner's (s)."""
     return now - (report.clock - instant) / MS_PER_S
 
 
 def make_resident(
     now: float, record: TaskRecord, tracker: AttemptTracker, usage: KindUsage
 ) -> Resident:
-    """Return a task as the policy sees it; rounded, so that small news make no new history."""
+    """Return a task as the policy sees it, rounded so that small changes start no new history."""
     unsaved = (now - tracker.saved_at) // UNSAVED_STEP_S * UNSAVED_STEP_S
     processors = round(usage.estimate(record.kind, record.size.processors), 1)
     return Resident(
--- a/toucanpin/placement/writing.py
+++ b/toucanpin/placement/writing.py
@@ -1,8 +1,8 @@
 """
-Writing a cell
-==============
+Commits of cell changes
+=======================
 
-Commit changes of a cell's tasks in as few transactions as their rows allow, and learn from
+Commits the changes of a cell's tasks in as few transactions as the row limit allows, and handles
 conflicts and lost answers.
 """
 
@@ -43,21 +43,21 @@
 
 __all__ = ["TableHealth", "split_changes", "write_cell"]
 
-ROWS_BESIDE_CELL = MAX_TRANSACTION_ROWS - 1
+MAX_ROWS_BESIDE_CELL = MAX_TRANSACTION_ROWS - 1
 MIN_RETRY_PAUSE_S = 0.125
 MAX_RETRY_PAUSE_S = 1.0
-FAILURES_UNTIL_OUTAGE = 2
+FAILURES_UNTIL_OUTAGE = 2  # consecutive
 
 
 class TableHealth:
     """
-    Remember whether the table answers, and count commits against a budget for each turn.
+    Availability of the table, and the budget of commits per turn.
 
-    Without the budget everything that waited out an outage would be written at once.
+    Without the budget all changes that accumulated during an outage would be written at once.
     """
 
     def __init__(self, budget: int) -> None:
-        """Start with a table that is believed to answer."""
+        """Start with the table assumed to be available."""
         self.down = False
         self.recovered_at = 0.0
         self.commits = 0
@@ -68,18 +68,18 @@
         self._now = 0.0
 
     def begin_turn(self, now: float) -> None:
-        """Allow a new turn's commits, and another try of a table that gave no answer."""
+        """Reset the commit budget, and allow a retry if the table is down and the pause is over."""
         self._now = now
         self._commits_left = self.budget
         if self.down and now >= self._retry_at:
             self.down = False
 
     def may_commit(self) -> bool:
-        """Tell whether this turn may commit once more."""
+        """Return whether this turn may make another commit."""
         return not self.down and self._commits_left > 0
 
     def may_commit_reports(self) -> bool:
-        """Tell whether this turn may commit reports once more; half is kept for placing."""
+        """Return whether this turn may commit more reports; half the budget is for placement."""
         return not self.down and self._commits_left > self.budget // 2
 
     def count_commit(self) -> None:
@@ -88,25 +88,25 @@
         self._commits_left -= 1
 
     def record_failure(self) -> None:
-        """Note that the table gave no answer; the pauses between tries grow to a second."""
+        """Record that the table did not answer; the pause before a retry grows up to a second."""
         self.down = True
         self._failures += 1
         pause = min(MAX_RETRY_PAUSE_S, MIN_RETRY_PAUSE_S * 2 ** min(self._failures, 8))
         self._retry_at = self._now + pause
 
     def record_success(self, now: float) -> None:
-        """Note that the table answered."""
+        """Record that the table answered."""
         if self._failures >= FAILURES_UNTIL_OUTAGE:
             self.recovered_at = now
         self._failures = 0
 
 
 def split_changes(changes: Sequence[Change]) -> Iterator[list[Change]]:
-    """Yield the changes in groups that fit one transaction beside the cell's row."""
+    """Yield the changes in groups that fit into one transaction with the cell's row."""
     group: list[Change] = []
     rows = 0
     for change in changes:
-        if group and rows + len(change.writes) > ROWS_BESIDE_CELL:
+        if group and rows + len(change.writes) > MAX_ROWS_BESIDE_CELL:
             yield group
             group, rows = [], 0
         group.append(change)
@@ -124,9 +124,9 @@
     unproven: tuple[tuple[ControllerId, int], ...] | None = None,
 ) -> Decision[bool]:
     """
-    Commit all changes of one group with the cell's row; tell whether that surely happened.
+    Commit a group of changes with the cell's row; return whether that is known to have succeeded.
 
-    ``workers`` are merged into the row, None takes one out.
+    ``workers`` are merged into the row; None removes a worker.
     """
     if cell.stale or not health.may_commit():
         return False
@@ -151,8 +151,8 @@
         case Result(tag="error", error=Unavailable()):
             health.record_failure()
         case Result(tag="error", error=Unknown()):
-            # The write may have taken effect or may still do so: nothing is decided on the old
-            # row before it was read back, and a late effect makes our next write conflict.
+            # The write may have taken effect or may still do so.  No decision is based on the row
+            # until it has been read back, and a late effect makes our next write conflict.
             cell.stale = True
             health.record_failure()
     return False
@@ -183,13 +183,13 @@
 def _merge_workers(
     before: Mapping[str, WorkerRow], changed: Mapping[str, WorkerRow | None]
 ) -> dict[str, WorkerRow]:
-    """Return the workers after changes; None takes a worker out."""
+    """Return the workers after merging changes; None removes a worker."""
     merged = {**before, **changed}
     return {name: worker for name, worker in merged.items() if worker is not None}
 
 
 def _update_memory(cell: Cell, change: Change, version: int, now: float) -> None:
-    """Bring what is held in memory in line with a committed change."""
+    """Update the cell in memory after a committed change."""
     if change.queued is not None:
         cell.queue.put(change.queued, version, now)
     else:
@@ -214,7 +214,7 @@
 
 
 def _handle_conflict(cell: Cell, rows: Sequence[Row], now: float) -> None:
-    """Take in the rows that were not as expected."""
+    """Update the cell from the rows that were not at the expected version."""
     for row in rows:
         if row.key == cell.key:
             cell.stale = True
@@ -232,7 +232,7 @@
 
 
 def _handle_job_conflict(cell: Cell, task: str, row: Row) -> None:
-    """Let go of a task whose job another writer has already brought to its one outcome."""
+    """Mark a task as closed if another writer has already ended its job."""
     state = JobState.CANCELLED if row.version == ABSENT else decode(row.value, JobRow).state
     if state is not JobState.ACCEPTED:
         cell.closed.add(task)
