--- a/toucanpin/entry/waves.py
+++ b/toucanpin/entry/waves.py
@@ -33,15 +33,15 @@
 from toucanpin.scheduling.upkeep import (
     Machine,
     MachineState,
-    Order,
+    UpkeepOrder,
     Wave,
     WaveRecord,
-    empty_worker,
+    drain_worker,
+    end_drains,
     find_returned,
-    is_over,
-    list_missing,
-    list_next,
-    reopen_workers,
+    is_completed,
+    list_missing_machines,
+    list_next_workers,
 )
 from toucanpin.scheduling.worker import Worker
 
@@ -81,7 +81,7 @@
         self._seen: dict[str, float] = {}
         self._listed_at = 0.0
         self._ordering: set[str] = set()
-        self._orders: dict[int, dict[str, Order]] = {}
+        self._orders: dict[int, dict[str, UpkeepOrder]] = {}
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def run(self) -> None:
@@ -104,7 +104,7 @@
         waves = [wave for _, wave in self._entries.read(page.rows, _decode_wave)]
         open_waves = [wave for wave in waves if not await self._is_completed(wave)]
         if not open_waves:
-            reopen_workers(self._cell.workers.values(), ())
+            end_drains(self._cell.workers.values(), ())
             return False
         if steady_time() < self._quiet_until:
             return True
@@ -113,13 +113,13 @@
         for wave in open_waves:
             emptied += await self._advance(wave)
             emptied += self._list_ordered(wave)
-        reopen_workers(self._cell.workers.values(), emptied)
+        end_drains(self._cell.workers.values(), emptied)
         return True
 
     async def _is_completed(self, wave: Wave) -> bool:
         """Tell whether a wave is over; one that is new, or names more now, is said to be active."""
         record, version = self._records.get(wave.number) or await self._read(wave)
-        if record.completed and not is_over(wave, record):
+        if record.completed and not is_completed(wave, record):
             again = WaveRecord(self._clocks.now().table, {}, record.done)
             await self._write(wave, again, version, (_put_status(wave, False),))
             return False
@@ -178,7 +178,7 @@
             await self._write(wave, WaveRecord(record.begun, down, record.done + through), version)
             _log.info("upkeep over", event="upkeep.done", wave=wave.number, machines=through)
             return self._list_closed()
-        if is_over(wave, record):
+        if is_completed(wave, record):
             over = WaveRecord(record.begun, {}, record.done, True)
             await self._write(wave, over, version, (_put_status(wave, True),))
             _log.info("wave completed", event="wave.completed", wave=wave.number)
@@ -213,7 +213,7 @@
         Only the answer to an order tells whether a machine is there.  Counted as through because
         lists lacked it, one that runs on would be left out of a wave that is said to be completed.
         """
-        missing = list_missing(
+        missing = list_missing_machines(
             self._cell, wave, record, self._machines, self._seen, self._listed_at
         )
         for name in missing:
@@ -232,8 +232,8 @@
     async def _empty(self, wave: Wave, record: WaveRecord, version: int) -> list[Worker]:
         now = self._clocks.now()
         upkeep = self._bounds.upkeep
-        chosen = list_next(self._cell, wave, record, self._machines, upkeep, now)
-        ready = [worker for worker in chosen if empty_worker(self._cell, worker, now)]
+        chosen = list_next_workers(self._cell, wave, record, self._machines, upkeep, now)
+        ready = [worker for worker in chosen if drain_worker(self._cell, worker, now)]
         if not ready:
             return chosen
         names = {machine.worker: name for name, machine in self._machines.items()}
@@ -257,7 +257,7 @@
 
     async def _send(self, wave: Wave, name: str) -> None:
         """Order one machine's upkeep, once; a later turn repeats it if it is still the same."""
-        order = self._orders.setdefault(wave.number, {}).setdefault(name, Order())
+        order = self._orders.setdefault(wave.number, {}).setdefault(name, UpkeepOrder())
         try:
             if steady_time() > self._cell.confirmed_at + FRESH:
                 return
--- a/toucanpin/scheduling/tests/test_old_views.py
+++ b/toucanpin/scheduling/tests/test_old_views.py
@@ -11,7 +11,7 @@
 from toucanpin.scheduling.pacing import control_pace
 from toucanpin.scheduling.progress import JobState
 from toucanpin.scheduling.tests.fleet import Fleet, make_job
-from toucanpin.scheduling.upkeep import empty_worker
+from toucanpin.scheduling.upkeep import drain_worker
 from toucanpin.scheduling.worker import Phase
 
 
@@ -96,13 +96,13 @@
         for run in fleet.cell.runs["s"]:
             run.percent = 100
         fleet.workers["w0"].silent = True
-        empty_worker(fleet.cell, fleet.cell.workers["w1"], fleet.now())
+        drain_worker(fleet.cell, fleet.cell.workers["w1"], fleet.now())
         self.assertEqual(["w1"], [order.worker for order in fleet.cell.orders])
         fleet.cell.orders.clear()
         for run in fleet.cell.runs["s"]:
             run.phase = Phase.RUNNING
         fleet.time += 3.0
-        empty_worker(fleet.cell, fleet.cell.workers["w1"], fleet.now())
+        drain_worker(fleet.cell, fleet.cell.workers["w1"], fleet.now())
         self.assertEqual([], fleet.cell.orders)
 
 
--- a/toucanpin/scheduling/tests/test_upkeep.py
+++ b/toucanpin/scheduling/tests/test_upkeep.py
@@ -10,14 +10,14 @@
 from toucanpin.scheduling.upkeep import (
     Machine,
     MachineState,
-    Order,
+    UpkeepOrder,
     Wave,
     WaveRecord,
-    empty_worker,
+    drain_worker,
     find_returned,
-    is_over,
-    list_missing,
-    list_next,
+    is_completed,
+    list_missing_machines,
+    list_next_workers,
 )
 
 UP = MachineState.UP
@@ -34,11 +34,13 @@
         self.record = WaveRecord(begun, {}, [])
 
     def _next(self, wave: Wave) -> list[str]:
-        chosen = list_next(self.fleet.cell, wave, self.record, self.machines, 2.0, self.fleet.now())
+        chosen = list_next_workers(
+            self.fleet.cell, wave, self.record, self.machines, 2.0, self.fleet.now()
+        )
         return [worker.entry.id for worker in chosen]
 
     def _empty(self, name: str) -> bool:
-        return empty_worker(self.fleet.cell, self.fleet.cell.workers[name], self.fleet.now())
+        return drain_worker(self.fleet.cell, self.fleet.cell.workers[name], self.fleet.now())
 
     def test_as_few_go_at_a_time_as_the_end_allows(self) -> None:
         names = ("m0", "m1", "m2", "m3")
@@ -92,7 +94,7 @@
 
     def test_only_an_acknowledged_order_shows_that_a_machine_was_through(self) -> None:
         self.record.down = {"m0": "before", "m1": "before", "m2": "w2", "m3": "w3", "m9": "x"}
-        orders = {"m0": Order(5.0), "m1": Order(), "m2": Order(5.0)}
+        orders = {"m0": UpkeepOrder(5.0), "m1": UpkeepOrder(), "m2": UpkeepOrder(5.0)}
         through, anew = find_returned(self.fleet.cell, self.record, self.machines, orders, 5.2, 2.0)
         self.assertEqual((["m0"], ["m1", "m3"]), (through, anew))
         through, _ = find_returned(self.fleet.cell, self.record, self.machines, orders, 6.0, 2.0)
@@ -112,7 +114,7 @@
 
     def test_a_machine_that_no_list_holds_was_through_only_if_its_upkeep_began(self) -> None:
         self.record.down = {"m8": "x", "m9": "x"}
-        orders = {"m8": Order(5.0), "m9": Order()}
+        orders = {"m8": UpkeepOrder(5.0), "m9": UpkeepOrder()}
         self.assertEqual(
             ([], []), find_returned(self.fleet.cell, self.record, self.machines, orders, 8.0, 2.0)
         )
@@ -130,7 +132,9 @@
         seen: dict[str, float] = {}
 
         def list_at(at: float) -> list[str]:
-            return list_missing(self.fleet.cell, wave, self.record, self.machines, seen, at)
+            return list_missing_machines(
+                self.fleet.cell, wave, self.record, self.machines, seen, at
+            )
 
         self.assertEqual([], list_at(10.0))
         self.assertEqual([], list_at(11.5))
@@ -141,9 +145,9 @@
     def test_a_wave_is_over_when_all_are_through(self) -> None:
         wave = Wave(1, ("m0", "m1"), 60.0, 1)
         self.record.done = ["m0"]
-        self.assertFalse(is_over(wave, self.record))
+        self.assertFalse(is_completed(wave, self.record))
         self.record.done = ["m0", "m1"]
-        self.assertTrue(is_over(wave, self.record))
+        self.assertTrue(is_completed(wave, self.record))
 
 
 if __name__ == "__main__":
--- a/toucanpin/scheduling/upkeep.py
+++ b/toucanpin/scheduling/upkeep.py
@@ -21,22 +21,24 @@
 __all__ = [
     "Machine",
     "MachineState",
-    "Order",
+    "UpkeepOrder",
     "Wave",
     "WaveRecord",
-    "empty_worker",
+    "drain_worker",
     "find_returned",
-    "is_over",
-    "list_missing",
-    "list_next",
-    "reopen_workers",
+    "is_completed",
+    "list_missing_machines",
+    "list_next_workers",
+    "end_drains",
 ]
 
-PACE = 0.65  # of a wave's time after which all machines should have been through their upkeep
-OVERHEAD = 1.5  # s that a machine takes besides its upkeep: emptying, the call, the next list
-SETTLED = 0.5  # s after an order until a list of machines surely shows it
-MISSING = 2.0  # s for which no list holds a machine until it is asked for by an order
-PATIENCE = 2.5  # s that a worker is kept from new tasks while those that can't resume run on
+PLANNED_TIME_SHARE = (
+    0.65  # of a wave's time after which all machines should have been through their upkeep
+)
+OVERHEAD_S = 1.5  # s that a machine takes besides its upkeep: emptying, the call, the next list
+LIST_DELAY_S = 0.5  # s after an order until a list of machines surely shows it
+MISSING_AFTER_S = 2.0  # s for which no list holds a machine until it is asked for by an order
+DRAIN_GRACE_S = 2.5  # s that a worker is kept from new tasks while those that can't resume run on
 
 
 class MachineState(enum.Enum):
@@ -69,7 +71,7 @@
 
 
 @dataclass(slots=True)
-class Order:
+class UpkeepOrder:
     """Follow an order of this owner; ``acknowledged`` is the local time, 0 if it wasn't."""
 
     acknowledged: float = 0.0
@@ -89,7 +91,7 @@
     completed: bool = False
 
 
-def is_over(wave: Wave, record: WaveRecord) -> bool:
+def is_completed(wave: Wave, record: WaveRecord) -> bool:
     """Tell whether every machine of a wave has been through its upkeep."""
     return set(wave.machines) <= set(record.done)
 
@@ -98,7 +100,7 @@
     cell: Cell,
     record: WaveRecord,
     machines: dict[str, Machine],
-    orders: dict[str, Order],
+    orders: dict[str, UpkeepOrder],
     listed: float,
     upkeep: float,
 ) -> tuple[list[str], list[str]]:
@@ -118,7 +120,7 @@
         order = orders.get(name)
         if machine is None:
             begun = order.acknowledged if order is not None else 0.0
-            if begun and listed > begun + upkeep + OVERHEAD:
+            if begun and listed > begun + upkeep + OVERHEAD_S:
                 through.append(name)
         elif machine.state is not MachineState.UP or not machine.worker:
             continue
@@ -128,13 +130,13 @@
                 anew.append(name)
         elif machine.worker != worker:
             (through if order.acknowledged else anew).append(name)
-        elif order.acknowledged and listed > order.acknowledged + SETTLED:
+        elif order.acknowledged and listed > order.acknowledged + LIST_DELAY_S:
             # An order for what is already done is acknowledged, too, and changes nothing.
             through.append(name)
     return through, anew
 
 
-def list_missing(
+def list_missing_machines(
     cell: Cell,
     wave: Wave,
     record: WaveRecord,
@@ -155,11 +157,11 @@
         if name not in machines
         and name not in record.done
         and name not in alive
-        and listed >= seen.setdefault(name, listed) + MISSING
+        and listed >= seen.setdefault(name, listed) + MISSING_AFTER_S
     ]
 
 
-def list_next(
+def list_next_workers(
     cell: Cell,
     wave: Wave,
     record: WaveRecord,
@@ -174,8 +176,8 @@
     away leaves its tasks to the others.
     """
     waiting = [name for name in wave.machines if name not in record.done]
-    left = wave.seconds * PACE - (now.table - record.begun) / 1_000
-    rounds = max(1.0, left / (upkeep + OVERHEAD))
+    left = wave.seconds * PLANNED_TIME_SHARE - (now.table - record.begun) / 1_000
+    rounds = max(1.0, left / (upkeep + OVERHEAD_S))
     free = min(wave.cap, math.ceil(len(waiting) / rounds)) - len(record.down)
     closing = {worker.entry.id for worker in cell.workers.values() if worker.closing_since}
     candidates: list[Worker] = []
@@ -188,22 +190,22 @@
         if worker is None or not worker.reached:
             continue
         (chosen if worker.entry.id in closing else candidates).append(worker)
-    candidates.sort(key=lambda worker: _weigh(worker, now))
+    candidates.sort(key=lambda worker: _estimate_loss(worker, now))
     return (chosen + candidates)[: max(0, free)]
 
 
-def empty_worker(cell: Cell, worker: Worker, now: Now) -> bool:
+def drain_worker(cell: Cell, worker: Worker, now: Now) -> bool:
     """Have a worker's tasks leave it; return whether nothing is left to lose there."""
     if not worker.closing_since:
         worker.closing_since = now.steady
-    patient = now.steady < worker.closing_since + PATIENCE
+    patient = now.steady < worker.closing_since + DRAIN_GRACE_S
     for run in list(worker.runs.values()):
-        if _may_leave(cell, run, patient, now):
+        if _may_be_stopped(cell, run, patient, now):
             stop_run(cell, run, "upkeep")
     return not worker.runs and worker.seen == worker.acknowledged
 
 
-def reopen_workers(workers: Iterable[Worker], chosen: Iterable[Worker]) -> None:
+def end_drains(workers: Iterable[Worker], chosen: Iterable[Worker]) -> None:
     """Let workers take tasks again that are not to be emptied any more."""
     kept = {worker.entry.id for worker in chosen}
     for worker in workers:
@@ -211,7 +213,7 @@
             worker.closing_since = 0.0
 
 
-def _may_leave(cell: Cell, run: Run, patient: bool, now: Now) -> bool:
+def _may_be_stopped(cell: Cell, run: Run, patient: bool, now: Now) -> bool:
     if run.phase is not Phase.RUNNING:
         return run.phase is Phase.PLACED
     if run.step.lasting:
@@ -220,7 +222,7 @@
     return run.step.checkpoints or not patient
 
 
-def _weigh(worker: Worker, now: Now) -> float:
+def _estimate_loss(worker: Worker, now: Now) -> float:
     """Return what emptying a worker would lose, in core-seconds."""
     lost = 0.0
     for run in worker.runs.values():
