--- a/toucanpin/entry/cell_workers.py
+++ b/toucanpin/entry/cell_workers.py
@@ -33,7 +33,7 @@
 from toucanpin.scheduling.job import format_task
 from toucanpin.scheduling.learning import learn_effects
 from toucanpin.scheduling.orders import EndedRun, PaceOrder, RefusalReason, StopOrder, WorkerEntry
-from toucanpin.scheduling.shedding import ANSWERED, Delay, Fastest
+from toucanpin.scheduling.shedding import START_ANSWER_TIME_S, MinAnswerTime, ProcessDelay
 from toucanpin.scheduling.starting import (
     StartOutcome,
     apply_start_answer,
@@ -62,7 +62,7 @@
         cell: Cell,
         sharing: InterferenceModel,
         clocks: Clocks,
-        delay: Delay,
+        delay: ProcessDelay,
         spawn: Callable[[Coroutine], None],
         changed: Callable[[], None],
     ) -> None:
@@ -76,13 +76,13 @@
         self._answers = AnswerTimes()
         self._written = asyncio.Event()
         self._loaded = asyncio.Event()
-        self._fastest = Fastest()
+        self._fastest = MinAnswerTime()
         self._sent: dict[int, float] = {}  # when starts without an answer were sent
 
     def count_starting(self) -> int:
         """Return how many starts are on their way that an answer may still be read for."""
         now = steady_time()
-        oldest = now - ANSWERED - self._delay.read(now)
+        oldest = now - START_ANSWER_TIME_S - self._delay.read(now)
         return sum(sent_at > oldest for sent_at in self._sent.values())
 
     def note_loaded(self) -> None:
--- a/toucanpin/entry/owner.py
+++ b/toucanpin/entry/owner.py
@@ -56,7 +56,7 @@
 from toucanpin.scheduling.pacing import control_pace
 from toucanpin.scheduling.placing import place_tasks
 from toucanpin.scheduling.settings import HostSettings
-from toucanpin.scheduling.shedding import Backlog, Delay, Share
+from toucanpin.scheduling.shedding import ProcessDelay, StartBacklog, TimeShare
 
 __all__ = ["Owner"]
 
@@ -122,7 +122,7 @@
             settings.bounds.keep_ended,
             self._after_change,
         )
-        self._delay = Delay()
+        self._delay = ProcessDelay()
         self._workers = CellWorkers(
             self._cell, self._sharing, clocks, self._delay, self._spawn, self._after_change
         )
@@ -132,8 +132,8 @@
             self._waves = Waves(store, calls, self._cell, clocks, settings.bounds, first)
         self._tasks: set[asyncio.Task] = set()
         self._wake = asyncio.Event()
-        self._placing = Share(PLACING_SHARE)
-        self._backlog = Backlog()
+        self._placing = TimeShare(PLACING_SHARE)
+        self._backlog = StartBacklog()
         self._deposed: asyncio.Future[None] | None = None
         self._resigning = False
 
--- a/toucanpin/entry/periodic.py
+++ b/toucanpin/entry/periodic.py
@@ -13,7 +13,7 @@
 
 from toucanpin.entry.clocks import steady_time
 from toucanpin.scheduling.cell import Now
-from toucanpin.scheduling.shedding import Share
+from toucanpin.scheduling.shedding import TimeShare
 
 __all__ = ["Periodic"]
 
@@ -35,7 +35,7 @@
     def __init__(self, decide: Callable[[Now], object], period: float) -> None:
         self._decide = decide
         self._period = period
-        self._share = Share(SHARE)
+        self._share = TimeShare(SHARE)
         self._next = 0.0
 
     def make(self, now: Now) -> None:
--- a/toucanpin/entry/requests.py
+++ b/toucanpin/entry/requests.py
@@ -36,7 +36,7 @@
 from toucanpin.scheduling.configuration import Queue
 from toucanpin.scheduling.job import encode_job, find_job_fault
 from toucanpin.scheduling.progress import JobState, decode_progress
-from toucanpin.scheduling.shedding import is_hopeless
+from toucanpin.scheduling.shedding import would_exceed_time_limit
 
 __all__ = ["Requests"]
 
@@ -160,7 +160,7 @@
         if fault:
             _log.info("job refused", event="job.malformed", job=identifier, reason=fault)
             return Response(400, msgspec.json.encode({"error": fault}))
-        if is_hopeless(job, self._read_backlog(queue.service)):
+        if would_exceed_time_limit(job, self._read_backlog(queue.service)):
             return await self._turn_away(queue, identifier, deadline)
         put = Put(JOBS, identifier, encode_job(job))
         written = await self._write(job_part(queue.service, identifier), put, deadline)
--- a/toucanpin/entry/tests/test_cell_workers.py
+++ b/toucanpin/entry/tests/test_cell_workers.py
@@ -13,7 +13,7 @@
 from toucanpin.scheduling.cell import Cell
 from toucanpin.scheduling.interference_model import InterferenceModel
 from toucanpin.scheduling.orders import WorkerEntry
-from toucanpin.scheduling.shedding import Delay
+from toucanpin.scheduling.shedding import ProcessDelay
 from toucanpin.scheduling.worker import Worker
 from toucanpin.verdict import Verdict
 
@@ -27,7 +27,12 @@
         site = Site()
         clocks = Clocks(Store(site.store))  # type: ignore[arg-type]
         workers = CellWorkers(
-            Cell("c", 1, 0.0, 0.0), InterferenceModel(), clocks, Delay(), lambda _: None, _nothing
+            Cell("c", 1, 0.0, 0.0),
+            InterferenceModel(),
+            clocks,
+            ProcessDelay(),
+            lambda _: None,
+            _nothing,
         )
         worker = Worker(WorkerEntry("w", "c", "127.0.0.1:1", "dc", True, 1, 1, 0))
         worker.seen = 1
@@ -70,7 +75,9 @@
         """
         clocks = Clocks(Store(Site().store))  # type: ignore[arg-type]
         cell = Cell("c", 1, 0.0, 0.0)
-        workers = CellWorkers(cell, InterferenceModel(), clocks, Delay(), lambda _: None, _nothing)
+        workers = CellWorkers(
+            cell, InterferenceModel(), clocks, ProcessDelay(), lambda _: None, _nothing
+        )
         worker = Worker(WorkerEntry("w", "c", "127.0.0.1:1", "dc", True, 1, 1, 0))
         cell.workers["w"] = worker
         calls = _MuteCalls()
--- a/toucanpin/scheduling/shedding.py
+++ b/toucanpin/scheduling/shedding.py
@@ -27,23 +27,33 @@
 from toucanpin.scheduling.cell import compute_time_limit
 from toucanpin.scheduling.job import Job
 
-__all__ = ["ANSWERED", "MOST_STARTS", "Backlog", "Delay", "Fastest", "Share", "is_hopeless"]
-
-MOST_STARTS = 256  # on their way at a time; a start takes a few ms
+__all__ = [
+    "START_ANSWER_TIME_S",
+    "MAX_PENDING_STARTS",
+    "StartBacklog",
+    "ProcessDelay",
+    "MinAnswerTime",
+    "TimeShare",
+    "would_exceed_time_limit",
+]
+
+MAX_PENDING_STARTS = 256  # on their way at a time; a start takes a few ms
 # A start that isn't answered by then, and by the process's own delay, isn't held up here.
-ANSWERED = 0.1  # s
-HALVED = 1.0  # s in which what is known of a delay counts half
-SLIGHT = 0.02  # s of delay that any process has
-PAUSE = 2.0  # times the delay between two questions to a worker
-LONGEST_PAUSE = 1.0  # s, a fraction of a lease
-COMPARED = 16  # answers whose quickest counts
-BEHIND = 0.1  # s of delay from which on an owner itself holds up what waits
-BEHIND_FOR = 2.0  # s of it until jobs are refused
-IN_TIME_FOR = 4.0  # s without it until all are taken in again: delays come and go with each turn
-RATE_MEMORY = 3.0  # s over which starts are counted
-
-
-class Share:
+START_ANSWER_TIME_S = 0.1  # s
+DELAY_HALF_LIFE_S = 1.0  # s in which what is known of a delay counts half
+NEGLIGIBLE_DELAY_S = 0.02  # s of delay that any process has
+PAUSE_FACTOR = 2.0  # times the delay between two questions to a worker
+MAX_PAUSE_S = 1.0  # s, a fraction of a lease
+LATENCY_WINDOW = 16  # answers whose quickest counts
+OVERLOAD_DELAY_S = 0.1  # s of delay from which on an owner itself holds up what waits
+OVERLOAD_ONSET_S = 2.0  # s of it until jobs are refused
+OVERLOAD_RECOVERY_S = (
+    4.0  # s without it until all are taken in again: delays come and go with each turn
+)
+RATE_TIME_CONSTANT_S = 3.0  # s over which starts are counted
+
+
+class TimeShare:
     """Give a kind of decision a share of the time: after each of them it rests."""
 
     __slots__ = ("_next", "_rest")
@@ -61,7 +71,7 @@
         self._next = ended + (ended - begun) * self._rest
 
 
-class Delay:
+class ProcessDelay:
     """Follow how late this process comes to what is due."""
 
     __slots__ = ("_latest", "_noted_at")
@@ -77,19 +87,22 @@
 
     def read(self, now: float) -> float:
         """Return the longest delay of late, in seconds."""
-        return self._latest * 0.5 ** (max(0.0, now - self._noted_at) / HALVED)
+        return self._latest * 0.5 ** (max(0.0, now - self._noted_at) / DELAY_HALF_LIFE_S)
 
     def limit_starts(self, now: float) -> int:
         """Return how many starts may be on their way; fewer if their answers are read late."""
-        return int(MOST_STARTS * min(1.0, ANSWERED / max(ANSWERED, self.read(now))))
+        return int(
+            MAX_PENDING_STARTS
+            * min(1.0, START_ANSWER_TIME_S / max(START_ANSWER_TIME_S, self.read(now)))
+        )
 
     def plan_pause(self, now: float) -> float:
         """Return the seconds to leave between a worker's answer and the next question to it."""
         delay = self.read(now)
-        return 0.0 if delay < SLIGHT else min(LONGEST_PAUSE, PAUSE * delay)
+        return 0.0 if delay < NEGLIGIBLE_DELAY_S else min(MAX_PAUSE_S, PAUSE_FACTOR * delay)
 
 
-class Fastest:
+class MinAnswerTime:
     """
     Tell how late answers come for a reason of this host's own: its link is full, or it is slow.
 
@@ -100,15 +113,15 @@
     __slots__ = ("_times",)
 
     def __init__(self) -> None:
-        self._times: deque[float] = deque(maxlen=COMPARED)
+        self._times: deque[float] = deque(maxlen=LATENCY_WINDOW)
 
     def note(self, took: float) -> float:
         """Take note of what an answer took, and return what the quickest of the last ones took."""
         self._times.append(took)
-        return min(self._times) if len(self._times) == COMPARED else 0.0
+        return min(self._times) if len(self._times) == LATENCY_WINDOW else 0.0
 
 
-class Backlog:
+class StartBacklog:
     """Follow how long what waits will wait for an owner that can't start more tasks a second."""
 
     __slots__ = ("_behind_at", "_behind_since", "_counted_at", "_recent")
@@ -131,16 +144,16 @@
         ``waiting`` counts the tasks of each priority.  What waits for workers while the owner has
         time to spare says nothing: room may come at any moment.
         """
-        if delay >= BEHIND:
+        if delay >= OVERLOAD_DELAY_S:
             self._behind_at = now
             if self._behind_since is None:
                 self._behind_since = now
-        elif now > self._behind_at + IN_TIME_FOR:
+        elif now > self._behind_at + OVERLOAD_RECOVERY_S:
             self._behind_since = None
         if self._behind_since is None:
             return {}
-        rate = self._fade(now) / RATE_MEMORY
-        if now < self._behind_since + BEHIND_FOR or rate <= 0:
+        rate = self._fade(now) / RATE_TIME_CONSTANT_S
+        if now < self._behind_since + OVERLOAD_ONSET_S or rate <= 0:
             return {}
         before = 0
         found = {}
@@ -150,10 +163,10 @@
         return found
 
     def _fade(self, now: float) -> float:
-        return self._recent * math.exp(-max(0.0, now - self._counted_at) / RATE_MEMORY)
+        return self._recent * math.exp(-max(0.0, now - self._counted_at) / RATE_TIME_CONSTANT_S)
 
 
-def is_hopeless(job: Job, backlog: Mapping[int, int]) -> bool:
+def would_exceed_time_limit(job: Job, backlog: Mapping[int, int]) -> bool:
     """Tell whether a job couldn't be in time, since its owner is that far behind with starts."""
     if job.repeats or any(step.lasting for step in job.steps):
         return False
--- a/toucanpin/scheduling/tests/test_shedding.py
+++ b/toucanpin/scheduling/tests/test_shedding.py
@@ -7,13 +7,13 @@
 from toucanpin.scheduling.job import Step
 from toucanpin.scheduling.placing import place_tasks
 from toucanpin.scheduling.shedding import (
-    LONGEST_PAUSE,
-    MOST_STARTS,
-    Backlog,
-    Delay,
-    Fastest,
-    Share,
-    is_hopeless,
+    MAX_PAUSE_S,
+    MAX_PENDING_STARTS,
+    MinAnswerTime,
+    ProcessDelay,
+    StartBacklog,
+    TimeShare,
+    would_exceed_time_limit,
 )
 from toucanpin.scheduling.tests.fleet import Fleet, make_job
 
@@ -21,7 +21,7 @@
 class ShareTest(unittest.TestCase):
     def test_a_decision_rests_for_longer_than_it_took(self) -> None:
         """Guards against decisions that take all of a slow host's time, one after the other."""
-        share = Share(0.25)
+        share = TimeShare(0.25)
         self.assertEqual(0.0, share.left(10.0))
         share.note(10.0, 10.5)
         self.assertAlmostEqual(1.5, share.left(10.5))
@@ -30,7 +30,7 @@
 
     def test_a_quick_host_hardly_rests(self) -> None:
         """Guards against rests that hold up a host which has time to spare."""
-        share = Share(0.25)
+        share = TimeShare(0.25)
         share.note(10.0, 10.002)
         self.assertLess(share.left(10.002), 0.01)
 
@@ -38,24 +38,24 @@
 class DelayTest(unittest.TestCase):
     def test_a_process_in_time_asks_at_once(self) -> None:
         """Guards against ends that are heard late by a host that has time to spare."""
-        delay = Delay()
+        delay = ProcessDelay()
         delay.note(0.005, 10.0)
         self.assertEqual(0.0, delay.plan_pause(10.0))
-        self.assertEqual(MOST_STARTS, delay.limit_starts(10.0))
+        self.assertEqual(MAX_PENDING_STARTS, delay.limit_starts(10.0))
 
     def test_the_later_a_process_is_the_less_it_asks_and_starts(self) -> None:
         """Guards against questions and starts whose answers can't be read in time."""
-        delay = Delay()
+        delay = ProcessDelay()
         delay.note(0.2, 10.0)
         self.assertAlmostEqual(0.4, delay.plan_pause(10.0))
-        self.assertEqual(MOST_STARTS // 2, delay.limit_starts(10.0))
+        self.assertEqual(MAX_PENDING_STARTS // 2, delay.limit_starts(10.0))
         delay.note(5.0, 10.0)
-        self.assertEqual(LONGEST_PAUSE, delay.plan_pause(10.0))
+        self.assertEqual(MAX_PAUSE_S, delay.plan_pause(10.0))
         self.assertGreater(delay.limit_starts(10.0), 0)
 
     def test_a_delay_is_forgotten(self) -> None:
         """Guards against an owner that stays slow after a single pause."""
-        delay = Delay()
+        delay = ProcessDelay()
         delay.note(1.0, 10.0)
         delay.note(0.0, 11.0)
         self.assertAlmostEqual(0.5, delay.read(11.0))
@@ -91,13 +91,13 @@
 class FastestTest(unittest.TestCase):
     def test_slow_workers_do_not_pass_for_a_slow_host(self) -> None:
         """Guards against an owner that starts less since some of its workers are slow."""
-        fastest = Fastest()
+        fastest = MinAnswerTime()
         found = [fastest.note(0.4 if number % 4 else 0.003) for number in range(40)]
         self.assertLess(max(found), 0.01)
 
     def test_a_full_link_shows_in_every_answer(self) -> None:
         """Guards against an owner with time to spare that fills its link with starts."""
-        fastest = Fastest()
+        fastest = MinAnswerTime()
         found = [fastest.note(0.3 + number % 4 / 10) for number in range(40)]
         self.assertEqual(0.0, found[0])
         self.assertAlmostEqual(0.3, found[-1])
@@ -105,7 +105,7 @@
 
 class BacklogTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.backlog = Backlog()
+        self.backlog = StartBacklog()
         for turn in range(100):
             self.backlog.note_starts(10, turn * 0.1)
 
@@ -136,11 +136,11 @@
         backlog = {0: 500, 2: 9_000}
         brief = Step(cpu=1_000, estimate=1_000)
         patient = make_job(steps=(brief,), priority=2, aim=1_000, stretch=2.0)
-        self.assertTrue(is_hopeless(patient, backlog))
+        self.assertTrue(would_exceed_time_limit(patient, backlog))
         long = make_job(steps=(Step(cpu=1_000, estimate=5_000),), priority=2, stretch=2.0)
-        self.assertFalse(is_hopeless(long, backlog))
-        self.assertFalse(is_hopeless(make_job(steps=(brief,)), backlog))
+        self.assertFalse(would_exceed_time_limit(long, backlog))
+        self.assertFalse(would_exceed_time_limit(make_job(steps=(brief,)), backlog))
         lasting = make_job(steps=(Step(cpu=1_000, lasting=True),), priority=2)
-        self.assertFalse(is_hopeless(lasting, backlog))
+        self.assertFalse(would_exceed_time_limit(lasting, backlog))
         timed = make_job(steps=(brief,), priority=2, repeats=2)
-        self.assertFalse(is_hopeless(timed, backlog))
+        self.assertFalse(would_exceed_time_limit(timed, backlog))
