--- a/toucanpin/entry/contender.py
+++ b/toucanpin/entry/contender.py
@@ -27,15 +27,15 @@
 from toucanpin.platform.store import Committed, ExpectedVersion, Put, Row, Store
 from toucanpin.scheduling.evacuating import Evacuated
 from toucanpin.scheduling.ownership import (
-    YIELD_AFTER,
-    YIELD_AGAIN,
+    MIN_HANDOVER_INTERVAL_S,
+    MIN_TENURE_S,
     OwnerRecord,
-    Watch,
+    OwnerWatch,
     decode_owner,
     encode_owner,
-    observe,
-    plan_look,
-    plan_take,
+    plan_next_read,
+    plan_takeover,
+    record_read,
 )
 from toucanpin.scheduling.settings import HostSettings
 
@@ -73,10 +73,10 @@
         self._guarded = guarded
         self._evacuated = evacuated
         self._peers = peers
-        self._yielded_at = -YIELD_AGAIN
+        self._yielded_at = -MIN_HANDOVER_INTERVAL_S
         self._entries = EntryReader()
         self._owner: Owner | None = None
-        self._watch = Watch()
+        self._watch = OwnerWatch()
         self._leaving = False
         self._resigned = asyncio.Event()
         digest = xxhash.xxh32_intdigest(f"{cell}/{settings.name}/{life}".encode())
@@ -113,8 +113,8 @@
                 if delay is not None and not self._leaving:
                     await asyncio.sleep(delay)
                     await self._take(watch)
-                    self._watch = Watch()
-                pause = plan_look(self._watch, self._peers.find_place(self._cell))
+                    self._watch = OwnerWatch()
+                pause = plan_next_read(self._watch, self._peers.find_place(self._cell))
             except (CallError, PlatformError) as error:
                 _log.warning("owner not read", event="owner.unread", reason=error)
             try:
@@ -145,15 +145,15 @@
         if self._owner is not None:
             self._owner.resign()
 
-    async def _look(self, watch: Watch) -> float | None:
+    async def _look(self, watch: OwnerWatch) -> float | None:
         begun = steady_time()
         page = await self._store.read(OWNERS, self._cell, OWNER_KEY, OWNER_KEY + "\0")
         now = steady_time()
         row = page.rows[0] if page.rows else None
         record = _read_owner(row, self._entries) if row else None
-        observe(watch, row.version if row else 0, record, now - begun, now)
+        record_read(watch, row.version if row else 0, record, now - begun, now)
         weak = self._peers.has_stronger()
-        return plan_take(watch, self._rank, self._settings.name, self._life, weak)
+        return plan_takeover(watch, self._rank, self._settings.name, self._life, weak)
 
     async def _yield(self, owner: Owner) -> None:
         """
@@ -165,7 +165,7 @@
         while True:
             await asyncio.sleep(YIELD_PERIOD)
             now = steady_time()
-            if now < max(began + YIELD_AFTER, self._yielded_at + YIELD_AGAIN):
+            if now < max(began + MIN_TENURE_S, self._yielded_at + MIN_HANDOVER_INTERVAL_S):
                 continue
             if self._peers.has_stronger():
                 self._yielded_at = now
@@ -173,7 +173,7 @@
                 owner.resign()
                 return
 
-    async def _take(self, watch: Watch) -> None:
+    async def _take(self, watch: OwnerWatch) -> None:
         before = watch.record
         token = before.token + 1 if before else 1
         record = OwnerRecord(self._settings.name, self._life, token, 0)
--- a/toucanpin/entry/owner.py
+++ b/toucanpin/entry/owner.py
@@ -52,7 +52,7 @@
 from toucanpin.scheduling.interference_model import InterferenceModel
 from toucanpin.scheduling.moving import move_tasks
 from toucanpin.scheduling.orders import WorkerEntry
-from toucanpin.scheduling.ownership import RENEWAL, OwnerRecord
+from toucanpin.scheduling.ownership import OWNER_WRITE_INTERVAL_S, OwnerRecord
 from toucanpin.scheduling.pacing import control_pace
 from toucanpin.scheduling.placing import place_tasks
 from toucanpin.scheduling.settings import HostSettings
@@ -173,7 +173,7 @@
         """
         reading = asyncio.ensure_future(self._rows.load(self._clocks.now))
         try:
-            while not (await asyncio.wait((reading,), timeout=RENEWAL))[0]:
+            while not (await asyncio.wait((reading,), timeout=OWNER_WRITE_INTERVAL_S))[0]:
                 # One that leaves has no time to read on, and who waits for its silence loses more.
                 await self._rows.renew(self._resigning)
                 self._check_held()
@@ -219,7 +219,7 @@
 
     async def _commit(self) -> None:
         while True:
-            due = self._rows.written_at + RENEWAL - steady_time()
+            due = self._rows.written_at + OWNER_WRITE_INTERVAL_S - steady_time()
             if due > 0 and not has_work(self._cell) and not self._resigning:
                 try:
                     async with asyncio.timeout(min(due, TICK)):
@@ -230,7 +230,7 @@
             self._wake.clear()
             self._place()
             idle = not has_work(self._cell) and not self._resigning
-            if idle and steady_time() < self._rows.written_at + RENEWAL:
+            if idle and steady_time() < self._rows.written_at + OWNER_WRITE_INTERVAL_S:
                 continue
             batch = take_batch(self._cell)
             await self._rows.write(batch, self._resigning)
--- a/toucanpin/scheduling/ownership.py
+++ b/toucanpin/scheduling/ownership.py
@@ -12,29 +12,35 @@
 import msgspec
 
 __all__ = [
-    "YIELD_AFTER",
-    "YIELD_AGAIN",
+    "MIN_TENURE_S",
+    "MIN_HANDOVER_INTERVAL_S",
     "OwnerRecord",
-    "Watch",
+    "OwnerWatch",
     "decode_owner",
     "encode_owner",
-    "observe",
-    "plan_look",
-    "plan_take",
+    "record_read",
+    "plan_next_read",
+    "plan_takeover",
 ]
 
-UNHEARD = 1.3  # s without a new write after which an owner counts as gone; it writes each 0.35 s
-FREE_SPREAD = 0.12  # s over which hosts spread their grip at a cell that nobody owns
-RENEWAL = 0.35  # s between writes of an owner that has nothing else to write
+OWNER_TIMEOUT_S = (
+    1.3  # s without a new write after which an owner counts as gone; it writes each 0.35 s
+)
+TAKEOVER_SPREAD_S = 0.12  # s over which hosts spread their grip at a cell that nobody owns
+OWNER_WRITE_INTERVAL_S = 0.35  # s between writes of an owner that has nothing else to write
 # A weak host is used up by the orders and answers of hundreds of workers, reads its jobs late, and
 # starts tasks of jobs that were cancelled meanwhile.
-WEAK_DELAY = 0.6  # s for which a weak host leaves a cell to stronger ones
-YIELD_AFTER = 4.0  # s after which a weak owner hands its cell to a stronger host
-YIELD_AGAIN = 20.0  # s until a host that did so may do it again
-LOOK_NEAR = 0.4  # s between looks at an owner's row by the hosts that are next in line
-LOOK_FAR = 1.2  # s between looks by the others
-NEXT_IN_LINE = 16  # hosts; most of them may be lost with the owner
-SLOW_FACTOR = 3.0  # reads of the row that an owner's write may take longer, while the store is slow
+WEAK_HOST_DELAY_S = 0.6  # s for which a weak host leaves a cell to stronger ones
+MIN_TENURE_S = 4.0  # s after which a weak owner hands its cell to a stronger host
+MIN_HANDOVER_INTERVAL_S = 20.0  # s until a host that did so may do it again
+SUCCESSOR_POLL_INTERVAL_S = (
+    0.4  # s between looks at an owner's row by the hosts that are next in line
+)
+POLL_INTERVAL_S = 1.2  # s between looks by the others
+SUCCESSOR_COUNT = 16  # hosts; most of them may be lost with the owner
+READ_TIME_FACTOR = (
+    3.0  # reads of the row that an owner's write may take longer, while the store is slow
+)
 
 
 class OwnerRecord(msgspec.Struct, frozen=True, array_like=True):
@@ -55,7 +61,7 @@
 
 
 @dataclass(slots=True)
-class Watch:
+class OwnerWatch:
     """Follow the owner's row; ``changed_at`` is when it was first seen as it is."""
 
     version: int = -1
@@ -66,8 +72,8 @@
     silent: float = 0.0
 
 
-def observe(
-    watch: Watch, version: int, record: OwnerRecord | None, took: float, now: float
+def record_read(
+    watch: OwnerWatch, version: int, record: OwnerRecord | None, took: float, now: float
 ) -> None:
     """Take note of a read of the row that took ``took`` seconds."""
     gap = now - watch.seen_at
@@ -81,11 +87,11 @@
         return
     # Only time in which the row could be read counts: after an outage of the table its owner
     # needs a moment to write again, and was as well as anybody until then.
-    watch.silent += min(gap, 2 * RENEWAL + took)
+    watch.silent += min(gap, 2 * OWNER_WRITE_INTERVAL_S + took)
 
 
-def plan_take(
-    watch: Watch, rank: float, host: str = "", life: str = "", weak: bool = False
+def plan_takeover(
+    watch: OwnerWatch, rank: float, host: str = "", life: str = "", weak: bool = False
 ) -> float | None:
     """
     Return after how many seconds to take the cell, None if it has an owner.
@@ -95,18 +101,23 @@
     """
     if watch.version < 0:
         return None
-    yielding = WEAK_DELAY if weak else 0.0
+    yielding = WEAK_HOST_DELAY_S if weak else 0.0
     if watch.record is None or not watch.record.host:
-        return rank * FREE_SPREAD + yielding
+        return rank * TAKEOVER_SPREAD_S + yielding
     # A host runs one process, so an earlier life of this one is over.  Waiting for its silence
     # would cost the leases of all workers whenever every host restarts.
     if watch.record.host == host and watch.record.life != life:
         return 0.0
-    patience = UNHEARD + rank * RENEWAL + SLOW_FACTOR * watch.read_time + yielding
+    patience = (
+        OWNER_TIMEOUT_S
+        + rank * OWNER_WRITE_INTERVAL_S
+        + READ_TIME_FACTOR * watch.read_time
+        + yielding
+    )
     return 0.0 if watch.silent >= patience else None
 
 
-def plan_look(watch: Watch, place: int) -> float:
+def plan_next_read(watch: OwnerWatch, place: int) -> float:
     """
     Return after how many seconds to look at the row again.
 
@@ -115,9 +126,9 @@
     the owner is silent.
     """
     owned = watch.record is not None and bool(watch.record.host)
-    if owned and not watch.silent and place >= NEXT_IN_LINE:
-        return LOOK_FAR
-    return LOOK_NEAR
+    if owned and not watch.silent and place >= SUCCESSOR_COUNT:
+        return POLL_INTERVAL_S
+    return SUCCESSOR_POLL_INTERVAL_S
 
 
 def encode_owner(record: OwnerRecord) -> bytes:
