--- a/toucanpin/scheduling/intake.py
+++ b/toucanpin/scheduling/intake.py
@@ -31,15 +31,15 @@
     """Take up an accepted job; return whether it is new here."""
     if job.id in cell.jobs:
         return False
-    live = _make_live(cell, job, Progress(JobState.PENDING, 0, [], {}))
+    live = _make_live_job(cell, job, Progress(JobState.PENDING, 0, [], {}))
     cell.jobs[job.id] = live
-    _begin(cell, live, now)
+    _begin_due_occurrences(cell, live, now)
     return True
 
 
 def restore_job(cell: Cell, job: Job, progress: Progress, now: Now) -> None:
     """Take up a job that an earlier owner has worked on; its placed tasks are unknown at first."""
-    live = _make_live(cell, job, progress)
+    live = _make_live_job(cell, job, progress)
     cell.jobs[job.id] = live
     for occurrence, records in progress.tasks.items():
         live.tasks_left[occurrence] = _count_left(live, occurrence)
@@ -58,7 +58,7 @@
         if not JobState(progress.state).ended:
             queue_ready_steps(cell, live, occurrence)
     if not JobState(progress.state).ended:
-        _begin(cell, live, now)
+        _begin_due_occurrences(cell, live, now)
 
 
 def cancel_job(cell: Cell, identifier: str, now: Now) -> None:
@@ -72,10 +72,10 @@
     """Begin the occurrences whose time has come."""
     if now.steady < cell.next_due:
         return
-    cell.next_due = now.steady + DUE_PERIOD
+    cell.next_due = now.steady + DUE_CHECK_INTERVAL_S
     for live in cell.jobs.values():
         if live.job.repeats and not JobState(live.progress.state).ended:
-            _begin(cell, live, now)
+            _begin_due_occurrences(cell, live, now)
 
 
 def forget_ended(cell: Cell, now: Now, keep: float) -> None:
@@ -93,17 +93,17 @@
     forget_crashes(cell)
 
 
-DUE_PERIOD = 0.02  # s between looks for occurrences that are due
+DUE_CHECK_INTERVAL_S = 0.02  # s between looks for occurrences that are due
 
 
-def _make_live(cell: Cell, job: Job, progress: Progress) -> LiveJob:
+def _make_live_job(cell: Cell, job: Job, progress: Progress) -> LiveJob:
     times = [cell.durations.predict(job.queue, step.estimate) for step in job.steps]
     remaining = sum_remaining_times(job, times)
     objective = job.accepted + job.aim + int(job.stretch * max(remaining))
     return LiveJob(job, progress, objective, compute_task_offsets(job), remaining)
 
 
-def _begin(cell: Cell, live: LiveJob, now: Now) -> None:
+def _begin_due_occurrences(cell: Cell, live: LiveJob, now: Now) -> None:
     job = live.job
     over = set(live.progress.over)
     for occurrence in range(job.occurrences):
