--- a/toucanpin/scheduling/durations.py
+++ b/toucanpin/scheduling/durations.py
@@ -20,10 +20,10 @@
 
 __all__ = ["Durations", "Fit"]
 
-MEMORY = 300.0  # steps that count
-TRUSTED = 8.0  # steps that an estimate which is right counts as many as
-SHORTEST = 10.0  # ms: below it a time says nothing
-LARGEST = 23.0  # logarithm of ms: some 100 days
+MEMORY_STEPS = 300.0  # steps that count
+PRIOR_STEPS = 8.0  # steps that an estimate which is right counts as many as
+MIN_TIME_MS = 10.0  # ms: below it a time says nothing
+MAX_LOG_TIME = 23.0  # logarithm of ms: some 100 days
 
 
 class Fit(msgspec.Struct, array_like=True):
@@ -37,7 +37,7 @@
 
     def note(self, x: float, y: float) -> None:
         """Take note of a step; earlier ones lose weight."""
-        kept = 1 - 1 / MEMORY
+        kept = 1 - 1 / MEMORY_STEPS
         self.weight = self.weight * kept + 1
         self.x = self.x * kept + x
         self.y = self.y * kept + y
@@ -51,10 +51,10 @@
         middle = self.x / self.weight
         spread = max(0.0, self.xx / self.weight - middle * middle)
         common = self.xy / self.weight - middle * self.y / self.weight
-        slope = (common * self.weight + spread * TRUSTED) / (
-            spread * (self.weight + TRUSTED) or math.inf
+        slope = (common * self.weight + spread * PRIOR_STEPS) / (
+            spread * (self.weight + PRIOR_STEPS) or math.inf
         )
-        shift = (self.y - self.x) / (self.weight + TRUSTED)
+        shift = (self.y - self.x) / (self.weight + PRIOR_STEPS)
         return middle + shift + min(1.0, max(0.0, slope)) * (x - middle)
 
 
@@ -66,15 +66,15 @@
 
     def note(self, queue: str, estimate: int, took: float) -> None:
         """Take note of what the longest task of a step took, in s; its estimate is in ms."""
-        if estimate >= SHORTEST and took * 1_000 >= SHORTEST:
+        if estimate >= MIN_TIME_MS and took * 1_000 >= MIN_TIME_MS:
             fit = self.fits.setdefault(queue, Fit())
             fit.note(math.log(estimate), math.log(took * 1_000))
 
     def predict(self, queue: str, estimate: int) -> int:
         """Return how long a step will take, in ms, as far as is known."""
         fit = self.fits.get(queue)
-        if fit is None or estimate < SHORTEST:
+        if fit is None or estimate < MIN_TIME_MS:
             return estimate
         found = fit.predict(math.log(estimate))
         # What another writer left in the row mustn't stop the owner that reads it.
-        return int(math.exp(found)) if abs(found) < LARGEST else estimate
+        return int(math.exp(found)) if abs(found) < MAX_LOG_TIME else estimate
