--- a/toucanpin/scheduling/tests/test_timing.py
+++ b/toucanpin/scheduling/tests/test_timing.py
@@ -7,7 +7,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from toucanpin.scheduling.timing import DRIFT, ClockEstimate
+from toucanpin.scheduling.timing import MAX_DRIFT_RATE, ClockEstimate
 
 AHEAD = 5_000.0  # s: the remote clock's distance in these tests
 delays = st.tuples(st.floats(0.0, 6.0), st.floats(0.0, 6.0))
@@ -48,7 +48,9 @@
             estimate.note((sent + there + AHEAD) * 1_000, sent, now)
             off = abs(estimate.read(now) - (now + AHEAD) * 1_000)
             self.assertLessEqual(off, estimate.error(now) + 0.01)
-        self.assertLess(estimate.error(now + 10.0) - estimate.error(now), 10.0 * DRIFT * 1_000 + 1)
+        self.assertLess(
+            estimate.error(now + 10.0) - estimate.error(now), 10.0 * MAX_DRIFT_RATE * 1_000 + 1
+        )
 
 
 if __name__ == "__main__":
--- a/toucanpin/scheduling/timing.py
+++ b/toucanpin/scheduling/timing.py
@@ -13,7 +13,7 @@
 
 # Two steady clocks that drift apart by a part in ten thousand are already unusual.  A larger bound
 # only makes an old reading give way to a newer one sooner.
-DRIFT = 0.001
+MAX_DRIFT_RATE = 0.001
 
 
 @dataclass(frozen=True, slots=True)
@@ -26,7 +26,7 @@
 
     def error_at(self, now: float) -> float:
         """Return the error that the reading has by now, in seconds."""
-        return self.error + DRIFT * max(0.0, now - self.at)
+        return self.error + MAX_DRIFT_RATE * max(0.0, now - self.at)
 
 
 class ClockEstimate:
