--- a/benchmarks/ablation.py
+++ b/benchmarks/ablation.py
@@ -70,7 +70,7 @@
     "caution about unknown pairs": (Off(f"{_SHARING}.CAUTION", 0.0),),
     "grouping of images": (Off(f"{_CHOOSING}.OTHER_IMAGE", 0.0),),
     "gathering of strays": (Off("benchmarks.sharing.consolidate_images", _nothing),),
-    "rest after no place": (Off("toucanpin.scheduling.recalling.BARREN", 0.0),),
+    "rest after no place": (Off("toucanpin.scheduling.recalling.UNPLACEABLE_PERIOD_S", 0.0),),
 }
 
 
@@ -111,7 +111,8 @@
         whole = 0.0
         for name in MECHANISMS:
             own = [r for t, r in zip(tasks, rows, strict=True) if t[:2] == (name, site)]
-            parts = [_mean(own, lambda row, n=number: row[n]) for number in range(4)]  # type: ignore[misc]
+            # Type: ignore[misc].
+            parts = [_mean(own, lambda row, n=number: row[n]) for number in range(4)]
             whole = whole or parts[3]
             text = "  ".join(f"{part:.3f}" for part in parts)
             click.echo(f"  {name:32} {text}  {parts[3] - whole:+.3f}")
--- a/toucanpin/scheduling/placing.py
+++ b/toucanpin/scheduling/placing.py
@@ -34,7 +34,12 @@
 from toucanpin.scheduling.large_tasks import LargeTaskReservation
 from toucanpin.scheduling.preempting import Making, Openings
 from toucanpin.scheduling.progress import CrashSuspicion
-from toucanpin.scheduling.recalling import is_barren, note_barren, note_shortage, recall
+from toucanpin.scheduling.recalling import (
+    find_known_reason,
+    is_known_unplaceable,
+    record_shortage,
+    record_unplaceable,
+)
 from toucanpin.scheduling.reserving import reserve_room
 from toucanpin.scheduling.retrying import list_retry_workers, wastes_attempt
 from toucanpin.scheduling.worker import (
@@ -169,7 +174,7 @@
     cell: Cell, round_: Round, live: LiveJob, group: Group, step: Step, able: list[Worker]
 ) -> None:
     waiting = cell.waiting[group]
-    if is_barren(cell, step, round_.now):
+    if is_known_unplaceable(cell, step, round_.now):
         return
     places: Places | None = None
     now = round_.now
@@ -180,7 +185,7 @@
             note_wait(cell, group, pause, now)
             continue
         claim = _find_claim(cell, live, group, index, now)
-        known = recall(round_, live, step, claim)
+        known = find_known_reason(round_, live, step, claim)
         if known is not None:
             note_wait(cell, group, known, now)
             return
@@ -191,8 +196,8 @@
         if worker is None:
             reason = _find_reason(live, step, able)
             note_wait(cell, group, reason, now)
-            note_barren(cell, live, step, now)
-            note_shortage(round_, live, step, None, places.ruled)
+            record_unplaceable(cell, live, step, now)
+            record_shortage(round_, live, step, None, places.ruled)
             return
         chosen = places
         if task in worker.runs or doubt is CrashSuspicion.LAST_ATTEMPT:
@@ -205,7 +210,7 @@
             continue
         if not may_last(able, group, step, claim):
             note_wait(cell, group, WaitReason.RESERVED, now)
-            note_shortage(round_, live, step, claim, places.ruled)
+            record_shortage(round_, live, step, claim, places.ruled)
             return
         cell.delayed_until.pop(task, None)
         waiting.discard(index)
--- a/toucanpin/scheduling/recalling.py
+++ b/toucanpin/scheduling/recalling.py
@@ -13,18 +13,18 @@
 from toucanpin.scheduling.job import Step
 from toucanpin.scheduling.shortage import Demand
 
-__all__ = ["is_barren", "note_barren", "note_shortage", "recall"]
+__all__ = ["is_known_unplaceable", "record_unplaceable", "record_shortage", "find_known_reason"]
 
-BARREN = 0.0012  # s a worker for which what found no place isn't weighed again
+UNPLACEABLE_PERIOD_S = 0.0012  # s a worker for which what found no place isn't weighed again
 
 
-def is_barren(cell: Cell, step: Step, now: Now) -> bool:
+def is_known_unplaceable(cell: Cell, step: Step, now: Now) -> bool:
     """Tell whether an equal or smaller task found no place a moment ago."""
     cpu, until = cell.unplaceable.get(step.image, (0, 0.0))
     return step.fills and now.steady < until and step.cpu >= cpu
 
 
-def note_barren(cell: Cell, live: LiveJob, step: Step, now: Now) -> None:
+def record_unplaceable(cell: Cell, live: LiveJob, step: Step, now: Now) -> None:
     """
     Remember that a task that fills found no place.
 
@@ -35,20 +35,20 @@
         return
     known, until = cell.unplaceable.get(step.image, (step.cpu, 0.0))
     cpu = min(known, step.cpu) if now.steady < until else step.cpu
-    cell.unplaceable[step.image] = (cpu, _end_rest(cell, now))
+    cell.unplaceable[step.image] = (cpu, _end_shared_period(cell, now))
 
 
-def _end_rest(cell: Cell, now: Now) -> float:
+def _end_shared_period(cell: Cell, now: Now) -> float:
     """
     Return the end of the rest that all images share.
 
     Rests that end one by one have all workers summed up once for each of them.
     """
-    rest = BARREN * len(cell.workers)
+    rest = UNPLACEABLE_PERIOD_S * len(cell.workers)
     return (now.steady // rest + 1) * rest if rest else now.steady
 
 
-def recall(round_: Round, live: LiveJob, step: Step, claim: Claim) -> WaitReason | None:
+def find_known_reason(round_: Round, live: LiveJob, step: Step, claim: Claim) -> WaitReason | None:
     """Return why a task can't find a place, if one that asks for no more found none."""
     if step.fills or live.job.advised:
         return None
@@ -60,7 +60,7 @@
     return None
 
 
-def note_shortage(
+def record_shortage(
     round_: Round, live: LiveJob, step: Step, claim: Claim | None, ruled: bool
 ) -> None:
     """
--- a/toucanpin/scheduling/tests/test_turns.py
+++ b/toucanpin/scheduling/tests/test_turns.py
@@ -13,7 +13,7 @@
 from toucanpin.scheduling.large_tasks import LargeTaskReservation
 from toucanpin.scheduling.orders import WorkerEntry
 from toucanpin.scheduling.placing import place_tasks
-from toucanpin.scheduling.recalling import BARREN
+from toucanpin.scheduling.recalling import UNPLACEABLE_PERIOD_S
 from toucanpin.scheduling.tests.fleet import Fleet, make_job
 from toucanpin.scheduling.worker import Worker
 
@@ -176,7 +176,7 @@
         it is weighed again.  Their rests ended at different moments, and each time all workers were
         summed up anew: a third of the time of placing on a day with 246 workers and nine images.
         """
-        rest = BARREN * WORKERS
+        rest = UNPLACEABLE_PERIOD_S * WORKERS
         for number in range(3):
             fill = Step(count=4, cpu=1_500, fills=True, image=f"g{number}")
             self.fleet.submit(make_job(f"g{number}", (fill,), priority=2))
