--- a/toucanpin/entry/cell_jobs.py
+++ b/toucanpin/entry/cell_jobs.py
@@ -21,7 +21,7 @@
 from toucanpin.http import CallError
 from toucanpin.platform.store import MAX_PAGE_ROWS, Page, Row, Store
 from toucanpin.scheduling.cell import Cell, Now
-from toucanpin.scheduling.counting import View
+from toucanpin.scheduling.counting import TableView
 from toucanpin.scheduling.intake import cancel_job, submit_job
 
 __all__ = ["FEED_MARGIN", "FEED_WAIT", "RETRY", "CellJobs"]
@@ -115,7 +115,7 @@
         self._take_rows(page.rows)
         if page.version >= self.followed:
             self.followed = page.version
-            self._rows.view = View(page.version, clock)
+            self._rows.view = TableView(page.version, clock)
 
     def _take_rows(self, rows: tuple[Row, ...]) -> None:
         now = self._clocks.now()
--- a/toucanpin/entry/cell_rows.py
+++ b/toucanpin/entry/cell_rows.py
@@ -34,7 +34,7 @@
 from toucanpin.platform.store import Committed, ExpectedVersion, Page, Put, Row, Store
 from toucanpin.scheduling.batches import Batch
 from toucanpin.scheduling.cell import Cell, Now
-from toucanpin.scheduling.counting import View, count_pending, encode_counts
+from toucanpin.scheduling.counting import TableView, count_pending, encode_counts
 from toucanpin.scheduling.intake import cancel_job, restore_job, submit_job
 from toucanpin.scheduling.interference_model import InterferenceModel, LearnedModel
 from toucanpin.scheduling.job import Job, decode_job, find_job_fault
@@ -84,7 +84,7 @@
         self._version = version
         self.written_at = written_at
         self._counted_at = 0.0
-        self.view = View()
+        self.view = TableView()
         self._learned_at = 0.0
         self.backlog: dict[int, int] = {}  # written with the owner's row
 
@@ -100,7 +100,7 @@
         known = {row.key: it for row, it in self._entries.read(progress.rows, _decode_progress)}
         self.blocked = {row.key for row in progress.rows if row.key not in known}
         self._take_jobs(jobs.rows, known, now())
-        self.view = View(jobs.version, jobs.clock)
+        self.view = TableView(jobs.version, jobs.clock)
         _log.info(
             "cell owned",
             event="cell.owned",
--- a/toucanpin/entry/tests/test_following.py
+++ b/toucanpin/entry/tests/test_following.py
@@ -14,7 +14,7 @@
 from toucanpin.http import Answer, CallError
 from toucanpin.platform.store import MAX_PAGE_ROWS, Page, Row, Store
 from toucanpin.scheduling.cell import Cell
-from toucanpin.scheduling.counting import View
+from toucanpin.scheduling.counting import TableView
 from toucanpin.scheduling.interference_model import InterferenceModel
 from toucanpin.scheduling.ownership import OwnerRecord
 from toucanpin.verdict import Verdict
@@ -91,13 +91,13 @@
         rows = CellRows(
             store, cell, InterferenceModel(), OwnerRecord("h", "l", 1, 0), 1, 0.0, entries
         )
-        rows.view = View(5, 1_000)
+        rows.view = TableView(5, 1_000)
         jobs = CellJobs(store, clocks, cell, rows, entries, 120.0, lambda: None)
         row = Row("jobs", "elsewhere", "k", b"", 7)
         jobs._take_changes(Page((row,) * MAX_PAGE_ROWS, False, 7, 9_000))
-        self.assertEqual(View(7, 1_000), rows.view)
+        self.assertEqual(TableView(7, 1_000), rows.view)
         jobs._take_changes(Page((row,), False, 8, 9_000))
-        self.assertEqual(View(8, 9_000), rows.view)
+        self.assertEqual(TableView(8, 9_000), rows.view)
 
 
 class RelistTest(unittest.TestCase):
--- a/toucanpin/scheduling/counting.py
+++ b/toucanpin/scheduling/counting.py
@@ -14,14 +14,21 @@
 from toucanpin.scheduling.cell import Cell
 from toucanpin.scheduling.progress import JobState
 
-__all__ = ["PendingCounts", "View", "count_pending", "decode_counts", "encode_counts", "is_recent"]
+__all__ = [
+    "PendingCounts",
+    "TableView",
+    "count_pending",
+    "decode_counts",
+    "encode_counts",
+    "is_recent",
+]
 
 # Callers may be told a count of two seconds ago; what is younger needs no look at newer jobs.
-RECENT = 1_500  # ms
-MOST_BYTES = 48_000  # of a row's 64 KB: some 2,000 queues with jobs that wait
+MAX_COUNT_AGE_MS = 1_500  # ms
+MAX_ROW_BYTES = 48_000  # of a row's 64 KB: some 2,000 queues with jobs that wait
 
 
-class View(msgspec.Struct, frozen=True, array_like=True):
+class TableView(msgspec.Struct, frozen=True, array_like=True):
     """
     Tell which jobs their owner has taken up: all of those up to a version of the table.
 
@@ -35,7 +42,7 @@
 class PendingCounts(msgspec.Struct, frozen=True, array_like=True):
     """Hold how many jobs of each queue wait; a queue that isn't named has none."""
 
-    view: View
+    view: TableView
     jobs: dict[str, int]
 
 
@@ -47,12 +54,12 @@
     return dict(counts)
 
 
-def is_recent(view: View, clock: int) -> bool:
+def is_recent(view: TableView, clock: int) -> bool:
     """Tell whether counts of a view may be given as they are at a moment of the table's clock."""
-    return clock - view.clock <= RECENT
+    return clock - view.clock <= MAX_COUNT_AGE_MS
 
 
-def encode_counts(view: View, jobs: dict[str, int]) -> bytes:
+def encode_counts(view: TableView, jobs: dict[str, int]) -> bytes:
     """
     Return counts as they stand in their row.
 
@@ -61,9 +68,9 @@
     """
     waiting = {queue: count for queue, count in jobs.items() if count}
     value = msgspec.msgpack.encode(PendingCounts(view, waiting))
-    if len(value) <= MOST_BYTES:
+    if len(value) <= MAX_ROW_BYTES:
         return value
-    return msgspec.msgpack.encode(PendingCounts(View(), {}))
+    return msgspec.msgpack.encode(PendingCounts(TableView(), {}))
 
 
 def decode_counts(value: bytes) -> PendingCounts:
