--- a/toucanpin/entry/cell_rows.py
+++ b/toucanpin/entry/cell_rows.py
@@ -32,7 +32,7 @@
 from toucanpin.exception import PlatformError, ToucanpinError
 from toucanpin.http import CallError
 from toucanpin.platform.store import Committed, ExpectedVersion, Page, Put, Row, Store
-from toucanpin.scheduling.batches import Batch
+from toucanpin.scheduling.batches import WriteBatch
 from toucanpin.scheduling.cell import Cell, Now
 from toucanpin.scheduling.counting import TableView, count_pending, encode_counts
 from toucanpin.scheduling.intake import cancel_job, restore_job, submit_job
@@ -153,7 +153,7 @@
         # Begun anew after each lost answer, a read of many pages might never end.
         return await self._store.read_all(table, part, on_error=pause, after_page=rest)
 
-    async def write(self, batch: Batch, resigning: bool) -> None:
+    async def write(self, batch: WriteBatch, resigning: bool) -> None:
         """
         Write a batch, however long it takes; nothing of a later one is written before.
 
--- a/toucanpin/entry/owner.py
+++ b/toucanpin/entry/owner.py
@@ -37,7 +37,7 @@
 from toucanpin.platform.store import Row, Store
 from toucanpin.platform.workers import WORKERS_TABLE, decode_worker
 from toucanpin.scheduling.advising import AdviceOrder, plan_advice, take_advice
-from toucanpin.scheduling.batches import MAX_FORGOTTEN, apply_batch, has_work, take_batch
+from toucanpin.scheduling.batches import MAX_FORGOTTEN, apply_batch, has_pending_writes, take_batch
 from toucanpin.scheduling.cell import Cell, Now
 from toucanpin.scheduling.consolidating import consolidate_images
 from toucanpin.scheduling.crashing import fail_crashing_jobs
@@ -220,7 +220,7 @@
     async def _commit(self) -> None:
         while True:
             due = self._rows.written_at + OWNER_WRITE_INTERVAL_S - steady_time()
-            if due > 0 and not has_work(self._cell) and not self._resigning:
+            if due > 0 and not has_pending_writes(self._cell) and not self._resigning:
                 try:
                     async with asyncio.timeout(min(due, TICK)):
                         await self._wake.wait()
@@ -229,7 +229,7 @@
                     pass
             self._wake.clear()
             self._place()
-            idle = not has_work(self._cell) and not self._resigning
+            idle = not has_pending_writes(self._cell) and not self._resigning
             if idle and steady_time() < self._rows.written_at + OWNER_WRITE_INTERVAL_S:
                 continue
             batch = take_batch(self._cell)
@@ -377,7 +377,7 @@
         self._cell.orders = []
         for order in orders:
             self._spawn(self._workers.order(order))
-        if has_work(self._cell) or self._cell.waiting:
+        if has_pending_writes(self._cell) or self._cell.waiting:
             self._wake.set()
 
 
--- a/toucanpin/entry/tests/test_forgetting.py
+++ b/toucanpin/entry/tests/test_forgetting.py
@@ -9,7 +9,7 @@
 from toucanpin.entry.cell_rows import CellRows
 from toucanpin.entry.entries import EntryReader
 from toucanpin.platform.store import Committed, ExpectedVersion, Put, Store
-from toucanpin.scheduling.batches import Batch
+from toucanpin.scheduling.batches import WriteBatch
 from toucanpin.scheduling.cell import Cell
 from toucanpin.scheduling.interference_model import InterferenceModel
 from toucanpin.scheduling.ownership import OwnerRecord
@@ -31,7 +31,7 @@
         old would come 3 s late, which is longer than others wait for an owner.
         """
         async with asyncio.timeout(BOUND):
-            await self.rows.write(Batch({}, ("a1", "a2"), (), {}), False)
+            await self.rows.write(WriteBatch({}, ("a1", "a2"), (), {}), False)
         self.assertEqual(["c"], self.store.parts)
 
     async def test_rows_of_old_jobs_are_dropped_side_by_side(self) -> None:
--- a/toucanpin/scheduling/batches.py
+++ b/toucanpin/scheduling/batches.py
@@ -13,7 +13,7 @@
 from toucanpin.scheduling.progress import encode_progress
 from toucanpin.scheduling.worker import Phase, Run
 
-__all__ = ["MAX_FORGOTTEN", "Batch", "apply_batch", "has_work", "take_batch"]
+__all__ = ["MAX_FORGOTTEN", "WriteBatch", "apply_batch", "has_pending_writes", "take_batch"]
 
 MAX_ROWS = 90  # of a transaction's 100 entries; the owner's row takes two
 MAX_FORGOTTEN = 5  # jobs that are forgotten at a time
@@ -21,7 +21,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Batch:
+class WriteBatch:
     """
     Hold one transaction's content and what waits for it.
 
@@ -35,12 +35,12 @@
     ends: dict[str, int]
 
 
-def has_work(cell: Cell) -> bool:
+def has_pending_writes(cell: Cell) -> bool:
     """Tell whether something waits to be written."""
     return bool(cell.dirty or cell.end_sequences or cell.progress_rows_to_delete)
 
 
-def take_batch(cell: Cell) -> Batch:
+def take_batch(cell: Cell) -> WriteBatch:
     """Take what waits, as far as one transaction holds it."""
     records: dict[str, bytes] = {}
     size = 0
@@ -59,10 +59,10 @@
         cell.end_sequences.clear()
     forgotten = tuple(cell.progress_rows_to_delete[:MAX_FORGOTTEN])
     del cell.progress_rows_to_delete[: len(forgotten)]
-    return Batch(records, forgotten, tuple(placed), ends)
+    return WriteBatch(records, forgotten, tuple(placed), ends)
 
 
-def apply_batch(cell: Cell, batch: Batch) -> list[Run]:
+def apply_batch(cell: Cell, batch: WriteBatch) -> list[Run]:
     """Take note that a batch is written; return the runs that may be started."""
     for identifier, sequence in batch.ends.items():
         worker = cell.workers.get(identifier)
