--- a/toucanpin/entry/cell_workers.py
+++ b/toucanpin/entry/cell_workers.py
@@ -18,7 +18,7 @@
 from toucanpin.exception import PlatformError
 from toucanpin.http import CallError
 from toucanpin.platform.workers import WorkerClient, WorkerReplacedError
-from toucanpin.scheduling.answering import LONGEST, AnswerTimes
+from toucanpin.scheduling.answering import MAX_LATENESS_S, AnswerTimeout
 from toucanpin.scheduling.cell import Cell
 from toucanpin.scheduling.holding import (
     apply_answer,
@@ -73,7 +73,7 @@
         self._spawn = spawn
         self._changed = changed
         self._calls: dict[str, WorkerClient] = {}
-        self._answers = AnswerTimes()
+        self._answers = AnswerTimeout()
         self._written = asyncio.Event()
         self._loaded = asyncio.Event()
         self._fastest = MinAnswerTime()
@@ -117,7 +117,7 @@
             order = plan_poll(self._cell, worker, self._clocks.now())
             sent_at = steady_time()
             # Only the answer to a second question tells whether the first was lost or is late.
-            patience = LONGEST if worker.silent else self._answers.allow(sent_at)
+            patience = MAX_LATENESS_S if worker.silent else self._answers.allow(sent_at)
             try:
                 answer = await calls.hold(
                     self._cell.token, order.acknowledged, order.deadline, order.wait, patience
@@ -167,7 +167,7 @@
             deadline = plan_renewal(self._cell, worker, self._clocks.now())
             pause = RENEWAL_PERIOD if deadline else 0.0
             try:
-                answer = await calls.hold(self._cell.token, 0, deadline, 0.0, LONGEST)
+                answer = await calls.hold(self._cell.token, 0, deadline, 0.0, MAX_LATENESS_S)
             except WorkerReplacedError:
                 return
             except (CallError, PlatformError):
--- a/toucanpin/scheduling/answering.py
+++ b/toucanpin/scheduling/answering.py
@@ -7,15 +7,15 @@
 
 from __future__ import annotations
 
-__all__ = ["LONGEST", "SHORTEST", "AnswerTimes"]
+__all__ = ["MAX_LATENESS_S", "MIN_LATENESS_S", "AnswerTimeout"]
 
-LONGEST = 0.7  # s beyond its wait that an answer may take
-SHORTEST = 0.25  # s: the least; an order takes 2 ms
-PEAKS = 4.0  # times the latest answer of the last seconds
-HALVED = 2.0  # s in which what was latest counts half
+MAX_LATENESS_S = 0.7  # s beyond its wait that an answer may take
+MIN_LATENESS_S = 0.25  # s: the least; an order takes 2 ms
+PEAK_FACTOR = 4.0  # times the latest answer of the last seconds
+HALF_LIFE_S = 2.0  # s in which what was latest counts half
 
 
-class AnswerTimes:
+class AnswerTimeout:
     """
     Follow how late answers come.
 
@@ -26,7 +26,7 @@
     __slots__ = ("_latest", "_noted_at")
 
     def __init__(self) -> None:
-        self._latest = LONGEST
+        self._latest = MAX_LATENESS_S
         self._noted_at = 0.0
 
     def note(self, late: float, now: float) -> None:
@@ -36,9 +36,9 @@
 
     def allow(self, now: float) -> float:
         """Return how late an answer may be before it counts as lost, in seconds."""
-        return min(LONGEST, max(SHORTEST, PEAKS * self._fade(now)))
+        return min(MAX_LATENESS_S, max(MIN_LATENESS_S, PEAK_FACTOR * self._fade(now)))
 
     def _fade(self, now: float) -> float:
         if not self._noted_at:
             return self._latest
-        return self._latest * 0.5 ** (max(0.0, now - self._noted_at) / HALVED)
+        return self._latest * 0.5 ** (max(0.0, now - self._noted_at) / HALF_LIFE_S)
