--- a/toucanpin/entry/advisers.py
+++ b/toucanpin/entry/advice_dispatcher.py
@@ -17,13 +17,13 @@
 from toucanpin.scheduling.advising import Advice
 from toucanpin.scheduling.cell import Group
 
-__all__ = ["Advisers"]
+__all__ = ["AdviceDispatcher"]
 
 _log = logbook.Logger("advice")
-AVOID = 2.0  # s for which a host isn't asked after a question got no answer through it
+FAILURE_BACKOFF_S = 2.0  # s for which a host isn't asked after a question got no answer through it
 
 
-class Advisers:
+class AdviceDispatcher:
     """
     Ask for advice through this host and its peers, one question each at a time.
 
@@ -52,7 +52,7 @@
         try:
             return await self._make_calls(name).ask(group, workers)
         except CallError as error:
-            self._avoided[name] = steady_time() + AVOID
+            self._avoided[name] = steady_time() + FAILURE_BACKOFF_S
             _log.warning("no advice", event="advice.missing", through=name, reason=error)
             return None
         finally:
@@ -61,7 +61,7 @@
     def _list_free(self) -> list[str]:
         if self._client is None:
             return []
-        peers = [peer.name for peer in self._peers.others()] if self._peers.secret else []
+        peers = [peer.name for peer in self._peers.list_live()] if self._peers.secret else []
         now = steady_time()
         return [
             name
@@ -71,7 +71,7 @@
 
     def _make_calls(self, name: str) -> AdviceClient:
         assert self._client is not None
-        for peer in self._peers.others():
+        for peer in self._peers.list_live():
             if peer.name == name:
                 return AdviceClient(PeerCaller(self._name, self._peers, peer, ADVICE))
         return AdviceClient(self._client)
--- a/toucanpin/entry/contender.py
+++ b/toucanpin/entry/candidate.py
@@ -14,14 +14,14 @@
 import logbook
 import xxhash
 
-from toucanpin.entry.advisers import Advisers
-from toucanpin.entry.cell_rows import DeposedError
+from toucanpin.entry.advice_dispatcher import AdviceDispatcher
+from toucanpin.entry.cell_rows import OwnershipLostError
 from toucanpin.entry.clocks import Clocks, steady_time
-from toucanpin.entry.entries import EntryReader
 from toucanpin.entry.metrics import TAKEOVERS
 from toucanpin.entry.owner import Owner
 from toucanpin.entry.peers import Peers
-from toucanpin.entry.rows import HANDOVERS, OWNER_KEY, OWNERS
+from toucanpin.entry.row_reader import RowReader
+from toucanpin.entry.tables import HANDOVERS_TABLE, OWNER_KEY, OWNERS_TABLE
 from toucanpin.exception import PlatformError
 from toucanpin.http import CallError
 from toucanpin.platform.store import Committed, ExpectedVersion, Put, Row, Store
@@ -39,17 +39,17 @@
 )
 from toucanpin.scheduling.settings import HostSettings
 
-__all__ = ["Contender"]
+__all__ = ["Candidate"]
 
 _log = logbook.Logger("contender")
-RETRY = 0.4  # s after a row that couldn't be read
-HANDOVER_WAIT = 20.0  # s that a watch of resignations waits
-YIELD_PERIOD = 1.0  # s between looks for a stronger host
-BACKLOG_AGE = 3.0  # s since an owner's row was read in which its backlog counts
-REST = 1.0  # s that a process which lost a cell leaves it to others
+RETRY_DELAY_S = 0.4  # s after a row that couldn't be read
+HANDOVER_WAIT_S = 20.0  # s that a watch of resignations waits
+YIELD_CHECK_PERIOD_S = 1.0  # s between looks for a stronger host
+MAX_BACKLOG_AGE_S = 3.0  # s since an owner's row was read in which its backlog counts
+BACKOFF_S = 1.0  # s that a process which lost a cell leaves it to others
 
 
-class Contender:
+class Candidate:
     """Contend for one cell for as long as the process lives."""
 
     def __init__(
@@ -57,9 +57,9 @@
         store: Store,
         clocks: Clocks,
         settings: HostSettings,
-        advisers: Advisers,
+        advice_dispatcher: AdviceDispatcher,
         peers: Peers,
-        life: str,
+        incarnation: str,
         cell: str,
         guarded: Callable[[], bool],
         evacuated: Callable[[], Evacuated],
@@ -67,19 +67,19 @@
         self._store = store
         self._clocks = clocks
         self._settings = settings
-        self._advisers = advisers
-        self._life = life
+        self._advice_dispatcher = advice_dispatcher
+        self._incarnation = incarnation
         self._cell = cell
         self._guarded = guarded
         self._evacuated = evacuated
         self._peers = peers
         self._yielded_at = -MIN_HANDOVER_INTERVAL_S
-        self._entries = EntryReader()
+        self._reader = RowReader()
         self._owner: Owner | None = None
         self._watch = OwnerWatch()
-        self._leaving = False
-        self._resigned = asyncio.Event()
-        digest = xxhash.xxh32_intdigest(f"{cell}/{settings.name}/{life}".encode())
+        self._resigning = False
+        self._handed_over = asyncio.Event()
+        digest = xxhash.xxh32_intdigest(f"{cell}/{settings.name}/{incarnation}".encode())
         self._rank = digest / 2**32
 
     @property
@@ -92,7 +92,7 @@
         if self._owner is not None:
             return self._owner.backlog
         watch = self._watch
-        fresh = watch.record is not None and steady_time() < watch.seen_at + BACKLOG_AGE
+        fresh = watch.record is not None and steady_time() < watch.seen_at + MAX_BACKLOG_AGE_S
         return watch.record.backlog if fresh and watch.record is not None else {}
 
     def count_waiting(self) -> Counter[str]:
@@ -105,57 +105,57 @@
 
     async def run(self) -> None:
         """Contend for ever."""
-        while not self._leaving:
-            pause = RETRY
+        while not self._resigning:
+            pause = RETRY_DELAY_S
             watch = self._watch
             try:
-                delay = await self._look(watch)
-                if delay is not None and not self._leaving:
+                delay = await self._observe(watch)
+                if delay is not None and not self._resigning:
                     await asyncio.sleep(delay)
-                    await self._take(watch)
+                    await self._acquire(watch)
                     self._watch = OwnerWatch()
-                pause = plan_next_read(self._watch, self._peers.find_place(self._cell))
+                pause = plan_next_read(self._watch, self._peers.count_preferred(self._cell))
             except (CallError, PlatformError) as error:
                 _log.warning("owner not read", event="owner.unread", reason=error)
             try:
                 async with asyncio.timeout(pause):
-                    await self._resigned.wait()
+                    await self._handed_over.wait()
             except TimeoutError:
                 continue
-            self._resigned.clear()
+            self._handed_over.clear()
 
     async def follow_handovers(self) -> None:
         """Look at once when an owner resigns."""
         after = 0
         while True:
             try:
-                page = await self._store.follow(HANDOVERS, after, HANDOVER_WAIT)
+                page = await self._store.follow(HANDOVERS_TABLE, after, HANDOVER_WAIT_S)
                 if page is None:
-                    page = await self._store.read(HANDOVERS, self._cell)
+                    page = await self._store.read(HANDOVERS_TABLE, self._cell)
             except (CallError, PlatformError):
-                await asyncio.sleep(REST)
+                await asyncio.sleep(BACKOFF_S)
                 continue
             after = max(after, page.version)
             if any(row.part == self._cell for row in page.rows):
-                self._resigned.set()
+                self._handed_over.set()
 
     async def resign(self) -> None:
         """Contend no more, and give up the cell if it is owned."""
-        self._leaving = True
+        self._resigning = True
         if self._owner is not None:
             self._owner.resign()
 
-    async def _look(self, watch: OwnerWatch) -> float | None:
+    async def _observe(self, watch: OwnerWatch) -> float | None:
         begun = steady_time()
-        page = await self._store.read(OWNERS, self._cell, OWNER_KEY, OWNER_KEY + "\0")
+        page = await self._store.read(OWNERS_TABLE, self._cell, OWNER_KEY, OWNER_KEY + "\0")
         now = steady_time()
         row = page.rows[0] if page.rows else None
-        record = _read_owner(row, self._entries) if row else None
+        record = _read_owner(row, self._reader) if row else None
         record_read(watch, row.version if row else 0, record, now - begun, now)
-        weak = self._peers.has_stronger()
-        return plan_takeover(watch, self._rank, self._settings.name, self._life, weak)
+        weak = self._peers.has_stronger_host()
+        return plan_takeover(watch, self._rank, self._settings.name, self._incarnation, weak)
 
-    async def _yield(self, owner: Owner) -> None:
+    async def _yield_to_stronger(self, owner: Owner) -> None:
         """
         Hand the cell to a stronger host once there is one.
 
@@ -163,27 +163,27 @@
         """
         began = steady_time()
         while True:
-            await asyncio.sleep(YIELD_PERIOD)
+            await asyncio.sleep(YIELD_CHECK_PERIOD_S)
             now = steady_time()
             if now < max(began + MIN_TENURE_S, self._yielded_at + MIN_HANDOVER_INTERVAL_S):
                 continue
-            if self._peers.has_stronger():
+            if self._peers.has_stronger_host():
                 self._yielded_at = now
                 _log.info("cell yielded", event="cell.yielded", cell=self._cell)
                 owner.resign()
                 return
 
-    async def _take(self, watch: OwnerWatch) -> None:
-        before = watch.record
-        token = before.token + 1 if before else 1
-        record = OwnerRecord(self._settings.name, self._life, token, 0)
-        expected = (ExpectedVersion(OWNERS, OWNER_KEY, watch.version),)
-        put = (Put(OWNERS, OWNER_KEY, encode_owner(record)),)
+    async def _acquire(self, watch: OwnerWatch) -> None:
+        previous = watch.record
+        token = previous.token + 1 if previous else 1
+        record = OwnerRecord(self._settings.name, self._incarnation, token, 0)
+        expected = (ExpectedVersion(OWNERS_TABLE, OWNER_KEY, watch.version),)
+        put = (Put(OWNERS_TABLE, OWNER_KEY, encode_owner(record)),)
         sent_at = steady_time()
         result = await self._store.transact(self._cell, expected, put)
         if not isinstance(result, Committed):
             return
-        _log.info("cell taken", event="cell.taken", cell=self._cell, token=token, before=before)
+        _log.info("cell taken", event="cell.taken", cell=self._cell, token=token, previous=previous)
         TAKEOVERS.add(1)
         self._owner = Owner(
             self._store,
@@ -193,31 +193,31 @@
             record,
             result.version,
             sent_at,
-            before is None,
-            self._advisers,
+            previous is None,
+            self._advice_dispatcher,
             self._guarded,
             self._evacuated,
         )
-        yielding = asyncio.ensure_future(self._yield(self._owner))
+        yielding = asyncio.ensure_future(self._yield_to_stronger(self._owner))
         try:
             await self._owner.run()
-        except DeposedError as error:
+        except OwnershipLostError as error:
             _log.warning("cell lost", event="cell.lost", cell=self._cell, reason=error)
         except Exception:
             _log.exception("owner failed", event="cell.failed", cell=self._cell)
         finally:
             yielding.cancel()
         self._owner = None
-        if not self._leaving:
-            await asyncio.sleep(REST)
+        if not self._resigning:
+            await asyncio.sleep(BACKOFF_S)
 
 
-def _read_owner(row: Row, entries: EntryReader) -> OwnerRecord:
+def _read_owner(row: Row, reader: RowReader) -> OwnerRecord:
     """
     Return who owns a cell; nobody does where the row can't be read.
 
     The token of the last owner isn't known then.  Each owner has written its row at least once, so
     the store's version of the row is above every token that was ever given.
     """
-    record = entries.read_one((row,), lambda it: decode_owner(it.value))
+    record = reader.read_one((row,), lambda it: decode_owner(it.value))
     return record or OwnerRecord("", "", row.version, 0)
--- a/toucanpin/entry/cell_jobs.py
+++ b/toucanpin/entry/cell_jobs.py
@@ -14,9 +14,9 @@
 
 from toucanpin.entry.cell_rows import CellRows, decode_job_row
 from toucanpin.entry.clocks import Clocks, steady_time
-from toucanpin.entry.entries import EntryReader
-from toucanpin.entry.followed import WHOLE_PERIOD, WHOLE_SHARE
-from toucanpin.entry.rows import JOBS, list_job_parts, split_key
+from toucanpin.entry.row_cache import FULL_READ_PERIOD_S, MAX_FULL_READ_SHARE
+from toucanpin.entry.row_reader import RowReader
+from toucanpin.entry.tables import JOBS_TABLE, list_job_parts, split_key
 from toucanpin.exception import PlatformError
 from toucanpin.http import CallError
 from toucanpin.platform.store import MAX_PAGE_ROWS, Page, Row, Store
@@ -24,16 +24,16 @@
 from toucanpin.scheduling.counting import TableView
 from toucanpin.scheduling.intake import cancel_job, submit_job
 
-__all__ = ["FEED_MARGIN", "FEED_WAIT", "RETRY", "CellJobs"]
+__all__ = ["FEED_MARGIN_S", "FEED_WAIT_S", "RETRY_DELAY_S", "CellJobs"]
 
 _log = logbook.Logger("jobs")
 # An answer without rows tells that there are no jobs that this owner hasn't read.  Callers' counts
 # are as old as the newest answer, and may be two seconds old.  A connection may be silent for good;
 # a watch on it is given up before a cancel is due, in 3 s.
-FEED_WAIT = 0.5  # s that a watch of the jobs waits
-FEED_MARGIN = 1.0  # s that its answer may take beyond; a slow store takes 0.6 s
-LATE = 0.5  # s beyond its wait after which a read of the jobs is told of
-RETRY = 0.1  # s before a read is repeated
+FEED_WAIT_S = 0.5  # s that a watch of the jobs waits
+FEED_MARGIN_S = 1.0  # s that its answer may take beyond; a slow store takes 0.6 s
+LATE_MARGIN_S = 0.5  # s beyond its wait after which a read of the jobs is told of
+RETRY_DELAY_S = 0.1  # s before a read is repeated
 
 
 class CellJobs:
@@ -41,14 +41,14 @@
 
     __slots__ = (
         "_cell",
-        "_changed",
+        "_on_change",
         "_clocks",
-        "_entries",
+        "_reader",
         "_keep_ended",
         "_parts",
         "_rows",
         "_store",
-        "followed",
+        "followed_version",
     )
 
     def __init__(
@@ -57,37 +57,39 @@
         clocks: Clocks,
         cell: Cell,
         rows: CellRows,
-        entries: EntryReader,
+        reader: RowReader,
         keep_ended: float,
-        changed: Callable[[], None],
+        on_change: Callable[[], None],
     ) -> None:
         self._store = store
         self._clocks = clocks
         self._cell = cell
         self._rows = rows
-        self._entries = entries
+        self._reader = reader
         self._keep_ended = keep_ended
-        self._changed = changed
+        self._on_change = on_change
         self._parts = frozenset(list_job_parts(cell.name))
-        self.followed = 0  # the store's version up to which the jobs are known
+        self.followed_version = 0  # the store's version up to which the jobs are known
 
     async def follow(self) -> None:
         """Watch for changes for ever."""
         while True:
             asked_at = steady_time()
             try:
-                page = await self._store.follow(JOBS, self.followed, FEED_WAIT, FEED_MARGIN)
+                page = await self._store.follow(
+                    JOBS_TABLE, self.followed_version, FEED_WAIT_S, FEED_MARGIN_S
+                )
             except (CallError, PlatformError) as error:
                 _log.warning("jobs not followed", event="jobs.unread", reason=error)
-                await asyncio.sleep(RETRY)
+                await asyncio.sleep(RETRY_DELAY_S)
                 continue
             if page is None:
-                await self._read()
+                await self._read_all()
                 continue
             took = steady_time() - asked_at
-            if took > FEED_WAIT + LATE:
+            if took > FEED_WAIT_S + LATE_MARGIN_S:
                 _log.warning("jobs read late", event="jobs.late", took=round(took, 3))
-            self._take_changes(page)
+            self._apply_changes(page)
 
     async def relist(self) -> None:
         """
@@ -97,27 +99,27 @@
         come so late that it is replaced.
         """
         while True:
-            await asyncio.sleep(WHOLE_PERIOD)
-            await self._read(_rest)
+            await asyncio.sleep(FULL_READ_PERIOD_S)
+            await self._read_all(_throttle)
 
-    async def _read(self, rest: Callable[[float], Awaitable[None]] | None = None) -> None:
+    async def _read_all(self, throttle: Callable[[float], Awaitable[None]] | None = None) -> None:
         """Read all jobs, however long it takes; the watch goes on from there if it is behind."""
-        page = await self._rows.read_jobs(rest)
-        self._take_page(page, page.clock)
+        page = await self._rows.read_jobs(throttle)
+        self._apply_page(page, page.clock)
 
-    def _take_changes(self, page: Page) -> None:
+    def _apply_changes(self, page: Page) -> None:
         """Take up what a watch gave; an answer that is full may lack later changes."""
         full = len(page.rows) >= MAX_PAGE_ROWS
-        self._take_page(page, self._rows.view.clock if full else page.clock)
+        self._apply_page(page, self._rows.view.clock if full else page.clock)
 
-    def _take_page(self, page: Page, clock: int) -> None:
+    def _apply_page(self, page: Page, clock: int) -> None:
         """Take up rows that are whole as of a moment, and note which one."""
-        self._take_rows(page.rows)
-        if page.version >= self.followed:
-            self.followed = page.version
+        self._apply_rows(page.rows)
+        if page.version >= self.followed_version:
+            self.followed_version = page.version
             self._rows.view = TableView(page.version, clock)
 
-    def _take_rows(self, rows: tuple[Row, ...]) -> None:
+    def _apply_rows(self, rows: tuple[Row, ...]) -> None:
         now = self._clocks.now()
         cancelled = []
         for row in rows:
@@ -127,13 +129,13 @@
             if is_cancel:
                 cancelled.append(identifier)
             elif identifier not in self._cell.jobs and identifier not in self._rows.blocked:
-                self._take_job(row, now)
+                self._add_job(row, now)
         for identifier in cancelled:
             cancel_job(self._cell, identifier, now)
-        self._changed()
+        self._on_change()
 
-    def _take_job(self, row: Row, now: Now) -> None:
-        job = self._entries.read_one((row,), decode_job_row)
+    def _add_job(self, row: Row, now: Now) -> None:
+        job = self._reader.read_one((row,), decode_job_row)
         if job is None:
             return
         # A row that was dropped since it was read is of a job that has long ended.
@@ -141,6 +143,6 @@
             submit_job(self._cell, job, now)
 
 
-async def _rest(took: float) -> None:
+async def _throttle(took: float) -> None:
     """Rest after a page that took so many seconds."""
-    await asyncio.sleep(took / WHOLE_SHARE - took)
+    await asyncio.sleep(took / MAX_FULL_READ_SHARE - took)
--- a/toucanpin/entry/cell_rows.py
+++ b/toucanpin/entry/cell_rows.py
@@ -14,16 +14,16 @@
 import msgspec
 
 from toucanpin.entry.clocks import steady_time
-from toucanpin.entry.entries import EntryReader
-from toucanpin.entry.rows import (
-    COUNTS,
+from toucanpin.entry.row_reader import RowReader
+from toucanpin.entry.tables import (
     COUNTS_KEY,
-    EFFECTS,
-    HANDOVERS,
-    JOBS,
+    COUNTS_TABLE,
+    EFFECTS_TABLE,
+    HANDOVERS_TABLE,
+    JOBS_TABLE,
     OWNER_KEY,
-    OWNERS,
-    PROGRESS,
+    OWNERS_TABLE,
+    PROGRESS_TABLE,
     cancel_key,
     job_part,
     list_job_parts,
@@ -41,18 +41,18 @@
 from toucanpin.scheduling.ownership import OwnerRecord, decode_owner, encode_owner
 from toucanpin.scheduling.progress import Progress, decode_progress, matches_job
 
-__all__ = ["CellRows", "DeposedError", "decode_job_row"]
+__all__ = ["CellRows", "OwnershipLostError", "decode_job_row"]
 
 _log = logbook.Logger("rows")
-RETRY = 0.1  # s before a read is repeated
-FIRST_PAUSE = 0.02  # s before a commit is repeated; doubled each time
-LONGEST_PAUSE = 0.2  # s
-COMMIT_TIMEOUT = 2.0  # s for one try of a commit; a store 60 times slower takes 0.6 s
-COUNT_PERIOD = 0.5  # s between writes of how many jobs wait
-LEARNED_PERIOD = 3.0  # s between writes of what was learned
+RETRY_DELAY_S = 0.1  # s before a read is repeated
+INITIAL_BACKOFF_S = 0.02  # s before a commit is repeated; doubled each time
+MAX_BACKOFF_S = 0.2  # s
+COMMIT_TIMEOUT_S = 2.0  # s for one try of a commit; a store 60 times slower takes 0.6 s
+COUNTS_PERIOD_S = 0.5  # s between writes of how many jobs wait
+EFFECTS_PERIOD_S = 3.0  # s between writes of what was learned
 
 
-class DeposedError(Exception):
+class OwnershipLostError(Exception):
     """Say that another process owns the cell."""
 
 
@@ -73,9 +73,9 @@
         record: OwnerRecord,
         version: int,
         written_at: float,
-        entries: EntryReader,
+        reader: RowReader,
     ) -> None:
-        self._entries = entries
+        self._reader = reader
         self.blocked: set[str] = set()
         self._store = store
         self._cell = cell
@@ -83,23 +83,23 @@
         self.record = record
         self._version = version
         self.written_at = written_at
-        self._counted_at = 0.0
+        self._counts_written_at = 0.0
         self.view = TableView()
-        self._learned_at = 0.0
+        self._effects_written_at = 0.0
         self.backlog: dict[int, int] = {}  # written with the owner's row
 
     async def load(self, now: Callable[[], Now]) -> int:
         """Read all rows of the cell into it; return the version to follow the jobs from."""
         jobs = await self.read_jobs()
-        progress = await self._read_part(PROGRESS, self._cell.name)
-        learned = await self._read_part(EFFECTS, self._cell.name)
-        effects = self._entries.read_one(learned.rows, _decode_learned)
+        progress = await self._read_part(PROGRESS_TABLE, self._cell.name)
+        learned = await self._read_part(EFFECTS_TABLE, self._cell.name)
+        effects = self._reader.read_one(learned.rows, _decode_learned)
         if effects is not None:
             self._sharing.restore(effects, now().steady)
             self._cell.durations.fits = effects.durations
-        known = {row.key: it for row, it in self._entries.read(progress.rows, _decode_progress)}
+        known = {row.key: it for row, it in self._reader.read(progress.rows, _decode_progress)}
         self.blocked = {row.key for row in progress.rows if row.key not in known}
-        self._take_jobs(jobs.rows, known, now())
+        self._add_jobs(jobs.rows, known, now())
         self.view = TableView(jobs.version, jobs.clock)
         _log.info(
             "cell owned",
@@ -110,9 +110,9 @@
         )
         return jobs.version
 
-    def _take_jobs(self, rows: Sequence[Row], known: dict[str, Progress], now: Now) -> None:
+    def _add_jobs(self, rows: Sequence[Row], known: dict[str, Progress], now: Now) -> None:
         own = [row for row in rows if not split_key(row.key)[1]]
-        for row, job in self._entries.read(own, decode_job_row):
+        for row, job in self._reader.read(own, decode_job_row):
             progress = known.get(row.key)
             if progress is not None and not matches_job(progress, job):
                 self.blocked.add(row.key)
@@ -127,7 +127,7 @@
             if is_cancel:
                 cancel_job(self._cell, identifier, now)
 
-    async def read_jobs(self, rest: Callable[[float], Awaitable[None]] | None = None) -> Page:
+    async def read_jobs(self, throttle: Callable[[float], Awaitable[None]] | None = None) -> Page:
         """
         Read the jobs of all parts, however long it takes, with a rest after each page if one is
         given.
@@ -135,7 +135,7 @@
         ``version`` and ``clock`` are of the oldest moment.
         """
         parts = list_job_parts(self._cell.name)
-        pages = [await self._read_part(JOBS, part, rest) for part in parts]
+        pages = [await self._read_part(JOBS_TABLE, part, throttle) for part in parts]
         rows = tuple(row for page in pages for row in page.rows)
         version = min(page.version for page in pages)
         return Page(rows, False, version, min(page.clock for page in pages))
@@ -144,14 +144,14 @@
         self,
         table: str,
         part: str,
-        rest: Callable[[float], Awaitable[None]] | None = None,
+        throttle: Callable[[float], Awaitable[None]] | None = None,
     ) -> Page:
         async def pause(error: ToucanpinError) -> None:
             _log.warning("cell not read", event="cell.unread", part=part, reason=error)
-            await asyncio.sleep(RETRY)
+            await asyncio.sleep(RETRY_DELAY_S)
 
         # Begun anew after each lost answer, a read of many pages might never end.
-        return await self._store.read_all(table, part, on_error=pause, after_page=rest)
+        return await self._store.read_all(table, part, on_error=pause, after_page=throttle)
 
     async def write(self, batch: WriteBatch, resigning: bool) -> None:
         """
@@ -162,8 +162,8 @@
         DeposedError
             If another process owns the cell.
         """
-        puts = [Put(PROGRESS, key, value) for key, value in batch.records.items()]
-        puts += [Put(PROGRESS, identifier, None) for identifier in batch.forgotten]
+        puts = [Put(PROGRESS_TABLE, key, value) for key, value in batch.records.items()]
+        puts += [Put(PROGRESS_TABLE, identifier, None) for identifier in batch.forgotten]
         puts += self._put_counts()
         puts += self._put_effects()
         await self._commit(puts, resigning)
@@ -185,25 +185,27 @@
         host = "" if resigning else self.record.host
         sequence = self.record.sequence + 1
         record = OwnerRecord(host, self.record.life, self.record.token, sequence, self.backlog)
-        puts = [Put(OWNERS, OWNER_KEY, encode_owner(record)), *puts]
+        puts = [Put(OWNERS_TABLE, OWNER_KEY, encode_owner(record)), *puts]
         if resigning:
-            puts.append(Put(HANDOVERS, OWNER_KEY, record.life.encode()))
-        pause = FIRST_PAUSE
+            puts.append(Put(HANDOVERS_TABLE, OWNER_KEY, record.life.encode()))
+        pause = INITIAL_BACKOFF_S
         while True:
-            expected = (ExpectedVersion(OWNERS, OWNER_KEY, self._version),)
+            expected = (ExpectedVersion(OWNERS_TABLE, OWNER_KEY, self._version),)
             sent_at = steady_time()
             try:
-                result = await self._store.transact(self._cell.name, expected, puts, COMMIT_TIMEOUT)
+                result = await self._store.transact(
+                    self._cell.name, expected, puts, COMMIT_TIMEOUT_S
+                )
             except CallError as error:
                 _log.warning("commit not answered", event="commit.unanswered", reason=error)
                 await asyncio.sleep(pause)
-                pause = min(LONGEST_PAUSE, 2 * pause)
+                pause = min(MAX_BACKOFF_S, 2 * pause)
                 continue
             if isinstance(result, Committed):
                 self._version = result.version
                 break
             row = result.rows[0]
-            found = self._entries.read_one((row,), _decode_owner) if row.version else None
+            found = self._reader.read_one((row,), _decode_owner) if row.version else None
             if found == record:
                 # An earlier try whose answer was lost was carried out.
                 self._version = row.version
@@ -211,7 +213,7 @@
             if found == self.record:
                 self._version = row.version
                 continue
-            raise DeposedError(f"owned by {found}")
+            raise OwnershipLostError(f"owned by {found}")
         self.record = record
         self.written_at = sent_at
         self._cell.confirmed_at = sent_at
@@ -222,27 +224,27 @@
 
     async def _drop_job(self, identifier: str) -> None:
         """Drop a job's own rows before its progress, or it would look like a new one."""
-        drops = (Put(JOBS, identifier, None), Put(JOBS, cancel_key(identifier), None))
+        drops = (Put(JOBS_TABLE, identifier, None), Put(JOBS_TABLE, cancel_key(identifier), None))
         while True:
             try:
                 await self._store.transact(job_part(self._cell.name, identifier), (), drops)
                 return
             except CallError:
-                await asyncio.sleep(RETRY)
+                await asyncio.sleep(RETRY_DELAY_S)
 
     def _put_effects(self) -> list[Put]:
-        if steady_time() < self._learned_at + LEARNED_PERIOD:
+        if steady_time() < self._effects_written_at + EFFECTS_PERIOD_S:
             return []
-        self._learned_at = steady_time()
+        self._effects_written_at = steady_time()
         learned = msgspec.msgpack.encode(self._sharing.export(self._cell.durations))
-        return [Put(EFFECTS, OWNER_KEY, learned)]
+        return [Put(EFFECTS_TABLE, OWNER_KEY, learned)]
 
     def _put_counts(self) -> list[Put]:
-        if steady_time() < self._counted_at + COUNT_PERIOD:
+        if steady_time() < self._counts_written_at + COUNTS_PERIOD_S:
             return []
-        self._counted_at = steady_time()
+        self._counts_written_at = steady_time()
         value = encode_counts(self.view, count_pending(self._cell))
-        return [Put(COUNTS, COUNTS_KEY, value)]
+        return [Put(COUNTS_TABLE, COUNTS_KEY, value)]
 
 
 def decode_job_row(row: Row) -> Job:
--- a/toucanpin/entry/cell_workers.py
+++ b/toucanpin/entry/cell_workers.py
@@ -12,7 +12,7 @@
 
 import logbook
 
-from toucanpin.entry.cell_rows import DeposedError
+from toucanpin.entry.cell_rows import OwnershipLostError
 from toucanpin.entry.clocks import Clocks, steady_time
 from toucanpin.entry.metrics import ENDS, REFUSED_STARTS
 from toucanpin.exception import PlatformError
@@ -47,11 +47,11 @@
 __all__ = ["CellWorkers"]
 
 _log = logbook.Logger("workers")
-SHORT_RETRY = 0.02  # s before a start is repeated
-RETRY = 0.1  # s before another order is repeated
-SILENT_PAUSE = 0.3  # s between questions to a worker that doesn't answer
-RENEWAL_PERIOD = 1.0  # s between renewals of a lease while the cell's rows are being read
-WRITE_WAIT = 0.4  # s for which a worker isn't asked while its ends are being written
+START_RETRY_DELAY_S = 0.02  # s before a start is repeated
+RETRY_DELAY_S = 0.1  # s before another order is repeated
+SILENT_RETRY_DELAY_S = 0.3  # s between questions to a worker that doesn't answer
+RENEWAL_PERIOD_S = 1.0  # s between renewals of a lease while the cell's rows are being read
+MAX_WRITE_WAIT_S = 0.4  # s for which a worker isn't asked while its ends are being written
 
 
 class CellWorkers:
@@ -64,26 +64,26 @@
         clocks: Clocks,
         delay: ProcessDelay,
         spawn: Callable[[Coroutine], None],
-        changed: Callable[[], None],
+        on_change: Callable[[], None],
     ) -> None:
         self._cell = cell
         self._sharing = sharing
         self._clocks = clocks
         self._delay = delay
         self._spawn = spawn
-        self._changed = changed
+        self._on_change = on_change
         self._calls: dict[str, WorkerClient] = {}
         self._answers = AnswerTimeout()
         self._written = asyncio.Event()
         self._loaded = asyncio.Event()
         self._fastest = MinAnswerTime()
-        self._sent: dict[int, float] = {}  # when starts without an answer were sent
+        self._starts_sent_at: dict[int, float] = {}  # when starts without an answer were sent
 
     def count_starting(self) -> int:
         """Return how many starts are on their way that an answer may still be read for."""
         now = steady_time()
         oldest = now - START_ANSWER_TIME_S - self._delay.read(now)
-        return sum(sent_at > oldest for sent_at in self._sent.values())
+        return sum(sent_at > oldest for sent_at in self._starts_sent_at.values())
 
     def note_loaded(self) -> None:
         """Take note that the cell's rows are read, so that answers mean something."""
@@ -100,38 +100,38 @@
             calls.close()
 
     def take_entries(
-        self, entries: Iterable[WorkerEntry], unsound: Collection[str] = frozenset()
+        self, entries: Iterable[WorkerEntry], malformed: Collection[str] = frozenset()
     ) -> None:
         """Take up the workers' own entries, and speak to those that are new."""
-        for worker in update_workers(self._cell, entries, self._clocks.now(), unsound):
+        for worker in update_workers(self._cell, entries, self._clocks.now(), malformed):
             entry = worker.entry
             self._calls[entry.id] = WorkerClient(entry.id, entry.address)
-            self._spawn(self._hold(worker))
+            self._spawn(self._poll(worker))
 
-    async def _hold(self, worker: Worker) -> None:
+    async def _poll(self, worker: Worker) -> None:
         """Ask one worker for ever, so that its lease is renewed and its ends are heard."""
         identifier = worker.entry.id
         calls = self._calls[identifier]
-        await self._renew(worker, calls)
+        await self._renew_until_loaded(worker, calls)
         while self._cell.workers.get(identifier) is worker:
             order = plan_poll(self._cell, worker, self._clocks.now())
             sent_at = steady_time()
             # Only the answer to a second question tells whether the first was lost or is late.
-            patience = MAX_LATENESS_S if worker.silent else self._answers.allow(sent_at)
+            timeout = MAX_LATENESS_S if worker.silent else self._answers.allow(sent_at)
             try:
                 answer = await calls.hold(
-                    self._cell.token, order.acknowledged, order.deadline, order.wait, patience
+                    self._cell.token, order.acknowledged, order.deadline, order.wait, timeout
                 )
             except WorkerReplacedError:
                 _log.info("worker replaced", event="worker.replaced", worker=identifier)
                 remove_replaced_worker(self._cell, worker, self._clocks.now())
-                self._changed()
+                self._on_change()
                 break
             except (CallError, PlatformError) as error:
                 repeated = worker.silent
                 mark_silent(worker)
                 if repeated:
-                    await asyncio.sleep(SILENT_PAUSE)
+                    await asyncio.sleep(SILENT_RETRY_DELAY_S)
                     continue
                 # One answer may just be lost, and its worker gets nothing until it answers.
                 _log.warning(
@@ -139,24 +139,24 @@
                 )
                 continue
             if isinstance(answer, RefusalReason):
-                raise DeposedError(f"worker {identifier} refused: {answer.value}")
+                raise OwnershipLostError(f"worker {identifier} refused: {answer.value}")
             now = self._clocks.now()
             self._answers.note(now.steady - sent_at - order.wait, now.steady)
             _log_ends(worker, answer.ended)
-            doubted = is_distrusted(worker)
+            was_doubted = is_distrusted(worker)
             apply_answer(self._cell, worker, answer, sent_at, now)
-            if is_distrusted(worker) and not doubted:
+            if is_distrusted(worker) and not was_doubted:
                 jobs = sorted(worker.failed_jobs)
                 _log.warning("tasks fail", event="worker.doubted", worker=identifier, jobs=jobs)
             learn_effects(self._sharing, worker, len(self._cell.workers), now)
-            self._changed()
+            self._on_change()
             await self._wait_for_writes(worker)
             await asyncio.sleep(self._delay.plan_pause(steady_time()))
         calls.close()
         if self._calls.get(identifier) is calls:
             del self._calls[identifier]
 
-    async def _renew(self, worker: Worker, calls: WorkerClient) -> None:
+    async def _renew_until_loaded(self, worker: Worker, calls: WorkerClient) -> None:
         """
         Renew a worker's lease until the cell's rows are read.
 
@@ -165,16 +165,16 @@
         """
         while not self._loaded.is_set():
             deadline = plan_renewal(self._cell, worker, self._clocks.now())
-            pause = RENEWAL_PERIOD if deadline else 0.0
+            pause = RENEWAL_PERIOD_S if deadline else 0.0
             try:
                 answer = await calls.hold(self._cell.token, 0, deadline, 0.0, MAX_LATENESS_S)
             except WorkerReplacedError:
                 return
             except (CallError, PlatformError):
-                pause = RETRY
+                pause = RETRY_DELAY_S
             else:
                 if isinstance(answer, RefusalReason):
-                    raise DeposedError(f"worker {worker.entry.id} refused: {answer.value}")
+                    raise OwnershipLostError(f"worker {worker.entry.id} refused: {answer.value}")
                 record_clock(worker, answer, self._clocks.now())
             try:
                 async with asyncio.timeout(pause):
@@ -189,7 +189,7 @@
         A worker lists them again at once until then, so each question would be wasted.  A slow
         write mustn't hold up the next renewal of the lease.
         """
-        until = steady_time() + WRITE_WAIT
+        until = steady_time() + MAX_WRITE_WAIT_S
         while worker.seen > worker.acknowledged and steady_time() < until:
             try:
                 async with asyncio.timeout(until - steady_time()):
@@ -206,10 +206,10 @@
                 return
             deadline = plan_start(self._cell, worker, run, self._clocks.now())
             if not deadline:
-                await asyncio.sleep(RETRY)
+                await asyncio.sleep(RETRY_DELAY_S)
                 continue
             live = self._cell.jobs[run.task.job]
-            self._sent[id(run)] = steady_time()
+            self._starts_sent_at[id(run)] = steady_time()
             try:
                 answer = await calls.start(
                     run.task,
@@ -224,13 +224,13 @@
                 return
             except (CallError, PlatformError) as error:
                 certain = isinstance(error, CallError) and error.certain
-                following = apply_start_failure(
+                next_step = apply_start_failure(
                     self._cell, worker, run, certain, self._clocks.now()
                 )
-                if following is not StartOutcome.SETTLED:
-                    await asyncio.sleep(SHORT_RETRY)
+                if next_step is not StartOutcome.SETTLED:
+                    await asyncio.sleep(START_RETRY_DELAY_S)
             else:
-                self._note_answer(self._sent[id(run)])
+                self._note_answer(self._starts_sent_at[id(run)])
                 if answer.refused is not None:
                     REFUSED_STARTS.add(1, {"reason": answer.refused.value})
                     _log.info(
@@ -240,17 +240,17 @@
                         worker=run.worker,
                         reason=answer.refused.value,
                     )
-                following = apply_start_answer(self._cell, worker, run, answer, self._clocks.now())
+                next_step = apply_start_answer(self._cell, worker, run, answer, self._clocks.now())
             finally:
-                self._sent.pop(id(run), None)
-            match following:
+                self._starts_sent_at.pop(id(run), None)
+            match next_step:
                 case StartOutcome.FENCED:
-                    raise DeposedError(f"worker {run.worker} has another owner")
+                    raise OwnershipLostError(f"worker {run.worker} has another owner")
                 case StartOutcome.SETTLED:
                     break
                 case StartOutcome.RETRY_LATER:
-                    await asyncio.sleep(RETRY)
-        self._changed()
+                    await asyncio.sleep(RETRY_DELAY_S)
+        self._on_change()
 
     def _note_answer(self, sent_at: float) -> None:
         now = steady_time()
@@ -285,12 +285,12 @@
             except WorkerReplacedError:
                 return
             except (CallError, PlatformError):
-                await asyncio.sleep(RETRY)
+                await asyncio.sleep(RETRY_DELAY_S)
                 continue
             if refused is RefusalReason.FENCED:
-                raise DeposedError(f"worker {order.worker} has another owner")
+                raise OwnershipLostError(f"worker {order.worker} has another owner")
             if refused is RefusalReason.UNHEALTHY:
-                await asyncio.sleep(RETRY)
+                await asyncio.sleep(RETRY_DELAY_S)
                 continue
             if run is not None and run.attempt == order.attempt:
                 record_stop_acknowledged(worker, run, self._clocks.now())
--- a/toucanpin/entry/configuration.py
+++ b/toucanpin/entry/configuration.py
@@ -13,7 +13,7 @@
 import logbook
 
 from toucanpin.entry.clocks import steady_time
-from toucanpin.entry.followed import FollowedRows
+from toucanpin.entry.row_cache import RowCache
 from toucanpin.exception import PlatformError
 from toucanpin.http import CallError
 from toucanpin.platform.queues import (
@@ -30,20 +30,20 @@
 __all__ = ["ConfigurationWatch"]
 
 _log = logbook.Logger("configuration")
-POLL = 0.6  # s: a version has to be in force 2 s after it was accepted, at 240 ms a read
-LOOK_TIME = 20.0  # s after which a look that nobody waits for is given up
-FRESH = 0.25  # s for which a version that was read may decide that a queue doesn't exist
+POLL_PERIOD_S = 0.6  # s: a version has to be in force 2 s after it was accepted, at 240 ms a read
+REFRESH_TIMEOUT_S = 20.0  # s after which a look that nobody waits for is given up
+MAX_LOOKUP_AGE_S = 0.25  # s for which a version that was read may decide that a queue doesn't exist
 
 
 class ConfigurationWatch:
     """Follow the operators' document; a lower version than one in force is never taken."""
 
     __slots__ = (
-        "_followed",
+        "_cache",
         "_index",
-        "_reading",
-        "_unreadable",
-        "_value",
+        "_fetching",
+        "_invalid_document",
+        "_document",
         "confirmed",
         "current",
         "evacuated",
@@ -51,10 +51,10 @@
 
     def __init__(self, store: Store) -> None:
         self._index = QueueIndex(())
-        self._reading: asyncio.Task[bool] | None = None
-        self._followed = FollowedRows(store, OPERATORS_TABLE, CONFIGURATION_KEY, EVACUATION_END_KEY)
-        self._value = b""
-        self._unreadable: bytes | None = None
+        self._fetching: asyncio.Task[bool] | None = None
+        self._cache = RowCache(store, OPERATORS_TABLE, CONFIGURATION_KEY, EVACUATION_END_KEY)
+        self._document = b""
+        self._invalid_document: bytes | None = None
         self.current: Configuration | None = None
         self.confirmed = 0.0  # local time at which the newest successful look was sent
         self.evacuated = Evacuated(frozenset(), float("-inf"))
@@ -63,49 +63,49 @@
         """Poll for ever."""
         while True:
             await self.refresh()
-            await asyncio.sleep(POLL)
+            await asyncio.sleep(POLL_PERIOD_S)
 
-    async def refresh(self, age: float = 0.0, patience: float = LOOK_TIME) -> bool:
+    async def refresh(self, max_age: float = 0.0, time_limit: float = REFRESH_TIMEOUT_S) -> bool:
         """
         Look for changes unless that was done within ``age`` seconds; return whether it is.
 
         It isn't after ``patience`` seconds.
         """
         try:
-            async with asyncio.timeout(max(0.0, patience)):
-                return await self._refresh(age)
+            async with asyncio.timeout(max(0.0, time_limit)):
+                return await self._refresh(max_age)
         except TimeoutError:
             return False
 
-    async def _refresh(self, age: float) -> bool:
-        wanted = steady_time() - age
+    async def _refresh(self, max_age: float) -> bool:
+        wanted = steady_time() - max_age
         while self.confirmed < wanted:
             # All who ask at a time share one look.  One after the other they would wait for each
             # other's, the last of them for many time-outs.
-            if self._reading is None or self._reading.done():
-                self._reading = asyncio.ensure_future(self._look())
-            if not await asyncio.shield(self._reading):
+            if self._fetching is None or self._fetching.done():
+                self._fetching = asyncio.ensure_future(self._fetch())
+            if not await asyncio.shield(self._fetching):
                 return False
         return True
 
-    async def _look(self) -> bool:
+    async def _fetch(self) -> bool:
         """Take what has changed; return whether the document in force is known to be the newest."""
         sent_at = steady_time()
         try:
-            await self._followed.update()
+            await self._cache.update()
         except (CallError, PlatformError) as error:
             _log.warning("configuration not read", event="configuration.unread", reason=error)
             return False
-        self.evacuated = Evacuated(list_evacuated_data_centres(self._followed.rows), sent_at)
-        row = self._followed.rows.get(CONFIGURATION_KEY)
+        self.evacuated = Evacuated(list_evacuated_data_centres(self._cache.rows), sent_at)
+        row = self._cache.rows.get(CONFIGURATION_KEY)
         if row is not None:
-            self._take(row.value)
-        if self._unreadable is not None:
+            self._apply_document(row.value)
+        if self._invalid_document is not None:
             return False
         self.confirmed = sent_at
         return True
 
-    async def find(self, host: str, path: str, patience: float) -> Queue | None:
+    async def find(self, host: str, path: str, time_limit: float) -> Queue | None:
         """
         Return the queue of a request; that there is none is said of a fresh version only.
 
@@ -113,7 +113,7 @@
         """
         queue = self._index.find(host, path)
         if queue is None:
-            await self.refresh(FRESH, patience)
+            await self.refresh(MAX_LOOKUP_AGE_S, time_limit)
             queue = self._index.find(host, path)
         return queue
 
@@ -126,23 +126,23 @@
         self.current = configuration
         self._index = QueueIndex(configuration.queues)
 
-    def _take(self, value: bytes) -> None:
+    def _apply_document(self, value: bytes) -> None:
         """Put a document in force unless it is old or can't be read."""
-        if value == self._value:
-            self._unreadable = None
+        if value == self._document:
+            self._invalid_document = None
             return
-        if value == self._unreadable:
+        if value == self._invalid_document:
             return
         try:
             configuration = decode_configuration(value)
         except PlatformError as error:
-            self._unreadable = value
+            self._invalid_document = value
             _log.error("configuration unreadable", event="configuration.unreadable", reason=error)
             return
-        self._unreadable = None
+        self._invalid_document = None
         if self.current is not None and configuration.version <= self.current.version:
             return
-        self._value = value
+        self._document = value
         self.apply(configuration)
         _log.info(
             "configuration in force",
--- a/toucanpin/entry/decisions.py
+++ b/toucanpin/entry/decision_log.py
@@ -28,9 +28,9 @@
 ]
 
 _log = logbook.Logger("decisions")
-LONG_WAIT = 0.5  # s without a place from which on a wait is told
-TELL_AGAIN = 2.0  # s until it is told again
-MOST_TOLD = 10  # waits told at a time, of thousands in an overload
+MIN_LOGGED_WAIT_S = 0.5  # s without a place from which on a wait is told
+RELOG_PERIOD_S = 2.0  # s until it is told again
+MAX_LOGGED_WAITS = 10  # waits told at a time, of thousands in an overload
 
 
 def log_place(cell: Cell, run: Run, now: Now) -> None:
@@ -93,12 +93,13 @@
     due = [
         (group, wait)
         for group, wait in cell.waits.items()
-        if now.steady - wait.since > LONG_WAIT and now.steady > wait.logged_at + TELL_AGAIN
+        if now.steady - wait.since > MIN_LOGGED_WAIT_S
+        and now.steady > wait.logged_at + RELOG_PERIOD_S
     ]
     due.sort(key=lambda pair: pair[1].since)
     frees = (worker.entry.cpu - worker.cpu for worker in list_open(cell))
     free = max(frees, default=0) if due else 0
-    for group, wait in due[:MOST_TOLD]:
+    for group, wait in due[:MAX_LOGGED_WAITS]:
         wait.logged_at = now.steady
         job = cell.jobs[group.job].job
         _log.info(
--- a/toucanpin/entry/frames.py
+++ b/toucanpin/entry/frames.py
@@ -19,11 +19,11 @@
     from toucanpin.wire.messages import Message, Received
 
 __all__ = [
-    "ARRIVING",
-    "MAX_FRAME",
+    "MAX_TRANSFER_TIME_S",
+    "MAX_FRAME_BYTES",
     "decode_frame",
     "encode_frame",
-    "read_arriving",
+    "read_payload",
     "read_frame",
     "read_size",
 ]
@@ -31,9 +31,9 @@
 _LENGTH = struct.Struct(">I")
 # Whatever the store may answer has to pass: a host that it turns away kept an old configuration.
 # The second term, in bytes, is for what the inner protocol adds around an answer.
-MAX_FRAME = MAX_ANSWER_BYTES + 65_536
+MAX_FRAME_BYTES = MAX_ANSWER_BYTES + 65_536
 # A weak link takes seconds for a document with thousands of queues.
-ARRIVING = 6.0  # s that an answer may take that keeps arriving
+MAX_TRANSFER_TIME_S = 6.0  # s that an answer may take that keeps arriving
 
 
 async def read_frame(reader: asyncio.StreamReader) -> bytes:
@@ -42,17 +42,17 @@
 
 async def read_size(reader: asyncio.StreamReader) -> int:
     (size,) = _LENGTH.unpack(await reader.readexactly(_LENGTH.size))
-    if not 0 < size <= MAX_FRAME:
-        raise WireError(f"frame of {size} bytes; allowed are 1 to {MAX_FRAME}")
+    if not 0 < size <= MAX_FRAME_BYTES:
+        raise WireError(f"frame of {size} bytes; allowed are 1 to {MAX_FRAME_BYTES}")
     return size
 
 
-async def read_arriving(reader: asyncio.StreamReader, size: int, patience: float) -> bytes:
+async def read_payload(reader: asyncio.StreamReader, size: int, idle_timeout: float) -> bytes:
     """Read what fills the link as long as a direct answer may take; no pause beyond patience."""
     parts: list[bytes] = []
-    async with asyncio.timeout(ARRIVING):
+    async with asyncio.timeout(MAX_TRANSFER_TIME_S):
         while size:
-            async with asyncio.timeout(patience):
+            async with asyncio.timeout(idle_timeout):
                 part = await reader.read(size)
             if not part:
                 raise WireError(f"{size} bytes of a frame are missing")
@@ -68,8 +68,8 @@
 
     envelope = Envelope(MINOR_VERSION, "entry", name, "", 0, 0, 0, 0, "", nonce)
     frame = encode(PeerKeys("table", {"table": secret}), purpose, envelope, message)
-    if len(frame) > MAX_FRAME:
-        raise WireError(f"frame of {len(frame)} bytes; allowed are 1 to {MAX_FRAME}")
+    if len(frame) > MAX_FRAME_BYTES:
+        raise WireError(f"frame of {len(frame)} bytes; allowed are 1 to {MAX_FRAME_BYTES}")
     return _LENGTH.pack(len(frame)) + frame
 
 
--- a/toucanpin/entry/logs.py
+++ b/toucanpin/entry/logs.py
@@ -19,10 +19,10 @@
 
 __all__ = ["LineHandler", "make_handler"]
 
-RATE = 600.0  # lines a second; an owner of hundreds of workers drops some at its busiest
-BURST = 3_000.0  # lines that may come at once, such as all tasks at a takeover
-RESERVED = 300.0  # of these lines, for warnings and errors
-MAX_HELD = 262_144  # bytes that wait for a reader before lines are dropped
+MAX_LINES_PER_S = 600.0  # lines a second; an owner of hundreds of workers drops some at its busiest
+MAX_BURST_LINES = 3_000.0  # lines that may come at once, such as all tasks at a takeover
+RESERVED_LINES = 300.0  # of these lines, for warnings and errors
+MAX_BUFFERED_BYTES = 262_144  # bytes that wait for a reader before lines are dropped
 
 
 class LineHandler(logbook.Handler):
@@ -39,19 +39,19 @@
         self.dropped = 0
         self._host = host
         self._descriptor = descriptor
-        self._held = bytearray()
-        self._tokens = BURST
-        self._filled_at = time.monotonic()
-        self._told = 0
+        self._buffer = bytearray()
+        self._tokens = MAX_BURST_LINES
+        self._refilled_at = time.monotonic()
+        self._reported_drops = 0
 
     def emit(self, record: logbook.LogRecord) -> None:
         """Write one record, or count it."""
-        reserved = RESERVED if record.level < logbook.WARNING else 0.0
-        if not self._take_token(reserved) or len(self._held) > MAX_HELD:
+        reserved = RESERVED_LINES if record.level < logbook.WARNING else 0.0
+        if not self._take_token(reserved) or len(self._buffer) > MAX_BUFFERED_BYTES:
             self.dropped += 1
             return
-        if self.dropped > self._told:
-            self._told = self.dropped
+        if self.dropped > self._reported_drops:
+            self._reported_drops = self.dropped
             self._write(self._encode_dropped())
         self._write(self._encode(record))
 
@@ -62,8 +62,10 @@
         At its busiest an owner would otherwise drop the lines that tell of it.
         """
         now = time.monotonic()
-        self._tokens = min(BURST, self._tokens + RATE * (now - self._filled_at))
-        self._filled_at = now
+        self._tokens = min(
+            MAX_BURST_LINES, self._tokens + MAX_LINES_PER_S * (now - self._refilled_at)
+        )
+        self._refilled_at = now
         if self._tokens < 1.0 + reserved:
             return False
         self._tokens -= 1.0
@@ -90,16 +92,16 @@
         return msgspec.json.encode({**fields, "lines": self.dropped}) + b"\n"
 
     def _write(self, line: bytes) -> None:
-        self._held += line
+        self._buffer += line
         try:
-            written = os.write(self._descriptor, self._held)
+            written = os.write(self._descriptor, self._buffer)
         except BlockingIOError:
             return
         except OSError:
             # Nobody reads any more, which is no reason to stop serving.
-            self._held.clear()
+            self._buffer.clear()
             return
-        del self._held[:written]
+        del self._buffer[:written]
 
 
 def make_handler(host: str) -> LineHandler:
--- a/toucanpin/entry/metrics.py
+++ b/toucanpin/entry/metrics.py
@@ -22,7 +22,7 @@
 
 __all__ = [
     "ENDS",
-    "LAG",
+    "LOOP_LAG",
     "LOST_RUNS",
     "REFUSED_STARTS",
     "REQUESTS",
@@ -33,16 +33,16 @@
     "STORE_CALLS",
     "TAKEOVERS",
     "TURN_TIME",
-    "UNSOUND",
+    "MALFORMED_ROWS",
     "MetricsServer",
-    "Tally",
-    "watch",
+    "BatchedCounter",
+    "register_gauge",
 ]
 
 _meter = metrics.get_meter("toucanpin")
 
 
-class Tally:
+class BatchedCounter:
     """
     Count what comes hundreds of times a second, and hand it on when metrics are read.
 
@@ -60,11 +60,11 @@
         """Count under a value of the label, if there is one."""
         self._counts[value] += amount
 
-    def begin(self) -> None:
+    def reset(self) -> None:
         """Count from now on, as all other instruments do once the library is there."""
         self._counts.clear()
 
-    def hand_on(self) -> None:
+    def flush(self) -> None:
         """Give the library what was counted since."""
         for value, amount in self._counts.items():
             self._counter.add(amount, {self._label: value} if self._label else None)
@@ -75,14 +75,18 @@
 REQUEST_TIME = _meter.create_histogram(
     "toucanpin.request.time", unit="s", description="Seconds until a caller was answered"
 )
-STARTS = Tally(_meter.create_counter("toucanpin.starts", description="Tasks placed and written"))
+STARTS = BatchedCounter(
+    _meter.create_counter("toucanpin.starts", description="Tasks placed and written")
+)
 START_WAIT = _meter.create_histogram(
     "toucanpin.start.wait", unit="s", description="Seconds from acceptance to a task's place"
 )
 REFUSED_STARTS = _meter.create_counter(
     "toucanpin.starts.refused", description="Starts that a worker refused, by reason"
 )
-ENDS = Tally(_meter.create_counter("toucanpin.ends", description="Ends of runs by kind"), "end")
+ENDS = BatchedCounter(
+    _meter.create_counter("toucanpin.ends", description="Ends of runs by kind"), "end"
+)
 LOST_RUNS = _meter.create_counter(
     "toucanpin.runs.lost", description="Runs lost with their workers, by cause"
 )
@@ -96,10 +100,10 @@
 TURN_TIME = _meter.create_histogram(
     "toucanpin.turn.time", unit="s", description="Seconds of an owner's turn by what is done"
 )
-UNSOUND = _meter.create_counter(
+MALFORMED_ROWS = _meter.create_counter(
     "toucanpin.entries.unsound", description="Entries of a table that name nothing, once each"
 )
-LAG = _meter.create_histogram(
+LOOP_LAG = _meter.create_histogram(
     "toucanpin.loop.lag", unit="s", description="Seconds that a turn of the loop came late"
 )
 HISTOGRAMS = (
@@ -108,13 +112,13 @@
     "toucanpin.loop.lag",
     "toucanpin.turn.time",
 )
-TALLIES = (STARTS, ENDS)
-BOUNDS = (0.001, 0.003, 0.01, 0.03, 0.1, 0.3, 1.0, 3.0, 10.0)  # s
+BATCHED_COUNTERS = (STARTS, ENDS)
+BUCKET_BOUNDS_S = (0.001, 0.003, 0.01, 0.03, 0.1, 0.3, 1.0, 3.0, 10.0)  # s
 
 Gauge = Callable[[], dict[str, float]]
 
 
-def watch(name: str, description: str, label: str, read: Gauge) -> None:
+def register_gauge(name: str, description: str, label: str, read: Gauge) -> None:
     """Show the values that ``read`` returns, each under its value of ``label``."""
 
     def observe(_: metrics.CallbackOptions) -> Iterable[metrics.Observation]:
@@ -139,11 +143,11 @@
         from opentelemetry.sdk.metrics.view import ExplicitBucketHistogramAggregation, View
 
         self._reader = InMemoryMetricReader()
-        buckets = ExplicitBucketHistogramAggregation(BOUNDS)
+        buckets = ExplicitBucketHistogramAggregation(BUCKET_BOUNDS_S)
         views = [View(instrument_name=name, aggregation=buckets) for name in HISTOGRAMS]
         metrics.set_meter_provider(MeterProvider(metric_readers=[self._reader], views=views))
-        for tally in TALLIES:
-            tally.begin()
+        for counter in BATCHED_COUNTERS:
+            counter.reset()
         await self._server.listen(self._address)
 
     async def close(self) -> None:
@@ -153,12 +157,12 @@
     async def _answer(self, request: Request) -> Response:
         if request.path.partition("?")[0] != self._path:
             return Response(404)
-        return Response(200, self.write_text().encode())
+        return Response(200, self.render_text().encode())
 
-    def write_text(self) -> str:
+    def render_text(self) -> str:
         """Return all metrics in the text form that collectors read."""
-        for tally in TALLIES:
-            tally.hand_on()
+        for counter in BATCHED_COUNTERS:
+            counter.flush()
         data = self._reader.get_metrics_data() if self._reader else None
         if data is None:
             return ""
@@ -168,10 +172,10 @@
             for scope in resource.scope_metrics
             for metric in scope.metrics
         )
-        return "".join(f"{line}\n" for metric in found for line in _write_metric(metric))
+        return "".join(f"{line}\n" for metric in found for line in _render_metric(metric))
 
 
-def _write_metric(metric: Any) -> Iterator[str]:
+def _render_metric(metric: Any) -> Iterator[str]:
     name = metric.name.replace(".", "_")
     yield f"# HELP {name} {metric.description}"
     for point in metric.data.data_points:
@@ -180,7 +184,7 @@
             yield f"{name}{{{','.join(labels)}}} {point.value}"
             continue
         total = 0
-        for bound, count in zip((*BOUNDS, "+Inf"), point.bucket_counts, strict=True):
+        for bound, count in zip((*BUCKET_BOUNDS_S, "+Inf"), point.bucket_counts, strict=True):
             total += count
             inner = ",".join([*labels, f'le="{bound}"'])
             yield f"{name}_bucket{{{inner}}} {total}"
--- a/toucanpin/entry/owner.py
+++ b/toucanpin/entry/owner.py
@@ -13,12 +13,12 @@
 
 import logbook
 
-from toucanpin.entry.advisers import Advisers
+from toucanpin.entry.advice_dispatcher import AdviceDispatcher
 from toucanpin.entry.cell_jobs import CellJobs
-from toucanpin.entry.cell_rows import CellRows, DeposedError
+from toucanpin.entry.cell_rows import CellRows, OwnershipLostError
 from toucanpin.entry.cell_workers import CellWorkers
 from toucanpin.entry.clocks import Clocks, steady_time
-from toucanpin.entry.decisions import (
+from toucanpin.entry.decision_log import (
     log_ended,
     log_evacuations,
     log_given_up,
@@ -26,11 +26,11 @@
     log_place,
     log_waits,
 )
-from toucanpin.entry.entries import EntryReader
-from toucanpin.entry.followed import FollowedRows
 from toucanpin.entry.metrics import TURN_TIME
-from toucanpin.entry.periodic import Periodic
-from toucanpin.entry.waves import Waves
+from toucanpin.entry.periodic import PeriodicDecision
+from toucanpin.entry.row_cache import RowCache
+from toucanpin.entry.row_reader import RowReader
+from toucanpin.entry.waves import WaveController
 from toucanpin.exception import PlatformError
 from toucanpin.http import CallError
 from toucanpin.platform.machines import MachineClient
@@ -61,18 +61,18 @@
 __all__ = ["Owner"]
 
 _log = logbook.Logger("owner")
-TICK = 0.05  # s between looks at what only time brings: lapsed leases, due times, stalls
-MOVE_PERIOD = 0.2  # s between looks for tasks that do better elsewhere; answers come each 0.4 s
-LIST_PERIOD = 0.5  # s between reads of the workers' entries; a drain must be seen within 2 s
-OLDEST_VIEW = 2_500  # ms since the jobs were last known within which tasks are placed
-RETRY = 0.1  # s before a read is repeated
-FORGET_PERIOD = 5.0  # s between looks for jobs that ended long ago
-TELL_PERIOD = 1.0  # s between looks for what waits for long
-PLACING_SHARE = 0.35  # of the time, at most
-BEHIND = 0.2  # s of delay that is told
-KEEP_MARGIN = 15.0  # s that ended jobs are kept longer than promised
+TICK_PERIOD_S = 0.05  # s between looks at what only time brings: lapsed leases, due times, stalls
+MOVE_PERIOD_S = 0.2  # s between looks for tasks that do better elsewhere; answers come each 0.4 s
+LIST_PERIOD_S = 0.5  # s between reads of the workers' entries; a drain must be seen within 2 s
+MAX_VIEW_AGE_MS = 2_500  # ms since the jobs were last known within which tasks are placed
+RETRY_DELAY_S = 0.1  # s before a read is repeated
+CLEANUP_PERIOD_S = 5.0  # s between looks for jobs that ended long ago
+REPORT_PERIOD_S = 1.0  # s between looks for what waits for long
+MAX_PLACING_SHARE = 0.35  # of the time, at most
+MIN_LOGGED_DELAY_S = 0.2  # s of delay that is told
+RETENTION_MARGIN_S = 15.0  # s that ended jobs are kept longer than promised
 # A lease that an earlier owner granted ends on a clock that may be 2% slow, and a little later.
-HORIZON = OWNER_AUTHORITY_S * 1.04 + 0.4
+PREVIOUS_LEASE_TIME_S = OWNER_AUTHORITY_S * 1.04 + 0.4
 
 
 class Owner:
@@ -94,47 +94,47 @@
         version: int,
         confirmed: float,
         first: bool,
-        advisers: Advisers,
+        advice_dispatcher: AdviceDispatcher,
         guarded: Callable[[], bool],
         evacuated: Callable[[], Evacuated],
     ) -> None:
         self._store = store
         self._clocks = clocks
         self._bounds = settings.bounds
-        self._advisers = advisers
+        self._advice_dispatcher = advice_dispatcher
         self._guarded = guarded
         self._evacuated = evacuated
-        horizon = steady_time() + (0.0 if first else HORIZON)
+        horizon = steady_time() + (0.0 if first else PREVIOUS_LEASE_TIME_S)
         self._cell = Cell(name, record.token, horizon, confirmed)
         self._cell.stop_time = settings.bounds.stop
         self._cell.restore_time = settings.bounds.restore
         self._sharing = InterferenceModel()
-        self._entries = EntryReader()
+        self._reader = RowReader()
         self._rows = CellRows(
-            store, self._cell, self._sharing, record, version, confirmed, self._entries
+            store, self._cell, self._sharing, record, version, confirmed, self._reader
         )
         self._jobs = CellJobs(
             store,
             clocks,
             self._cell,
             self._rows,
-            self._entries,
+            self._reader,
             settings.bounds.keep_ended,
-            self._after_change,
+            self._dispatch_orders,
         )
         self._delay = ProcessDelay()
         self._workers = CellWorkers(
-            self._cell, self._sharing, clocks, self._delay, self._spawn, self._after_change
+            self._cell, self._sharing, clocks, self._delay, self._spawn, self._dispatch_orders
         )
-        self._waves: Waves | None = None
+        self._waves: WaveController | None = None
         if settings.machines:
             calls = MachineClient(settings.machines, settings.name)
-            self._waves = Waves(store, calls, self._cell, clocks, settings.bounds, first)
+            self._waves = WaveController(store, calls, self._cell, clocks, settings.bounds, first)
         self._tasks: set[asyncio.Task] = set()
         self._wake = asyncio.Event()
-        self._placing = TimeShare(PLACING_SHARE)
+        self._placing = TimeShare(MAX_PLACING_SHARE)
         self._backlog = StartBacklog()
-        self._deposed: asyncio.Future[None] | None = None
+        self._failure: asyncio.Future[None] | None = None
         self._resigning = False
 
     async def run(self) -> None:
@@ -147,17 +147,17 @@
             If another process owns the cell.
         """
         loop = asyncio.get_running_loop()
-        self._deposed = loop.create_future()
+        self._failure = loop.create_future()
         try:
-            self._spawn(self._list())
-            self._jobs.followed = await self._load()
+            self._spawn(self._follow_workers())
+            self._jobs.followed_version = await self._load()
             self._workers.note_loaded()
             following = (self._jobs.follow, self._jobs.relist)
-            for part in (self._commit, *following, self._tick, self._forget):
+            for part in (self._commit, *following, self._tick, self._drop_ended_jobs):
                 self._spawn(part())
             if self._waves is not None:
                 self._spawn(self._waves.run())
-            await self._deposed
+            await self._failure
         finally:
             for task in tuple(self._tasks):
                 task.cancel()
@@ -176,9 +176,9 @@
             while not (await asyncio.wait((reading,), timeout=OWNER_WRITE_INTERVAL_S))[0]:
                 # One that leaves has no time to read on, and who waits for its silence loses more.
                 await self._rows.renew(self._resigning)
-                self._check_held()
-                if self._deposed is not None and self._deposed.done():
-                    self._deposed.result()
+                self._raise_if_resigned()
+                if self._failure is not None and self._failure.done():
+                    self._failure.result()
             return reading.result()
         finally:
             reading.cancel()
@@ -211,24 +211,24 @@
 
     def _reap(self, task: asyncio.Task) -> None:
         self._tasks.discard(task)
-        if task.cancelled() or self._deposed is None or self._deposed.done():
+        if task.cancelled() or self._failure is None or self._failure.done():
             return
         error = task.exception()
         if error is not None:
-            self._deposed.set_exception(error)
+            self._failure.set_exception(error)
 
     async def _commit(self) -> None:
         while True:
             due = self._rows.written_at + OWNER_WRITE_INTERVAL_S - steady_time()
             if due > 0 and not has_pending_writes(self._cell) and not self._resigning:
                 try:
-                    async with asyncio.timeout(min(due, TICK)):
+                    async with asyncio.timeout(min(due, TICK_PERIOD_S)):
                         await self._wake.wait()
                         await asyncio.sleep(self._placing.left(steady_time()))
                 except TimeoutError:
                     pass
             self._wake.clear()
-            self._place()
+            self._place_tasks()
             idle = not has_pending_writes(self._cell) and not self._resigning
             if idle and steady_time() < self._rows.written_at + OWNER_WRITE_INTERVAL_S:
                 continue
@@ -241,15 +241,15 @@
             for run in started:
                 log_place(self._cell, run, self._clocks.now())
                 self._spawn(self._workers.start(run))
-            self._check_held()
+            self._raise_if_resigned()
 
-    def _place(self) -> None:
+    def _place_tasks(self) -> None:
         """Place what waits, unless that has taken its share of the time or too little is known."""
         now = self._clocks.now()
-        self._take_evacuated()
+        self._update_evacuated()
         if self._placing.left(now.steady):
             return
-        if self._hears_of_cancels(now) and knows_evacuations(self._cell, now):
+        if self._has_recent_jobs(now) and knows_evacuations(self._cell, now):
             most = self._delay.limit_starts(now.steady) - self._workers.count_starting()
             before = len(self._cell.placed)
             place_tasks(self._cell, self._sharing, now, most)
@@ -258,93 +258,93 @@
         self._placing.note(now.steady, ended)
         TURN_TIME.record(ended - now.steady, {"what": "placing"})
 
-    def _check_held(self) -> None:
+    def _raise_if_resigned(self) -> None:
         """Raise DeposedError after this owner's resignation was written."""
         if not self._rows.record.host:
-            raise DeposedError("resigned")
+            raise OwnershipLostError("resigned")
 
-    def _hears_of_cancels(self, now: Now) -> bool:
+    def _has_recent_jobs(self, now: Now) -> bool:
         """
         Tell whether the jobs are known as they were lately.
 
         A cancelled job may start nothing 3 s after its cancel is acknowledged, by any host.
         """
-        return now.table - self._rows.view.clock <= OLDEST_VIEW
+        return now.table - self._rows.view.clock <= MAX_VIEW_AGE_MS
 
-    def _take_evacuated(self) -> None:
+    def _update_evacuated(self) -> None:
         if take_evacuated(self._cell, self._evacuated(), self._bounds.evacuate):
             log_evacuations(self._cell)
 
-    async def _list(self) -> None:
+    async def _follow_workers(self) -> None:
         """Follow the workers' entries."""
-        followed = FollowedRows(self._store, WORKERS_TABLE)
+        followed = RowCache(self._store, WORKERS_TABLE)
         while True:
             try:
                 await followed.update()
             except (CallError, PlatformError) as error:
                 _log.warning("workers not read", event="workers.unread", reason=error)
-                await asyncio.sleep(RETRY)
+                await asyncio.sleep(RETRY_DELAY_S)
                 continue
             rows = followed.rows
-            sound = {
-                row.key: entry for row, entry in self._entries.read(rows.values(), _decode_entry)
+            valid = {
+                row.key: entry for row, entry in self._reader.read(rows.values(), _decode_entry)
             }
-            own = [entry for entry in sound.values() if entry.service == self._cell.name]
-            unsound = rows.keys() - sound.keys()
+            own = [entry for entry in valid.values() if entry.service == self._cell.name]
+            malformed = rows.keys() - valid.keys()
             self._cell.workers_enforce_limits = self._guarded()
-            self._workers.take_entries(own, unsound)
-            await asyncio.sleep(LIST_PERIOD)
+            self._workers.take_entries(own, malformed)
+            await asyncio.sleep(LIST_PERIOD_S)
 
-    async def _forget(self) -> None:
+    async def _drop_ended_jobs(self) -> None:
         """Drop the rows of jobs that ended long ago; commits don't wait for it."""
         while True:
             forgotten = self._cell.job_rows_to_delete[:MAX_FORGOTTEN]
             if not forgotten:
-                await asyncio.sleep(FORGET_PERIOD)
+                await asyncio.sleep(CLEANUP_PERIOD_S)
                 continue
             await self._rows.drop_jobs(forgotten)
             del self._cell.job_rows_to_delete[: len(forgotten)]
             self._cell.progress_rows_to_delete += forgotten
             self._wake.set()
 
-    async def _advise(self, order: AdviceOrder) -> None:
-        advice = await self._advisers.ask(order.group, order.workers)
+    async def _request_advice(self, order: AdviceOrder) -> None:
+        advice = await self._advice_dispatcher.ask(order.group, order.workers)
         take_advice(self._cell, order, advice, self._clocks.now())
         self._wake.set()
 
     async def _tick(self) -> None:
-        forgotten_at = told_at = 0.0
+        cleaned_at = reported_at = 0.0
         periodic = [
-            Periodic(lambda now: move_tasks(self._cell, now), MOVE_PERIOD),
-            Periodic(lambda now: control_pace(self._cell, self._sharing, now), 0.0),
-            Periodic(lambda now: consolidate_images(self._cell, self._sharing, now), 0.0),
+            PeriodicDecision(lambda now: move_tasks(self._cell, now), MOVE_PERIOD_S),
+            PeriodicDecision(lambda now: control_pace(self._cell, self._sharing, now), 0.0),
+            PeriodicDecision(lambda now: consolidate_images(self._cell, self._sharing, now), 0.0),
         ]
         while True:
-            due = steady_time() + TICK
-            await asyncio.sleep(TICK)
+            due = steady_time() + TICK_PERIOD_S
+            await asyncio.sleep(TICK_PERIOD_S)
             now = self._clocks.now()
             self._delay.note(now.steady - due, now.steady)
-            self._take_evacuated()
+            self._update_evacuated()
             for worker in expire_leases(self._cell, now):
                 _log.info("worker gone", event="worker.gone", worker=worker.entry.id)
             log_given_up(self._cell, fail_crashing_jobs(self._cell, now))
             begin_due(self._cell, now)
             for decision in periodic:
-                decision.make(self._clocks.now())
-            free = self._advisers.count_free()
+                decision.run_if_due(self._clocks.now())
+            free = self._advice_dispatcher.count_free()
             for order in plan_advice(self._cell, self._sharing, free, now):
-                self._spawn(self._advise(order))
-            if now.steady > told_at + TELL_PERIOD:
-                told_at = now.steady
+                self._spawn(self._request_advice(order))
+            if now.steady > reported_at + REPORT_PERIOD_S:
+                reported_at = now.steady
                 log_waits(self._cell, now)
                 self._estimate_backlog(now)
-                self._log_behind(now)
+                self._log_delay(now)
                 if self._cell.evacuated:
                     log_evacuations(self._cell)
-            if now.steady > forgotten_at + FORGET_PERIOD:
-                forgotten_at = now.steady
-                forget_ended(self._cell, now, self._bounds.keep_ended + KEEP_MARGIN)
-            self._after_change()
+            if now.steady > cleaned_at + CLEANUP_PERIOD_S:
+                cleaned_at = now.steady
+                forget_ended(self._cell, now, self._bounds.keep_ended + RETENTION_MARGIN_S)
+            self._dispatch_orders()
 
     def _estimate_backlog(self, now: Now) -> None:
         waiting: Counter[int] = Counter()
@@ -356,10 +356,10 @@
         delay = self._delay.read(now.steady)
         self._rows.backlog = self._backlog.estimate(waiting, delay, now.steady)
 
-    def _log_behind(self, now: Now) -> None:
+    def _log_delay(self, now: Now) -> None:
         """Tell that this host is too weak for the cell, or paused."""
         delay = self._delay.read(now.steady)
-        if delay > BEHIND:
+        if delay > MIN_LOGGED_DELAY_S:
             _log.warning(
                 "the owner is behind",
                 event="owner.behind",
@@ -371,7 +371,7 @@
                 silent=sum(worker.silent for worker in self._cell.workers.values()),
             )
 
-    def _after_change(self) -> None:
+    def _dispatch_orders(self) -> None:
         log_losses(self._cell)
         orders = self._cell.orders
         self._cell.orders = []
--- a/toucanpin/entry/peer_calls.py
+++ b/toucanpin/entry/peer_calls.py
@@ -11,7 +11,7 @@
 import secrets
 from typing import TYPE_CHECKING
 
-from toucanpin.entry.frames import decode_frame, encode_frame, read_arriving, read_size
+from toucanpin.entry.frames import decode_frame, encode_frame, read_payload, read_size
 from toucanpin.exception import WireError
 from toucanpin.http import Answer, CallError
 from toucanpin.verdict import Verdict
@@ -24,7 +24,7 @@
 
 STORE = "store"
 ADVICE = "advice"
-CONNECT_TIMEOUT = 0.3  # s to reach a peer
+CONNECT_TIMEOUT_S = 0.3  # s to reach a peer
 
 
 class PeerCaller:
@@ -49,7 +49,7 @@
         CallError
             If the peer or the service gave no answer.
         """
-        answer = await _ask(
+        answer = await _call_peer(
             self._name, self._peers.secret, self._peer, method, path, body, timeout, self._service
         )
         if answer.status:
@@ -58,14 +58,14 @@
         raise CallError(verdict, f"{self._peer.name} didn't reach the {self._service} either")
 
 
-async def _ask(
+async def _call_peer(
     name: str,
     secret: bytes,
     peer: Peer,
     method: str,
     path: str,
     body: bytes,
-    left: float,
+    time_limit: float,
     service: str,
 ) -> RelayAnswer:
     from toucanpin.wire.codec import Purpose
@@ -73,17 +73,17 @@
 
     nonce = secrets.randbelow(2**62) + 1
     try:
-        async with asyncio.timeout(min(left, CONNECT_TIMEOUT)):
+        async with asyncio.timeout(min(time_limit, CONNECT_TIMEOUT_S)):
             reader, writer = await asyncio.open_connection(peer.address, peer.port)
     except (OSError, TimeoutError) as error:
         raise CallError(Verdict.NOT_RUN, f"{peer.name} can't be reached: {error}") from error
     try:
-        async with asyncio.timeout(left):
-            call = RelayCall(method, path, body, max(0.05, left - 0.02), service)
+        async with asyncio.timeout(time_limit):
+            call = RelayCall(method, path, body, max(0.05, time_limit - 0.02), service)
             writer.write(encode_frame(name, secret, Purpose.REQUEST, nonce, call))
             await writer.drain()
             size = await read_size(reader)
-        frame = await read_arriving(reader, size, left)
+        frame = await read_payload(reader, size, time_limit)
         received = decode_frame(secret, Purpose.ANSWER, frame)
     except (OSError, TimeoutError, WireError, asyncio.IncompleteReadError) as error:
         raise CallError(Verdict.MAY_HAVE_RUN, f"{peer.name}: {error!r}") from error
--- a/toucanpin/entry/peers.py
+++ b/toucanpin/entry/peers.py
@@ -15,10 +15,10 @@
 import msgspec
 import xxhash
 
-from toucanpin.entry.clocks import AGREEING, measure_wall
-from toucanpin.entry.entries import EntryReader
-from toucanpin.entry.followed import FollowedRows
-from toucanpin.entry.rows import HOSTS, KEY_NAME, KEYS
+from toucanpin.entry.clocks import MIN_AGREEING_HOSTS, measure_wall_offset
+from toucanpin.entry.row_cache import RowCache
+from toucanpin.entry.row_reader import RowReader
+from toucanpin.entry.tables import HOSTS_TABLE, KEYS_TABLE, SHARED_KEY
 from toucanpin.exception import PlatformError
 from toucanpin.http import CallError
 from toucanpin.platform.addresses import check_address
@@ -28,47 +28,49 @@
 __all__ = ["Peer", "Peers"]
 
 _log = logbook.Logger("peers")
-ANNOUNCE = 4.0  # s between announcements of a host
-READ = 2.0  # s between reads of the others
-GONE = 15.0  # s without an announcement after which a host isn't asked for anything
+ANNOUNCE_PERIOD_S = 4.0  # s between announcements of a host
+READ_PERIOD_S = 2.0  # s between reads of the others
+PEER_TIMEOUT_S = 15.0  # s without an announcement after which a host isn't asked for anything
 # Hosts are replaced all day under new names; kept, their rows would fill every host's link.
-FORGOTTEN = 300.0  # s without an announcement after which a host's row is dropped
-MOST_DROPPED = 10  # rows at a time, each with the version that it must have
-RETRY = 0.3  # s after a failure
-THERE = 6.0  # s since an announcement for which a host is thought to be well; two of them
-STRONGER = 1.5  # times the cores that are worth a change of owner
+ROW_RETENTION_S = 300.0  # s without an announcement after which a host's row is dropped
+MAX_DROPPED_ROWS = 10  # rows at a time, each with the version that it must have
+RETRY_DELAY_S = 0.3  # s after a failure
+HEALTHY_TIMEOUT_S = (
+    6.0  # s since an announcement for which a host is thought to be well; two of them
+)
+STRONGER_FACTOR = 1.5  # times the cores that are worth a change of owner
 KEY_BYTES = 32
-EXACT = 20  # ms of error up to which a host's time of day decides when work is due
+MAX_EXACT_ERROR_MS = 20  # ms of error up to which a host's time of day decides when work is due
 
 
 class Peer(msgspec.Struct, frozen=True, array_like=True):
     """
-    Announce one host.
+    Announcement of one host.
 
-    ``announced`` is on the table's clock; ``wall`` is how far the host's time of day is ahead of
-    the table's clock and ``error`` how wrong that may be, all in ms; ``cores`` are those of its
-    processor.
+    ``announced`` is the time of the announcement on the table's clock.  ``wall_offset`` is how far
+    the host's time of day is ahead of the table's clock, ``wall_error`` the possible error of that
+    offset.  All three are in ms.  ``cores`` are those of the host's processor.
     """
 
     name: str
     address: str
     port: int
     announced: int
-    wall: int
-    error: int = 0
+    wall_offset: int
+    wall_error: int = 0
     cores: float = 1.0
 
 
 class Peers:
     """Keep the list of hosts and announce this one."""
 
-    __slots__ = ("_entries", "_followed", "_settings", "_store", "known", "secret")
+    __slots__ = ("_reader", "_cache", "_settings", "_store", "known", "secret")
 
     def __init__(self, store: Store, settings: HostSettings) -> None:
         self._store = store
         self._settings = settings
-        self._entries = EntryReader()
-        self._followed = FollowedRows(store, HOSTS)
+        self._reader = RowReader()
+        self._cache = RowCache(store, HOSTS_TABLE)
         self.known: tuple[Peer, ...] = ()
         self.secret = b""
 
@@ -79,32 +81,32 @@
             try:
                 if not self.secret:
                     await self._agree_on_key()
-                if time.monotonic() > announced_at + ANNOUNCE or not announced_at:
+                if time.monotonic() > announced_at + ANNOUNCE_PERIOD_S or not announced_at:
                     await self._announce()
                     announced_at = time.monotonic()
-                await self._read()
+                await self._refresh()
             except (CallError, PlatformError) as error:
                 _log.info("peers not read", event="peers.unread", reason=error)
-                await asyncio.sleep(RETRY)
+                await asyncio.sleep(RETRY_DELAY_S)
                 continue
-            await asyncio.sleep(READ)
+            await asyncio.sleep(READ_PERIOD_S)
 
-    def others(self) -> tuple[Peer, ...]:
+    def list_live(self) -> tuple[Peer, ...]:
         """Return the other hosts that are thought to be there."""
-        limit = self._store.clock - int(GONE * 1_000)
+        limit = self._store.clock - int(PEER_TIMEOUT_S * 1_000)
         name = self._settings.name
         return tuple(peer for peer in self.known if peer.name != name and peer.announced > limit)
 
-    def has_stronger(self) -> bool:
+    def has_stronger_host(self) -> bool:
         """Tell whether a host is there that has far more cores than this one."""
-        limit = self._store.clock - int(THERE * 1_000)
-        enough = STRONGER * self._settings.cores
+        limit = self._store.clock - int(HEALTHY_TIMEOUT_S * 1_000)
+        enough = STRONGER_FACTOR * self._settings.cores
         return any(peer.announced > limit and peer.cores >= enough for peer in self.known)
 
-    def find_place(self, cell: str) -> int:
+    def count_preferred(self, cell: str) -> int:
         """Return how many other hosts would sooner own a cell: stronger ones, then by lot."""
-        own = _rank_host(cell, self._settings.name, self._settings.cores)
-        ranks = (_rank_host(cell, peer.name, peer.cores) for peer in self.others())
+        own = _make_rank(cell, self._settings.name, self._settings.cores)
+        ranks = (_make_rank(cell, peer.name, peer.cores) for peer in self.list_live())
         return sum(rank < own for rank in ranks)
 
     def wall_offsets(self) -> tuple[int, ...]:
@@ -113,14 +115,16 @@
 
         Where enough hosts know it well, those that know it badly aren't asked.
         """
-        limit = self._store.clock - int(GONE * 1_000)
+        limit = self._store.clock - int(PEER_TIMEOUT_S * 1_000)
         fresh = [peer for peer in self.known if peer.announced > limit]
-        exact = [peer for peer in fresh if peer.error <= EXACT]
-        return tuple(peer.wall for peer in (exact if len(exact) >= AGREEING else fresh))
+        exact = [peer for peer in fresh if peer.wall_error <= MAX_EXACT_ERROR_MS]
+        return tuple(
+            peer.wall_offset for peer in (exact if len(exact) >= MIN_AGREEING_HOSTS else fresh)
+        )
 
     async def _announce(self) -> None:
         settings = self._settings
-        wall, error = measure_wall(self._store.clock_estimate)
+        wall, error = measure_wall_offset(self._store.clock_estimate)
         clock = self._store.clock
         peer = Peer(
             settings.name,
@@ -131,40 +135,44 @@
             error,
             settings.cores,
         )
-        put = Put(HOSTS, settings.name, msgspec.msgpack.encode(peer))
+        put = Put(HOSTS_TABLE, settings.name, msgspec.msgpack.encode(peer))
         await self._store.transact("", (), (put,))
 
-    async def _read(self) -> None:
-        await self._followed.update()
-        rows = self._followed.rows.values()
-        found = tuple(self._entries.read(rows, _decode_peer))
+    async def _refresh(self) -> None:
+        await self._cache.update()
+        rows = self._cache.rows.values()
+        found = tuple(self._reader.read(rows, _decode_peer))
         self.known = tuple(peer for _, peer in found)
-        limit = self._store.clock - int(FORGOTTEN * 1_000)
-        await self._drop([row for row, peer in found if peer.announced < limit][:MOST_DROPPED])
+        limit = self._store.clock - int(ROW_RETENTION_S * 1_000)
+        await self._drop_expired(
+            [row for row, peer in found if peer.announced < limit][:MAX_DROPPED_ROWS]
+        )
 
-    async def _drop(self, rows: list[Row]) -> None:
+    async def _drop_expired(self, rows: list[Row]) -> None:
         """Drop the rows of hosts that are long gone, unless they are back since."""
         if not rows:
             return
-        expected = [ExpectedVersion(HOSTS, row.key, row.version) for row in rows]
-        await self._store.transact("", expected, [Put(HOSTS, row.key, None) for row in rows])
+        expected = [ExpectedVersion(HOSTS_TABLE, row.key, row.version) for row in rows]
+        await self._store.transact("", expected, [Put(HOSTS_TABLE, row.key, None) for row in rows])
 
     async def _agree_on_key(self) -> None:
-        page = await self._store.read(KEYS, "", KEY_NAME, KEY_NAME + "\0")
-        known = self._entries.read_one(page.rows, _decode_key)
+        page = await self._store.read(KEYS_TABLE, "", SHARED_KEY, SHARED_KEY + "\0")
+        known = self._reader.read_one(page.rows, _decode_key)
         if known is not None:
             self.secret = known
             return
         secret = secrets.token_bytes(KEY_BYTES)
-        expected = (ExpectedVersion(KEYS, KEY_NAME, page.rows[0].version if page.rows else 0),)
-        written = await self._store.transact("", expected, (Put(KEYS, KEY_NAME, secret),))
+        expected = (
+            ExpectedVersion(KEYS_TABLE, SHARED_KEY, page.rows[0].version if page.rows else 0),
+        )
+        written = await self._store.transact("", expected, (Put(KEYS_TABLE, SHARED_KEY, secret),))
         if isinstance(written, Committed):
             self.secret = secret
             return
-        self.secret = self._entries.read_one(written.rows, _decode_key) or b""
+        self.secret = self._reader.read_one(written.rows, _decode_key) or b""
 
 
-def _rank_host(cell: str, name: str, cores: float) -> tuple[float, int]:
+def _make_rank(cell: str, name: str, cores: float) -> tuple[float, int]:
     return -cores, xxhash.xxh32_intdigest(f"{cell}/{name}".encode())
 
 
--- a/toucanpin/entry/counts.py
+++ b/toucanpin/entry/pending_counts.py
@@ -10,8 +10,8 @@
 from collections.abc import Iterable
 
 from toucanpin.entry.cell_rows import decode_job_row
-from toucanpin.entry.entries import EntryReader
-from toucanpin.entry.rows import COUNTS, COUNTS_KEY, JOBS, list_job_parts, split_key
+from toucanpin.entry.row_reader import RowReader
+from toucanpin.entry.tables import COUNTS_KEY, COUNTS_TABLE, JOBS_TABLE, list_job_parts, split_key
 from toucanpin.platform.store import Row, Store
 from toucanpin.scheduling.counting import PendingCounts, decode_counts, is_recent
 
@@ -19,7 +19,7 @@
 
 
 async def read_pending(
-    store: Store, entries: EntryReader, service: str, queue: str
+    store: Store, reader: RowReader, service: str, queue: str
 ) -> tuple[int, int] | None:
     """
     Return how many jobs of a queue wait, and the age of their owner's view in ms.
@@ -35,8 +35,8 @@
     PlatformError
         If an answer can't be understood.
     """
-    page = await store.read(COUNTS, service, COUNTS_KEY, COUNTS_KEY + "\0")
-    counts = entries.read_one(page.rows, _decode)
+    page = await store.read(COUNTS_TABLE, service, COUNTS_KEY, COUNTS_KEY + "\0")
+    counts = reader.read_one(page.rows, _decode_counts)
     if counts is None or not counts.view.version:
         return None
     known = counts.jobs.get(queue, 0)
@@ -48,7 +48,7 @@
     rows = await _read_newer(store, counts.view.version, page.version)
     if rows is None:
         return None
-    return known + _count_new(rows, entries, service, queue), age
+    return known + _count_new(rows, reader, service, queue), age
 
 
 async def _read_newer(store: Store, version: int, last: int) -> list[Row] | None:
@@ -59,7 +59,7 @@
     """
     rows: list[Row] = []
     while True:
-        page = await store.follow(JOBS, version, 0.0)
+        page = await store.follow(JOBS_TABLE, version, 0.0)
         if page is None:
             return None
         rows += page.rows
@@ -69,13 +69,13 @@
         version = page.version
 
 
-def _count_new(rows: Iterable[Row], entries: EntryReader, service: str, queue: str) -> int:
+def _count_new(rows: Iterable[Row], reader: RowReader, service: str, queue: str) -> int:
     parts = frozenset(list_job_parts(service))
     own = [row for row in rows if row.part in parts and not row.deleted]
     cancelled = {split_key(row.key)[0] for row in own if split_key(row.key)[1]}
-    jobs = entries.read((row for row in own if not split_key(row.key)[1]), decode_job_row)
+    jobs = reader.read((row for row in own if not split_key(row.key)[1]), decode_job_row)
     return len({job.id for _, job in jobs if job.queue == queue} - cancelled)
 
 
-def _decode(row: Row) -> PendingCounts:
+def _decode_counts(row: Row) -> PendingCounts:
     return decode_counts(row.value)
--- a/toucanpin/entry/periodic.py
+++ b/toucanpin/entry/periodic.py
@@ -15,14 +15,14 @@
 from toucanpin.scheduling.cell import Now
 from toucanpin.scheduling.shedding import TimeShare
 
-__all__ = ["Periodic"]
+__all__ = ["PeriodicDecision"]
 
 _log = logbook.Logger("owner")
-SHARE = 0.08  # of the time, at most
-AFTER_FAULT = 1.0  # s until a decision that failed is made again
+MAX_TIME_SHARE = 0.08  # of the time, at most
+RETRY_DELAY_S = 1.0  # s until a decision that failed is made again
 
 
-class Periodic:
+class PeriodicDecision:
     """
     Make one decision again and again, ``period`` seconds apart at least.
 
@@ -30,22 +30,22 @@
     seconds, and the next owner would meet the same fault.
     """
 
-    __slots__ = ("_decide", "_next", "_period", "_share")
+    __slots__ = ("_decide", "_due_at", "_period", "_share")
 
     def __init__(self, decide: Callable[[Now], object], period: float) -> None:
         self._decide = decide
         self._period = period
-        self._share = TimeShare(SHARE)
-        self._next = 0.0
+        self._share = TimeShare(MAX_TIME_SHARE)
+        self._due_at = 0.0
 
-    def make(self, now: Now) -> None:
+    def run_if_due(self, now: Now) -> None:
         """Make the decision unless it rests."""
-        if now.steady < self._next or self._share.left(now.steady):
+        if now.steady < self._due_at or self._share.left(now.steady):
             return
-        self._next = now.steady + self._period
+        self._due_at = now.steady + self._period
         try:
             self._decide(now)
         except Exception:
             _log.exception("a decision failed", event="owner.fault")
-            self._next = now.steady + AFTER_FAULT
+            self._due_at = now.steady + RETRY_DELAY_S
         self._share.note(now.steady, steady_time())
--- a/toucanpin/entry/relay.py
+++ b/toucanpin/entry/relay.py
@@ -50,14 +50,16 @@
 
     async def listen(self, address: str, port: int) -> None:
         """Listen for peers."""
-        self._server = await asyncio.start_server(self._serve, address, port)
+        self._server = await asyncio.start_server(self._handle_connection, address, port)
 
     def close(self) -> None:
         """Stop listening."""
         if self._server is not None:
             self._server.close()
 
-    async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _handle_connection(
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> None:
         from toucanpin.wire.codec import Purpose
         from toucanpin.wire.messages import RelayCall
 
--- a/toucanpin/entry/relayed_store.py
+++ b/toucanpin/entry/relayed_store.py
@@ -15,10 +15,10 @@
 
 import logbook
 
-from toucanpin.entry.frames import ARRIVING
+from toucanpin.entry.frames import MAX_TRANSFER_TIME_S
 from toucanpin.entry.metrics import STORE_BYTES, STORE_CALLS
 from toucanpin.entry.peer_calls import STORE, PeerCaller
-from toucanpin.entry.rows import KEY_NAME, KEYS
+from toucanpin.entry.tables import KEYS_TABLE, SHARED_KEY
 from toucanpin.http import Answer, CallError, Client, TooLargeError
 from toucanpin.verdict import Verdict
 
@@ -28,18 +28,18 @@
 __all__ = ["RelayedStore"]
 
 _log = logbook.Logger("relay")
-DIRECT_TIMEOUT = 1.0  # s of a direct try before a peer is asked; a slow store takes 0.6 s
-LONGEST_BRIEF = 2.5  # s that calls may take whose silence is a sign of an outage
-PROBE = 0.5  # s between direct tries while peers are used
-PROBE_TIMEOUT = 0.4  # s
-USELESS = 1.0  # s that a peer isn't asked after it couldn't reach the store either
-MOST_PEERS = 3  # asked for one call; in an outage for all, more would only cost the others' time
-REST = 0.4  # s that no peer is asked after none of them reached the store
+DIRECT_TIMEOUT_S = 1.0  # s of a direct try before a peer is asked; a slow store takes 0.6 s
+MAX_SHORT_TIMEOUT_S = 2.5  # s that calls may take whose silence is a sign of an outage
+PROBE_PERIOD_S = 0.5  # s between direct tries while peers are used
+PROBE_TIMEOUT_S = 0.4  # s
+PEER_BACKOFF_S = 1.0  # s that a peer isn't asked after it couldn't reach the store either
+MAX_PEERS = 3  # asked for one call; in an outage for all, more would only cost the others' time
+RELAY_BACKOFF_S = 0.4  # s that no peer is asked after none of them reached the store
 # Of a row that stays small: the operators' document never came whole over a weak link in that time.
-_PROBE_PATH = f"/rows-get?table={KEYS}&part=&limit=1&from={KEY_NAME}&target={KEY_NAME}%00"
+_PROBE_PATH = f"/rows-get?table={KEYS_TABLE}&part=&limit=1&from={SHARED_KEY}&target={SHARED_KEY}%00"
 _WATCH_PATH = "/rows-feed"
 _NO_WAIT = "&waitMs=0"
-_REFUSED = (429, 503)
+_REFUSAL_STATUSES = (429, 503)
 
 
 class RelayedStore:
@@ -50,8 +50,8 @@
         "_name",
         "_peers",
         "_probing",
-        "_rests_until",
-        "_useless",
+        "_backoff_until",
+        "_failed_until",
         "direct_works",
     )
 
@@ -60,8 +60,8 @@
         self._name = name
         self._peers: Peers | None = None
         self._probing: asyncio.Task[None] | None = None
-        self._useless: dict[str, float] = {}
-        self._rests_until = 0.0
+        self._failed_until: dict[str, float] = {}
+        self._backoff_until = 0.0
         self.direct_works = True
 
     def use_peers(self, peers: Peers) -> None:
@@ -78,20 +78,20 @@
         write carries the versions that it expects: whichever copy comes second does nothing.
         """
         deadline = time.monotonic() + timeout
-        unsure = False
+        uncertain = False
         refusal: Answer | None = None
         failure: CallError | None = None
         if self.direct_works or not self._may_relay():
             # A watch is meant to stay unanswered for long, so its silence says nothing.
-            brief = timeout <= LONGEST_BRIEF and not _is_watch(path)
+            is_short = timeout <= MAX_SHORT_TIMEOUT_S and not _is_watch(path)
             direct_timeout = (
-                min(timeout, DIRECT_TIMEOUT) if brief and self._may_relay() else timeout
+                min(timeout, DIRECT_TIMEOUT_S) if is_short and self._may_relay() else timeout
             )
             try:
                 answer = await self._direct.call(
-                    method, path, body, timeout=direct_timeout, total_timeout=ARRIVING
+                    method, path, body, timeout=direct_timeout, total_timeout=MAX_TRANSFER_TIME_S
                 )
-                if answer.status not in _REFUSED:
+                if answer.status not in _REFUSAL_STATUSES:
                     STORE_CALLS.add(1, {"outcome": "answered"})
                     STORE_BYTES.add(len(answer.body), {"table": _find_table(path)})
                     return answer
@@ -103,7 +103,7 @@
             except CallError as error:
                 STORE_CALLS.add(1, {"outcome": "failed"})
                 failure = error
-                unsure = not error.certain
+                uncertain = not error.certain
             self._note_failure()
         if time.monotonic() >= deadline:
             raise CallError(Verdict.MAY_HAVE_RUN, str(failure))
@@ -112,20 +112,20 @@
                 break
             try:
                 answer = await self._relay(peer, method, path, body, deadline - time.monotonic())
-                if answer.status not in _REFUSED:
+                if answer.status not in _REFUSAL_STATUSES:
                     STORE_CALLS.add(1, {"outcome": "relayed"})
                     STORE_BYTES.add(len(answer.body), {"table": _find_table(path)})
-                    self._rests_until = 0.0
+                    self._backoff_until = 0.0
                     return answer
                 refusal = answer
             except CallError as error:
                 failure = error
-                unsure = unsure or not error.certain
-            self._useless[peer.name] = time.monotonic() + USELESS
-            self._rests_until = time.monotonic() + REST
-        if refusal is not None and not unsure:
+                uncertain = uncertain or not error.certain
+            self._failed_until[peer.name] = time.monotonic() + PEER_BACKOFF_S
+            self._backoff_until = time.monotonic() + RELAY_BACKOFF_S
+        if refusal is not None and not uncertain:
             return refusal
-        verdict = Verdict.MAY_HAVE_RUN if unsure else Verdict.NOT_RUN
+        verdict = Verdict.MAY_HAVE_RUN if uncertain else Verdict.NOT_RUN
         raise CallError(verdict, str(failure or "the store refused"))
 
     def _may_relay(self) -> bool:
@@ -141,10 +141,14 @@
         if self._peers is None or not self._peers.secret:
             return []
         now = time.monotonic()
-        if now < self._rests_until:
+        if now < self._backoff_until:
             return []
-        able = [peer for peer in self._peers.others() if self._useless.get(peer.name, 0.0) <= now]
-        return random.sample(able, min(MOST_PEERS, len(able)))
+        usable = [
+            peer
+            for peer in self._peers.list_live()
+            if self._failed_until.get(peer.name, 0.0) <= now
+        ]
+        return random.sample(usable, min(MAX_PEERS, len(usable)))
 
     def _note_failure(self) -> None:
         if self.direct_works:
@@ -156,9 +160,9 @@
     async def _probe(self) -> None:
         """Try the store directly until it answers."""
         while True:
-            await asyncio.sleep(PROBE)
+            await asyncio.sleep(PROBE_PERIOD_S)
             try:
-                answer = await self._direct.call("GET", _PROBE_PATH, timeout=PROBE_TIMEOUT)
+                answer = await self._direct.call("GET", _PROBE_PATH, timeout=PROBE_TIMEOUT_S)
             except CallError:
                 continue
             if answer.status == 200:
@@ -167,10 +171,12 @@
         self._probing = None
         _log.info("store reached directly", event="store.regained")
 
-    async def _relay(self, peer: Peer, method: str, path: str, body: bytes, left: float) -> Answer:
+    async def _relay(
+        self, peer: Peer, method: str, path: str, body: bytes, timeout: float
+    ) -> Answer:
         assert self._peers is not None
         caller = PeerCaller(self._name, self._peers, peer, STORE)
-        return await caller.call(method, path, body, timeout=left)
+        return await caller.call(method, path, body, timeout=timeout)
 
 
 def _is_watch(path: str) -> bool:
--- a/toucanpin/entry/root.py
+++ b/toucanpin/entry/root.py
@@ -19,12 +19,12 @@
 
 import logbook
 
-from toucanpin.entry.advisers import Advisers
+from toucanpin.entry.advice_dispatcher import AdviceDispatcher
+from toucanpin.entry.candidate import Candidate
 from toucanpin.entry.clocks import Clocks, steady_time
 from toucanpin.entry.configuration import ConfigurationWatch
-from toucanpin.entry.contender import Contender
 from toucanpin.entry.logs import LineHandler
-from toucanpin.entry.metrics import LAG, MetricsServer, watch
+from toucanpin.entry.metrics import LOOP_LAG, MetricsServer, register_gauge
 from toucanpin.entry.peers import Peers
 from toucanpin.entry.relay import RelayServer
 from toucanpin.entry.relayed_store import RelayedStore
@@ -36,14 +36,14 @@
 __all__ = ["EntryProcess"]
 
 _log = logbook.Logger("entry")
-MAX_HEADERS = 16_384  # bytes, until a configuration says otherwise
-MAX_BODY = 262_144  # bytes, until a configuration says otherwise
-UNREADY_AFTER = 2.5  # s without the table after which new connections should go elsewhere
+DEFAULT_MAX_HEADER_BYTES = 16_384  # bytes, until a configuration says otherwise
+DEFAULT_MAX_BODY_BYTES = 262_144  # bytes, until a configuration says otherwise
+MAX_READY_AGE_S = 2.5  # s without the table after which new connections should go elsewhere
 # The balancer asks each second and needs two misses; connections opened until then are served.
-LINGER = 2.6
-LAG_PERIOD = 0.25  # s between measurements of the loop's lag
-AFTER_FAULT = 0.3  # s after which a part that failed is begun again
-EXIT_MARGIN = 1.2  # s before the platform kills the process
+LINGER_TIME_S = 2.6
+LAG_PERIOD_S = 0.25  # s between measurements of the loop's lag
+RESTART_DELAY_S = 0.3  # s after which a part that failed is begun again
+EXIT_MARGIN_S = 1.2  # s before the platform kills the process
 
 
 class EntryProcess:
@@ -56,7 +56,7 @@
         logs: LineHandler | None = None,
     ) -> None:
         self._settings = settings
-        self._life = secrets.token_hex(6)
+        self._incarnation = secrets.token_hex(6)
         direct = Client(settings.store)
         relayed = RelayedStore(direct, settings.name)
         self._store = Store(relayed)
@@ -64,22 +64,26 @@
         relayed.use_peers(self._peers)
         advice = Client(settings.advice) if settings.advice else None
         self._relay = RelayServer(relayed, direct, self._peers, settings.name, advice)
-        self._advisers = Advisers(settings.name, advice, self._peers)
+        self._advice_dispatcher = AdviceDispatcher(settings.name, advice, self._peers)
         self._clocks = Clocks(self._store)
         self._clocks.offsets = self._peers.wall_offsets
         self._configuration = ConfigurationWatch(self._store)
         self._requests = Requests(
             self._store, self._configuration, self._clocks, self._read_backlog
         )
-        self._front = Server(self._requests.handle, MAX_HEADERS, MAX_BODY)
-        self._readiness = Server(self._answer_probe, MAX_HEADERS, MAX_BODY)
-        self._contenders: dict[str, Contender] = {}
+        self._front = Server(
+            self._requests.handle, DEFAULT_MAX_HEADER_BYTES, DEFAULT_MAX_BODY_BYTES
+        )
+        self._readiness = Server(
+            self._answer_probe, DEFAULT_MAX_HEADER_BYTES, DEFAULT_MAX_BODY_BYTES
+        )
+        self._candidates: dict[str, Candidate] = {}
         self._tasks: set[asyncio.Task] = set()
-        self._leaving = False
+        self._shutting_down = False
         self._metrics: MetricsServer | None = None
         if metrics is not None:
             self._metrics = MetricsServer(f"{settings.address}:{metrics[0]}", metrics[1])
-            self._show_gauges(logs)
+            self._register_gauges(logs)
         if logs is not None:
             logs.clock = lambda: self._clocks.now().table
 
@@ -101,19 +105,19 @@
             await self._relay.listen(self._settings.address, self._settings.inner_port)
             self._spawn(self._peers.run)
         self._spawn(self._configuration.run)
-        self._spawn(self._contend)
+        self._spawn(self._run_candidates)
         if self._metrics is not None:
             self._spawn(self._metrics.run)
             self._spawn(_measure_lag)
-        _log.info("started", event="process.started", life=self._life)
+        _log.info("started", event="process.started", life=self._incarnation)
 
     def owned_cells(self) -> tuple[str, ...]:
         """Return the cells that this host owns."""
-        return tuple(cell for cell, it in self._contenders.items() if it.owns)
+        return tuple(cell for cell, it in self._candidates.items() if it.owns)
 
-    def knows_peers(self) -> bool:
+    def has_peers(self) -> bool:
         """Tell whether this host could reach the store through another."""
-        return bool(self._peers.secret) and bool(self._peers.others())
+        return bool(self._peers.secret) and bool(self._peers.list_live())
 
     async def abort(self) -> None:
         """End at once, as a kill would; for embedding."""
@@ -129,74 +133,80 @@
 
     async def shut_down(self) -> None:
         """Give up what is owned, answer what was read, then close."""
-        self._leaving = True
+        self._shutting_down = True
         begun = time.monotonic()
         _log.info("draining", event="process.draining")
         self._front.closing = True
-        for contender in self._contenders.values():
-            await contender.resign()
-        await asyncio.sleep(LINGER)
-        left = self._settings.bounds.shutdown - EXIT_MARGIN - (time.monotonic() - begun)
+        for candidate in self._candidates.values():
+            await candidate.resign()
+        await asyncio.sleep(LINGER_TIME_S)
+        left = self._settings.bounds.shutdown - EXIT_MARGIN_S - (time.monotonic() - begun)
         # Callers may wait for longer than this process may live, above all while the store is away.
         # A request may have taken effect by now, so only 504 is true of all of them.
         await self._front.drain(max(0.0, left), timeout_response=Response(504))
         await asyncio.sleep(0.05)
         _log.info("stopped", event="process.stopped")
 
-    def _show_gauges(self, logs: LineHandler | None) -> None:
-        watch("toucanpin.cells.owned", "1 for each cell of this host", "cell", self._read_cells)
-        watch("toucanpin.tasks.waiting", "Tasks that wait here", "priority", self._read_waiting)
-        watch(
+    def _register_gauges(self, logs: LineHandler | None) -> None:
+        register_gauge(
+            "toucanpin.cells.owned", "1 for each cell of this host", "cell", self._read_cells
+        )
+        register_gauge(
+            "toucanpin.tasks.waiting", "Tasks that wait here", "priority", self._read_waiting
+        )
+        register_gauge(
             "toucanpin.tasks.evacuating",
             "Tasks that still run in evacuated data centres",
             "data_centre",
             self._read_evacuated,
         )
-        watch("toucanpin.configuration", "Version and age in s", "what", self._age)
-        watch("toucanpin.processor", "Processor time in s", "what", _read_processor)
+        register_gauge(
+            "toucanpin.configuration", "Version and age in s", "what", self._read_configuration
+        )
+        register_gauge("toucanpin.processor", "Processor time in s", "what", _read_processor)
         if logs is not None:
-            watch("toucanpin.log.dropped", "Lines", "why", lambda: {"limit": logs.dropped})
+            register_gauge("toucanpin.log.dropped", "Lines", "why", lambda: {"limit": logs.dropped})
 
     def _read_cells(self) -> dict[str, float]:
         return dict.fromkeys(self.owned_cells(), 1.0)
 
     def _read_waiting(self) -> dict[str, float]:
         counts: Counter[str] = Counter()
-        for contender in self._contenders.values():
-            counts.update(contender.count_waiting())
+        for candidate in self._candidates.values():
+            counts.update(candidate.count_waiting())
         return dict(counts)
 
     def _read_evacuated(self) -> dict[str, float]:
         counts: Counter[str] = Counter()
-        for contender in self._contenders.values():
-            counts.update(contender.count_evacuated())
+        for candidate in self._candidates.values():
+            counts.update(candidate.count_evacuated())
         return dict(counts)
 
-    def _age(self) -> dict[str, float]:
+    def _read_configuration(self) -> dict[str, float]:
         current = self._configuration.current
         age = steady_time() - self._configuration.confirmed
         return {"version": current.version if current else 0, "age": age}
 
-    async def _contend(self) -> None:
+    async def _run_candidates(self) -> None:
         """Contend for the cell of each service that the configuration names."""
         while True:
             current = self._configuration.current
             for service in current.services if current else ():
-                if service not in self._contenders:
-                    contender = Contender(
+                if service not in self._candidates:
+                    candidate = Candidate(
                         self._store,
                         self._clocks,
                         self._settings,
-                        self._advisers,
+                        self._advice_dispatcher,
                         self._peers,
-                        self._life,
+                        self._incarnation,
                         service,
                         partial(self._is_guarded, service),
                         lambda: self._configuration.evacuated,
                     )
-                    self._contenders[service] = contender
-                    self._spawn(contender.run)
-                    self._spawn(contender.follow_handovers)
+                    self._candidates[service] = candidate
+                    self._spawn(candidate.run)
+                    self._spawn(candidate.follow_handovers)
             if current is not None:
                 self._front.max_headers = current.max_headers
                 self._front.max_body = current.max_body
@@ -204,8 +214,8 @@
 
     def _read_backlog(self, service: str) -> Mapping[int, int]:
         """Return by priority for how long new tasks of a service will wait for its owner, in ms."""
-        contender = self._contenders.get(service)
-        return contender.read_backlog() if contender is not None else {}
+        candidate = self._candidates.get(service)
+        return candidate.read_backlog() if candidate is not None else {}
 
     def _is_guarded(self, service: str) -> bool:
         """Tell whether a service's workers refuse what doesn't fit, as far as is known."""
@@ -216,12 +226,14 @@
     async def _answer_probe(self, request: Request) -> Response:
         age = steady_time() - self._configuration.confirmed
         ready = (
-            not self._leaving and self._configuration.current is not None and age < UNREADY_AFTER
+            not self._shutting_down
+            and self._configuration.current is not None
+            and age < MAX_READY_AGE_S
         )
         return Response(200 if ready else 503)
 
     def _spawn(self, part: Callable[[], Coroutine[Any, Any, None]]) -> None:
-        task = asyncio.ensure_future(_keep_running(part))
+        task = asyncio.ensure_future(_supervise(part))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
@@ -233,12 +245,12 @@
 async def _measure_lag() -> None:
     """Record by how much the loop's turns come late."""
     while True:
-        due = time.monotonic() + LAG_PERIOD
-        await asyncio.sleep(LAG_PERIOD)
-        LAG.record(max(0.0, time.monotonic() - due))
+        due = time.monotonic() + LAG_PERIOD_S
+        await asyncio.sleep(LAG_PERIOD_S)
+        LOOP_LAG.record(max(0.0, time.monotonic() - due))
 
 
-async def _keep_running(part: Callable[[], Coroutine[Any, Any, None]]) -> None:
+async def _supervise(part: Callable[[], Coroutine[Any, Any, None]]) -> None:
     """
     Run a part of the process, and again whenever it fails.
 
@@ -252,4 +264,4 @@
         except Exception as error:
             where = traceback.format_exception(error)
             _log.error("part failed", event="process.fault", reason=repr(error), where=where)
-        await asyncio.sleep(AFTER_FAULT)
+        await asyncio.sleep(RESTART_DELAY_S)
--- a/toucanpin/entry/entries.py
+++ b/toucanpin/entry/row_reader.py
@@ -13,19 +13,19 @@
 import logbook
 import msgspec
 
-from toucanpin.entry.metrics import UNSOUND
+from toucanpin.entry.metrics import MALFORMED_ROWS
 from toucanpin.exception import PlatformError, ToucanpinError
 from toucanpin.platform.store import Row
 
-__all__ = ["UNREADABLE", "EntryReader"]
+__all__ = ["DECODE_ERRORS", "RowReader"]
 
 _log = logbook.Logger("entries")
 T = TypeVar("T")
-UNREADABLE = (ToucanpinError, msgspec.MsgspecError, ValueError)
-MOST_TOLD = 1_000  # entries that are remembered as told; beyond, some are told again
+DECODE_ERRORS = (ToucanpinError, msgspec.MsgspecError, ValueError)
+MAX_REPORTED_ROWS = 1_000  # entries that are remembered as told; beyond, some are told again
 
 
-class EntryReader:
+class RowReader:
     """
     Read entries, and tell once of each that isn't sound.
 
@@ -33,10 +33,10 @@
     time would fill the log.
     """
 
-    __slots__ = ("_told",)
+    __slots__ = ("_reported",)
 
     def __init__(self) -> None:
-        self._told: dict[tuple[str, str, str], int] = {}
+        self._reported: dict[tuple[str, str, str], int] = {}
 
     def read(self, rows: Iterable[Row], decode: Callable[[Row], T]) -> Iterator[tuple[Row, T]]:
         """Yield each row that is sound with what ``decode`` makes of it."""
@@ -47,8 +47,8 @@
                 if not row.readable:
                     raise PlatformError("the value isn't base64")
                 value = decode(row)
-            except UNREADABLE as error:
-                self._tell(row, error)
+            except DECODE_ERRORS as error:
+                self._report(row, error)
                 continue
             yield row, value
 
@@ -56,14 +56,14 @@
         """Return what the first sound row holds, None without one."""
         return next((value for _, value in self.read(rows, decode)), None)
 
-    def _tell(self, row: Row, error: Exception) -> None:
+    def _report(self, row: Row, error: Exception) -> None:
         name = (row.table, row.part, row.key)
-        if self._told.get(name) == row.version:
+        if self._reported.get(name) == row.version:
             return
-        if len(self._told) >= MOST_TOLD:
-            self._told.clear()
-        self._told[name] = row.version
-        UNSOUND.add(1, {"table": row.table})
+        if len(self._reported) >= MAX_REPORTED_ROWS:
+            self._reported.clear()
+        self._reported[name] = row.version
+        MALFORMED_ROWS.add(1, {"table": row.table})
         _log.warning(
             "entry unsound",
             event="entry.unsound",
--- a/toucanpin/entry/tests/test_advisers.py
+++ b/toucanpin/entry/tests/test_advice_dispatcher.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from standins.site.site import free_port
-from toucanpin.entry.advisers import Advisers
+from toucanpin.entry.advice_dispatcher import AdviceDispatcher
 from toucanpin.entry.peers import Peer, Peers
 from toucanpin.entry.relay import RelayServer
 from toucanpin.entry.relayed_store import RelayedStore
@@ -20,10 +20,10 @@
 GROUP = Group("00000000000000a1", 0, 0)
 
 
-class AdvisersTest(unittest.IsolatedAsyncioTestCase):
+class AdviceDispatcherTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
         self.asked: list[dict] = []
-        self.go = asyncio.Event()
+        self.released = asyncio.Event()
         address = f"127.0.0.1:{free_port()}"
         self.service = Server(self._answer, 16_384, 65_536)
         await self.service.listen(address)
@@ -38,7 +38,7 @@
         self.peers.known = (Peer("h1", "127.0.0.1", port, 1, 0),)
         self.relay = RelayServer(store, self.client, self.peers, "h1", self.client)
         await self.relay.listen("127.0.0.1", port)
-        self.advisers = Advisers("h0", self.client, self.peers)
+        self.dispatcher = AdviceDispatcher("h0", self.client, self.peers)
 
     async def asyncTearDown(self) -> None:
         self.relay.close()
@@ -46,7 +46,7 @@
 
     async def _answer(self, request: Request) -> Response:
         self.asked.append(msgspec.json.decode(request.body))
-        await self.go.wait()
+        await self.released.wait()
         body = {"approved": [["w1", "t1"]], "validityMs": 3_000}
         return Response(200, msgspec.json.encode(body))
 
@@ -55,25 +55,25 @@
         Steps of two jobs wait for advice, and the service takes half a second for each question of
         a host.  The second one goes through a peer instead of behind the first.
         """
-        first = asyncio.ensure_future(self.advisers.ask(GROUP, ("w1",)))
-        second = asyncio.ensure_future(self.advisers.ask(GROUP, ("w1", "w2")))
+        first = asyncio.ensure_future(self.dispatcher.ask(GROUP, ("w1",)))
+        second = asyncio.ensure_future(self.dispatcher.ask(GROUP, ("w1", "w2")))
         while len(self.asked) < 2:
             await asyncio.sleep(0.01)
-        self.assertEqual(0, self.advisers.count_free())
-        self.go.set()
+        self.assertEqual(0, self.dispatcher.count_free())
+        self.released.set()
         for answer in (await first, await second):
             assert answer is not None
             self.assertEqual({"w1": "t1"}, answer.tickets)
-        self.assertEqual(2, self.advisers.count_free())
+        self.assertEqual(2, self.dispatcher.count_free())
 
     async def test_a_host_through_which_no_answer_came_is_left_alone(self) -> None:
-        self.go.set()
+        self.released.set()
         self.relay.close()
-        self.advisers._busy.add("h0")
-        self.assertIsNone(await self.advisers.ask(GROUP, ("w1",)))
-        self.assertEqual(0, self.advisers.count_free())
-        self.advisers._busy.discard("h0")
-        self.assertIsNotNone(await self.advisers.ask(GROUP, ("w1",)))
+        self.dispatcher._busy.add("h0")
+        self.assertIsNone(await self.dispatcher.ask(GROUP, ("w1",)))
+        self.assertEqual(0, self.dispatcher.count_free())
+        self.dispatcher._busy.discard("h0")
+        self.assertIsNotNone(await self.dispatcher.ask(GROUP, ("w1",)))
 
 
 if __name__ == "__main__":
--- a/toucanpin/entry/tests/test_loading.py
+++ b/toucanpin/entry/tests/test_cell_loading.py
@@ -9,8 +9,8 @@
 from standins.site.store import Faults, SiteStore
 from toucanpin.entry.cell_rows import CellRows
 from toucanpin.entry.clocks import Clocks
-from toucanpin.entry.entries import EntryReader
-from toucanpin.entry.rows import COUNTS, COUNTS_KEY, PROGRESS
+from toucanpin.entry.row_reader import RowReader
+from toucanpin.entry.tables import COUNTS_KEY, COUNTS_TABLE, PROGRESS_TABLE
 from toucanpin.http import Answer, CallError, Client
 from toucanpin.platform.store import PAGE_ROWS, Store
 from toucanpin.scheduling.cell import Cell
@@ -50,7 +50,7 @@
             )
         )
         self.assertEqual(1, self._read_owner().token)
-        self.assertNotIn((COUNTS, "c", COUNTS_KEY), self.site.store.rows)
+        self.assertNotIn((COUNTS_TABLE, "c", COUNTS_KEY), self.site.store.rows)
         for faults in self.site.faults:
             faults.unreadable = ""
         self.assertTrue(await self.site.until_ready())
@@ -100,7 +100,7 @@
         core = SiteStore()
         ended = encode_progress(Progress(JobState.COMPLETED, 0, [], {}))
         for number in range(PAGES * PAGE_ROWS):
-            core.put(PROGRESS, f"{number:016x}", ended, part="c")
+            core.put(PROGRESS_TABLE, f"{number:016x}", ended, part="c")
         server = await core.listen(address, Faults())
         self.addAsyncCleanup(server.drain, 0.0)
         client = Client(address)
@@ -108,7 +108,7 @@
         store = Store(_Lossy(client))
         cell = Cell("c", 1, 0.0, 0.0)
         record = OwnerRecord("h", "l", 1, 0)
-        rows = CellRows(store, cell, InterferenceModel(), record, 0, 0.0, EntryReader())
+        rows = CellRows(store, cell, InterferenceModel(), record, 0, 0.0, RowReader())
         async with asyncio.timeout(BOUND):
             await rows.load(Clocks(store).now)
 
--- a/toucanpin/entry/tests/test_cell_workers.py
+++ b/toucanpin/entry/tests/test_cell_workers.py
@@ -83,7 +83,7 @@
         calls = _MuteCalls()
         workers._calls["w"] = calls  # type: ignore[assignment]
         workers.note_loaded()
-        holding = asyncio.ensure_future(workers._hold(worker))
+        holding = asyncio.ensure_future(workers._poll(worker))
         for _ in range(10):
             await asyncio.sleep(0)
         holding.cancel()
--- a/toucanpin/entry/tests/test_clocks.py
+++ b/toucanpin/entry/tests/test_clocks.py
@@ -6,7 +6,7 @@
 import unittest
 from unittest.mock import Mock
 
-from toucanpin.entry.clocks import Clocks, measure_wall, steady_time
+from toucanpin.entry.clocks import Clocks, measure_wall_offset, steady_time
 from toucanpin.platform.store import Store
 from toucanpin.platform.tests.test_store_and_workers import ScriptedTransport
 from toucanpin.scheduling.timing import ClockEstimate
@@ -65,7 +65,7 @@
         true = time.time() * 1_000 - 0.6 * 1_000 - 40_000
         estimate = ClockEstimate()
         estimate.note(40_000, began, began)
-        wall, error = measure_wall(estimate)
+        wall, error = measure_wall_offset(estimate)
         self.assertAlmostEqual(true, wall, delta=error + 2)
         self.assertLess(error, 20)
 
--- a/toucanpin/entry/tests/test_configuration.py
+++ b/toucanpin/entry/tests/test_configuration.py
@@ -12,9 +12,9 @@
 from standins.site.store import Faults
 from toucanpin.entry.clocks import Clocks
 from toucanpin.entry.configuration import ConfigurationWatch
-from toucanpin.entry.followed import FollowedRows
 from toucanpin.entry.requests import Requests
-from toucanpin.entry.rows import JOBS
+from toucanpin.entry.row_cache import RowCache
+from toucanpin.entry.tables import JOBS_TABLE
 from toucanpin.http import Answer, CallError, Client, Request
 from toucanpin.platform.store import Store
 from toucanpin.scheduling.configuration import Configuration, Queue
@@ -29,7 +29,7 @@
 class FollowingTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
         # Whole reads, of which there is one each three seconds at most, aren't meant here.
-        self.enterContext(patch("toucanpin.entry.followed.WHOLE_PERIOD", RARELY))
+        self.enterContext(patch("toucanpin.entry.row_cache.FULL_READ_PERIOD_S", RARELY))
         self.site = Site()
         self.site.configure()
         self.addAsyncCleanup(self.site.close)
@@ -72,11 +72,11 @@
         request = Request("POST", f"{PREFIX}{1:016x}", {"host": HOST}, body)
         site.configure(2, "/other/")
         watch.confirmed -= SILENCE
-        with patch.object(FollowedRows, "update", _fail):
+        with patch.object(RowCache, "update", _fail):
             answer = await requests.handle(request)
         assert answer is not None
         self.assertEqual(503, answer.status)
-        self.assertFalse([name for name in site.store.rows if name[0] == JOBS])
+        self.assertFalse([name for name in site.store.rows if name[0] == JOBS_TABLE])
         answer = await requests.handle(request)
         assert answer is not None
         self.assertEqual(404, answer.status)
@@ -95,15 +95,15 @@
         self.assertTrue(await site.until_ready())
         watch = site.hosts[0]._configuration
         site.configure(2, "/other/")
-        looked: list[FollowedRows] = []
+        looked: list[RowCache] = []
 
-        async def fail(followed: FollowedRows) -> None:
+        async def fail(followed: RowCache) -> None:
             looked.append(followed)
             await _fail(followed)
 
-        with patch.object(FollowedRows, "update", fail):
+        with patch.object(RowCache, "update", fail):
             # A look that was under way is over once the next has begun; it may confirm what it saw.
-            self.assertTrue(await site.until(lambda: watch._followed in looked))
+            self.assertTrue(await site.until(lambda: watch._cache in looked))
             watch.confirmed -= SILENCE
             answer = await site.call("GET", PREFIX)
         self.assertEqual(503, answer.status)
@@ -140,7 +140,7 @@
         self.assertFalse(self.caller.failing.is_set())
 
 
-async def _fail(_: FollowedRows) -> None:
+async def _fail(_: RowCache) -> None:
     raise CallError(Verdict.MAY_HAVE_RUN, "no answer")
 
 
--- a/toucanpin/entry/tests/test_decisions.py
+++ b/toucanpin/entry/tests/test_decision_log.py
@@ -6,7 +6,13 @@
 
 import logbook
 
-from toucanpin.entry.decisions import MOST_TOLD, log_ended, log_losses, log_place, log_waits
+from toucanpin.entry.decision_log import (
+    MAX_LOGGED_WAITS,
+    log_ended,
+    log_losses,
+    log_place,
+    log_waits,
+)
 from toucanpin.scheduling.cell import Group
 from toucanpin.scheduling.job import Step
 from toucanpin.scheduling.tests.fleet import Fleet, make_job
@@ -27,14 +33,14 @@
         Thousands of steps wait in an overload.  A line for each of them would fill the log and the
         owner's processor, and none tells the on-call engineer nothing.
         """
-        for number in range(3 * MOST_TOLD):
+        for number in range(3 * MAX_LOGGED_WAITS):
             self.fleet.submit(make_job(f"j{number:02}", (Step(cpu=900),), accepted=number))
         self.fleet.run(0.8)
         log_waits(self.fleet.cell, self.fleet.now())
         log_waits(self.fleet.cell, self.fleet.now())
-        self.assertEqual(2 * MOST_TOLD, self._events().count("task.waiting"))
+        self.assertEqual(2 * MAX_LOGGED_WAITS, self._events().count("task.waiting"))
         told = {record.kwargs["job"] for record in self.handler.records}
-        self.assertEqual(2 * MOST_TOLD, len(told))
+        self.assertEqual(2 * MAX_LOGGED_WAITS, len(told))
         self.assertEqual("no room", self.handler.records[0].kwargs["why"])
 
     def test_a_wait_tells_what_is_asked_for_and_the_most_that_is_free(self) -> None:
--- a/toucanpin/entry/tests/test_forgetting.py
+++ b/toucanpin/entry/tests/test_dropping_jobs.py
@@ -7,7 +7,7 @@
 from collections.abc import Sequence
 
 from toucanpin.entry.cell_rows import CellRows
-from toucanpin.entry.entries import EntryReader
+from toucanpin.entry.row_reader import RowReader
 from toucanpin.platform.store import Committed, ExpectedVersion, Put, Store
 from toucanpin.scheduling.batches import WriteBatch
 from toucanpin.scheduling.cell import Cell
@@ -22,7 +22,7 @@
         self.store = _SlowParts()
         record = OwnerRecord("h", "l", 1, 0)
         cell = Cell("c", 1, 0.0, 0.0)
-        self.rows = CellRows(self.store, cell, InterferenceModel(), record, 1, 0.0, EntryReader())
+        self.rows = CellRows(self.store, cell, InterferenceModel(), record, 1, 0.0, RowReader())
 
     async def test_an_owner_commits_while_rows_of_old_jobs_are_dropped(self) -> None:
         """
--- a/toucanpin/entry/tests/test_following.py
+++ b/toucanpin/entry/tests/test_job_watch.py
@@ -5,12 +5,12 @@
 import unittest
 
 from standins.site.site import Site
-from toucanpin.entry.cell_jobs import FEED_MARGIN, FEED_WAIT, RETRY, CellJobs
+from toucanpin.entry.cell_jobs import FEED_MARGIN_S, FEED_WAIT_S, RETRY_DELAY_S, CellJobs
 from toucanpin.entry.cell_rows import CellRows
 from toucanpin.entry.clocks import Clocks
-from toucanpin.entry.entries import EntryReader
-from toucanpin.entry.followed import plan_rest
-from toucanpin.entry.rows import job_part
+from toucanpin.entry.row_cache import plan_full_read
+from toucanpin.entry.row_reader import RowReader
+from toucanpin.entry.tables import job_part
 from toucanpin.http import Answer, CallError
 from toucanpin.platform.store import MAX_PAGE_ROWS, Page, Row, Store
 from toucanpin.scheduling.cell import Cell
@@ -43,8 +43,8 @@
         """
         silent = _Silent()
         with self.assertRaises(CallError):
-            await Store(silent).follow("jobs", 0, FEED_WAIT, FEED_MARGIN)
-        self.assertLess(silent.waited[0] + RETRY, CANCEL_BOUND)
+            await Store(silent).follow("jobs", 0, FEED_WAIT_S, FEED_MARGIN_S)
+        self.assertLess(silent.waited[0] + RETRY_DELAY_S, CANCEL_BOUND)
 
 
 class OldViewTest(unittest.IsolatedAsyncioTestCase):
@@ -64,7 +64,7 @@
         self.assertTrue(await site.until(lambda: worker.core.runs))
         other = "00000000000000a2"
         await site.submit(other)
-        (owner,) = (it._owner for it in site.hosts[0]._contenders.values())
+        (owner,) = (it._owner for it in site.hosts[0]._candidates.values())
         assert owner is not None
         self.assertTrue(await site.until(lambda: sum(owner.count_waiting().values())))
         site.faults[0].unfollowed = site.faults[0].unreadable = "jobs"
@@ -87,16 +87,16 @@
         store = Store(_Silent())
         clocks = Clocks(store)
         cell = Cell("c", 1, 0.0, 0.0)
-        entries = EntryReader()
+        entries = RowReader()
         rows = CellRows(
             store, cell, InterferenceModel(), OwnerRecord("h", "l", 1, 0), 1, 0.0, entries
         )
         rows.view = TableView(5, 1_000)
         jobs = CellJobs(store, clocks, cell, rows, entries, 120.0, lambda: None)
         row = Row("jobs", "elsewhere", "k", b"", 7)
-        jobs._take_changes(Page((row,) * MAX_PAGE_ROWS, False, 7, 9_000))
+        jobs._apply_changes(Page((row,) * MAX_PAGE_ROWS, False, 7, 9_000))
         self.assertEqual(TableView(7, 1_000), rows.view)
-        jobs._take_changes(Page((row,), False, 8, 9_000))
+        jobs._apply_changes(Page((row,), False, 8, 9_000))
         self.assertEqual(TableView(8, 9_000), rows.view)
 
 
@@ -107,7 +107,7 @@
         their jobs' ends.  Begun again three seconds after each, it left the link to little else.
         """
         for took in (0.1, 1.0, 4.0):
-            self.assertLessEqual(took / (took + plan_rest(took)), 0.0501)
+            self.assertLessEqual(took / (took + plan_full_read(took)), 0.0501)
 
 
 if __name__ == "__main__":
--- a/toucanpin/entry/tests/test_logs.py
+++ b/toucanpin/entry/tests/test_logs.py
@@ -8,7 +8,7 @@
 import logbook
 import msgspec
 
-from toucanpin.entry.logs import BURST, RESERVED, LineHandler
+from toucanpin.entry.logs import MAX_BURST_LINES, RESERVED_LINES, LineHandler
 
 
 class LineHandlerTest(unittest.TestCase):
@@ -51,13 +51,13 @@
     def test_load_is_bounded_and_what_was_dropped_is_told(self) -> None:
         self.addCleanup(os.close, self.writer)
         written = 0
-        for _ in range(int(BURST) // 100 + 10):
+        for _ in range(int(MAX_BURST_LINES) // 100 + 10):
             self._log(100)
             written += len(self._read())
         self.assertGreater(self.handler.dropped, 0)
-        self.assertLess(written, BURST + 900)
+        self.assertLess(written, MAX_BURST_LINES + 900)
         dropped = self.handler.dropped
-        self.handler._tokens = RESERVED + 10.0
+        self.handler._tokens = RESERVED_LINES + 10.0
         self._log(1)
         told = self._read()
         self.assertEqual(("log.dropped", dropped), (told[0]["event"], told[0]["lines"]))
@@ -65,7 +65,7 @@
     def test_a_warning_is_written_where_lines_are_dropped(self) -> None:
         """Guards against a load that hides the lines which tell of it."""
         self.addCleanup(os.close, self.writer)
-        for _ in range(int(BURST) // 100 + 10):
+        for _ in range(int(MAX_BURST_LINES) // 100 + 10):
             self._log(100)
             self._read()
         self.assertGreater(self.handler.dropped, 0)
--- a/toucanpin/entry/tests/test_metrics.py
+++ b/toucanpin/entry/tests/test_metrics.py
@@ -5,7 +5,7 @@
 import unittest
 
 from standins.site.site import Site, free_port
-from toucanpin.entry.metrics import MetricsServer, watch
+from toucanpin.entry.metrics import MetricsServer, register_gauge
 from toucanpin.http import Client
 
 
@@ -15,7 +15,7 @@
         server = MetricsServer(address, "/metrics")
         await server.run()
         self.addAsyncCleanup(server.close)
-        watch("toucanpin.test", "A test", "what", lambda: {"value": 4.0})
+        register_gauge("toucanpin.test", "A test", "what", lambda: {"value": 4.0})
         site = Site()
         site.configure()
         self.addAsyncCleanup(site.close)
--- a/toucanpin/entry/tests/test_peers.py
+++ b/toucanpin/entry/tests/test_peers.py
@@ -7,13 +7,13 @@
 import msgspec
 
 from standins.site.site import Site
-from toucanpin.entry.peers import FORGOTTEN, Peer, Peers
-from toucanpin.entry.rows import HOSTS
+from toucanpin.entry.peers import ROW_RETENTION_S, Peer, Peers
+from toucanpin.entry.tables import HOSTS_TABLE
 from toucanpin.http import Client
 from toucanpin.platform.store import Store
 from toucanpin.scheduling.settings import Bounds, HostSettings
 
-LATER = 10 * FORGOTTEN  # s since the last announcement of hosts that are gone
+LATER = 10 * ROW_RETENTION_S  # s since the last announcement of hosts that are gone
 
 
 class GoneHostsTest(unittest.IsolatedAsyncioTestCase):
@@ -25,10 +25,10 @@
 
     def _announce(self, name: str, announced: int) -> None:
         peer = Peer(name, "127.0.0.1", 1, announced, 0)
-        self.site.store.put(HOSTS, name, msgspec.msgpack.encode(peer))
+        self.site.store.put(HOSTS_TABLE, name, msgspec.msgpack.encode(peer))
 
     def _is_listed(self, name: str) -> bool:
-        return (HOSTS, "", name) in self.site.store.rows
+        return (HOSTS_TABLE, "", name) in self.site.store.rows
 
     async def test_hosts_that_are_long_gone_are_dropped(self) -> None:
         """
@@ -49,7 +49,7 @@
             self._announce(f"a{number:03}", 1)
         self._announce("there", int(LATER * 1_000))
         host = await self.site.add_host()
-        self.assertTrue(await self.site.until(host.knows_peers))
+        self.assertTrue(await self.site.until(host.has_peers))
 
 
 class PlaceTest(unittest.TestCase):
@@ -59,7 +59,7 @@
         where = ("127.0.0.1", "dc", "127.0.0.1:1", "127.0.0.1:2", 3, "127.0.0.1:1", "", "")
         peers = Peers(store, HostSettings(name, *where, 1.0, 65_536, Bounds(), cores))
         peers.known = tuple(hosts)
-        return peers.find_place("c")
+        return peers.count_preferred("c")
 
     def test_hosts_agree_on_their_order_and_the_strong_come_first(self) -> None:
         """
--- a/toucanpin/entry/tests/test_counts.py
+++ b/toucanpin/entry/tests/test_pending_counts.py
@@ -13,9 +13,9 @@
 from toucanpin.entry.cell_rows import CellRows
 from toucanpin.entry.clocks import Clocks, steady_time
 from toucanpin.entry.configuration import ConfigurationWatch
-from toucanpin.entry.entries import EntryReader
 from toucanpin.entry.requests import Requests
-from toucanpin.entry.rows import COUNTS
+from toucanpin.entry.row_reader import RowReader
+from toucanpin.entry.tables import COUNTS_TABLE
 from toucanpin.http import Client, Request, Response
 from toucanpin.platform.store import Page, Store
 from toucanpin.scheduling.batches import take_batch
@@ -112,7 +112,7 @@
         async def read_late(*rest: Any) -> Page:
             nonlocal late
             page = await read(*rest)
-            late = 5.0 if rest[0] == COUNTS else late
+            late = 5.0 if rest[0] == COUNTS_TABLE else late
             return page
 
         with (
@@ -137,7 +137,7 @@
             OwnerRecord("h", "l", 1, 0),
             0,
             0.0,
-            EntryReader(),
+            RowReader(),
         )
         await rows.load(self.clocks.now)
         self.assertLess(rows.written_at, steady_time())
--- a/toucanpin/entry/tests/test_followed.py
+++ b/toucanpin/entry/tests/test_row_cache.py
@@ -10,8 +10,8 @@
 from standins.site.site import free_port
 from standins.site.store import Faults, SiteStore
 from toucanpin.entry.clocks import steady_time
-from toucanpin.entry.followed import WHOLE_PERIOD, FollowedRows
 from toucanpin.entry.relayed_store import RelayedStore
+from toucanpin.entry.row_cache import FULL_READ_PERIOD_S, RowCache
 from toucanpin.http import Answer, CallError, Client
 from toucanpin.platform.store import Store
 
@@ -42,7 +42,7 @@
         the first one's on.  An answer that holds some of these made a later row an earlier one
         again: a worker that drained counted as ready, and one that was gone as there.
         """
-        followed = FollowedRows(
+        followed = RowCache(
             Store(
                 _Script(
                     {"rows": [_row("a", "YQ==", 3)], "morePages": True, "rowVersion": 5},
@@ -74,7 +74,7 @@
         self.addAsyncCleanup(server.drain, 0.0)
         client = Client(address)
         self.addCleanup(client.close)
-        followed = FollowedRows(Store(client), "servers")
+        followed = RowCache(Store(client), "servers")
         store.put("servers", "a", b"ready")
         await followed.update()
         store.deaf = True
@@ -84,8 +84,8 @@
         store.deaf = False
         await followed.update()
         self.assertEqual(b"ready", followed.rows["a"].value)
-        later = steady_time() + WHOLE_PERIOD
-        with patch("toucanpin.entry.followed.steady_time", lambda: later):
+        later = steady_time() + FULL_READ_PERIOD_S
+        with patch("toucanpin.entry.row_cache.steady_time", lambda: later):
             await followed.update()
         self.assertEqual(b"drains", followed.rows["a"].value)
         self.assertEqual(b"ready", followed.rows["b"].value)
@@ -112,7 +112,7 @@
         since the last look is every version in between, so a weak link carried five documents where
         one would do; meanwhile more were written, and the host fell further behind with each look.
         """
-        followed = FollowedRows(Store(self.client), "op")
+        followed = RowCache(Store(self.client), "op")
         self._write(1)
         await followed.update()
         given = self.core.given["op"]
@@ -133,7 +133,7 @@
         again and again, and stayed at its old configuration.
         """
         relayed = RelayedStore(self.client, "h0")
-        followed = FollowedRows(Store(relayed), "op")
+        followed = RowCache(Store(relayed), "op")
         self._write(1)
         await followed.update()
         for number in range(3):
--- a/toucanpin/entry/tests/test_entries.py
+++ b/toucanpin/entry/tests/test_row_reader.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 
 from standins.site.site import PREFIX, Site
-from toucanpin.entry.entries import EntryReader
+from toucanpin.entry.row_reader import RowReader
 from toucanpin.exception import PlatformError
 from toucanpin.http import Answer
 from toucanpin.platform.store import Row, Store
@@ -75,7 +75,7 @@
 
 def _read(rows: list) -> dict[str, WorkerEntry]:
     page = asyncio.run(Store(_Page(rows)).read("servers"))
-    return {row.key: entry for row, entry in EntryReader().read(page.rows, _decode)}
+    return {row.key: entry for row, entry in RowReader().read(page.rows, _decode)}
 
 
 _values = st.recursive(
@@ -117,7 +117,7 @@
         self.assertEqual(alone["sound"], _read(rows)["sound"])
 
     def test_an_unsound_entry_is_told_once(self) -> None:
-        reader = EntryReader()
+        reader = RowReader()
         rows = [Row("servers", "", "x", b"", 3, readable=False)]
         with logbook.TestHandler() as handler:
             for _ in range(5):
--- a/toucanpin/entry/tests/test_site.py
+++ b/toucanpin/entry/tests/test_site.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from standins.site.site import JOB, PREFIX, Site
-from toucanpin.entry.rows import job_part
+from toucanpin.entry.tables import job_part
 
 
 class SiteTest(unittest.IsolatedAsyncioTestCase):
@@ -178,7 +178,7 @@
         self.assertTrue(await self.site.until_ready(1))
         hosts = self.site.hosts
         self.assertTrue(await self.site.until(lambda: any(h.owned_cells() for h in hosts)))
-        self.assertTrue(await self.site.until(lambda: all(h.knows_peers() for h in hosts)))
+        self.assertTrue(await self.site.until(lambda: all(h.has_peers() for h in hosts)))
         return 0 if hosts[1].owned_cells() else 1
 
     async def test_a_resignation_during_a_write_stands_in_the_table(self) -> None:
@@ -243,9 +243,7 @@
         await self.site.add_worker()
         self.assertTrue(await self.site.until_ready(0))
         self.assertTrue(await self.site.until_ready(1))
-        self.assertTrue(
-            await self.site.until(lambda: all(h.knows_peers() for h in self.site.hosts))
-        )
+        self.assertTrue(await self.site.until(lambda: all(h.has_peers() for h in self.site.hosts)))
         self.site.faults[0].refusing = 503
         self.assertEqual(200, (await self.site.submit(host=0)).status)
         self.assertTrue(await self.site.until_state("completed", host=0))
--- a/toucanpin/entry/tests/test_slow_takeover.py
+++ b/toucanpin/entry/tests/test_slow_takeover.py
@@ -11,7 +11,7 @@
 from toucanpin.entry.cell_jobs import CellJobs
 from toucanpin.entry.cell_rows import CellRows
 from toucanpin.entry.clocks import Clocks
-from toucanpin.entry.entries import EntryReader
+from toucanpin.entry.row_reader import RowReader
 from toucanpin.platform.store import Page, Store
 from toucanpin.scheduling.cell import Cell, Now
 from toucanpin.scheduling.holding import LEASE_S
@@ -67,13 +67,13 @@
         """Guards against an owner that is replaced while its own reads fill its link."""
         pages = _SlowPages()
         store = Store(None)  # type: ignore[arg-type]
-        cell, entries = Cell("c", 1, 0.0, 0.0), EntryReader()
+        cell, entries = Cell("c", 1, 0.0, 0.0), RowReader()
         record = OwnerRecord("h", "life", 1, 0)
         rows = CellRows(store, cell, InterferenceModel(), record, 1, 0.0, entries)
         jobs = CellJobs(store, Clocks(store), cell, rows, entries, 1.0, lambda: None)
         with (
             patch.object(Store, "read", pages.read),
-            patch("toucanpin.entry.cell_jobs.WHOLE_PERIOD", 0.0),
+            patch("toucanpin.entry.cell_jobs.FULL_READ_PERIOD_S", 0.0),
         ):
             relisting = asyncio.ensure_future(jobs.relist())
             await asyncio.sleep(30 * PAGE_TIME / PART_OF_TIME / 10)
--- a/toucanpin/entry/tests/test_worker_list.py
+++ b/toucanpin/entry/tests/test_worker_entries.py
@@ -15,7 +15,7 @@
 class WorkerListTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
         # Whole reads, of which there is one each three seconds at most, aren't meant here.
-        self.enterContext(patch("toucanpin.entry.followed.WHOLE_PERIOD", RARELY))
+        self.enterContext(patch("toucanpin.entry.row_cache.FULL_READ_PERIOD_S", RARELY))
         self.site = Site()
         self.site.configure()
         self.addAsyncCleanup(self.site.close)
