--- a/tools/soak/weakened.py
+++ b/tools/soak/weakened.py
@@ -12,7 +12,7 @@
 
 from toucanpin.entry import __main__ as program
 from toucanpin.entry import cell_workers, owner
-from toucanpin.entry.requests import Requests
+from toucanpin.entry.requests import RequestHandler
 from toucanpin.entry.root import EntryProcess
 from toucanpin.scheduling import placing
 
@@ -33,12 +33,12 @@
 
 def _refuse_unsure() -> None:
     """Tell a caller that a job never runs though its write had no answer."""
-    write = Requests._write
+    write = RequestHandler._write
 
     async def weakened(self, part, put, deadline):  # type: ignore[no-untyped-def]
         return bool(await write(self, part, put, deadline))
 
-    Requests._write = weakened  # type: ignore[method-assign]
+    RequestHandler._write = weakened  # type: ignore[method-assign]
 
 
 def _acknowledge_early() -> None:
--- a/toucanpin/entry/requests.py
+++ b/toucanpin/entry/requests.py
@@ -38,7 +38,7 @@
 from toucanpin.scheduling.progress import JobState, decode_progress
 from toucanpin.scheduling.shedding import would_exceed_time_limit
 
-__all__ = ["Requests"]
+__all__ = ["RequestHandler"]
 
 _log = logbook.Logger("requests")
 T = TypeVar("T")
@@ -69,7 +69,7 @@
     return {}
 
 
-class Requests:
+class RequestHandler:
     """Answer callers' requests about jobs."""
 
     __slots__ = ("_clocks", "_configuration", "_reader", "_read_backlog", "_store")
--- a/toucanpin/entry/root.py
+++ b/toucanpin/entry/root.py
@@ -28,7 +28,7 @@
 from toucanpin.entry.peers import Peers
 from toucanpin.entry.relay import RelayServer
 from toucanpin.entry.relayed_store import RelayedStore
-from toucanpin.entry.requests import Requests
+from toucanpin.entry.requests import RequestHandler
 from toucanpin.http import Client, Request, Response, Server
 from toucanpin.platform.store import Store
 from toucanpin.scheduling.settings import HostSettings
@@ -68,7 +68,7 @@
         self._clocks = Clocks(self._store)
         self._clocks.offsets = self._peers.wall_offsets
         self._configuration = ConfigurationWatch(self._store)
-        self._requests = Requests(
+        self._requests = RequestHandler(
             self._store, self._configuration, self._clocks, self._read_backlog
         )
         self._front = Server(
--- a/toucanpin/entry/tests/test_configuration.py
+++ b/toucanpin/entry/tests/test_configuration.py
@@ -12,7 +12,7 @@
 from standins.site.store import Faults
 from toucanpin.entry.clocks import Clocks
 from toucanpin.entry.configuration import ConfigurationWatch
-from toucanpin.entry.requests import Requests
+from toucanpin.entry.requests import RequestHandler
 from toucanpin.entry.row_cache import RowCache
 from toucanpin.entry.tables import JOBS_TABLE
 from toucanpin.http import Answer, CallError, Client, Request
@@ -66,7 +66,7 @@
         self.addCleanup(client.close)
         store = Store(client)
         watch = ConfigurationWatch(store)
-        requests = Requests(store, watch, Clocks(store))
+        requests = RequestHandler(store, watch, Clocks(store))
         self.assertTrue(await watch.refresh())
         body = msgspec.json.encode({"spec": "work", "pipeline": [{"cpu": 1_000}]})
         request = Request("POST", f"{PREFIX}{1:016x}", {"host": HOST}, body)
@@ -132,7 +132,7 @@
         wait; the answer came once the look at the configuration had failed, seconds after it left.
         """
         self.watch.apply(Configuration(1, (Queue("q", "", "/jobs/", "c"),)))
-        requests = Requests(Store(self.caller), self.watch, Clocks(Store(self.caller)))
+        requests = RequestHandler(Store(self.caller), self.watch, Clocks(Store(self.caller)))
         request = Request("GET", "/jobs/", {"x-deadline-ms": "200"})
         answer = await requests.handle(request)
         assert answer is not None
--- a/toucanpin/entry/tests/test_pending_counts.py
+++ b/toucanpin/entry/tests/test_pending_counts.py
@@ -13,7 +13,7 @@
 from toucanpin.entry.cell_rows import CellRows
 from toucanpin.entry.clocks import Clocks, steady_time
 from toucanpin.entry.configuration import ConfigurationWatch
-from toucanpin.entry.requests import Requests
+from toucanpin.entry.requests import RequestHandler
 from toucanpin.entry.row_reader import RowReader
 from toucanpin.entry.tables import COUNTS_TABLE
 from toucanpin.http import Client, Request, Response
@@ -38,7 +38,7 @@
         self.addCleanup(client.close)
         self.store = Store(client)
         self.clocks = Clocks(self.store)
-        self.requests = Requests(self.store, ConfigurationWatch(self.store), self.clocks)
+        self.requests = RequestHandler(self.store, ConfigurationWatch(self.store), self.clocks)
 
     async def test_jobs_that_an_owner_has_not_read_are_counted(self) -> None:
         """
