--- a/benchmarks/ablation.py
+++ b/benchmarks/ablation.py
@@ -61,14 +61,14 @@
     "a worker kept for large tasks": (
         Off("toucanpin.scheduling.large_tasks.MAX_RESERVED_SHARE", 0.0),
     ),
-    "preemption": (Off(f"{_PLACING}._make_room", _nothing),),
+    "preemption": (Off(f"{_PLACING}._preempt_for", _nothing),),
     "moving of slow and stuck tasks": (Off("benchmarks.sharing.move_tasks", _nothing),),
     "pacing and clearing": (Off("benchmarks.sharing.control_pace", _nothing),),
     "clearing": (Off(f"{_PACING}.OVER_LONG", 1e9),),
     "moves instead of slowing": (Off(f"{_PACING}._moves_freely", _never),),
     "learning by pairs": (Off("benchmarks.sharing.learn_effects", _nothing),),
     "caution about unknown pairs": (Off(f"{_SHARING}.CAUTION", 0.0),),
-    "grouping of images": (Off(f"{_CHOOSING}.OTHER_IMAGE", 0.0),),
+    "grouping of images": (Off(f"{_CHOOSING}.OTHER_IMAGE_COST", 0.0),),
     "gathering of strays": (Off("benchmarks.sharing.consolidate_images", _nothing),),
     "rest after no place": (Off("toucanpin.scheduling.recalling.UNPLACEABLE_PERIOD_S", 0.0),),
 }
--- a/toucanpin/scheduling/advising.py
+++ b/toucanpin/scheduling/advising.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 
 from toucanpin.scheduling.cell import Cell, Group, Now, StepTickets, rank_group
-from toucanpin.scheduling.choosing import Places, Round, list_able
+from toucanpin.scheduling.choosing import CandidateWorkers, PlacementRound, list_eligible
 from toucanpin.scheduling.interference_model import InterferenceModel
 from toucanpin.scheduling.worker import Worker
 
@@ -55,8 +55,8 @@
     orders: list[AdviceOrder] = []
     if not free:
         return orders
-    able: list[Worker] | None = None
-    round_ = Round(model, now)
+    eligible: list[Worker] | None = None
+    round_ = PlacementRound(model, now)
     for group in sorted(cell.waiting, key=lambda group: rank_group(cell, group, now)):
         live = cell.jobs[group.job]
         if not live.job.advised:
@@ -64,9 +64,9 @@
         known = cell.step_tickets.setdefault(group, StepTickets())
         if known.request_pending or now.steady < known.retry_at:
             continue
-        able = list_able(cell, now) if able is None else able
+        eligible = list_eligible(cell, now) if eligible is None else eligible
         step = live.job.steps[group.step]
-        fitting = Places(round_, live, group, step, able).list()
+        fitting = CandidateWorkers(round_, live, group, step, eligible).list_by_cost()
         if any(find_ticket(cell, group, worker.entry.id, now) for worker in fitting):
             continue
         # What was refused stays refused, so the next question goes to other workers.
--- a/toucanpin/scheduling/assigning.py
+++ b/toucanpin/scheduling/assigning.py
@@ -18,13 +18,13 @@
     add_run,
     mark_dirty,
 )
-from toucanpin.scheduling.choosing import Places
+from toucanpin.scheduling.choosing import CandidateWorkers
 from toucanpin.scheduling.crashing import find_suspicion
 from toucanpin.scheduling.job import Step, TaskKey
 from toucanpin.scheduling.progress import TaskState
 from toucanpin.scheduling.worker import Phase, Run, Worker
 
-__all__ = ["assign", "note_wait", "renew_places"]
+__all__ = ["assign", "record_wait", "update_candidates"]
 
 
 def assign(cell: Cell, live: LiveJob, task: TaskKey, step: Step, worker: Worker, now: Now) -> None:
@@ -49,16 +49,18 @@
     mark_dirty(cell, live)
 
 
-def note_wait(cell: Cell, group: Group, reason: WaitReason, now: Now) -> None:
+def record_wait(cell: Cell, group: Group, reason: WaitReason, now: Now) -> None:
     """Note why tasks of a step found no place."""
     if reason is WaitReason.NO_ROOM and cell.evacuated:
         reason = WaitReason.EVACUATED
     cell.waits.setdefault(group, Wait(now.steady)).reason = reason
 
 
-def renew_places(places: Places, live: LiveJob, group: Group, step: Step, worker: Worker) -> None:
+def update_candidates(
+    candidates: CandidateWorkers, live: LiveJob, group: Group, step: Step, worker: Worker
+) -> None:
     """Weigh places anew after one is taken; tasks that want one rack stay with the first."""
-    places.renew()
+    candidates.update_best()
     if step.same_rack and group not in live.racks:
         live.racks[group] = worker.rack
-        places.renew_all()
+        candidates.update_all()
--- a/toucanpin/scheduling/consolidating.py
+++ b/toucanpin/scheduling/consolidating.py
@@ -17,7 +17,7 @@
 from dataclasses import dataclass
 
 from toucanpin.scheduling.cell import Cell, Group, Now, WaitReason
-from toucanpin.scheduling.choosing import fits_rules, list_able
+from toucanpin.scheduling.choosing import list_eligible, meets_constraints
 from toucanpin.scheduling.interference_model import InterferenceModel
 from toucanpin.scheduling.reserving import leaves_reserve
 from toucanpin.scheduling.stopping import count_unavailable, stop_run
@@ -51,7 +51,7 @@
     if not demand:
         return None
     cell.consolidated_at = now.steady
-    candidates = [_describe(worker) for worker in list_able(cell, now)]
+    candidates = [_describe(worker) for worker in list_eligible(cell, now)]
     best = max(
         _list_moves(cell, model, candidates, demand, now), key=lambda move: move[0], default=None
     )
@@ -137,7 +137,7 @@
         if other is candidate or run.step.image not in other.images:
             continue
         worker = other.worker
-        if not (has_room(worker, run.step) and fits_rules(worker, group, run.step)):
+        if not (has_room(worker, run.step) and meets_constraints(worker, group, run.step)):
             continue
         if not leaves_reserve(worker, run.step):
             continue
--- a/toucanpin/scheduling/gangs.py
+++ b/toucanpin/scheduling/gangs.py
@@ -7,9 +7,9 @@
 
 from __future__ import annotations
 
-from toucanpin.scheduling.assigning import assign, note_wait, renew_places
+from toucanpin.scheduling.assigning import assign, record_wait, update_candidates
 from toucanpin.scheduling.cell import Cell, Group, LiveJob, WaitReason
-from toucanpin.scheduling.choosing import Places, Round
+from toucanpin.scheduling.choosing import CandidateWorkers, PlacementRound
 from toucanpin.scheduling.crashing import find_suspicion, is_start_blocked
 from toucanpin.scheduling.job import Step, TaskKey
 from toucanpin.scheduling.retrying import list_retry_workers
@@ -19,7 +19,12 @@
 
 
 def place_gang(
-    cell: Cell, round_: Round, live: LiveJob, group: Group, step: Step, able: list[Worker]
+    cell: Cell,
+    round_: PlacementRound,
+    live: LiveJob,
+    group: Group,
+    step: Step,
+    eligible: list[Worker],
 ) -> None:
     """Place all tasks of a gang or none; a part of one would only wait."""
     waiting = cell.waiting[group]
@@ -36,16 +41,16 @@
         TaskKey(group.job, group.occurrence, group.step, index) for index in range(step.count)
     ]
     if any(is_start_blocked(cell, live, member) for member in members):
-        note_wait(cell, group, WaitReason.CRASHING, round_.now)
+        record_wait(cell, group, WaitReason.CRASHING, round_.now)
         return
     # All members share the failures of their gang, so any speaks for them.
     doubted = max(members, key=lambda member: find_suspicion(live, member))
-    safe = list_retry_workers(live, doubted, able, round_.now)
-    places = Places(round_, live, group, step, safe, find_suspicion(live, doubted))
-    chosen = _find_for_all(places, live, group, step)
+    safe = list_retry_workers(live, doubted, eligible, round_.now)
+    candidates = CandidateWorkers(round_, live, group, step, safe, find_suspicion(live, doubted))
+    chosen = _choose_workers(candidates, live, group, step)
     if len(chosen) < step.count:
         live.racks.pop(group, None)
-        note_wait(cell, group, WaitReason.INCOMPLETE_GANG, round_.now)
+        record_wait(cell, group, WaitReason.INCOMPLETE_GANG, round_.now)
         return
     for index, worker in zip(sorted(waiting), chosen, strict=True):
         waiting.discard(index)
@@ -53,12 +58,14 @@
         assign(cell, live, task, step, worker, round_.now)
 
 
-def _find_for_all(places: Places, live: LiveJob, group: Group, step: Step) -> list[Worker]:
+def _choose_workers(
+    candidates: CandidateWorkers, live: LiveJob, group: Group, step: Step
+) -> list[Worker]:
     """Return a worker for each task of a gang, fewer if not all find one; nothing is taken yet."""
     chosen: list[Worker] = []
     trial: list[tuple[Worker, Run]] = []
     for index in range(step.count):
-        worker = places.find()
+        worker = candidates.best()
         if worker is None:
             break
         task = TaskKey(group.job, group.occurrence, group.step, index)
@@ -66,7 +73,7 @@
         reserve_run(worker, run)
         trial.append((worker, run))
         chosen.append(worker)
-        renew_places(places, live, group, step, worker)
+        update_candidates(candidates, live, group, step, worker)
     for worker, run in trial:
         release_run(worker, run)
     return chosen
--- a/toucanpin/scheduling/large_tasks.py
+++ b/toucanpin/scheduling/large_tasks.py
@@ -10,7 +10,7 @@
 import heapq
 
 from toucanpin.scheduling.cell import Cell, Group
-from toucanpin.scheduling.choosing import fits_rules
+from toucanpin.scheduling.choosing import meets_constraints
 from toucanpin.scheduling.evacuating import list_open
 from toucanpin.scheduling.job import Step
 from toucanpin.scheduling.worker import Worker
@@ -64,7 +64,7 @@
             room, number, worker = heapq.heappop(self._by_free_cores)
             if room != -_count_free_cores(worker):
                 heapq.heappush(self._by_free_cores, (-_count_free_cores(worker), number, worker))
-            elif fits_rules(worker, group, step):
+            elif meets_constraints(worker, group, step):
                 found = worker
             else:
                 excluded.append((room, number, worker))
--- a/toucanpin/scheduling/moving.py
+++ b/toucanpin/scheduling/moving.py
@@ -10,7 +10,7 @@
 import statistics
 
 from toucanpin.scheduling.cell import Cell, Group, Now, find_record, mark_dirty
-from toucanpin.scheduling.choosing import fits_rules, list_able
+from toucanpin.scheduling.choosing import list_eligible, meets_constraints
 from toucanpin.scheduling.progress import JobState, TaskState
 from toucanpin.scheduling.stopping import list_gang_runs, requeue_task, stop_gang, stop_run
 from toucanpin.scheduling.trust import record_failure
@@ -168,8 +168,8 @@
         worker.entry.id != run.worker
         and worker.suspect_until <= now.steady
         and has_room(worker, run.step)
-        and fits_rules(worker, group, run.step)
-        for worker in list_able(cell, now)
+        and meets_constraints(worker, group, run.step)
+        for worker in list_eligible(cell, now)
     )
 
 
--- a/toucanpin/scheduling/pacing.py
+++ b/toucanpin/scheduling/pacing.py
@@ -8,7 +8,7 @@
 from __future__ import annotations
 
 from toucanpin.scheduling.cell import Cell, Now
-from toucanpin.scheduling.choosing import list_able
+from toucanpin.scheduling.choosing import list_eligible
 from toucanpin.scheduling.interference_model import InterferenceModel
 from toucanpin.scheduling.learning import FRESH, measure_loads
 from toucanpin.scheduling.orders import PaceOrder
@@ -173,7 +173,7 @@
 
     One that fails what it starts is empty, and would always be the better place.
     """
-    for other in list_able(cell, now):
+    for other in list_eligible(cell, now):
         if other is worker or other.suspect_until > now.steady:
             continue
         if not has_room(other, run.step):
--- a/toucanpin/scheduling/placing.py
+++ b/toucanpin/scheduling/placing.py
@@ -10,7 +10,7 @@
 from collections import Counter
 
 from toucanpin.scheduling.advising import find_ticket
-from toucanpin.scheduling.assigning import assign, note_wait, renew_places
+from toucanpin.scheduling.assigning import assign, record_wait, update_candidates
 from toucanpin.scheduling.cell import (
     Cell,
     Group,
@@ -21,18 +21,18 @@
     rank_group,
 )
 from toucanpin.scheduling.choosing import (
-    Claim,
-    Places,
-    Round,
-    list_able,
-    may_last,
+    CandidateWorkers,
+    PlacementRound,
+    ReserveAccess,
+    list_eligible,
+    may_place_long_running,
 )
 from toucanpin.scheduling.crashing import find_suspicion, is_start_blocked
 from toucanpin.scheduling.gangs import place_gang
 from toucanpin.scheduling.interference_model import InterferenceModel
 from toucanpin.scheduling.job import Step, TaskKey
 from toucanpin.scheduling.large_tasks import LargeTaskReservation
-from toucanpin.scheduling.preempting import Making, Openings
+from toucanpin.scheduling.preempting import PreemptionCandidates, PreemptionRound
 from toucanpin.scheduling.progress import CrashSuspicion
 from toucanpin.scheduling.recalling import (
     find_known_reason,
@@ -51,12 +51,12 @@
 
 # A lasting task that ran before and waits for longer takes the room that is kept for brief urgent
 # ones: users of its service miss it.  New ones that all did so would leave no room for brief tasks.
-RESERVE_PATIENCE = 1.0  # s
-UNBOUNDED = 1_000_000  # tasks: more than any cell runs
-MOST_STOPS = 16  # tasks of a step that room is made for at a time
+RESERVE_WAIT_S = 1.0  # s
+NO_LIMIT = 1_000_000  # tasks: more than any cell runs
+MAX_PREEMPTIONS = 16  # tasks of a step that room is made for at a time
 
 
-def place_tasks(cell: Cell, model: InterferenceModel, now: Now, most: int = UNBOUNDED) -> None:
+def place_tasks(cell: Cell, model: InterferenceModel, now: Now, most: int = NO_LIMIT) -> None:
     """
     Place what waits, about ``most`` tasks at a time; places count only once they are written.
 
@@ -65,11 +65,11 @@
     if not cell.waiting:
         cell.waits.clear()
         return
-    everywhere = list_able(cell, now)
-    reserve_room(cell, everywhere, now)
-    reservation = LargeTaskReservation(cell, everywhere)
-    round_ = Round(model, now)
-    making = Making()
+    all_eligible = list_eligible(cell, now)
+    reserve_room(cell, all_eligible, now)
+    reservation = LargeTaskReservation(cell, all_eligible)
+    round_ = PlacementRound(model, now)
+    preemption = PreemptionRound()
     least_urgent = _find_least_urgent(cell)
     for group in sorted(cell.waiting, key=lambda group: rank_group(cell, group, now)):
         if len(cell.placed) >= most:
@@ -77,17 +77,17 @@
         live = cell.jobs[group.job]
         step = live.job.steps[group.step]
         # What is kept for large tasks mustn't hold up a task that has to last.
-        allowed = everywhere if step.lasting else reservation.eligible
+        allowed = all_eligible if step.lasting else reservation.eligible
         if live.job.advised:
             allowed = [w for w in allowed if find_ticket(cell, group, w.entry.id, now)]
         if step.same_rack:
-            _recall_rack(cell, live, group)
+            _update_rack(cell, live, group)
         if step.gang:
             place_gang(cell, round_, live, group, step, allowed)
         else:
             _place_group(cell, round_, live, group, step, allowed)
         if live.job.priority < least_urgent and not step.gang:
-            _make_room(cell, live, group, step, allowed, making, now)
+            _preempt_for(cell, live, group, step, allowed, preemption, now)
         reservation.reserve_for(group, step)
         if not cell.waiting[group]:
             del cell.waiting[group]
@@ -111,16 +111,18 @@
     return sorted(cell.waiting[group], key=rank)
 
 
-def _may_take_last(cell: Cell, live: LiveJob, group: Group, index: int, now: Now) -> bool:
+def _may_take_reserve(cell: Cell, live: LiveJob, group: Group, index: int, now: Now) -> bool:
     """Tell whether a lasting task that ran before has waited for so long that any place will do."""
     wait = cell.waits.get(group)
-    if wait is None or now.steady <= wait.since + RESERVE_PATIENCE:
+    if wait is None or now.steady <= wait.since + RESERVE_WAIT_S:
         return False
     records = live.progress.tasks[group.occurrence]
     return records[live.offsets[group.step] + index].attempt > 0
 
 
-def _find_claim(cell: Cell, live: LiveJob, group: Group, index: int, now: Now) -> Claim:
+def _find_reserve_access(
+    cell: Cell, live: LiveJob, group: Group, index: int, now: Now
+) -> ReserveAccess:
     """
     Return how far a task may take reserved cores.
 
@@ -128,9 +130,9 @@
     serve nobody while there is plenty of room.
     """
     step = live.job.steps[group.step]
-    if not step.lasting or _may_take_last(cell, live, group, index, now):
-        return Claim.ALL
-    return Claim.SPARE if len(cell.waiting[group]) == step.count else Claim.NONE
+    if not step.lasting or _may_take_reserve(cell, live, group, index, now):
+        return ReserveAccess.ALL
+    return ReserveAccess.SPARE if len(cell.waiting[group]) == step.count else ReserveAccess.NONE
 
 
 def _find_least_urgent(cell: Cell) -> int:
@@ -139,94 +141,103 @@
     return max(running, default=0)
 
 
-def _make_room(
+def _preempt_for(
     cell: Cell,
     live: LiveJob,
     group: Group,
     step: Step,
-    able: list[Worker],
-    making: Making,
+    eligible: list[Worker],
+    preemption: PreemptionRound,
     now: Now,
 ) -> None:
     """Stop what is less urgent for the tasks of a step that found no place."""
-    openings: dict[bool, Openings] = {}
-    for index in _order_waiting(cell, live, group)[:MOST_STOPS]:
+    preemptions: dict[bool, PreemptionCandidates] = {}
+    for index in _order_waiting(cell, live, group)[:MAX_PREEMPTIONS]:
         task = TaskKey(group.job, group.occurrence, group.step, index)
-        if _find_pause(cell, live, task, now) is not None:
+        if _find_block(cell, live, task, now) is not None:
             continue
-        lenient = step.lasting and _may_take_last(cell, live, group, index, now)
-        if making.is_hopeless(step, lenient):
+        ignore_reserve = step.lasting and _may_take_reserve(cell, live, group, index, now)
+        if preemption.is_infeasible(step, ignore_reserve):
             return
-        safe = list_retry_workers(live, task, able, now)
-        if len(safe) < len(able):
+        safe = list_retry_workers(live, task, eligible, now)
+        if len(safe) < len(eligible):
             # What has failed is tried in fewer places, which tells nothing of its siblings.
-            Openings(cell, group, step, safe, making, now, lenient).take()
+            PreemptionCandidates(
+                cell, group, step, safe, preemption, now, ignore_reserve
+            ).preempt_for_one()
             continue
-        if lenient not in openings:
-            openings[lenient] = Openings(cell, group, step, able, making, now, lenient)
-        if not openings[lenient].take():
-            if not openings[lenient].ruled and not live.job.advised:
-                making.note_hopeless(step, lenient)
+        if ignore_reserve not in preemptions:
+            preemptions[ignore_reserve] = PreemptionCandidates(
+                cell, group, step, eligible, preemption, now, ignore_reserve
+            )
+        if not preemptions[ignore_reserve].preempt_for_one():
+            if not preemptions[ignore_reserve].constraint_excluded and not live.job.advised:
+                preemption.mark_infeasible(step, ignore_reserve)
             return
 
 
 def _place_group(
-    cell: Cell, round_: Round, live: LiveJob, group: Group, step: Step, able: list[Worker]
+    cell: Cell,
+    round_: PlacementRound,
+    live: LiveJob,
+    group: Group,
+    step: Step,
+    eligible: list[Worker],
 ) -> None:
     waiting = cell.waiting[group]
     if is_known_unplaceable(cell, step, round_.now):
         return
-    places: Places | None = None
+    candidates: CandidateWorkers | None = None
     now = round_.now
     for index in _order_waiting(cell, live, group):
         task = TaskKey(group.job, group.occurrence, group.step, index)
-        pause = _find_pause(cell, live, task, now)
+        pause = _find_block(cell, live, task, now)
         if pause is not None:
-            note_wait(cell, group, pause, now)
+            record_wait(cell, group, pause, now)
             continue
-        claim = _find_claim(cell, live, group, index, now)
-        known = find_known_reason(round_, live, step, claim)
+        access = _find_reserve_access(cell, live, group, index, now)
+        known = find_known_reason(round_, live, step, access)
         if known is not None:
-            note_wait(cell, group, known, now)
+            record_wait(cell, group, known, now)
             return
         doubt = find_suspicion(live, task)
-        if places is None or places.doubt is not doubt:
-            places = Places(round_, live, group, step, able, doubt)
-        worker = places.find()
+        if candidates is None or candidates.doubt is not doubt:
+            candidates = CandidateWorkers(round_, live, group, step, eligible, doubt)
+        worker = candidates.best()
         if worker is None:
-            reason = _find_reason(live, step, able)
-            note_wait(cell, group, reason, now)
+            reason = _find_reason(live, step, eligible)
+            record_wait(cell, group, reason, now)
             record_unplaceable(cell, live, step, now)
-            record_shortage(round_, live, step, None, places.ruled)
+            record_shortage(round_, live, step, None, candidates.constraint_excluded)
             return
-        chosen = places
+        chosen = candidates
         if task in worker.runs or doubt is CrashSuspicion.LAST_ATTEMPT:
-            safe = list_retry_workers(live, task, able, now)
-            chosen = Places(round_, live, group, step, safe, doubt)
-            worker = chosen.find()
-        if worker is None or wastes_attempt(live, task, worker, able, now):
+            safe = list_retry_workers(live, task, eligible, now)
+            chosen = CandidateWorkers(round_, live, group, step, safe, doubt)
+            worker = chosen.best()
+        if worker is None or wastes_attempt(live, task, worker, eligible, now):
             why = WaitReason.NO_ROOM if worker is None else WaitReason.FAILING_WORKERS
-            note_wait(cell, group, why, now)
+            record_wait(cell, group, why, now)
             continue
-        if not may_last(able, group, step, claim):
-            note_wait(cell, group, WaitReason.RESERVED, now)
-            record_shortage(round_, live, step, claim, places.ruled)
+        if not may_place_long_running(eligible, group, step, access):
+            record_wait(cell, group, WaitReason.RESERVED, now)
+            record_shortage(round_, live, step, access, candidates.constraint_excluded)
             return
         cell.delayed_until.pop(task, None)
         waiting.discard(index)
         assign(cell, live, task, step, worker, now)
-        renew_places(chosen, live, group, step, worker)
-        places = places if chosen is places else None
+        update_candidates(chosen, live, group, step, worker)
+        candidates = candidates if chosen is candidates else None
 
 
-def _find_pause(cell: Cell, live: LiveJob, task: TaskKey, now: Now) -> WaitReason | None:
+def _find_block(cell: Cell, live: LiveJob, task: TaskKey, now: Now) -> WaitReason | None:
     """Return why a task may not be placed yet whatever room there is, None if it may."""
     if cell.delayed_until.get(task, 0.0) > now.steady:
         return WaitReason.BACKOFF
     return WaitReason.CRASHING if is_start_blocked(cell, live, task) else None
 
 
-def _recall_rack(cell: Cell, live: LiveJob, group: Group) -> None:
+def _update_rack(cell: Cell, live: LiveJob, group: Group) -> None:
     """
     Note the rack on which most tasks of a step run, if any do.
 
@@ -247,9 +258,9 @@
         live.racks.pop(group, None)
 
 
-def _find_reason(live: LiveJob, step: Step, able: list[Worker]) -> WaitReason:
-    if live.job.advised and not able:
+def _find_reason(live: LiveJob, step: Step, eligible: list[Worker]) -> WaitReason:
+    if live.job.advised and not eligible:
         return WaitReason.NO_TICKET
-    if step.fills and any(has_room(worker, step) for worker in able):
+    if step.fills and any(has_room(worker, step) for worker in eligible):
         return WaitReason.INTERFERENCE
     return WaitReason.NO_ROOM
--- a/toucanpin/scheduling/preempting.py
+++ b/toucanpin/scheduling/preempting.py
@@ -12,22 +12,22 @@
 from dataclasses import dataclass
 
 from toucanpin.scheduling.cell import Cell, Group, Now
-from toucanpin.scheduling.choosing import fits_rules
+from toucanpin.scheduling.choosing import meets_constraints
 from toucanpin.scheduling.job import Step
 from toucanpin.scheduling.shortage import Demand, Shortage
 from toucanpin.scheduling.stopping import stop_run
 from toucanpin.scheduling.worker import Phase, Run, Worker, bound_freeable_cpu
 
-__all__ = ["Freed", "Making", "Openings", "note_freed"]
+__all__ = ["FreedResources", "PreemptionCandidates", "PreemptionRound", "sum_stopping"]
 
-RESUME_LOSS = 0.3  # s of work that a task which resumes from its checkpoint loses
+RESUME_LOSS_S = 0.3  # s of work that a task which resumes from its checkpoint loses
 # Stops end one after the other; without this, what waits would take the room of the first.
-KEPT = 0.4  # s beyond a stop that room is kept for those for whom it was made
-SURE_LOSS = 0.1  # s besides: a stop always costs a little
+HOLD_MARGIN_S = 0.4  # s beyond a stop that room is kept for those for whom it was made
+STOP_LOSS_S = 0.1  # s besides: a stop always costs a little
 
 
 @dataclass(slots=True)
-class Freed:
+class FreedResources:
     """Hold room that stops are about to free on a worker, less what urgent tasks will take."""
 
     cpu: int = 0
@@ -35,63 +35,63 @@
     accelerators: int = 0
 
 
-def note_freed(worker: Worker) -> Freed:
+def sum_stopping(worker: Worker) -> FreedResources:
     """Return the room that runs which are being stopped will free on a worker."""
-    freed = Freed()
+    freed = FreedResources()
     for run in worker.runs.values():
         if run.phase is Phase.STOPPING:
             _add(freed, run.step, 1)
     return freed
 
 
-class Making:
+class PreemptionRound:
     """Hold what one round of placing knows of the room that stops can make."""
 
-    __slots__ = ("_freed", "_hopeless")
+    __slots__ = ("_freed", "_infeasible")
 
     def __init__(self) -> None:
-        self._freed: dict[str, Freed] = {}
-        self._hopeless = {False: Shortage(), True: Shortage()}
+        self._freed: dict[str, FreedResources] = {}
+        self._infeasible = {False: Shortage(), True: Shortage()}
 
-    def is_hopeless(self, step: Step, lenient: bool) -> bool:
+    def is_infeasible(self, step: Step, ignore_reserve: bool) -> bool:
         """Tell whether no room could be made for a task that asks for no more."""
-        return self._hopeless[step.lasting].covers(_ask(step, lenient))
+        return self._infeasible[step.lasting].covers(_make_demand(step, ignore_reserve))
 
-    def note_hopeless(self, step: Step, lenient: bool) -> None:
+    def mark_infeasible(self, step: Step, ignore_reserve: bool) -> None:
         """Remember that no stops on any worker make room for a task of a step."""
-        self._hopeless[step.lasting].note(_ask(step, lenient))
+        self._infeasible[step.lasting].note(_make_demand(step, ignore_reserve))
 
-    def free(self, worker: Worker) -> Freed:
+    def get_freed(self, worker: Worker) -> FreedResources:
         """Return the room that stops are about to free on a worker."""
         known = self._freed.get(worker.entry.id)
         if known is None:
-            known = self._freed[worker.entry.id] = note_freed(worker)
+            known = self._freed[worker.entry.id] = sum_stopping(worker)
         return known
 
 
-def _ask(step: Step, lenient: bool) -> Demand:
+def _make_demand(step: Step, ignore_reserve: bool) -> Demand:
     # A lasting task is placed only where this much is left, else its room would go to others.
-    return Demand.of(step, step.lasting and not lenient)
+    return Demand.of(step, step.lasting and not ignore_reserve)
 
 
-class Openings:
+class PreemptionCandidates:
     """
     Hold where stops could make room for the tasks of a step, the least loss first.
 
-    ``ruled`` says that a rule of the step shut it out of a worker that may have room.
+    ``constraint_excluded`` says that a constraint of the step excluded a worker that may have room.
     """
 
     __slots__ = (
-        "_able",
+        "_eligible",
         "_cell",
         "_demand",
         "_group",
         "_heap",
-        "_making",
+        "_round",
         "_now",
         "_priority",
         "_step",
-        "ruled",
+        "constraint_excluded",
     )
 
     def __init__(
@@ -99,25 +99,25 @@
         cell: Cell,
         group: Group,
         step: Step,
-        able: Sequence[Worker],
-        making: Making,
+        eligible: Sequence[Worker],
+        round_: PreemptionRound,
         now: Now,
-        lenient: bool = False,
+        ignore_reserve: bool = False,
     ) -> None:
         self._cell = cell
         self._group = group
         self._step = step
-        self._able = able
-        self._making = making
+        self._eligible = eligible
+        self._round = round_
         self._now = now
-        self._demand = _ask(step, lenient)
+        self._demand = _make_demand(step, ignore_reserve)
         self._priority = cell.jobs[group.job].job.priority
-        self.ruled = False
-        found = (self._weigh(number) for number in range(len(able)))
-        self._heap = [opening for opening in found if opening is not None]
+        self.constraint_excluded = False
+        found = (self._make_entry(number) for number in range(len(eligible)))
+        self._heap = [entry for entry in found if entry is not None]
         heapq.heapify(self._heap)
 
-    def take(self) -> bool:
+    def preempt_for_one(self) -> bool:
         """
         Make room for one task; return whether there will be some.
 
@@ -127,49 +127,49 @@
         if not self._heap:
             return False
         _, number, victims = heapq.heappop(self._heap)
-        worker = self._able[number]
-        room = self._making.free(worker)
+        worker = self._eligible[number]
+        freed = self._round.get_freed(worker)
         if victims:
-            worker.kept_until = self._now.steady + self._cell.stop_time + KEPT
+            worker.kept_until = self._now.steady + self._cell.stop_time + HOLD_MARGIN_S
             worker.kept_for = self._priority
         for run in victims:
             stop_run(self._cell, run, "makes room for urgent work")
-            _add(room, run.step, 1)
-        _add(room, self._step, -1)
-        opening = self._weigh(number)
-        if opening is not None:
-            heapq.heappush(self._heap, opening)
+            _add(freed, run.step, 1)
+        _add(freed, self._step, -1)
+        entry = self._make_entry(number)
+        if entry is not None:
+            heapq.heappush(self._heap, entry)
         return True
 
-    def _weigh(self, number: int) -> tuple[float, int, list[Run]] | None:
-        worker = self._able[number]
-        if bound_freeable_cpu(worker, self._priority) < self._demand.on(worker.reserved):
+    def _make_entry(self, number: int) -> tuple[float, int, list[Run]] | None:
+        worker = self._eligible[number]
+        if bound_freeable_cpu(worker, self._priority) < self._demand.required_cpu(worker.reserved):
             return None
-        if not fits_rules(worker, self._group, self._step):
-            self.ruled = True
+        if not meets_constraints(worker, self._group, self._step):
+            self.constraint_excluded = True
             return None
-        room = self._making.free(worker)
-        victims = _find_victims(self._cell, worker, self._group, self._demand, room, self._now)
+        freed = self._round.get_freed(worker)
+        victims = _find_victims(self._cell, worker, self._group, self._demand, freed, self._now)
         if victims is None:
             return None
-        return sum(_weigh_loss(run, self._now) for run in victims), number, victims
+        return sum(_estimate_loss(run, self._now) for run in victims), number, victims
 
 
 def _find_victims(
-    cell: Cell, worker: Worker, group: Group, demand: Demand, room: Freed, now: Now
+    cell: Cell, worker: Worker, group: Group, demand: Demand, freed: FreedResources, now: Now
 ) -> list[Run] | None:
     """Return the runs to stop on a worker, empty if earlier stops suffice, None if none do."""
     entry = worker.entry
-    cpu = entry.cpu - worker.cpu + room.cpu - demand.on(worker.reserved)
-    memory = entry.memory - worker.memory + room.memory - demand.memory
+    cpu = entry.cpu - worker.cpu + freed.cpu - demand.required_cpu(worker.reserved)
+    memory = entry.memory - worker.memory + freed.memory - demand.memory
     accelerators = (
-        entry.accelerators - worker.accelerators + room.accelerators - demand.accelerators
+        entry.accelerators - worker.accelerators + freed.accelerators - demand.accelerators
     )
     victims: list[Run] = []
     if min(cpu, memory, accelerators) >= 0:
         return victims
-    candidates = (run for run in worker.runs.values() if _may_stop(cell, run, group))
-    for run in sorted(candidates, key=lambda run: _weigh_loss(run, now)):
+    candidates = (run for run in worker.runs.values() if _is_preemptible(cell, run, group))
+    for run in sorted(candidates, key=lambda run: _estimate_loss(run, now)):
         victims.append(run)
         cpu += 0 if run.step.fills else run.step.cpu
         memory += run.step.memory
@@ -179,7 +179,7 @@
     return None
 
 
-def _may_stop(cell: Cell, run: Run, group: Group) -> bool:
+def _is_preemptible(cell: Cell, run: Run, group: Group) -> bool:
     live = cell.jobs.get(run.task.job)
     return (
         live is not None
@@ -190,14 +190,14 @@
     )
 
 
-def _weigh_loss(run: Run, now: Now) -> float:
+def _estimate_loss(run: Run, now: Now) -> float:
     """Return the work that a stop would lose, in core-seconds."""
     elapsed = now.steady - run.started_at
-    lost = min(RESUME_LOSS, elapsed) if run.step.checkpoints else elapsed
-    return (lost + SURE_LOSS) * run.step.cpu / 1_000
+    lost = min(RESUME_LOSS_S, elapsed) if run.step.checkpoints else elapsed
+    return (lost + STOP_LOSS_S) * run.step.cpu / 1_000
 
 
-def _add(freed: Freed, step: Step, sign: int) -> None:
+def _add(freed: FreedResources, step: Step, sign: int) -> None:
     if not step.fills:
         freed.cpu += sign * step.cpu
     freed.memory += sign * step.memory
--- a/toucanpin/scheduling/recalling.py
+++ b/toucanpin/scheduling/recalling.py
@@ -9,7 +9,7 @@
 from __future__ import annotations
 
 from toucanpin.scheduling.cell import Cell, LiveJob, Now, WaitReason
-from toucanpin.scheduling.choosing import Claim, Round
+from toucanpin.scheduling.choosing import PlacementRound, ReserveAccess
 from toucanpin.scheduling.job import Step
 from toucanpin.scheduling.shortage import Demand
 
@@ -48,7 +48,9 @@
     return (now.steady // rest + 1) * rest if rest else now.steady
 
 
-def find_known_reason(round_: Round, live: LiveJob, step: Step, claim: Claim) -> WaitReason | None:
+def find_known_reason(
+    round_: PlacementRound, live: LiveJob, step: Step, claim: ReserveAccess
+) -> WaitReason | None:
     """Return why a task can't find a place, if one that asks for no more found none."""
     if step.fills or live.job.advised:
         return None
@@ -61,14 +63,18 @@
 
 
 def record_shortage(
-    round_: Round, live: LiveJob, step: Step, claim: Claim | None, ruled: bool
+    round_: PlacementRound,
+    live: LiveJob,
+    step: Step,
+    claim: ReserveAccess | None,
+    constraint_excluded: bool,
 ) -> None:
     """
     Remember that a task found no place, unless a rule of its own shut it out of one.
 
     With a claim it found only reserved room.
     """
-    if step.fills or ruled or live.job.advised:
+    if step.fills or constraint_excluded or live.job.advised:
         return
     shortage = round_.reserved[claim] if claim else round_.shortage(step.lasting)
     shortage.note(Demand.of(step))
--- a/toucanpin/scheduling/retrying.py
+++ b/toucanpin/scheduling/retrying.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterable
 
 from toucanpin.scheduling.cell import Group, LiveJob, Now
-from toucanpin.scheduling.choosing import fits_rules
+from toucanpin.scheduling.choosing import meets_constraints
 from toucanpin.scheduling.crashing import find_suspicion, is_new, runs_last_attempt
 from toucanpin.scheduling.job import TaskKey
 from toucanpin.scheduling.progress import CrashSuspicion
@@ -41,7 +41,7 @@
     return any(
         other.failing_until <= now.steady
         and fits_when_idle(other, step)
-        and fits_rules(other, group, step)
+        and meets_constraints(other, group, step)
         for other in able
     )
 
@@ -76,7 +76,9 @@
     group = Group(task.job, task.occurrence, task.step)
     alone = [worker for worker in able if not runs_last_attempt(worker, now)]
     steady = [worker for worker in able if not is_new(worker, now)]
-    if any(fits_when_idle(worker, step) and fits_rules(worker, group, step) for worker in steady):
+    if any(
+        fits_when_idle(worker, step) and meets_constraints(worker, group, step) for worker in steady
+    ):
         return [worker for worker in alone if not is_new(worker, now)]
     return alone
 
--- a/toucanpin/scheduling/shortage.py
+++ b/toucanpin/scheduling/shortage.py
@@ -16,22 +16,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Demand:
-    """Hold what a task asks for; ``modest`` says that it leaves reserved cores free."""
+    """Hold what a task asks for; ``spares_reserve`` says that it leaves reserved cores free."""
 
     cpu: int
     memory: int
     accelerators: int
-    modest: bool = False
+    spares_reserve: bool = False
 
     @classmethod
-    def of(cls, step: Step, modest: bool = False) -> Demand:
+    def of(cls, step: Step, spares_reserve: bool = False) -> Demand:
         """Return what a task of a step asks for."""
         cpu = 0 if step.fills else step.cpu
-        return cls(cpu, step.memory, step.accelerators, modest)
+        return cls(cpu, step.memory, step.accelerators, spares_reserve)
 
-    def on(self, reserved: int) -> int:
+    def required_cpu(self, reserved: int) -> int:
         """Return the cores that have to be free on a worker with so many reserved ones."""
-        return self.cpu + reserved if self.modest else self.cpu
+        return self.cpu + reserved if self.spares_reserve else self.cpu
 
     def is_within(self, other: Demand) -> bool:
         """Tell whether another demand is at least as large in everything."""
@@ -39,7 +39,7 @@
             self.cpu <= other.cpu
             and self.memory <= other.memory
             and self.accelerators <= other.accelerators
-            and self.modest <= other.modest
+            and self.spares_reserve <= other.spares_reserve
         )
 
 
--- a/toucanpin/scheduling/tests/test_turns.py
+++ b/toucanpin/scheduling/tests/test_turns.py
@@ -8,7 +8,7 @@
 
 from toucanpin.scheduling import choosing, preempting
 from toucanpin.scheduling.cell import Group, WaitReason
-from toucanpin.scheduling.choosing import Places
+from toucanpin.scheduling.choosing import CandidateWorkers
 from toucanpin.scheduling.job import Step
 from toucanpin.scheduling.large_tasks import LargeTaskReservation
 from toucanpin.scheduling.orders import WorkerEntry
@@ -48,14 +48,14 @@
 
     def _count_weighed(self) -> int:
         """Return how many places a turn weighs."""
-        original = Places._weigh
+        original = CandidateWorkers._make_entry
         weighed = []
 
-        def weigh(places: Places, number: int) -> object:
+        def weigh(places: CandidateWorkers, number: int) -> object:
             weighed.append(number)
             return original(places, number)
 
-        with patch.object(Places, "_weigh", weigh):
+        with patch.object(CandidateWorkers, "_make_entry", weigh):
             place_tasks(self.fleet.cell, self.fleet.model, self.fleet.now())
         return len(weighed)
 
@@ -196,7 +196,7 @@
         for number in range(WAITING):
             step = Step(count=4, cpu=2_000, lasting=True, per_worker=1)
             self.fleet.submit(make_job(f"l{number:02}", (step,)))
-        self.assertLessEqual(self._count("most_room"), WORKERS)
+        self.assertLessEqual(self._count("bound_freeable_cpu"), WORKERS)
 
     def test_runs_are_not_looked_at_where_their_stops_could_not_suffice(self) -> None:
         """
@@ -206,7 +206,7 @@
         """
         for number in range(WAITING):
             self.fleet.submit(make_job(f"u{number:02}", (Step(count=4, cpu=2_000 - number),)))
-        self.assertEqual(0, self._count("_may_stop"))
+        self.assertEqual(0, self._count("_is_preemptible"))
 
     def test_workers_are_looked_at_once_for_all_tasks_of_a_step(self) -> None:
         """
