--- a/toucanpin/placement/interference_aware.py
+++ b/toucanpin/placement/interference_aware.py
@@ -104,9 +104,9 @@
 
     def _act_on(self, now: float, tracker: HostTracker) -> Iterator[PolicyAction]:
         """Yield the actions for one host."""
-        yield from (Limit(task, 1.0) for task in tracker.unthrottled)
+        yield from (Limit(task, 1.0) for task in tracker.to_unthrottle)
         yield from tracker.pending_events
-        tracker.unthrottled, tracker.pending_events = [], []
+        tracker.to_unthrottle, tracker.pending_events = [], []
         # Without a new sample the decision would not change, and it is half of a report's cost.
         actions = list(self._learner.decide(now, tracker.view())) if tracker.measured else []
         tracker.measured = False
--- a/toucanpin/placement/tests/helpers.py
+++ b/toucanpin/placement/tests/helpers.py
@@ -13,7 +13,7 @@
 
 
 def find_gaps(world: World, task: str) -> list[float]:
-    """Return the gaps (ms) between the runs of a task, the last up to now if it doesn't run."""
+    """Return the gaps (ms) between the runs of a task, and up to now if it isn't running."""
     runs = sorted(world.intervals()[task])
     gaps: list[float] = [
         start - end for (_, end, *_), (start, *_) in zip(runs, runs[1:], strict=False)
@@ -24,7 +24,7 @@
 
 
 def start_standing(**sizes: int) -> World:
-    """Return a world in which one standing task runs."""
+    """Return a world in which one standing task is running."""
     world = World(**sizes)
     world.set_standing(2, "enc")
     world.run(5)
@@ -32,14 +32,14 @@
 
 
 def find_owner(world: World, task: str) -> Process:
-    """Return the process that owns the cell in which a task runs."""
+    """Return the process that owns the cell of a running task."""
     for cell in world.cells().values():
         if task in cell.tasks and cell.owner:
             return world.processes[cell.owner.process]
-    raise AssertionError(f"{task} is in no cell")
+    raise AssertionError(f"no owned cell has task {task}")
 
 
 def cut_table(world: World) -> None:
-    """Take the table out for everyone."""
+    """Make the table unavailable to all clients."""
     for operation in TABLE:
         world.fault(Effect.DOWN, operation)
--- a/toucanpin/placement/tests/skewed_clocks.py
+++ b/toucanpin/placement/tests/skewed_clocks.py
@@ -1,8 +1,8 @@
 """
-Clocks of the placement tests
-=============================
+Skewed clocks of the placement tests
+====================================
 
-Clocks that run at rates of their own, and a worker's core on such a clock.
+Clocks with individual rates and offsets, and a worker core on such a clock.
 """
 
 from __future__ import annotations
@@ -18,39 +18,39 @@
 
 
 class Clock:
-    """Run at a rate and from an offset of its own; the rates differ by less than the drift."""
+    """Clock with its own rate and offset; the rates differ by less than the assumed drift."""
 
     def __init__(self, number: int) -> None:
         self.rate = RATES[number % len(RATES)]
         self.offset = 37.0 * number
 
     def read(self, now: float) -> float:
-        """Return this clock's seconds at an instant of the world."""
+        """Return this clock's reading (s) at an instant of the world."""
         return now * self.rate + self.offset
 
     def invert(self, reading: float) -> float:
-        """Return the world's instant at which this clock shows a reading."""
+        """Return the world's instant for a reading of this clock."""
         return (reading - self.offset) / self.rate
 
 
 class SkewedCore(WorkerCore):
-    """Act as a worker's agent on a clock of its own; the caller's instants are the world's."""
+    """Worker core on its own clock; callers pass instants of the world."""
 
     def __init__(self, name: str, incarnation: str, size: Size, number: int) -> None:
         super().__init__(name, incarnation, size)
         self.clock = Clock(number)
 
     def read_clock(self, now: int) -> int:
-        """Return this worker's milliseconds."""
+        """Return this worker's clock in milliseconds."""
         return int(self.clock.read(now / 1000) * 1000)
 
     def poll(self, now, poll):
-        """Take one poll at an instant of the world."""
+        """Handle a poll at an instant of the world."""
         with self._own_clock():
             return super().poll(self.read_clock(now), poll)
 
     def advance(self, now):
-        """Advance to an instant of the world, or of the own clock while in another call."""
+        """Advance to an instant of the world, or of the own clock within another call."""
         if self._inside:
             super().advance(now)
             return
@@ -58,12 +58,12 @@
             super().advance(self.read_clock(now))
 
     def finish_put(self, now, put, stored):
-        """Take the outcome of a write."""
+        """Handle the outcome of a write."""
         with self._own_clock():
             super().finish_put(self.read_clock(now), put, stored)
 
     def finish_get(self, now, get, body, answered):
-        """Take the outcome of a read."""
+        """Handle the outcome of a read."""
         with self._own_clock():
             super().finish_get(self.read_clock(now), get, body, answered)
 
--- a/toucanpin/placement/tests/test_drains.py
+++ b/toucanpin/placement/tests/test_drains.py
@@ -1,4 +1,4 @@
-"""Tests of drains."""
+"""Tests of drains of hosts."""
 
 import unittest
 from typing import Any
@@ -21,7 +21,7 @@
 
 
 class Table:
-    """Hold one row, and fail the commits that are planned to fail."""
+    """Table of one row whose commits fail as planned."""
 
     def __init__(self, faults=()):
         self.row: Any = None
@@ -55,7 +55,7 @@
 
 
 class DrainTest(unittest.TestCase):
-    def test_begins_once_and_ends(self):
+    def test_drain_starts_once_and_ends(self):
         table = Table()
         self.assertEqual(run(table, True).ok, True)
         self.assertEqual(run(table, True).ok, False)
@@ -63,31 +63,30 @@
         self.assertEqual(run(table, False).ok, True)
         self.assertIsNone(table.row)
 
-    def test_a_lost_answer_is_read_back(self):
+    def test_lost_answer_is_resolved_by_reading_back(self):
         """
-        The operator drains a host; the table applies the write and its answer is lost.  The
-        operator sees that the drain is in force, since the row was read back, and no second write
-        was needed.
+        The table applies the write but its answer is lost.  The row is read back, and the drain is
+        reported as in force without a second write.
         """
         table = Table([(Unknown("lost"), True)])
         self.assertEqual(run(table, True).ok, True)
         self.assertEqual(table.version, 1)
 
-    def test_a_write_that_was_lost_is_written_again(self):
+    def test_lost_write_is_repeated(self):
         table = Table([(Unknown("lost"), False)])
         self.assertEqual(run(table, True).ok, True)
         self.assertIsNotNone(table.row)
 
-    def test_an_unavailable_table_changes_nothing_and_says_so(self):
+    def test_unavailable_table_is_reported_as_not_run(self):
         """
-        The operator drains a host while the table refuses connections.  The answer says that the
-        change was not run, so that it may be repeated by anyone.
+        While the table refuses connections, the refusal says that the change has not run, so that
+        it can be repeated safely.
         """
         table = Table([(Unavailable("down"), False)])
         self.assertEqual(run(table, True).error.verdict, Verdict.NOT_RUN)
         self.assertIsNone(table.row)
 
-    def test_marks_the_drained_hosts_only(self):
+    def test_only_drained_hosts_are_marked_as_leaving(self):
         hosts = [ListedHost(n, HostRole.WORKER, "s", "r", "127.0.0.1", 1) for n in ("w1", "w2")]
         self.assertEqual(
             [host.leaving for host in apply_drains(hosts, frozenset({"w1"}))], [True, False]
--- a/toucanpin/placement/tests/test_faults.py
+++ b/toucanpin/placement/tests/test_faults.py
@@ -1,4 +1,4 @@
-"""Tests of every step of a job's life under every fault, and of cancellations."""
+"""Tests of jobs under faults and cancellations at every step."""
 
 import unittest
 
@@ -8,12 +8,12 @@
 
 
 class CancelTest(unittest.TestCase):
-    """Race cancellations against the life of a job."""
+    """Cancellations at any time between submission and end of a job."""
 
-    def test_cancel_at_every_step_has_one_outcome(self):
+    def test_cancellation_at_every_step_has_one_outcome(self):
         """
-        Whoever cancels and whoever reads the job are told the same end.  The cancel comes after
-        any number of actions around the finish: either its write or the owner's conflicts.
+        The canceller and readers of the job see the same outcome.  The cancellation comes after any
+        number of actions around the finish, so either its write or the owner's conflicts.
         """
         outcomes = set()
         for steps in range(60):
@@ -35,8 +35,8 @@
         self.assertEqual(outcomes, {"cancelled", "finished"})
 
 
-class LifeTest(unittest.TestCase):
-    """Strike every step of a job's life with every fault."""
+class FaultTest(unittest.TestCase):
+    """Each fault at every step between submission and end of a job."""
 
     FAULTS = (
         "kill owner",
@@ -49,8 +49,8 @@
         "lose worker",
     )
 
-    def strike(self, world: World, fault: str) -> None:
-        """Bring one fault about."""
+    def inject_fault(self, world: World, fault: str) -> None:
+        """Inject one fault."""
         owner = next(iter(world.processes.values()))
         match fault:
             case "kill owner":
@@ -75,10 +75,10 @@
             case "lose worker":
                 world.kill_worker("w00")
 
-    def test_every_step_and_every_fault(self):
+    def test_job_finishes_once_under_every_fault_at_every_step(self):
         """
-        The job ends once, with its result, whatever strikes after whichever action between its
-        submission and its end; after each step the ledger, the queue and the workers' logs agree.
+        The job finishes once, with its result, whichever fault follows whichever action.  After
+        each step the ledger, the queue and the workers' logs agree.
         """
         for fault in self.FAULTS:
             for steps in range(0, 48, 3):
@@ -90,7 +90,7 @@
                         world.pass_time(0.04)
                         for process in world.processes.values():
                             process.step()
-                    self.strike(world, fault)
+                    self.inject_fault(world, fault)
                     world.settle(90)
                     (job,) = world.jobs().values()
                     self.assertEqual(job.state, JobState.FINISHED)
--- a/toucanpin/placement/tests/test_interference_aware.py
+++ b/toucanpin/placement/tests/test_interference_aware.py
@@ -1,4 +1,4 @@
-"""Tests of placement by interference: from late samples to throttles, evictions and resumption."""
+"""Tests of interference-aware placement: samples, throttles, evictions and resumption."""
 
 import unittest
 
@@ -17,36 +17,36 @@
 from toucanpin.placement.tracking import HostTracker
 from toucanpin.platform.ports import Report, Size, TaskReport, TaskState, UsageSample
 
-LAG = 8.0
-NOISE = 4.0
-PATIENCE = 20.0
-COOPERATIVE = Weights(2.0, 0.5, 0.2)
+SAMPLE_LAG_S = 8.0
+SLOWDOWN = 4.0
+PATIENCE_S = 20.0
+WEIGHTS = Weights(2.0, 0.5, 0.2)
 
 
 def make_world(workers: int = 2, budget: Budget | None = None) -> World:
-    """Return a world whose one owner places by interference."""
+    """Return a world whose only owner uses the interference-aware policy."""
     world = World(workers=workers)
-    world.bundle = Bundle("test", 2, weights=COOPERATIVE)
+    world.bundle = Bundle("test", 2, weights=WEIGHTS)
     for process in world.processes.values():
         advise(process, budget)
     return world
 
 
 def advise(process, budget: Budget | None = None) -> None:
-    """Let a process place by interference."""
-    policy = InterferenceAwarePolicy(budget, Tuning(patience=PATIENCE))
+    """Set the interference-aware policy of a process."""
+    policy = InterferenceAwarePolicy(budget, Tuning(patience=PATIENCE_S))
     process.state.policy = GuardedPolicy(policy)
 
 
 def add_service(world: World, worker: str, kind: str = "k") -> None:
-    """Put a service beside the tasks of a worker, whose samples come late."""
+    """Add a service with delayed samples to a worker."""
     core = world.cores[worker]
-    core.lag = int(LAG * 1000)
-    core.services = (Service("verify", 10.0, 0.8, ((kind, NOISE),)),)
+    core.lag = int(SAMPLE_LAG_S * 1000)
+    core.services = (Service("verify", 10.0, 0.8, ((kind, SLOWDOWN),)),)
 
 
 def watch(world: World, seconds: float) -> list[tuple[float, str, str]]:
-    """Run, and return when the policy acted, how and with what detail."""
+    """Run; return the time, kind and detail of each action of the policy."""
     seen = len(world.events)
     acts = []
     until = world.now + seconds
@@ -59,12 +59,12 @@
     return acts
 
 
-class PathTest(unittest.TestCase):
-    """Follow a noisy job beside a service from its first sample to its end."""
+class NoisyJobTest(unittest.TestCase):
+    """A noisy job next to a service, from the first sample to its end."""
 
     def setUp(self):
         self.world = make_world(workers=1)
-        # No other checkpoint than that of the eviction.
+        # Only the eviction writes a checkpoint.
         self.world.processes["e0/control"].state.options = ControlOptions(
             poll=0.5, checkpoint=1_000.0
         )
@@ -77,9 +77,9 @@
 
     def test_noisy_job_is_throttled_then_evicted_and_finishes_once(self):
         """
-        The service's late samples show that the job harms it: the job is throttled, and as that
-        lasts, checkpointed and moved.  It resumes once, on the other host, from what it had done,
-        and its submitter gets one result.
+        Delayed samples show that the job slows the service down.  The job is throttled and, as the
+        slowdown persists, evicted with a checkpoint.  It resumes once, on the other host, from that
+        checkpoint and yields one result.
         """
         acts = watch(self.world, 90)
         kinds = [kind for _, kind, _ in acts]
@@ -91,24 +91,24 @@
         self.assertEqual((job.state, job.attempt), (JobState.FINISHED, 2))
         self.assertEqual(len(runs), 2)
         self.assertNotEqual(runs[0][2], runs[1][2])
-        # Half of the first run at most counts: the rest was at a low share.  Without the
-        # checkpoint of the eviction the second run would take the whole of the work again.
+        # The first run does at most half of the work, as it is throttled.  Without the checkpoint
+        # of the eviction the second run would repeat all of it.
         self.assertLess(runs[1][1] - runs[1][0], 55_000)
 
-    def test_nothing_is_done_twice_on_old_samples(self):
+    def test_no_action_repeats_on_old_samples(self):
         """
-        After each act on the host nothing more is done until a sample that was taken after it has
-        come, a whole lag later: what comes before still shows the host as it was.
+        After an action on the host no other follows until a sample taken after it arrives, a whole
+        lag later, since earlier samples still show the state before the action.
         """
         times = sorted({at for at, *_ in watch(self.world, 90)})
         self.assertGreater(len(times), 1)
         waits = [later - earlier for earlier, later in zip(times, times[1:], strict=False)]
-        self.assertGreaterEqual(min(waits), LAG)
+        self.assertGreaterEqual(min(waits), SAMPLE_LAG_S)
 
     def test_lost_throttle_is_repeated(self):
         """
-        The service isn't harmed for long although the poll that carried the throttle got lost: the
-        share is ordered again with the next poll that is due.
+        The poll with the throttle is lost.  The share is sent again with the next due poll, so the
+        service doesn't suffer for long.
         """
         world = self.world
         core = world.cores[self.record.worker]
@@ -126,11 +126,12 @@
 
 
 class BudgetTest(unittest.TestCase):
-    """Bound evictions."""
+    """Budget of evictions."""
 
     def test_evictions_stay_within_the_budget(self):
         """
-        Four noisy jobs would all be moved; no more are than the budget allows, and all finish once.
+        Four noisy jobs could all be evicted, but no more are than the budget allows.  All of them
+        finish once.
         """
         world = make_world(workers=1, budget=Budget(per_minute=1))
         add_service(world, "w00")
@@ -149,10 +150,10 @@
 
 
 class FallbackTest(unittest.TestCase):
-    """Do without samples, and without a policy that works."""
+    """Placement without samples, and with a policy that fails."""
 
     def run_jobs(self, policy) -> list:
-        """Return what a world does under a policy."""
+        """Return the events of a world under a policy."""
         world = World(workers=3)
         for process in world.processes.values():
             process.state.policy = GuardedPolicy(policy)
@@ -162,14 +163,14 @@
         world.run(10)
         return [(note.kind, note.ids, note.detail) for _, note in world.events]
 
-    def test_workers_without_samples_are_filled_as_before(self):
-        """Every task goes to the same host in the same order as by the tightest fit."""
+    def test_without_samples_placement_is_best_fit(self):
+        """Every task goes to the same host in the same order as under the best-fit policy."""
         self.assertEqual(self.run_jobs(InterferenceAwarePolicy()), self.run_jobs(BestFitPolicy()))
 
-    def test_faulty_policy_stops_no_renewal(self):
+    def test_failing_policy_stops_no_renewal(self):
         """
-        The encoder is heard without a gap and the job finishes, though every call of the policy
-        fails: leases are renewed, and the tightest host is taken.
+        Every call of the policy fails.  Leases are renewed and the tightest host is chosen, so the
+        standing task runs without a gap and the job finishes.
         """
         world = World()
         for process in world.processes.values():
@@ -185,7 +186,7 @@
 
 
 class FaultyPolicy:
-    """Fail at every call."""
+    """Policy that fails at every call."""
 
     def prepare(self, now, bundle, workers):
         """Fail."""
@@ -204,13 +205,13 @@
         raise ValueError("act")
 
 
-class OutgrownTest(unittest.TestCase):
-    """Catch tasks that use far more than they declared."""
+class OveruseTest(unittest.TestCase):
+    """Tasks that use far more than they declared."""
 
-    def test_task_that_outgrows_its_declaration_is_throttled(self):
+    def test_task_that_exceeds_its_declared_size_is_throttled(self):
         """
-        A job that uses three times what it declared is named on the timeline and held to a lower
-        share; what is committed stays by its declaration, and it finishes.
+        A job that uses three times its declared size is reported on the timeline and throttled.  It
+        stays committed with its declared size, and finishes.
         """
         world = make_world(workers=1)
         world.run(2)
@@ -221,7 +222,7 @@
 
 
 class ReportTest(unittest.TestCase):
-    """Take in late and doubled reports."""
+    """Late and repeated reports."""
 
     SIZE = Size(8, 8_000)
 
@@ -237,7 +238,7 @@
         return TaskRecord(task, task, "t", Size(4, 100), attempt=1, worker="w", incarnation="1")
 
     def learn(self, policy: InterferenceAwarePolicy) -> None:
-        """Let nobody, then one task, then another be there for 20 s; samples come 20 s late."""
+        """Report no task, then one, then another for 20 s each, with samples delayed by 20 s."""
         for second in range(60):
             tasks = ((), ("noisy",), ("quiet",))[second // 20]
             taken = second - 20
@@ -246,28 +247,28 @@
             report = self.report(second * 1000, tasks, *samples)
             policy.observe(500.0 + second, report, [self.record(it) for it in tasks])
 
-    def test_late_sample_is_charged_to_those_who_were_there(self):
+    def test_late_sample_is_attributed_to_the_tasks_at_its_time(self):
         """
-        The quiet job isn't blamed for samples that arrive while it runs and were taken before it
-        came: worker and owner share no clock, so instants are converted.
+        Samples that were taken before the quiet job started are not attributed to it, though they
+        arrive while it runs.  Worker and owner share no clock, so instants are converted.
         """
         policy = InterferenceAwarePolicy()
         self.learn(policy)
         rise = policy._learner.estimator.rise
         self.assertGreater(rise("verify", "noisy", 0.8), 1.5 * rise("verify", "quiet", 0.8))
 
-    def test_doubled_report_is_learnt_once(self):
-        """A sample that comes twice, the second time after a slower poll, counts once."""
+    def test_repeated_sample_is_learned_once(self):
+        """A sample that is repeated, the second time after a slower poll, counts once."""
         tracker = HostTracker("w")
         sample = UsageSample("verify", 1_000, 50.0, 0.8)
         first = list(tracker.take_new_samples(500.0, self.report(2_000, (), sample)))
         again = list(tracker.take_new_samples(502.0, self.report(2_100, (), sample)))
         self.assertEqual((len(first), len(again)), (1, 0))
 
-    def test_new_owner_gives_back_shares(self):
+    def test_new_owner_returns_tasks_to_their_full_share(self):
         """
-        A job that an earlier owner throttled isn't slow for good: nobody tells the new owner by how
-        much, so it begins with the whole share.
+        The new owner doesn't know the share that an earlier owner set, so it starts with the full
+        share.  Otherwise the job would stay throttled.
         """
         policy = InterferenceAwarePolicy()
         record = self.record("a")
@@ -281,7 +282,7 @@
         self.assertEqual(policy.act(2.0, cell), ())
 
     def test_standing_and_urgent_tasks_never_wait(self):
-        """An encoder takes the least bad host at once where a batch task of its kind waits."""
+        """They take the best host at once where a batch task of the same kind waits."""
         policy = InterferenceAwarePolicy()
         self.learn(policy)
         policy.prepare(600.0, Bundle("test", 2, weights=Weights(20.0, 0.1, 0.2)), {"w"})
@@ -293,10 +294,10 @@
             self.assertEqual(policy.choose(pressing, ["w"], cell, 0.0), "w")
         self.assertEqual(policy.choose(record, ["w"], cell, 300.0), "w")
 
-    def test_new_bundle_changes_weights_and_forgets_nothing(self):
+    def test_new_bundle_changes_weights_and_keeps_estimates(self):
         """
-        A batch task that had to wait is let in by a bundle that weighs throughput more: the new
-        weights are in force with the next turn, over what was learnt before.
+        A batch task that had to wait is placed under a bundle that weighs throughput more.  The new
+        weights apply from the next turn on to the estimates learned before.
         """
         policy = InterferenceAwarePolicy()
         self.learn(policy)
@@ -311,8 +312,8 @@
 
     def test_host_of_another_owner_is_forgotten(self):
         """
-        A host that another process owned in between has other tasks and shares by now: what was
-        noted of it, its avoidance too, is dropped, and memory doesn't grow with hosts that come.
+        A host that another process owned in between may have other tasks and shares.  Its state,
+        including its avoidance, is dropped, which also bounds the memory.
         """
         policy = InterferenceAwarePolicy()
         self.learn(policy)
--- a/toucanpin/placement/tests/test_normal_operation.py
+++ b/toucanpin/placement/tests/test_normal_operation.py
@@ -1,4 +1,4 @@
-"""Tests of the plain path of jobs and standing tasks."""
+"""Tests of jobs and standing tasks without faults."""
 
 import unittest
 
@@ -7,11 +7,11 @@
 from toucanpin.verdict import Reason, Verdict
 
 
-class PathTest(unittest.TestCase):
-    """Follow jobs and standing tasks with nothing failing."""
+class NormalOperationTest(unittest.TestCase):
+    """Jobs and standing tasks while nothing fails."""
 
     def test_job_runs_to_its_result(self):
-        """A submitted job is placed, started, finished, and its row points at the result."""
+        """A submitted job is placed, started and finished, and its row names the result."""
         world = World()
         status = world.submit("a").ok
         world.run(4)
@@ -20,7 +20,7 @@
         self.assertIsNotNone(world.objects.get(job.result))
 
     def test_standing_task_is_started_and_removed(self):
-        """A standing task runs while the bundle names it, and no longer."""
+        """A standing task runs exactly as long as the bundle names it."""
         world = World()
         world.set_standing(2, "enc")
         world.run(4)
@@ -30,8 +30,8 @@
         self.assertEqual(world.running("enc"), [])
         self.assertEqual(world.cells()["s.r0"].tasks, {})
 
-    def test_standing_task_that_is_removed_and_comes_back(self):
-        """A bundle brings it back while it is still being stopped, or later: it runs once again."""
+    def test_standing_task_that_is_removed_and_added_again(self):
+        """It runs exactly once, whether added during or after its stop."""
         for seconds in (0.0, 0.2, 0.4, 2.0):
             with self.subTest(seconds=seconds):
                 world = World()
@@ -43,8 +43,8 @@
                 world.run(3)
                 self.assertEqual(len(world.running("enc")), 1)
 
-    def test_process_with_an_older_bundle_brings_nothing_back(self):
-        """It neither stops what a newer bundle added nor starts what a newer one removed."""
+    def test_process_with_an_older_bundle_undoes_no_newer_change(self):
+        """It neither stops tasks that a newer bundle added nor starts tasks that one removed."""
         world = World()
         world.set_standing(3, "enc")
         world.run(4)
@@ -58,7 +58,7 @@
         self.assertEqual(world.running("enc"), [])
 
     def test_changed_standing_task_is_replaced(self):
-        """It stops and starts with its new size as its next attempt."""
+        """It is stopped, and its next attempt starts with the new size."""
         world = World()
         world.set_standing(2, "enc")
         world.run(4)
@@ -68,8 +68,8 @@
         self.assertEqual((record.size.processors, record.attempt), (3, 2))
         self.assertEqual(len(world.running("enc")), 1)
 
-    def test_job_that_never_fits_is_told_at_once(self):
-        """The refusal says which part no worker has."""
+    def test_job_that_never_fits_is_refused_at_once(self):
+        """The refusal names the component that is too large for every worker."""
         refusal = World().submit("big", processors=64).error
         self.assertEqual((refusal.verdict, refusal.reason), (Verdict.NOT_RUN, Reason.NEVER_FITS))
         self.assertIn("64 processors", refusal.detail)
--- a/toucanpin/placement/tests/test_outages.py
+++ b/toucanpin/placement/tests/test_outages.py
@@ -13,12 +13,12 @@
 
 
 class OutageTest(unittest.TestCase):
-    """Take the table out, alone and together with other losses."""
+    """Outages of the table, alone and combined with other failures."""
 
     def test_outage_with_all_promises_makes_no_gap(self):
         """
-        Encoders go on through an outage that is far longer than leases and authority: every life
-        on the owner's roster promises not to fence it, again and again.
+        A standing task runs on through an outage far longer than a lease and the authority, since
+        every process on the owner's roster repeatedly promises not to fence it.
         """
         world = start_standing(processes=3)
         cut_table(world)
@@ -28,10 +28,10 @@
         world.run(15)
         self.assertEqual(find_gaps(world, "enc"), [])
 
-    def test_outage_with_a_promise_missing_is_silent_and_never_double(self):
+    def test_outage_with_a_missing_promise_stops_the_task_and_never_doubles_it(self):
         """
-        The encoder falls silent when its lease has lapsed, and comes back with the table: one life
-        of the roster died in the outage and can't promise, so it might be taking over.
+        A process on the roster dies during the outage and can't promise, so it might be taking
+        over.  The task stops when its lease lapses, and starts again once the table answers.
         """
         world = start_standing(processes=3)
         owner = find_owner(world, "enc")
@@ -47,9 +47,9 @@
 
     def test_owner_cut_off_from_table_and_peers_gives_way(self):
         """
-        One encoder is heard, after a gap.  The owner and its worker are cut off together from the
-        table and from the other process, which reads the table: it refuses to promise, fences the
-        owner after the term and starts the encoder elsewhere.
+        The owner and its worker are cut off from the table and from the other process.  That
+        process reaches the table, so it refuses to promise, fences the owner after the term and
+        starts the task elsewhere.  The task runs once, after a gap.
         """
         world = start_standing(processes=2)
         owner = find_owner(world, "enc")
@@ -63,10 +63,10 @@
         self.assertEqual(len(world.running("enc")), 1)
         self.assertNotEqual(world.running("enc"), [worker])
 
-    def test_catching_up_is_bounded(self):
+    def test_commits_after_an_outage_are_bounded(self):
         """
-        The table sees no storm when it is back: what ended during the outage is committed many at
-        a time, and each turn has a budget.
+        Jobs that ended during the outage are committed in groups and within a budget per turn, so
+        the recovered table isn't flooded with writes.
         """
         world = World(racks=2, workers=4, processes=2)
         for number in range(40):
@@ -82,7 +82,7 @@
         self.assertLess(world.table.counts.writes - before, 40)
 
     def test_submission_during_an_outage_has_not_run(self):
-        """The submitter is told at once that nothing was accepted, and when to come back."""
+        """The submitter is told at once that nothing was accepted, and when to retry."""
         world = World()
         cut_table(world)
         refusal = world.submit("a").error
@@ -91,11 +91,11 @@
         world.heal()
         self.assertEqual(world.jobs(), {})
 
-    def test_lost_answers_of_a_submission(self):
+    def test_submission_with_lost_answers_is_accepted_once(self):
         """
-        The submitter has one job, whichever answer was lost.  A first insert that took effect makes
-        the second one conflict, and the conflict shows the job; if no answer comes at all, the
-        advice is to repeat the same key.
+        The submitter gets one job, whichever answer is lost.  If the first insert took effect, the
+        second conflicts and returns the job.  If no answer arrives, the refusal advises to repeat
+        the request with the same key.
         """
         for effect in (Effect.LOSE_BEFORE, Effect.LOSE_AFTER):
             for times in (1, 2, 3):
--- a/toucanpin/placement/tests/test_owners.py
+++ b/toucanpin/placement/tests/test_owners.py
@@ -1,4 +1,4 @@
-"""Tests of the loss, freezing and replacement of owners."""
+"""Tests of lost, frozen and replaced owners."""
 
 import unittest
 
@@ -17,23 +17,22 @@
 
 
 class OwnerTest(unittest.TestCase):
-    """Lose, freeze and replace the processes that own cells."""
+    """Processes that own cells and are lost, frozen or replaced."""
 
     def test_death_of_an_owner_makes_no_gap(self):
         """
-        The encoder's listeners hear nothing of it.  Its cell's owner is killed; another process
-        takes the cell by a higher epoch and renews the worker's lease before it lapses.
+        After the owner has been killed, another process takes the cell with a higher epoch and
+        renews the worker's lease before it lapses, so the standing task runs on.
         """
         world = start_standing(processes=3)
         find_owner(world, "enc").killed_at = world.now
         world.run(15)
         self.assertEqual(find_gaps(world, "enc"), [])
 
-    def test_all_replaced_at_once_makes_no_gap(self):
+    def test_replacement_of_all_processes_makes_no_gap(self):
         """
-        Nothing is heard either when every entry host is replaced in the same instant.  No new life
-        is on an old roster, so nobody can prove the end of an old authority; but each worker that
-        accepts the higher epoch needs no such proof.
+        All control processes are replaced at once.  No new one is on an old roster, so none can
+        prove the end of an old authority, but workers that accept the higher epoch need no proof.
         """
         world = start_standing(processes=3)
         world.submit("a", work=20_000)
@@ -44,11 +43,11 @@
         self.assertEqual(find_gaps(world, "enc"), [])
         self.assertEqual([it.state for it in world.jobs().values()], [JobState.FINISHED])
 
-    def test_all_replaced_and_a_worker_lost_waits_the_long_hold(self):
+    def test_replacement_of_all_processes_with_a_lost_worker_waits(self):
         """
-        The encoder is silent for the long hold, then runs again, never twice.  Its worker is cut
-        off from the new processes: an old owner could still renew it, and nobody on its roster is
-        left to prove the contrary.
+        The worker is cut off from the new processes.  An old owner could still renew its lease, and
+        nobody on the old roster is left to prove otherwise, so the task starts elsewhere only after
+        the maximum authority.
         """
         world = start_standing(processes=2)
         worker = world.running("enc")[0]
@@ -64,8 +63,8 @@
 
     def test_stopped_owner_hands_over_at_once(self):
         """
-        Callers notice nothing when an entry host is shut down: it releases its cells, and the next
-        owner's first turn takes them.
+        A process that shuts down releases its cells, and the next owner takes them in its first
+        turn, so there is no gap.
         """
         world = start_standing(processes=2)
         owner = find_owner(world, "enc")
@@ -75,11 +74,10 @@
         world.run(10)
         self.assertEqual(find_gaps(world, "enc"), [])
 
-    def test_paused_owner_that_wakes_changes_nothing(self):
+    def test_resumed_owner_changes_nothing(self):
         """
-        One encoder is heard throughout.  Its owner freezes between any two actions of a turn, its
-        cell is taken, it wakes and goes on with the rest of that turn: its writes conflict and the
-        workers refuse its epoch.
+        The owner freezes between any two actions of a turn and its cell is taken.  When it resumes
+        the rest of that turn, its writes conflict and the workers refuse its epoch.
         """
         for steps in range(1, 14):
             with self.subTest(steps=steps):
@@ -97,11 +95,11 @@
                 self.assertEqual(find_gaps(world, "enc"), [])
                 self.assertEqual(world.count_ended(), 1)
 
-    def test_two_owners_that_both_believe(self):
+    def test_owner_cut_off_from_the_table_and_its_successor(self):
         """
-        One encoder is heard.  The first owner is cut off from the table alone and still renews a
-        worker that the second can't reach; the second may start the encoder elsewhere only after
-        the first one's authority has ended.
+        The first owner is cut off from the table only, and still renews a worker that the second
+        can't reach.  The second must not start the task elsewhere before the first one's authority
+        has ended.
         """
         world = start_standing(processes=2)
         owner = find_owner(world, "enc")
@@ -115,10 +113,10 @@
         self.assertNotEqual(world.running("enc"), [worker])
         self.assertEqual(len(find_gaps(world, "enc")), 1)
 
-    def test_fenced_owner_takes_part_again(self):
+    def test_fenced_owner_regains_its_cells(self):
         """
-        Nothing stops.  A process that woke after its authority was fenced lets its cells go, renews
-        its authority anew, and gets them back from the other one by a release.
+        A process that resumes after having been fenced gives up its cells, renews its authority and
+        gets the cells back by a release.  No task stops.
         """
         world = start_standing(processes=2)
         owner = find_owner(world, "enc")
@@ -133,10 +131,10 @@
 
     def test_fenced_owner_starts_nothing_under_its_new_authority(self):
         """
-        The job runs in one place.  Its owner freezes between committing and starting it; another
-        life fences the owner, proves that the worker runs nothing and starts the job elsewhere.
-        The owner wakes, renews its authority, but can't read the cells' rows: had it kept the cell,
-        it would now start the job on the worker that only it can reach.
+        The owner freezes between committing and starting a job.  Another process fences it, proves
+        that the worker runs nothing and starts the job elsewhere.  The owner resumes and renews its
+        authority, but can't read the cells' rows.  If it had kept the cell, it would now start the
+        job a second time, on the worker that only it can reach.
         """
         world = World(processes=2)
         world.run(5)
@@ -165,11 +163,11 @@
         self.assertTrue(owner.state.authority.holds(owner.now))
         self.assertEqual(len(world.running(status.job)), 1)
 
-    def test_lost_answer_of_a_hand_over(self):
+    def test_hand_over_with_a_lost_answer_stops_renewals(self):
         """
-        One encoder is heard, after a gap.  An owner hands a cell over, the release takes effect and
-        its answer is lost; the owner can't read the table afterwards.  The next owner counts one
-        lease from the release, so the first must have stopped renewing before it asked for it.
+        An owner hands over a cell; the release takes effect, but its answer is lost and the owner
+        can't read the table afterwards.  The next owner waits for one lease from the release, so
+        the first must stop renewing leases before it sends the release.
         """
         world = World(processes=0, workers=2)
         names = sorted(("a/control", "b/control"), key=lambda name: rendezvous_weight("s.r0", name))
@@ -194,10 +192,10 @@
         self.assertEqual(len(world.running("enc")), 1)
         self.assertEqual(len(find_gaps(world, "enc")), 1)
 
-    def test_hand_over_that_surely_failed_is_tried_again(self):
+    def test_failed_hand_over_is_repeated(self):
         """
-        No gap is heard.  The release finds the table out, for long: the owner keeps the cell, goes
-        on by the other's promise, and hands the cell over when the table is back.
+        The table is unavailable at the release.  The owner keeps the cell, extends its authority by
+        the other process's promise and hands the cell over after the outage, without a gap.
         """
         world = World(processes=0, workers=2)
         names = sorted(("a/control", "b/control"), key=lambda name: rendezvous_weight("s.r0", name))
@@ -218,11 +216,10 @@
         self.assertEqual(find_owner(world, "enc"), second)
         self.assertEqual(find_gaps(world, "enc"), [])
 
-    def test_rows_of_what_is_gone_are_collected(self):
+    def test_rows_of_ended_processes_and_removed_workers_are_deleted(self):
         """
-        Rows don't pile up as hosts come and go: authority rows of lives that no cell refers to and
-        workers that are neither listed nor reached are deleted.  A life that was only frozen begins
-        anew when it wakes.
+        Authority rows of processes that no cell refers to, and unlisted unreachable workers, are
+        deleted, so that rows don't accumulate.  A process that was only frozen gets a new row.
         """
         world = World(processes=3)
         world.run(5)
@@ -242,12 +239,12 @@
 
 
 class LeaseTest(unittest.TestCase):
-    """Hold the rule by which a worker is declared lost."""
+    """Proof that a worker has stopped."""
 
-    def test_own_grants_and_earlier_owners_both_count(self):
+    def test_stop_is_proven_by_own_grants_and_earlier_owners(self):
         """
-        A worker is proven to run nothing only after our own grants, and unless it has accepted our
-        epoch also only after the authority of every earlier owner.
+        A worker is proven to run nothing only after our own grants have ended and, unless it has
+        accepted our epoch, the authority of every earlier owner as well.
         """
         world = start_standing(processes=2)
         owner = find_owner(world, "enc")
--- a/toucanpin/placement/tests/test_queue.py
+++ b/toucanpin/placement/tests/test_queue.py
@@ -1,4 +1,4 @@
-"""Tests of ledger, queue, quotas, submission and the choice of cells."""
+"""Tests of the ledger, queues, quotas, submission and the choice of cells."""
 
 import unittest
 
@@ -22,7 +22,7 @@
 
 
 def make_task(name: str, **fields) -> TaskRecord:
-    """Return a record."""
+    """Return a task record."""
     size = fields.pop("size", Size(1, 1))
     return TaskRecord(name, "k", fields.pop("team", "t"), size, **fields)
 
@@ -34,12 +34,12 @@
 
 
 class LedgerTest(unittest.TestCase):
-    """Count sizes."""
+    """Accounting of committed sizes."""
 
     @FIXED
     @given(st.lists(SIZES, max_size=20), SIZES, st.lists(st.integers(0, 19), max_size=10))
     def test_index_agrees_with_a_plain_search(self, free, wanted, taken):
-        """The index finds a worker exactly if one has room, and the tightest of them first."""
+        """The index finds a worker if and only if one fits, and the tightest one first."""
         index = FreeCapacityIndex()
         plain = {str(number): size for number, size in enumerate(free)}
         for name, size in plain.items():
@@ -57,8 +57,8 @@
             chosen = plain[found[0]]
             self.assertEqual((chosen.accelerators, chosen.processors), tightest)
 
-    def test_overcommitment_is_never_written(self):
-        """Each part counts, and a task on an unknown worker counts as well."""
+    def test_overcommitment_is_rejected(self):
+        """Each component is checked, and so is the existence of the worker."""
         whole = Size(4, 4, 1)
         for size in (Size(5, 1), Size(1, 5), Size(1, 1, 2)):
             with self.subTest(size=size), self.assertRaises(LedgerError):
@@ -66,8 +66,8 @@
         with self.assertRaises(LedgerError):
             ledger.check_capacity(None, make_cell(whole, make_task("a", worker="x")))
 
-    def test_worker_that_shrank_keeps_what_it_holds(self):
-        """Its tasks may still end one by one, but nothing is added."""
+    def test_worker_that_shrank_keeps_its_tasks(self):
+        """Its tasks may end one by one, but none is added."""
         one = make_task("a", size=Size(3, 1), worker="w")
         two = make_task("b", size=Size(3, 1), worker="w")
         before = make_cell(Size(2, 2), one, two)
@@ -77,17 +77,17 @@
 
 
 class QueueTest(unittest.TestCase):
-    """Order what waits."""
+    """Order of waiting tasks, quotas and the choice of a cell."""
 
     def order(self, *entries: tuple[str, float, dict]) -> list[str]:
-        """Return the order of tasks that came at these instants."""
+        """Return the order of tasks that were queued at the given instants."""
         queue = TaskQueue()
         for version, (name, since, fields) in enumerate(entries, start=1):
             queue.put(make_task(name, **fields), version, since)
         return [it.record.task for it in queue.in_order()]
 
-    def test_urgent_then_priority_then_age(self):
-        """A step of priority is worth a minute of waiting."""
+    def test_order_is_by_urgency_priority_and_age(self):
+        """One step of priority is worth a minute of waiting."""
         order = self.order(
             ("late", 50.0, {}),
             ("early", 0.0, {}),
@@ -96,21 +96,21 @@
         )
         self.assertEqual(order, ["urgent", "important", "early", "late"])
 
-    def test_urgent_work_starves_nobody(self):
-        """After seven urgent tasks one other is tried."""
+    def test_urgent_tasks_starve_no_others(self):
+        """After seven urgent tasks one other task is tried."""
         entries = [(f"u{number}", 0.0, {"urgent": True}) for number in range(20)]
         self.assertEqual(self.order(*entries, ("other", 0.0, {})).index("other"), 7)
 
-    def test_quota_bounds_every_part(self):
-        """A team that the bundle doesn't name may hold nothing."""
+    def test_quota_bounds_every_component(self):
+        """A team that the bundle doesn't name has no quota at all."""
         quotas = Quotas([Team("t", 4, 100, 0)], {"t": Size(3, 10, 0)})
         self.assertTrue(quotas.allows("t", Size(1, 1)))
         quotas.allocate("t", Size(1, 1))
         self.assertFalse(quotas.allows("t", Size(1, 1)))
         self.assertFalse(quotas.allows("x", Size(1, 1)))
 
-    def test_cell_is_one_that_can_ever_hold_the_task(self):
-        """The rendezvous choice skips the others and moves few tasks when a cell comes."""
+    def test_chosen_cell_can_hold_the_task(self):
+        """Rendezvous hashing skips other cells, and moves tasks only to a cell that is added."""
         shapes = [CellShape(f"c{number}", (Size(8, 8),)) for number in range(4)]
         shapes.append(CellShape("big", (Size(64, 64, 1),)))
         self.assertEqual(choose_cell("a", Size(9, 1), shapes), "big")
@@ -123,10 +123,10 @@
 
 
 class PolicyTest(unittest.TestCase):
-    """Follow quotas, urgency and cells through whole turns."""
+    """Quotas, urgency and moves between cells over whole turns."""
 
-    def test_team_never_passes_its_quota(self):
-        """Its other jobs wait, and all finish in the end."""
+    def test_team_never_exceeds_its_quota(self):
+        """Its other jobs wait, and all of them finish eventually."""
         world = World(workers=4)
         world.bundle = Bundle("test", 2, teams=(Team("t", 4, 10_000, 0),))
         for number in range(10):
@@ -138,16 +138,16 @@
             most = max(most, sum(it.size.processors for it in tasks))
         self.assertEqual((most, world.count_ended()), (4, 10))
 
-    def test_job_over_the_whole_quota_is_told_at_once(self):
-        """So is a job of a team that isn't named."""
+    def test_job_larger_than_the_quota_is_refused_at_once(self):
+        """So is a job of a team that the bundle doesn't name."""
         world = World()
         world.bundle = Bundle("test", 2, teams=(Team("t", 4, 10_000, 0),))
         self.assertEqual(world.submit("a", processors=5).error.reason, Reason.NEVER_FITS)
         self.assertEqual(world.submit("b", team="x").error.reason, Reason.FORBIDDEN)
 
-    def test_urgent_job_evicts_and_the_evicted_resumes(self):
+    def test_urgent_job_evicts_a_job_that_resumes(self):
         """
-        An urgent job starts within a few turns on a full cell; what made room for it goes on from
+        An urgent job starts within a few turns in a full cell.  The job evicted for it resumes from
         its checkpoint and finishes once.
         """
         world = World(workers=1)
@@ -164,8 +164,8 @@
         evicted = [it.record.evictions for it in world.jobs().values()]
         self.assertEqual(sum(evicted), 1)
 
-    def test_work_moves_to_a_cell_with_room(self):
-        """What waits too long in a full cell is moved, and is still cancelled where it went."""
+    def test_waiting_task_moves_to_a_cell_with_room(self):
+        """A task that waits too long in a full cell is moved, and can be cancelled there."""
         world = World(racks=2, workers=1, processes=2)
         shapes = list_cell_shapes(world.hosts)
         keys = (str(number) for number in range(100))
@@ -184,7 +184,7 @@
         self.assertEqual([cell.tasks for cell in world.cells().values()], [{}, {}])
 
     def test_budget_of_commits_starves_no_cell(self):
-        """With one commit a turn for placing, work is started in every cell."""
+        """With one commit per turn for placement, tasks are still started in every cell."""
         world = World(racks=12, workers=1)
         world.run(3)
         process = world.processes["e0/control"]
@@ -197,7 +197,7 @@
         self.assertEqual(len(places), 12)
 
     def test_large_job_is_not_starved_by_small_ones(self):
-        """One worker is kept free for it once it has waited for a minute."""
+        """A worker is reserved for it once it has waited for a minute."""
         world = World(workers=1)
         number = 0
         world.run(1)
--- a/toucanpin/placement/tests/test_random.py
+++ b/toucanpin/placement/tests/test_random.py
@@ -1,4 +1,4 @@
-"""Random interleavings of control processes, faults and time, with fixed seeds."""
+"""Tests of random interleavings of control processes, faults and time, with fixed seeds."""
 
 import unittest
 
@@ -15,17 +15,17 @@
 from toucanpin.placement.records import JobState
 from toucanpin.placement.tests.world import Effect, World
 
-QUIET = 240.0
+SETTLING_TIME_S = 240.0
 WORKERS = ("w00", "w01", "w10", "w11")
 
 
 class Interleaving(RuleBasedStateMachine):
     """
-    Drive three control processes at every yield.
+    Random steps of three control processes, interrupted at any yield.
 
-    After each step: no worker beyond its size, no task in two places by the workers' own logs, one
-    record for each task, and no job that ended twice.  At the end all faults are healed and every
-    accepted job must have ended.
+    After each step no worker is overcommitted, no task has run in two places according to the
+    workers' logs, each task has one record, and no job has ended twice.  Once all faults are
+    removed, every accepted job must end.
     """
 
     def __init__(self) -> None:
@@ -36,7 +36,7 @@
 
     @initialize(seconds=st.sampled_from([0.0, 2.0, 4.0]))
     def begin(self, seconds):
-        """Start with work that waits, or that runs already."""
+        """Start with jobs that wait, or that already run."""
         self.world.set_standing(2, "enc")
         self.version = 2
         for _ in range(4):
@@ -49,36 +49,36 @@
         work=st.sampled_from([500, 3000, 9000]),
     )
     def submit(self, fail, processors, work):
-        """Submit a job, now and then an urgent one."""
+        """Submit a job; every fifth one is urgent."""
         self.submitted += 1
         urgent = self.submitted % 5 == 0
         self.world.submit(str(self.submitted), processors, work, fail=fail, urgent=urgent)
 
     @rule(process=st.integers(0, 2), steps=st.integers(1, 25))
     def step(self, process, steps):
-        """Let one process make some steps."""
+        """Run some steps of one process."""
         for _ in range(steps):
             list(self.world.processes.values())[process].step()
 
     @rule(seconds=st.sampled_from([0.1, 0.3, 1.0]))
     def wait(self, seconds):
-        """Let time pass for the workers; no process makes a step."""
+        """Advance the workers without steps of a process."""
         self.world.pass_time(seconds)
 
     @rule(seconds=st.sampled_from([0.5, 2.0, 5.0, 10.0]))
     def run_whole(self, seconds):
-        """Let every process that isn't paused go on with whole turns."""
+        """Run whole turns of every process that isn't paused."""
         self.world.run(seconds)
 
     @rule(process=st.integers(0, 2))
-    def pause_or_wake(self, process):
-        """Freeze a process at its present yield, or wake it."""
+    def pause_or_resume(self, process):
+        """Freeze a process at its present yield, or resume it."""
         chosen = list(self.world.processes.values())[process]
         chosen.paused = not chosen.paused
 
     @rule(process=st.integers(0, 2))
     def replace(self, process):
-        """Kill a process at its present yield and start its next life."""
+        """Kill a process at its present yield and start its next incarnation."""
         name = f"e{process}/control"
         old = self.world.processes[name]
         old.killed_at = self.world.now
@@ -91,12 +91,12 @@
         times=st.sampled_from([1, 2, 5]),
     )
     def strike(self, effect, operation, client, times):
-        """Lose some answers."""
+        """Add a fault: lose some requests or answers."""
         self.world.fault(effect, operation, client, times)
 
     @rule(seconds=st.sampled_from([3.0, 12.0, 25.0]))
     def outage(self, seconds):
-        """Take the table out for a while."""
+        """Make the table unavailable for a while."""
         for operation in ("commit", "read", "scan"):
             self.world.fault(Effect.DOWN, operation)
         self.world.run(seconds)
@@ -109,12 +109,12 @@
 
     @rule()
     def heal(self):
-        """End the faults of the network and the store."""
+        """Remove the faults of the network and the store."""
         self.world.heal()
 
     @rule(worker=st.sampled_from(WORKERS))
     def lose_worker(self, worker):
-        """Lose a worker, or start its next life."""
+        """Kill a worker, or start its next incarnation."""
         if worker in self.world.dead_workers:
             self.world.replace_worker(worker)
         else:
@@ -122,7 +122,7 @@
 
     @rule(worker=st.sampled_from(WORKERS))
     def pause_worker(self, worker):
-        """Freeze a worker, or wake it with every poll that reached it meanwhile."""
+        """Freeze a worker, or resume it with the polls that arrived meanwhile."""
         if worker in self.world.paused_workers:
             self.world.resume_worker(worker)
         else:
@@ -131,23 +131,23 @@
     @rule(number=st.integers(1, 8))
     @precondition(lambda self: self.submitted > 0)
     def cancel(self, number):
-        """Cancel a job, whatever it does at the moment."""
+        """Cancel a job in any state."""
         jobs = sorted(self.world.jobs())
         self.world.cancel(jobs[number % len(jobs)])
 
     @rule(wanted=st.sampled_from([(), ("enc",), ("enc", "eye")]))
     def change_bundle(self, wanted):
-        """Put another bundle in force."""
+        """Set another bundle."""
         self.version += 1
         self.world.set_standing(self.version, *wanted)
 
     @invariant()
     def holds(self):
-        """Check what must always hold."""
+        """Check the invariants."""
         self.world.check()
 
     def teardown(self):
-        """Heal everything and see every accepted job end, and what stands run once."""
+        """Remove all faults; check that every job ends and every standing task runs once."""
         world = self.world
         world.heal()
         for worker in list(world.paused_workers):
@@ -156,7 +156,7 @@
             world.replace_worker(worker)
         for process in world.processes.values():
             process.paused = False
-        world.settle(QUIET)
+        world.settle(SETTLING_TIME_S)
         for name, job in world.jobs().items():
             assert job.state is not JobState.ACCEPTED, f"{name} never ended"
         for task in world.bundle.standing:
--- a/toucanpin/placement/tests/test_workers.py
+++ b/toucanpin/placement/tests/test_workers.py
@@ -8,29 +8,29 @@
 from toucanpin.placement.tests.world import World, describe_work
 from toucanpin.platform.ports import Poll, Size, Start
 
-LEASE = 5_000
-WAITED = 6_000
+LEASE_MS = 5_000
+MAX_GAP_MS = 6_000
 
 
 class WorkerTest(unittest.TestCase):
-    """Lose, freeze, drain and quarantine workers."""
+    """Workers that are lost, frozen, drained or quarantined."""
 
     def test_lost_worker_costs_one_lease(self):
         """
-        The encoder is silent for a lease and a little: its worker died, and it is started elsewhere
-        once no lease of ours can be live.
+        A task of a dead worker is started elsewhere as soon as its lease has ended, so the gap is
+        little more than a lease.
         """
         world = start_standing(processes=2)
         world.kill_worker(world.running("enc")[0])
         world.run(15)
         (gap,) = find_gaps(world, "enc")
-        self.assertTrue(LEASE - 1_000 <= gap <= WAITED, gap)
+        self.assertTrue(LEASE_MS - 1_000 <= gap <= MAX_GAP_MS, gap)
 
-    def test_paused_worker_that_wakes_runs_nothing(self):
+    def test_resumed_worker_runs_nothing_of_its_past(self):
         """
-        One encoder is heard.  Its worker freezes, the encoder is started elsewhere, the worker
-        wakes with every poll that had reached it: its guard stops the old attempt first, and the
-        delayed polls renew nothing and start nothing.
+        The worker freezes and its task is started elsewhere.  When it resumes with the polls that
+        arrived meanwhile, its guard stops the old attempt first, and the delayed polls neither
+        renew nor start anything.
         """
         world = start_standing(processes=2)
         worker = world.running("enc")[0]
@@ -44,9 +44,9 @@
 
     def test_delayed_start_is_refused_after_the_worker_was_lost(self):
         """
-        The job runs once.  Its start is held up in the network, its worker is declared lost, the
-        job is started elsewhere, the worker gets a new lease, and only then the start arrives: it
-        carries an epoch that the worker has learnt to refuse.
+        A start is delayed in the network until its worker has been declared lost, the job has been
+        started elsewhere and the worker has a new lease.  The worker refuses the start by its old
+        epoch, so the job runs once.
         """
         world = World(processes=1, workers=2)
         world.run(2)
@@ -75,8 +75,8 @@
 
     def test_leaving_worker_is_drained(self):
         """
-        A host that leaves gets no new work, and its job goes on elsewhere from the checkpoint that
-        its stop wrote, so little work is done twice.
+        A leaving host gets no new tasks.  Its job resumes elsewhere from the checkpoint written at
+        the stop, so that little work is repeated.
         """
         world = World(workers=2)
         world.submit("a", work=10_000)
@@ -98,10 +98,10 @@
         self.assertEqual(world.jobs()[record.task].record.evictions, 1)
         self.assertNotIn(record.worker, {it[2] for one in runs.values() for it in one})
 
-    def test_worker_that_is_smaller_than_listed(self):
+    def test_worker_smaller_than_listed_receives_no_larger_task(self):
         """
-        The job runs on the other host, at its first attempt: the list says that both could hold it,
-        the smaller one's own report says that it can't.
+        According to the list the job fits on both hosts, but one reports a smaller size.  The job
+        runs on the other host at its first attempt.
         """
         world = World(workers=2)
         world.cores["w00"].size = Size(2, 8_000, 1)
@@ -111,10 +111,10 @@
         (job,) = world.jobs().values()
         self.assertEqual((job.state, job.attempt), (JobState.FINISHED, 1))
 
-    def test_standing_task_that_fails_at_once_is_started_ever_more_slowly(self):
+    def test_standing_task_that_fails_at_once_is_backed_off(self):
         """
-        Neither its hosts nor the table are kept busy by a task that can't run: the pauses between
-        its attempts double up to a minute, and no host is blamed.
+        The delays between its attempts double up to a minute, so that it doesn't keep hosts and the
+        table busy.  Its failures don't count against the hosts.
         """
         world = World(workers=2)
         tasks = (StandingTask("bad", "t", "k", 1, 100, payload=describe_work(0, "always")),)
@@ -127,8 +127,8 @@
         states = {it.state for it in world.cells()["s.r0"].workers.values()}
         self.assertEqual(states, {WorkerState.ACTIVE})
 
-    def test_a_job_that_crashes_its_workers_is_given_up(self):
-        """Guards against crash loops: a job took one worker after the other for ever."""
+    def test_job_that_crashes_its_workers_fails(self):
+        """Without a bound on lost workers a job would crash one worker after the other."""
         world = World(workers=3)
         world.submit("a", work=30_000)
         crashes = 0
@@ -142,10 +142,10 @@
         self.assertEqual(JobState.FAILED, job.state)
         self.assertEqual(Limits().max_attempts, crashes)
 
-    def test_orphan_is_stopped_and_forgotten(self):
+    def test_uncommitted_task_is_stopped_and_forgotten(self):
         """
-        A worker comes back with a task that no row commits to it: the task is stopped and dropped
-        from its reports, never left to run beside what is committed.
+        A worker runs a task that no row commits to it.  The task is stopped and dropped from the
+        worker's reports, so that it doesn't run besides the committed ones.
         """
         world = World(workers=1)
         world.run(3)
@@ -159,8 +159,8 @@
 
     def test_resume_from_the_newest_accepted_checkpoint(self):
         """
-        A mastering job whose worker dies goes on from the newest checkpoint that its cell's row
-        holds, not from the start and not from an older one.
+        A job whose worker dies resumes from the newest checkpoint in its cell's row, not from an
+        older one or from the start.
         """
         world = World(workers=2)
         world.submit("a", work=30_000)
@@ -173,10 +173,10 @@
         live = [it for core in world.cores.values() for it in core._live()]
         self.assertIn(record.checkpoint, [it.start.checkpoint for it in live])
 
-    def test_worker_that_fails_everything_is_quarantined(self):
+    def test_worker_that_fails_every_task_is_quarantined(self):
         """
-        Jobs finish on other hosts, and none of them is blamed for the host: three first failures in
-        a row take it out.
+        Three consecutive first failures quarantine the worker.  The jobs finish on other workers,
+        and the failures don't fail them.
         """
         world = World(workers=4)
         world.cores["w00"].fail_all = True
@@ -189,10 +189,10 @@
         self.assertEqual(states["w00"], WorkerState.QUARANTINED)
         self.assertEqual(sum(it is WorkerState.QUARANTINED for it in states.values()), 1)
 
-    def test_jobs_that_fail_everywhere_end_and_hosts_stay(self):
+    def test_jobs_that_fail_everywhere_end_and_few_hosts_are_quarantined(self):
         """
-        The submitter of a job that fails on many hosts is told so, with the hosts; a wave of such
-        jobs takes no more than a third of the hosts out for a while.
+        The reason of such a failed job names the hosts.  Many such jobs quarantine at most a third
+        of the hosts at a time.
         """
         world = World(workers=3)
         for number in range(10):
--- a/toucanpin/placement/tests/world.py
+++ b/toucanpin/placement/tests/world.py
@@ -1,9 +1,9 @@
 """
-World of the placement tests
-============================
+Simulated world of the placement tests
+======================================
 
-Several control processes over the stand-ins' cores on one virtual clock.  A process makes one step
-from one ``yield`` to the next, so a test may do anything to it between any two actions.
+Several control processes use the cores of the stand-ins on one virtual clock.  A step of a process
+runs from one ``yield`` to the next, so tests can inject faults between any two actions.
 """
 
 from __future__ import annotations
@@ -51,12 +51,12 @@
 
 
 def describe_work(units: int, fail: Any = "never", use: float = 1.0) -> str:
-    """Return the payload of a task that works for so many milliseconds."""
+    """Return the payload of a task that works for ``units`` milliseconds."""
     return msgspec.json.encode(Work(work=units, input="x", fail=fail, use=use)).decode()
 
 
 class Process:
-    """Run the turns of one control process, one action at a time."""
+    """Control process whose turns run one action at a time."""
 
     def __init__(self, world: World, controller_id: ControllerId) -> None:
         self.world = world
@@ -73,17 +73,17 @@
 
     @property
     def now(self) -> float:
-        """Return this process's own monotonic seconds."""
+        """Return this process's monotonic clock in seconds."""
         return self.clock.read(self.world.now)
 
     @property
     def silent_since(self) -> float | None:
-        """Return since when the process sends no heartbeats, None if it does."""
+        """Return when the process stopped sending heartbeats, None if it sends them."""
         return self.paused_at if self.killed_at is None else self.killed_at
 
     @property
     def paused(self) -> bool:
-        """Return whether the process is frozen."""
+        """Return whether the process is paused."""
         return self.paused_at is not None
 
     @paused.setter
@@ -91,7 +91,7 @@
         self.paused_at = self.world.now if paused else None
 
     def step(self) -> None:
-        """Carry out one action, or begin the next turn."""
+        """Perform one action, or begin the next turn if it is due."""
         if self.killed_at is not None or self.paused:
             return
         if self.turn is None:
@@ -111,13 +111,13 @@
             self.turn = None
 
     def finish_turn(self) -> None:
-        """Make all steps of one turn."""
+        """Run all steps of one turn."""
         self.step()
         while self.turn is not None and self.killed_at is None and not self.paused:
             self.step()
 
     def stop(self) -> None:
-        """Release everything and end."""
+        """Release all cells and the authority, and end."""
         self.turn = release_all(self.state)
         self._send(None)
         while self.turn is not None:
@@ -126,7 +126,7 @@
 
 
 class World:
-    """Hold the clock, the platform's cores and the control processes."""
+    """Virtual clock, the platform's cores and the control processes."""
 
     def __init__(self, racks: int = 1, workers: int = 2, processes: int = 1) -> None:
         self.now = 100.0
@@ -154,18 +154,18 @@
             self.add_process(f"e{number}/control", 1)
 
     def add_worker(self, name: str, rack: str, size: Size = WORKER_SIZE) -> None:
-        """Add a worker host and list it."""
+        """Add a worker to the platform and to the host list."""
         self.cores[name] = SkewedCore(name, "1", size, len(self.cores))
         host = ListedHost(name, HostRole.WORKER, "s", rack, "127.0.0.1", 1, size=size)
         self.hosts.append(host)
 
     def add_process(self, name: str, incarnation: int) -> Process:
-        """Start a control process; a second incarnation takes the place of the first."""
+        """Start a control process; a new incarnation replaces the earlier one."""
         process = self.processes[name] = Process(self, ControllerId(name, incarnation))
         return process
 
     def view(self, asker: Process) -> ClusterView:
-        """Return what a process believes; the death of another is noticed after a while."""
+        """Return the inputs of a process's turn; the loss of another is noticed with a delay."""
         members = tuple(
             Member(
                 name,
@@ -182,7 +182,7 @@
         return ClusterView(asker.now, tuple(self.hosts), members, self.bundle)
 
     def perform(self, process: Process, action: Any) -> Any:
-        """Carry out one action with the ports of a process."""
+        """Perform one action with the ports of a process."""
         client = process.controller_id.process
         table = MemoryTable(self.table, self.line, client)
         match action:
@@ -201,7 +201,7 @@
                 return None
 
     def poll(self, client: str, asked):
-        """Poll one worker, unless it is cut off from this process."""
+        """Poll a worker, unless it is cut off from the process."""
         if any(
             rule.client == f"{client}>{asked.host.name}" and rule.operation == "cut"
             for rule in self.plan.rules
@@ -223,7 +223,7 @@
         return other.state.watch.answer_standstill(holder, other.now)
 
     def run(self, seconds: float, check: bool = True) -> None:
-        """Let time pass in small steps; every process makes whole turns."""
+        """Advance the time in small steps with whole turns of every process."""
         until = self.now + seconds
         while self.now < until:
             self.pass_time(TURN / 2)
@@ -233,13 +233,13 @@
                 self.check()
 
     def settle(self, seconds: float) -> None:
-        """Run until every job has ended and every standing task runs, for so long at most."""
+        """Run until every job has ended and every standing task runs, or for ``seconds``."""
         until = self.now + seconds
         while self.now < until and not self.is_settled():
             self.run(2.0)
 
     def is_settled(self) -> bool:
-        """Return whether every job has ended and every standing task runs once."""
+        """Return whether every job has ended and every standing task runs exactly once."""
         ended = all(it.state is not JobState.ACCEPTED for it in self.jobs().values())
         return ended and all(len(self.running(it.name)) == 1 for it in self.bundle.standing)
 
@@ -249,7 +249,7 @@
         self.workers.advance()
 
     def fault(self, effect: Effect, operation: str = "*", client: str = "*", times: int = -1):
-        """Put a fault in force."""
+        """Add a fault to the platform."""
         self.plan.rules = (*self.plan.rules, Rule(effect, client, operation, times))
 
     def cut(self, client: str, worker: str) -> None:
@@ -258,7 +258,7 @@
         self.plan.rules = (*self.plan.rules, rule)
 
     def heal(self) -> None:
-        """End all faults."""
+        """Remove all faults."""
         self.plan.rules = ()
 
     def submit(self, key: str, processors: int = 1, work: int = 1000, **fields):
@@ -278,7 +278,7 @@
         return self.drive(cancel_job(job))
 
     def drive(self, decision):
-        """Run a decision of the request role to its end."""
+        """Run a decision of a request process to its end."""
         table = MemoryTable(self.table, self.line, "front")
         answer: Answer | None = None
         value: Any = None
@@ -297,7 +297,7 @@
             answer = Answer(self.now, value)
 
     def set_standing(self, version: int, *names: str, processors: int = 1) -> None:
-        """Put a bundle with these standing tasks in force."""
+        """Set a bundle with the named standing tasks."""
         tasks = tuple(
             StandingTask(it, "t", "encoder", processors, 100, payload=describe_work(0))
             for it in names
@@ -305,12 +305,12 @@
         self.bundle = Bundle("test", version, standing=tasks)
 
     def kill_worker(self, name: str) -> None:
-        """Lose a worker and everything on it."""
+        """Stop a worker with all its tasks."""
         self.dead_workers[name] = self.now
         self.workers.lost.add(name)
 
     def replace_worker(self, name: str) -> None:
-        """Start a new incarnation of a worker that was lost."""
+        """Start a new incarnation of a worker."""
         old = self.cores[name]
         self.retired.append((old, self.dead_workers.pop(name, self.now)))
         number = list(self.cores).index(name) + 1
@@ -318,17 +318,17 @@
         self.workers.lost.discard(name)
 
     def pause_worker(self, name: str) -> None:
-        """Let a worker make no step."""
+        """Freeze a worker."""
         self.workers.pause(name)
         self.paused_workers.add(name)
 
     def resume_worker(self, name: str) -> None:
-        """Wake a worker; its guard comes before anything else that it does."""
+        """Resume a worker, which runs its guard first."""
         self.paused_workers.discard(name)
         self.workers.resume(name)
 
     def intervals(self) -> dict[str, list[tuple[float, float, str, int]]]:
-        """Return when each task ran where, from the workers' own logs."""
+        """Return the runs of each task (start, end, worker, attempt) from the workers' logs."""
         found: dict[str, list[tuple[float, float, str, int]]] = {}
         cores = [(core, self.dead_workers.get(name)) for name, core in self.cores.items()]
         for core, died in [*cores, *self.retired]:
@@ -336,7 +336,7 @@
             lease = core.clock.invert(core._lease_until / 1000)
             for it in core.log:
                 began = core.clock.invert(it.started_at / 1000)
-                # A core that makes no step any more runs nothing after its lease.
+                # A frozen core runs nothing after its lease has ended.
                 end = min(last, lease)
                 if it.stopped_at is not None:
                     end = core.clock.invert(it.stopped_at / 1000)
@@ -345,22 +345,22 @@
         return found
 
     def running(self, task: str) -> list[str]:
-        """Return the workers on which a task runs now."""
+        """Return the workers on which a task is running."""
         now = int(self.now * 1000)
         return [w for start, end, w, _ in self.intervals().get(task, []) if now <= end + ROUNDING]
 
     def jobs(self) -> dict[str, JobRow]:
-        """Return the jobs' rows."""
+        """Return the rows of all jobs."""
         rows = self.table.scan("job/")
         return {it.key.removeprefix("job/"): decode(it.value, JobRow) for it in rows}
 
     def cells(self) -> dict[str, CellRow]:
-        """Return the cells' rows."""
+        """Return the rows of all cells."""
         rows = self.table.scan("plan/cell/")
         return {it.key.removeprefix("plan/cell/"): decode(it.value, CellRow) for it in rows}
 
     def check(self) -> None:
-        """Raise AssertionError if anything that must always hold doesn't."""
+        """Raise AssertionError if an invariant is violated."""
         for task, runs in self.intervals().items():
             runs.sort()
             attempts = [attempt for *_, attempt in runs]
@@ -372,9 +372,11 @@
         places: dict[str, str] = {}
         for name, cell in self.cells().items():
             for worker, used in used_by_worker(cell.tasks.values()).items():
-                assert fits(used, cell.workers[worker].size), f"{worker} holds {used}"
+                assert fits(
+                    used, cell.workers[worker].size
+                ), f"worker {worker} is overcommitted with {used}"
             for task in cell.tasks:
-                assert task not in places, f"{task} in {name} and {places[task]}"
+                assert task not in places, f"{task} is in {name} and in {places[task]}"
                 places[task] = name
         for row in self.table.scan("queue/"):
             kind, _, task = row.key.removeprefix("queue/").partition("/")[2].partition("/")
@@ -383,14 +385,14 @@
                 places[task] = row.key
         for name, job in self.jobs().items():
             if name in self.ended:
-                assert self.ended[name] == job, f"{name} ended twice"
+                assert self.ended[name] == job, f"job {name} ended twice"
             elif job.state is not JobState.ACCEPTED:
                 self.ended[name] = job
             else:
-                assert name in places, f"{name} is accepted and nowhere"
+                assert name in places, f"job {name} is accepted but has no record"
 
     def count_ended(self) -> int:
-        """Return the number of jobs that ended."""
+        """Return the number of jobs that have ended."""
         self.check()
         return len(self.ended)
 
--- a/toucanpin/placement/tracking.py
+++ b/toucanpin/placement/tracking.py
@@ -20,10 +20,10 @@
 
 MS_PER_S = 1_000
 SERVICE_SAMPLE_MAX_AGE_S = 120.0
-SETTLING_TIME_S = 2.0
+SETTLING_TIME_S = 2.0  # after a change of the share
 UNSAVED_STEP_S = 60.0
 OVERUSE_RATIO = 1.5
-OVERUSE_SAMPLES = 3
+OVERUSE_SAMPLES = 3  # consecutive
 MAX_OVERUSE_SHARE = 0.5
 MIN_SHARE = 0.05
 
@@ -69,7 +69,7 @@
     expected: list[Resident] = field(default_factory=list)
     attempts: dict[str, AttemptTracker] = field(default_factory=dict)
     pending_events: list[PolicyEvent] = field(default_factory=list)
-    unthrottled: list[str] = field(default_factory=list)
+    to_unthrottle: list[str] = field(default_factory=list)
     _sampled: dict[str, int] = field(default_factory=dict)
     _loads: dict[str, tuple[float, float]] = field(default_factory=dict)
 
@@ -115,7 +115,7 @@
 
     def _reset_if_new(self, report: Report, tasks: Sequence[TaskRecord]) -> None:
         """
-        Reset the state if a worker reports a new incarnation.
+        Reset the state if the worker or its incarnation is new.
 
         An earlier owner may have throttled tasks here by an unknown share.  They are returned to
         their full share, as they would otherwise stay throttled.
@@ -126,7 +126,7 @@
         self.attempts = {}
         self._sampled = {}
         running = {it.task for it in report.tasks if it.state is TaskState.RUNNING}
-        self.unthrottled = [it.task for it in tasks if it.task in running and not it.standing]
+        self.to_unthrottle = [it.task for it in tasks if it.task in running and not it.standing]
 
     def take_new_samples(self, now: float, report: Report) -> Iterator[Sample]:
         """Yield the new samples, with their times on the owner's clock."""
