--- a/toucanpin/entry/candidate.py
+++ b/toucanpin/entry/candidate.py
@@ -183,7 +183,7 @@
         result = await self._store.transact(self._cell, expected, put)
         if not isinstance(result, Committed):
             return
-        _log.info("cell taken", event="cell.taken", cell=self._cell, token=token, previous=previous)
+        _log.info("cell taken", event="cell.taken", cell=self._cell, token=token, before=previous)
         TAKEOVERS.add(1)
         self._owner = Owner(
             self._store,
