--- a/benchmarks/shared_jobs.py
+++ b/benchmarks/shared_jobs.py
@@ -81,7 +81,7 @@
             count=count,
             cpu=cpu,
             memory=4_000,
-            lasting=True,
+            long_running=True,
             image=f"s{image}",
             target=site.target,
             per_worker=rng.choice((0, 0, 1, 2)),
@@ -135,7 +135,7 @@
                 after=(index - 1,) if index else (),
                 checkpoints=patient and rng.random() < 0.85,
                 image=image,
-                fills=patient,
+                best_effort=patient,
             )
         )
         works.append(tuple(truth * rng.uniform(0.85, 1.15) for _ in range(count)))
--- a/benchmarks/shared_workers.py
+++ b/benchmarks/shared_workers.py
@@ -114,9 +114,9 @@
         firm = sum(
             run.step.cpu * (self.load(run.task.job, now) if run.step.target else 1.0)
             for run in worker.runs.values()
-            if not run.step.fills
+            if not run.step.best_effort
         )
-        fillers = [run for run in worker.runs.values() if run.step.fills]
+        fillers = [run for run in worker.runs.values() if run.step.best_effort]
         wanted = sum(run.usage * run.pace / 100 for run in fillers)
         granted = min(1.0, max(0.0, whole - firm) / wanted) if wanted else 1.0
         amounts: dict[str, float] = {}
@@ -129,7 +129,7 @@
         for run in list(worker.runs.values()):
             if run.step.target:
                 continue
-            speed = run.pace / 100 * granted if run.step.fills else 1.0
+            speed = run.pace / 100 * granted if run.step.best_effort else 1.0
             run.done += seconds * speed
             if run.done >= run.work:
                 worker.end(run.task, RunEnd.FAILED if run.fails else RunEnd.DONE)
@@ -163,5 +163,5 @@
         return RunningTask(run.task, run.attempt, "", 100 if ready else 0, round(_mean(run.tails)))
     percent = min(99, int(100 * run.done / run.work))
     checkpoint = repr(CHECKPOINT * int(run.done / CHECKPOINT)) if run.step.checkpoints else ""
-    measure = _mean(run.cores) if run.step.fills else run.step.cpu
+    measure = _mean(run.cores) if run.step.best_effort else run.step.cpu
     return RunningTask(run.task, run.attempt, checkpoint, percent, measure)
--- a/benchmarks/sharing.py
+++ b/benchmarks/sharing.py
@@ -95,7 +95,7 @@
         while self.time < BEGIN + LENGTH + TAIL:
             self._turn()
         for arrival in self.arrivals:
-            if not arrival.job.steps[0].lasting and arrival.at >= 0:
+            if not arrival.job.steps[0].long_running and arrival.at >= 0:
                 self._count_job(arrival)
         for (job, _), shares in self._units.items():
             share = max(0.0, statistics.mean(shares))
@@ -191,7 +191,7 @@
         unit = int((self.time - BEGIN) / UNIT)
         for arrival in self.arrivals[: self._next]:
             step = arrival.job.steps[0]
-            if step.lasting:
+            if step.long_running:
                 share = shares[arrival.job.id] / step.count
                 self._units.setdefault((arrival.job.id, unit), []).append(share)
 
--- a/benchmarks/turns.py
+++ b/benchmarks/turns.py
@@ -39,7 +39,7 @@
 BEGIN = 100.0  # s on the virtual clock
 TURN = 0.02  # s of it between turns
 WORKER_CPU = 64_000  # thousandths of a core
-LASTING = Step(14, 13_000, 4_000, lasting=True, image="s0", target=50)
+LASTING = Step(14, 13_000, 4_000, long_running=True, image="s0", target=50)
 URGENT = Step(10, 11_000, 6_000, estimate=1_000)
 SERVING = 5  # images that serve
 FILLING = 9  # images that fill
@@ -101,14 +101,16 @@
     def _make_filling(self, number: int) -> Step:
         cpu = self._rng.randrange(5_000, 9_000, 50)
         image = f"f{number % FILLING}"
-        return Step(20, cpu, 6_000, estimate=2_700, checkpoints=True, image=image, fills=True)
+        return Step(20, cpu, 6_000, estimate=2_700, checkpoints=True, image=image, best_effort=True)
 
     def _fill(self, worker: Worker, number: int) -> None:
-        serving = Step(1, 13_000, 4_000, lasting=True, image=f"s{number % SERVING}", target=50)
+        serving = Step(1, 13_000, 4_000, long_running=True, image=f"s{number % SERVING}", target=50)
         steps = [serving] * 3 + [URGENT] * 2
         steps += [self._make_filling(number + more) for more in range(self.load.fillers)]
         for step in steps:
-            job = self._submit(Step(**{**_fields(step), "count": 1}), 0 if not step.fills else 2)
+            job = self._submit(
+                Step(**{**_fields(step), "count": 1}), 0 if not step.best_effort else 2
+            )
             group = next(iter(self.cell.waiting))
             self.cell.waiting.clear()
             run = Run(
@@ -124,7 +126,7 @@
 
     def _list_run(self, run: Run) -> RunningTask:
         measure = NEAR_TARGET if run.step.target else run.step.cpu
-        percent = 100 if run.step.lasting else min(99, int(40 + 10 * (self.time - BEGIN)))
+        percent = 100 if run.step.long_running else min(99, int(40 + 10 * (self.time - BEGIN)))
         return RunningTask(run.task, run.attempt, "", percent, measure)
 
     def _wait(self, count: int, step: Step, priority: int) -> None:
--- a/toucanpin/entry/owner.py
+++ b/toucanpin/entry/owner.py
@@ -351,7 +351,7 @@
         for group, indices in self._cell.waiting.items():
             job = self._cell.jobs[group.job].job
             # Lasting tasks may wait for room for as long as others last.
-            if not job.steps[group.step].lasting:
+            if not job.steps[group.step].long_running:
                 waiting[job.priority] += len(indices)
         delay = self._delay.read(now.steady)
         self._rows.backlog = self._backlog.estimate(waiting, delay, now.steady)
--- a/toucanpin/platform/job_messages.py
+++ b/toucanpin/platform/job_messages.py
@@ -132,9 +132,9 @@
         rack=step.affinity,
         per_worker=step.anti_affinity,
         speculative=step.speculative,
-        lasting=step.long_running,
+        long_running=step.long_running,
         image=step.image,
         target=int(step.target_ms),
-        fills=bool(step.fill_count),
-        may_miss=step.lossy,
+        best_effort=bool(step.fill_count),
+        max_unavailable=step.lossy,
     )
--- a/toucanpin/scheduling/cell.py
+++ b/toucanpin/scheduling/cell.py
@@ -280,7 +280,7 @@
     oldest jobs would otherwise go first, and all jobs would be late.
     """
     live = cell.jobs[group.job]
-    if live.job.steps[group.step].lasting:
+    if live.job.steps[group.step].long_running:
         return (
             live.job.priority,
             True,
--- a/toucanpin/scheduling/choosing.py
+++ b/toucanpin/scheduling/choosing.py
@@ -162,7 +162,7 @@
         step = self._step
         now = self._round.now
         # On a full fleet this alone shuts out most workers, so it is looked at first.
-        if step.fills and self._round.is_saturated(worker, step.cpu):
+        if step.best_effort and self._round.is_saturated(worker, step.cpu):
             return None
         if not has_room(worker, step):
             return None
@@ -174,7 +174,7 @@
             return None
         cost = (
             _compute_batch_cost(self._round, worker, step)
-            if step.fills
+            if step.best_effort
             else _compute_packing_cost(worker, step)
         )
         if cost is None:
@@ -269,7 +269,7 @@
     Those lost together are kept apart, or all of them would be lost with the one that crashes.
     Strewn lasting tasks would shut batch work out of many workers for as long as they run.
     """
-    cost = 0.0 if step.lasting else WATCHED_TASK_COST * count_suspected(worker, now)
+    cost = 0.0 if step.long_running else WATCHED_TASK_COST * count_suspected(worker, now)
     if doubt is CrashSuspicion.LAST_ATTEMPT:
         cost += CRASH_RISK_COST * (worker.cpu + worker.filling_cpu) / max(1, worker.entry.cpu)
     return cost
@@ -281,7 +281,7 @@
     # Wide tasks find whole workers later if narrow ones fill up what is begun.
     left = 1 - (worker.cpu + step.cpu) / whole
     cost = 0.0
-    if step.lasting and not leaves_reserve(worker, step):
+    if step.long_running and not leaves_reserve(worker, step):
         cost += RESERVE_COST
     if step.target:
         beside = BATCH_NEIGHBOUR_COST * worker.filling_cpu / whole
--- a/toucanpin/scheduling/consolidating.py
+++ b/toucanpin/scheduling/consolidating.py
@@ -116,7 +116,7 @@
 
 
 def _may_move(cell: Cell, run: Run, now: Now) -> bool:
-    if not run.step.lasting or not run.step.target or run.phase is not Phase.RUNNING:
+    if not run.step.long_running or not run.step.target or run.phase is not Phase.RUNNING:
         return False
     if run.percent < 100 or now.steady < cell.consolidated.get(run.task, -MIN_STAY_S) + MIN_STAY_S:
         return False
--- a/toucanpin/scheduling/crashing.py
+++ b/toucanpin/scheduling/crashing.py
@@ -70,7 +70,7 @@
 
 def clear_survivor(run: Run, record: TaskRecord) -> None:
     """Clear a lasting task that has been at work for long."""
-    if run.step.lasting and run.shown_at > run.started_at + SURVIVAL_PERIOD_S:
+    if run.step.long_running and run.shown_at > run.started_at + SURVIVAL_PERIOD_S:
         record.crashed = {}
         run.doubt = CrashSuspicion.NONE
 
@@ -177,7 +177,7 @@
     """Tell whether a run may be what ended its worker."""
     if run.phase is Phase.ORDERED and not run.ordered_at:
         return False
-    if run.step.lasting and run.shown_at > run.started_at + SURVIVAL_PERIOD_S:
+    if run.step.long_running and run.shown_at > run.started_at + SURVIVAL_PERIOD_S:
         return False
     # One that no list names any more, as its address tells, may have crashed before this owner
     # heard of it.
--- a/toucanpin/scheduling/ending.py
+++ b/toucanpin/scheduling/ending.py
@@ -80,11 +80,11 @@
             record.state = TaskState.DONE
         return
     match end:
-        case RunEnd.DONE if not run.step.lasting:
+        case RunEnd.DONE if not run.step.long_running:
             _record_task_time(live, run, now)
             _finish_task(cell, live, run.task, record, now)
             return
-        case RunEnd.FAILED if not run.step.lasting:
+        case RunEnd.FAILED if not run.step.long_running:
             if not counted:
                 _count_failure(live, run, record)
             if record.failures >= live.job.max_failures:
@@ -145,7 +145,7 @@
     if live is None or record is None or record.state == TaskState.DONE:
         return
     step = live.job.steps[task.step]
-    if step.lasting or JobState(live.progress.state).ended:
+    if step.long_running or JobState(live.progress.state).ended:
         return
     for run in list_runs(cell, live):
         of_gang = step.gang and (run.task.occurrence, run.task.step) == (task.occurrence, task.step)
@@ -167,7 +167,7 @@
     if live is None or record is None or record.state == TaskState.DONE:
         return
     step = live.job.steps[ended.task.step]
-    if step.lasting or JobState(live.progress.state).ended or ended.attempt in record.counted:
+    if step.long_running or JobState(live.progress.state).ended or ended.attempt in record.counted:
         return
     for member in _list_records(live, ended.task) if step.gang else [record]:
         _add_failure(member, ended.attempt)
--- a/toucanpin/scheduling/job.py
+++ b/toucanpin/scheduling/job.py
@@ -37,11 +37,11 @@
     rack: str = ""
     per_worker: int = 0
     speculative: bool = False
-    lasting: bool = False
+    long_running: bool = msgspec.field(default=False, name="lasting")
     image: str = ""
     target: int = 0
-    fills: bool = False
-    may_miss: int = 0
+    best_effort: bool = msgspec.field(default=False, name="fills")
+    max_unavailable: int = msgspec.field(default=0, name="mayMiss")
 
 
 class Job(msgspec.Struct, frozen=True, omit_defaults=True, rename="camel"):
--- a/toucanpin/scheduling/large_tasks.py
+++ b/toucanpin/scheduling/large_tasks.py
@@ -38,7 +38,7 @@
 
     def reserve_for(self, group: Group, step: Step) -> None:
         """Keep the roomiest worker that a step may have, if tasks of it still wait."""
-        if not self._cell.waiting[group] or step.fills or step.lasting or step.gang:
+        if not self._cell.waiting[group] or step.best_effort or step.long_running or step.gang:
             return
         if len(self.eligible) <= self._min_eligible:
             return
--- a/toucanpin/scheduling/learning.py
+++ b/toucanpin/scheduling/learning.py
@@ -87,7 +87,7 @@
     """Return the share of a worker's cores that each filling image uses."""
     amounts: dict[str, float] = {}
     for run in worker.runs.values():
-        if run.step.fills and run.phase is Phase.RUNNING and run.measure > 0:
+        if run.step.best_effort and run.phase is Phase.RUNNING and run.measure > 0:
             share = run.measure / max(1, worker.entry.cpu)
             amounts[run.step.image] = amounts.get(run.step.image, 0.0) + share
     return amounts
--- a/toucanpin/scheduling/moving.py
+++ b/toucanpin/scheduling/moving.py
@@ -55,7 +55,7 @@
     if not worker.entry.ready and _leaves_too_soon(worker, run, now):
         stop_run(cell, run, "worker leaves")
         return
-    if run.step.lasting or run.pace <= 0:
+    if run.step.long_running or run.pace <= 0:
         return
     if run.step.gang and not _is_whole(cell, run):
         _judge_gang(cell, run, now)
@@ -114,7 +114,7 @@
 
 def _leaves_too_soon(worker: Worker, run: Run, now: Now) -> bool:
     """Tell whether a task won't end before its worker leaves."""
-    if run.step.lasting:
+    if run.step.long_running:
         return True
     elapsed = now.steady - run.started_at
     left = worker.entry.left - (now.steady - worker.listed_at)
@@ -176,7 +176,7 @@
 def _tells_time(run: Run) -> bool:
     return (
         run.phase is Phase.RUNNING
-        and not run.step.lasting
+        and not run.step.long_running
         and not run.step.gang
         and not run.untimed
         and run.pace == 100
--- a/toucanpin/scheduling/pacing.py
+++ b/toucanpin/scheduling/pacing.py
@@ -52,7 +52,9 @@
 
 
 def _control(cell: Cell, model: InterferenceModel, worker: Worker, now: Now) -> None:
-    fillers = [run for run in worker.runs.values() if run.step.fills and run.phase is Phase.RUNNING]
+    fillers = [
+        run for run in worker.runs.values() if run.step.best_effort and run.phase is Phase.RUNNING
+    ]
     if not fillers:
         return
     over = _find_longest_over(worker, now)
--- a/toucanpin/scheduling/placing.py
+++ b/toucanpin/scheduling/placing.py
@@ -77,7 +77,7 @@
         live = cell.jobs[group.job]
         step = live.job.steps[group.step]
         # What is kept for large tasks mustn't hold up a task that has to last.
-        allowed = all_eligible if step.lasting else reservation.eligible
+        allowed = all_eligible if step.long_running else reservation.eligible
         if live.job.advised:
             allowed = [w for w in allowed if find_ticket(cell, group, w.entry.id, now)]
         if step.same_rack:
@@ -130,7 +130,7 @@
     serve nobody while there is plenty of room.
     """
     step = live.job.steps[group.step]
-    if not step.lasting or _may_take_reserve(cell, live, group, index, now):
+    if not step.long_running or _may_take_reserve(cell, live, group, index, now):
         return ReserveAccess.ALL
     return ReserveAccess.SPARE if len(cell.waiting[group]) == step.count else ReserveAccess.NONE
 
@@ -156,7 +156,7 @@
         task = TaskKey(group.job, group.occurrence, group.step, index)
         if _find_block(cell, live, task, now) is not None:
             continue
-        ignore_reserve = step.lasting and _may_take_reserve(cell, live, group, index, now)
+        ignore_reserve = step.long_running and _may_take_reserve(cell, live, group, index, now)
         if preemption.is_infeasible(step, ignore_reserve):
             return
         safe = list_retry_workers(live, task, eligible, now)
@@ -261,6 +261,6 @@
 def _find_reason(live: LiveJob, step: Step, eligible: list[Worker]) -> WaitReason:
     if live.job.advised and not eligible:
         return WaitReason.NO_TICKET
-    if step.fills and any(has_room(worker, step) for worker in eligible):
+    if step.best_effort and any(has_room(worker, step) for worker in eligible):
         return WaitReason.INTERFERENCE
     return WaitReason.NO_ROOM
--- a/toucanpin/scheduling/prediction.py
+++ b/toucanpin/scheduling/prediction.py
@@ -43,7 +43,7 @@
             continue
         used = measure_use(run)
         cores += used
-        if run.step.fills:
+        if run.step.best_effort:
             amounts[run.step.image] = amounts.get(run.step.image, 0.0) + used / whole
     served = tuple(_sum_up(model, run, amounts, planned) for run in hottest.values())
     return WorkerUtilization(whole, cores, served)
@@ -82,7 +82,7 @@
 
 def measure_use(run: Run) -> float:
     """Return the cores that a task which doesn't serve uses, in thousandths."""
-    if not run.step.fills:
+    if not run.step.best_effort:
         return run.step.cpu
     if run.pace < 100:
         return run.step.cpu * max(0, run.pace) / 100
--- a/toucanpin/scheduling/preempting.py
+++ b/toucanpin/scheduling/preempting.py
@@ -55,11 +55,11 @@
 
     def is_infeasible(self, step: Step, ignore_reserve: bool) -> bool:
         """Tell whether no room could be made for a task that asks for no more."""
-        return self._infeasible[step.lasting].covers(_make_demand(step, ignore_reserve))
+        return self._infeasible[step.long_running].covers(_make_demand(step, ignore_reserve))
 
     def mark_infeasible(self, step: Step, ignore_reserve: bool) -> None:
         """Remember that no stops on any worker make room for a task of a step."""
-        self._infeasible[step.lasting].note(_make_demand(step, ignore_reserve))
+        self._infeasible[step.long_running].note(_make_demand(step, ignore_reserve))
 
     def get_freed(self, worker: Worker) -> FreedResources:
         """Return the room that stops are about to free on a worker."""
@@ -71,7 +71,7 @@
 
 def _make_demand(step: Step, ignore_reserve: bool) -> Demand:
     # A lasting task is placed only where this much is left, else its room would go to others.
-    return Demand.of(step, step.lasting and not ignore_reserve)
+    return Demand.of(step, step.long_running and not ignore_reserve)
 
 
 class PreemptionCandidates:
@@ -171,7 +171,7 @@
     candidates = (run for run in worker.runs.values() if _is_preemptible(cell, run, group))
     for run in sorted(candidates, key=lambda run: _estimate_loss(run, now)):
         victims.append(run)
-        cpu += 0 if run.step.fills else run.step.cpu
+        cpu += 0 if run.step.best_effort else run.step.cpu
         memory += run.step.memory
         accelerators += run.step.accelerators
         if min(cpu, memory, accelerators) >= 0:
@@ -185,7 +185,7 @@
         live is not None
         and live.job.priority > cell.jobs[group.job].job.priority
         and run.phase is Phase.RUNNING
-        and not run.step.lasting
+        and not run.step.long_running
         and not run.step.gang
     )
 
@@ -198,7 +198,7 @@
 
 
 def _add(freed: FreedResources, step: Step, sign: int) -> None:
-    if not step.fills:
+    if not step.best_effort:
         freed.cpu += sign * step.cpu
     freed.memory += sign * step.memory
     freed.accelerators += sign * step.accelerators
--- a/toucanpin/scheduling/recalling.py
+++ b/toucanpin/scheduling/recalling.py
@@ -21,7 +21,7 @@
 def is_known_unplaceable(cell: Cell, step: Step, now: Now) -> bool:
     """Tell whether an equal or smaller task found no place a moment ago."""
     cpu, until = cell.unplaceable.get(step.image, (0, 0.0))
-    return step.fills and now.steady < until and step.cpu >= cpu
+    return step.best_effort and now.steady < until and step.cpu >= cpu
 
 
 def record_unplaceable(cell: Cell, live: LiveJob, step: Step, now: Now) -> None:
@@ -31,7 +31,7 @@
     A long queue would otherwise be weighed against all workers at each end of a task, which takes
     more processor time than there is between two ends on a few hundred workers.
     """
-    if not step.fills or step.label or step.per_worker or live.job.advised:
+    if not step.best_effort or step.label or step.per_worker or live.job.advised:
         return
     known, until = cell.unplaceable.get(step.image, (step.cpu, 0.0))
     cpu = min(known, step.cpu) if now.steady < until else step.cpu
@@ -52,10 +52,10 @@
     round_: PlacementRound, live: LiveJob, step: Step, claim: ReserveAccess
 ) -> WaitReason | None:
     """Return why a task can't find a place, if one that asks for no more found none."""
-    if step.fills or live.job.advised:
+    if step.best_effort or live.job.advised:
         return None
     demand = Demand.of(step)
-    if round_.shortage(step.lasting).covers(demand):
+    if round_.shortage(step.long_running).covers(demand):
         return WaitReason.NO_ROOM
     if round_.reserved[claim].covers(demand):
         return WaitReason.RESERVED
@@ -74,7 +74,7 @@
 
     With a claim it found only reserved room.
     """
-    if step.fills or constraint_excluded or live.job.advised:
+    if step.best_effort or constraint_excluded or live.job.advised:
         return
-    shortage = round_.reserved[claim] if claim else round_.shortage(step.lasting)
+    shortage = round_.reserved[claim] if claim else round_.shortage(step.long_running)
     shortage.note(Demand.of(step))
--- a/toucanpin/scheduling/reserving.py
+++ b/toucanpin/scheduling/reserving.py
@@ -66,7 +66,7 @@
     cores = 0
     for group, waiting in cell.waiting.items():
         step = cell.jobs[group.job].job.steps[group.step]
-        if not step.lasting and not step.fills:
+        if not step.long_running and not step.best_effort:
             cores += step.cpu * len(waiting)
     return cores
 
--- a/toucanpin/scheduling/retrying.py
+++ b/toucanpin/scheduling/retrying.py
@@ -32,7 +32,7 @@
         return False
     step = live.job.steps[task.step]
     failures = _count_failures(live, task)
-    if step.lasting or not failures:
+    if step.long_running or not failures:
         return False
     last = failures >= live.job.max_failures - 1
     if worker.failing_until <= now.steady and not last:
--- a/toucanpin/scheduling/shedding.py
+++ b/toucanpin/scheduling/shedding.py
@@ -168,7 +168,7 @@
 
 def would_exceed_time_limit(job: Job, backlog: Mapping[int, int]) -> bool:
     """Tell whether a job couldn't be in time, since its owner is that far behind with starts."""
-    if job.repeats or any(step.lasting for step in job.steps):
+    if job.repeats or any(step.long_running for step in job.steps):
         return False
     wait = max((wait for priority, wait in backlog.items() if priority <= job.priority), default=0)
     return wait > compute_time_limit(job)
--- a/toucanpin/scheduling/shortage.py
+++ b/toucanpin/scheduling/shortage.py
@@ -26,7 +26,7 @@
     @classmethod
     def of(cls, step: Step, spares_reserve: bool = False) -> Demand:
         """Return what a task of a step asks for."""
-        cpu = 0 if step.fills else step.cpu
+        cpu = 0 if step.best_effort else step.cpu
         return cls(cpu, step.memory, step.accelerators, spares_reserve)
 
     def required_cpu(self, reserved: int) -> int:
--- a/toucanpin/scheduling/tests/test_consolidating.py
+++ b/toucanpin/scheduling/tests/test_consolidating.py
@@ -13,9 +13,9 @@
 from toucanpin.scheduling.tests.fleet import make_job
 from toucanpin.scheduling.worker import Phase, Run, Worker
 
-WEB = Step(count=4, cpu=12_000, lasting=True, image="web", target=50)
-FEED = Step(count=4, cpu=12_000, lasting=True, image="feed", target=50)
-FILLS = Step(count=6, cpu=7_000, fills=True, image="batch", checkpoints=True)
+WEB = Step(count=4, cpu=12_000, long_running=True, image="web", target=50)
+FEED = Step(count=4, cpu=12_000, long_running=True, image="feed", target=50)
+FILLS = Step(count=6, cpu=7_000, best_effort=True, image="batch", checkpoints=True)
 NOW = Now(100.0, 100_000, 100_000)
 
 
--- a/toucanpin/scheduling/tests/test_crashing.py
+++ b/toucanpin/scheduling/tests/test_crashing.py
@@ -50,7 +50,7 @@
         """Guards against crash loops of tasks that are started again however they end."""
         fleet = Fleet(workers=8)
         fleet.crashing = {TaskKey("bad", 0, 0, 0)}
-        fleet.submit(make_job("bad", (Step(count=2, cpu=1_000, lasting=True),)))
+        fleet.submit(make_job("bad", (Step(count=2, cpu=1_000, long_running=True),)))
         fleet.run(60.0)
         self.assertLessEqual(len(fleet.crashes), MOST_STARTS)
         self.assertEqual(JobState.FAILED, fleet.state("bad"))
@@ -97,7 +97,7 @@
                 for worker in fleet.workers.values():
                     worker.lasts = 4.0
                 fleet.crashing = {TaskKey("bad", 0, 0, 0)}
-                step = Step(cpu=1_000, lasting=lasting)
+                step = Step(cpu=1_000, long_running=lasting)
                 names = [f"good{number}" for number in range(24)]
                 for name in names:
                     fleet.submit(make_job(name, (step,)))
@@ -113,7 +113,7 @@
         for worker in fleet.workers.values():
             worker.lasts = 100.0
         fleet.crashing = {TaskKey("bad", 0, 0, 0)}
-        fleet.submit(make_job("good", (Step(count=3, cpu=500, lasting=True),)))
+        fleet.submit(make_job("good", (Step(count=3, cpu=500, long_running=True),)))
         fleet.submit(make_job("bad", (Step(cpu=500),)))
         while len(fleet.crashes) < MAX_CRASHES_AT_START:
             fleet.run(0.05)
@@ -132,7 +132,7 @@
             with self.subTest(seed=seed):
                 random = Random(seed)
                 fleet = Fleet(workers=8, cpu=8_000)
-                fleet.submit(make_job("lasting", (Step(count=4, cpu=1_000, lasting=True),)))
+                fleet.submit(make_job("lasting", (Step(count=4, cpu=1_000, long_running=True),)))
                 names = [f"j{number}" for number in range(40)]
                 for name in names:
                     fleet.submit(make_job(name, (Step(count=2, cpu=1_000),)))
@@ -196,7 +196,7 @@
         fleet = Fleet(workers=8)
         for worker in fleet.workers.values():
             worker.lasts = 100.0
-        fleet.submit(make_job("j1", (Step(cpu=1_000, lasting=True),)))
+        fleet.submit(make_job("j1", (Step(cpu=1_000, long_running=True),)))
         for _ in range(4):
             fleet.run(1.0)
             (name,) = [name for name, worker in fleet.workers.items() if worker.runs]
--- a/toucanpin/scheduling/tests/test_failures.py
+++ b/toucanpin/scheduling/tests/test_failures.py
@@ -113,7 +113,7 @@
         """
         fleet = Fleet(workers=1)
         fleet.workers["w0"].lasts = 60.0
-        fleet.submit(make_job(steps=(Step(cpu=1_000, lasting=True),)))
+        fleet.submit(make_job(steps=(Step(cpu=1_000, long_running=True),)))
         fleet.run(0.5)
         fleet.replace_owner()
         cancel_job(fleet.cell, "j1", fleet.now())
@@ -311,7 +311,7 @@
         """
         fleet = Fleet(workers=1)
         fleet.workers["w0"].lasts = 60.0
-        fleet.submit(make_job(steps=(Step(cpu=1_000, lasting=True),)))
+        fleet.submit(make_job(steps=(Step(cpu=1_000, long_running=True),)))
         fleet.run(1.0)
         fleet.store_up = False
         fleet.run(OWNER_AUTHORITY_S - 0.5)
--- a/toucanpin/scheduling/tests/test_interference_model.py
+++ b/toucanpin/scheduling/tests/test_interference_model.py
@@ -22,8 +22,8 @@
 from toucanpin.scheduling.prediction import estimate_utilization, predict_share
 from toucanpin.scheduling.worker import Phase, Run, Worker
 
-SERVES = Step(cpu=10_000, lasting=True, image="web", target=50)
-FILLS = Step(cpu=6_000, fills=True, image="batch", checkpoints=True)
+SERVES = Step(cpu=10_000, long_running=True, image="web", target=50)
+FILLS = Step(cpu=6_000, best_effort=True, image="batch", checkpoints=True)
 QUIET = 10.0
 
 
@@ -138,7 +138,7 @@
         self.assertIsInstance(self.cell.orders[0], StopOrder)
 
     def test_a_harmful_task_that_cannot_resume_is_slowed(self) -> None:
-        step = Step(cpu=6_000, fills=True, image="batch")
+        step = Step(cpu=6_000, best_effort=True, image="batch")
         self._add("w0", "s", SERVES, 0, _tail(0.4))
         self._add("w1", "s", SERVES, 1, _tail(0.79))
         run = self._add("w1", "b", step, 0, 6_000)
@@ -154,7 +154,7 @@
         is empty since it fails whatever it starts.  The task was stopped for it, lost its work and
         found no place.
         """
-        step = Step(cpu=6_000, fills=True, image="batch")
+        step = Step(cpu=6_000, best_effort=True, image="batch")
         self._add("w0", "s", SERVES, 0, _tail(0.79))
         run = self._add("w0", "b", step, 0, 6_000)
         run.percent = 10
--- a/toucanpin/scheduling/tests/test_lasting.py
+++ b/toucanpin/scheduling/tests/test_lasting.py
@@ -8,7 +8,7 @@
 from toucanpin.scheduling.orders import RunEnd
 from toucanpin.scheduling.tests.fleet import Fleet, make_job
 
-LASTS = Step(cpu=1_000, memory=1_000, lasting=True)
+LASTS = Step(cpu=1_000, memory=1_000, long_running=True)
 
 
 class LastingTaskTest(unittest.TestCase):
@@ -52,7 +52,7 @@
         """
         fleet = Fleet(workers=1, cpu=2_000)
         fleet.workers["w0"].lasts = 60.0
-        step = Step(count=3, cpu=1_000, lasting=True)
+        step = Step(count=3, cpu=1_000, long_running=True)
         fleet.submit(make_job("full", (Step(cpu=1_000),), priority=0))
         fleet.submit(make_job("lasts", (step,), priority=0))
         fleet.cell.jobs["lasts"].progress.tasks[0][2].attempt = 1
@@ -69,7 +69,7 @@
         fleet = Fleet(workers=1, cpu=2_000)
         worker = fleet.workers["w0"]
         worker.lasts = 60.0
-        step = Step(cpu=900, lasting=True)
+        step = Step(cpu=900, long_running=True)
         fleet.submit(make_job("lasts", (step,), accepted=90_000))
         fleet.submit(make_job("other", (step,), accepted=90_000))
         fleet.run(3.0)
@@ -96,7 +96,7 @@
         self.fleet.submit(make_job("lasts", (LASTS,), priority=0))
         self.fleet.run(1.0)
         self._fail_lasting()
-        fill = Step(count=2, cpu=1_000, memory=8_000, fills=True, checkpoints=True)
+        fill = Step(count=2, cpu=1_000, memory=8_000, best_effort=True, checkpoints=True)
         self.fleet.submit(make_job("fill", (fill,), priority=2))
         self.fleet.run(3.0)
         self.assertTrue(self._is_running("lasts"))
--- a/toucanpin/scheduling/tests/test_life.py
+++ b/toucanpin/scheduling/tests/test_life.py
@@ -109,7 +109,7 @@
 
     def test_a_lasting_task_is_started_again_however_it_ends(self) -> None:
         fleet = Fleet(workers=1)
-        fleet.submit(make_job(steps=(Step(cpu=1_000, lasting=True),)))
+        fleet.submit(make_job(steps=(Step(cpu=1_000, long_running=True),)))
         fleet.run(6.0)
         self.assertGreater(len(fleet.workers["w0"].starts), 3)
         self.assertEqual(JobState.ACTIVE, fleet.state("j1"))
@@ -167,7 +167,7 @@
         fleet = Fleet(workers=2, cpu=10_000)
         for worker in fleet.workers.values():
             worker.lasts = 100.0
-        fleet.submit(make_job("j1", (Step(count=5, cpu=4_700, lasting=True),)))
+        fleet.submit(make_job("j1", (Step(count=5, cpu=4_700, long_running=True),)))
         fleet.run(0.5)
         # Two tasks on each worker would leave a tenth of its cores; the last such place stays.
         self.assertEqual(3, sum(len(worker.runs) for worker in fleet.workers.values()))
@@ -177,7 +177,7 @@
 
     def test_a_worker_that_drains_gets_nothing_and_loses_lasting_tasks(self) -> None:
         fleet = Fleet(workers=1)
-        fleet.submit(make_job(steps=(Step(cpu=1_000, lasting=True),)))
+        fleet.submit(make_job(steps=(Step(cpu=1_000, long_running=True),)))
         fleet.workers["w0"].lasts = 100.0
         fleet.run(0.5)
         other = fleet.add_worker("w1")
--- a/toucanpin/scheduling/tests/test_old_views.py
+++ b/toucanpin/scheduling/tests/test_old_views.py
@@ -66,8 +66,8 @@
         """
         fleet = Fleet(workers=1)
         fleet.workers["w0"].lasts = 30.0
-        serving = Step(cpu=1_000, lasting=True, target=100, image="serves")
-        filling = Step(cpu=1_000, fills=True, checkpoints=True, image="fills")
+        serving = Step(cpu=1_000, long_running=True, target=100, image="serves")
+        filling = Step(cpu=1_000, best_effort=True, checkpoints=True, image="fills")
         fleet.submit(make_job("s", (serving,)))
         fleet.submit(make_job("b", (filling,)))
         fleet.run(0.5)
@@ -90,7 +90,7 @@
         upkeep while the first was away.
         """
         fleet = Fleet()
-        step = Step(count=2, cpu=1_000, lasting=True, per_worker=1, may_miss=1)
+        step = Step(count=2, cpu=1_000, long_running=True, per_worker=1, max_unavailable=1)
         fleet.submit(make_job("s", (step,)))
         fleet.run(0.5)
         for run in fleet.cell.runs["s"]:
--- a/toucanpin/scheduling/tests/test_preempting.py
+++ b/toucanpin/scheduling/tests/test_preempting.py
@@ -76,7 +76,7 @@
 
     def test_equals_and_lasting_tasks_are_left_alone(self) -> None:
         self.fleet.submit(make_job("equal", (Step(count=2, cpu=3_000),), priority=0))
-        self.fleet.submit(make_job("lasting", (Step(cpu=900, lasting=True),), priority=2))
+        self.fleet.submit(make_job("lasting", (Step(cpu=900, long_running=True),), priority=2))
         self.fleet.run(1.0)
         self.fleet.submit(make_job("urgent", (Step(cpu=2_000),), priority=0))
         self.fleet.run(1.0)
@@ -85,7 +85,7 @@
         self.assertEqual(JobState.PENDING, self.fleet.state("urgent"))
 
     def test_memory_of_what_fills_is_freed_too(self) -> None:
-        fill = Step(count=2, cpu=1_000, memory=8_000, fills=True, checkpoints=True)
+        fill = Step(count=2, cpu=1_000, memory=8_000, best_effort=True, checkpoints=True)
         self.fleet.submit(make_job("fill", (fill,), priority=2))
         self.fleet.run(1.0)
         self.fleet.submit(make_job("urgent", (Step(cpu=1_000, memory=4_000),), priority=0))
--- a/toucanpin/scheduling/tests/test_reserving.py
+++ b/toucanpin/scheduling/tests/test_reserving.py
@@ -9,7 +9,7 @@
 
 WORKERS = 40
 CORES = 64_000
-LASTS = Step(count=24, cpu=13_000, lasting=True)
+LASTS = Step(count=24, cpu=13_000, long_running=True)
 
 
 class ReservingTest(unittest.TestCase):
--- a/toucanpin/scheduling/tests/test_scaling.py
+++ b/toucanpin/scheduling/tests/test_scaling.py
@@ -26,9 +26,9 @@
             case 0:
                 step, priority = Step(count, cpu, MEMORY, estimate=1_000), 0
             case 1:
-                step, priority = Step(count, cpu, MEMORY, lasting=True, image="s"), 0
+                step, priority = Step(count, cpu, MEMORY, long_running=True, image="s"), 0
             case _:
-                step = Step(count, cpu, MEMORY, fills=True, image="b", checkpoints=True)
+                step = Step(count, cpu, MEMORY, best_effort=True, image="b", checkpoints=True)
                 priority = 2
         jobs.append(make_job(f"j{number:02}", (step,), priority=priority))
     return jobs
--- a/toucanpin/scheduling/tests/test_shedding.py
+++ b/toucanpin/scheduling/tests/test_shedding.py
@@ -140,7 +140,7 @@
         long = make_job(steps=(Step(cpu=1_000, estimate=5_000),), priority=2, stretch=2.0)
         self.assertFalse(would_exceed_time_limit(long, backlog))
         self.assertFalse(would_exceed_time_limit(make_job(steps=(brief,)), backlog))
-        lasting = make_job(steps=(Step(cpu=1_000, lasting=True),), priority=2)
+        lasting = make_job(steps=(Step(cpu=1_000, long_running=True),), priority=2)
         self.assertFalse(would_exceed_time_limit(lasting, backlog))
         timed = make_job(steps=(brief,), priority=2, repeats=2)
         self.assertFalse(would_exceed_time_limit(timed, backlog))
--- a/toucanpin/scheduling/tests/test_trust.py
+++ b/toucanpin/scheduling/tests/test_trust.py
@@ -130,7 +130,7 @@
         fleet = Fleet(workers=1)
         worker = fleet.workers["w0"]
         worker.lasts = 60.0
-        step = Step(cpu=1_000, lasting=True)
+        step = Step(cpu=1_000, long_running=True)
         for name in ("a", "b", "c"):
             fleet.submit(make_job(name, (step,)))
         fleet.run(3.0)
--- a/toucanpin/scheduling/tests/test_turns.py
+++ b/toucanpin/scheduling/tests/test_turns.py
@@ -27,13 +27,13 @@
         self.fleet = Fleet(workers=WORKERS, cpu=4_000)
         for worker in self.fleet.workers.values():
             worker.lasts = 600.0
-        lasting = Step(count=WORKERS - RESERVED, cpu=3_000, lasting=True)
+        lasting = Step(count=WORKERS - RESERVED, cpu=3_000, long_running=True)
         self.fleet.submit(make_job("lasts", (lasting,)))
         self.fleet.run(1.0)
         self.fleet.submit(make_job("brief", (Step(count=RESERVED, cpu=3_000),)))
         self.fleet.run(1.0)
         self.assertEqual({3_000}, {worker.cpu for worker in self.fleet.cell.workers.values()})
-        fill = Step(count=WORKERS, cpu=500, fills=True, image="f", checkpoints=True)
+        fill = Step(count=WORKERS, cpu=500, best_effort=True, image="f", checkpoints=True)
         self.fleet.submit(make_job("fills", (fill,), priority=2))
         self.fleet.run(1.0)
 
@@ -75,7 +75,7 @@
         worker in each turn, sixteen such steps a turn on a day with 246 workers.
         """
         for number in range(WAITING):
-            step = Step(count=4, cpu=2_000, lasting=True, per_worker=1)
+            step = Step(count=4, cpu=2_000, long_running=True, per_worker=1)
             self.fleet.submit(make_job(f"l{number:02}", (step,)))
         self.assertLessEqual(self._count_weighed(), WORKERS)
 
@@ -88,7 +88,7 @@
         first.entry = replace(first.entry, cpu=5_000)
         self.fleet.run(0.05)
         for number in range(WAITING):
-            step = Step(count=4, cpu=1_900 + number, lasting=True)
+            step = Step(count=4, cpu=1_900 + number, long_running=True)
             self.fleet.submit(make_job(f"l{number:02}", (step,)))
         self.assertLessEqual(self._count_weighed(), WORKERS)
         reasons = {wait.reason for wait in self.fleet.cell.waits.values()}
@@ -167,7 +167,7 @@
         self.assertEqual(WORKERS, counted.call_count)
 
     def _submit_fill(self, name: str) -> None:
-        fill = Step(count=4, cpu=1_500, fills=True, image=name)
+        fill = Step(count=4, cpu=1_500, best_effort=True, image=name)
         self.fleet.submit(make_job(name, (fill,), priority=2))
 
     def test_images_without_a_place_are_weighed_in_the_same_turns(self) -> None:
@@ -178,7 +178,7 @@
         """
         rest = UNPLACEABLE_PERIOD_S * WORKERS
         for number in range(3):
-            fill = Step(count=4, cpu=1_500, fills=True, image=f"g{number}")
+            fill = Step(count=4, cpu=1_500, best_effort=True, image=f"g{number}")
             self.fleet.submit(make_job(f"g{number}", (fill,), priority=2))
             place_tasks(self.fleet.cell, self.fleet.model, self.fleet.now())
             self.fleet.time += rest / 4
@@ -194,7 +194,7 @@
     def test_a_limit_on_each_worker_does_not_have_stops_looked_for_again(self) -> None:
         """Steps with such a limit looked for what to stop on each worker, each by itself."""
         for number in range(WAITING):
-            step = Step(count=4, cpu=2_000, lasting=True, per_worker=1)
+            step = Step(count=4, cpu=2_000, long_running=True, per_worker=1)
             self.fleet.submit(make_job(f"l{number:02}", (step,)))
         self.assertLessEqual(self._count("bound_freeable_cpu"), WORKERS)
 
--- a/toucanpin/scheduling/tests/test_upkeep.py
+++ b/toucanpin/scheduling/tests/test_upkeep.py
@@ -81,7 +81,7 @@
         A service bears one of its tasks away at a time.  Two machines of a wave hold one each; the
         second task may leave only once the first is at work elsewhere.
         """
-        step = Step(count=3, cpu=1_000, lasting=True, per_worker=1, may_miss=1)
+        step = Step(count=3, cpu=1_000, long_running=True, per_worker=1, max_unavailable=1)
         self.fleet.submit(make_job("s", (step,)))
         self.fleet.run(0.5)
         holders = [name for name, worker in self.fleet.workers.items() if worker.runs]
--- a/toucanpin/scheduling/trust.py
+++ b/toucanpin/scheduling/trust.py
@@ -23,7 +23,7 @@
     until = now.steady + avoided
     worker.suspect_until = max(worker.suspect_until, until)
     # A lasting task may fail at any time; only one that fails at its start tells of its worker.
-    if run.step.lasting and now.steady > run.ordered_at + EARLY_FAILURE_S:
+    if run.step.long_running and now.steady > run.ordered_at + EARLY_FAILURE_S:
         return
     worker.failed_jobs.add(run.task.job)
     worker.failed_at = now.steady
--- a/toucanpin/scheduling/upkeep.py
+++ b/toucanpin/scheduling/upkeep.py
@@ -216,9 +216,12 @@
 def _may_be_stopped(cell: Cell, run: Run, patient: bool, now: Now) -> bool:
     if run.phase is not Phase.RUNNING:
         return run.phase is Phase.PLACED
-    if run.step.lasting:
+    if run.step.long_running:
         # Users of a service bear so many of its tasks away at a time, and no more.
-        return not run.step.may_miss or count_unavailable(cell, run, now) < run.step.may_miss
+        return (
+            not run.step.max_unavailable
+            or count_unavailable(cell, run, now) < run.step.max_unavailable
+        )
     return run.step.checkpoints or not patient
 
 
@@ -227,5 +230,5 @@
     lost = 0.0
     for run in worker.runs.values():
         elapsed = now.steady - run.started_at
-        lost += run.step.cpu * (1.0 if run.step.lasting or run.step.checkpoints else elapsed)
+        lost += run.step.cpu * (1.0 if run.step.long_running or run.step.checkpoints else elapsed)
     return lost
--- a/toucanpin/scheduling/worker.py
+++ b/toucanpin/scheduling/worker.py
@@ -138,7 +138,7 @@
         return False
     if worker.accelerators + step.accelerators > entry.accelerators:
         return False
-    return step.fills or worker.cpu + step.cpu <= entry.cpu
+    return step.best_effort or worker.cpu + step.cpu <= entry.cpu
 
 
 def is_overcommitted(worker: Worker) -> bool:
@@ -155,7 +155,7 @@
     """Return how many tasks of a step fit what a worker has left."""
     entry = worker.entry
     sizes = (
-        (entry.cpu - worker.cpu, 0 if step.fills else step.cpu),
+        (entry.cpu - worker.cpu, 0 if step.best_effort else step.cpu),
         (entry.memory - worker.memory, step.memory),
         (entry.accelerators - worker.accelerators, step.accelerators),
     )
@@ -187,7 +187,7 @@
 
 def release_run(worker: Worker, run: Run) -> None:
     """Give the room of a run back, for good."""
-    if run.phase is Phase.STOPPING and not run.step.fills:
+    if run.phase is Phase.STOPPING and not run.step.best_effort:
         worker.leaving -= run.step.cpu
     run.phase = Phase.ENDED
     if worker.runs.get(run.task) is run:
@@ -197,7 +197,7 @@
 
 def mark_stopping(worker: Worker, run: Run) -> None:
     """Take note that a run is being stopped; its room is taken until it has ended."""
-    if run.phase is not Phase.STOPPING and not run.step.fills:
+    if run.phase is not Phase.STOPPING and not run.step.best_effort:
         worker.leaving += run.step.cpu
     run.phase = Phase.STOPPING
 
@@ -226,14 +226,14 @@
     worker.heat = None
     worker.memory += sign * step.memory
     worker.accelerators += sign * step.accelerators
-    if step.fills:
+    if step.best_effort:
         worker.fillers += sign
         worker.filling_cpu += sign * step.cpu
     else:
         worker.cpu += sign * step.cpu
-        if step.lasting:
+        if step.long_running:
             worker.lasting_cpu += sign * step.cpu
-        if not step.lasting and not step.gang:
+        if not step.long_running and not step.gang:
             known = worker.yielding.get(run.priority, 0)
             worker.yielding[run.priority] = known + sign * step.cpu
     if step.target:
