--- a/toucanpin/platform/__init__.py
+++ b/toucanpin/platform/__init__.py
@@ -1,3 +1,3 @@
-"""The platform's services behind four narrow ports, and the adapters that reach them."""
+"""Interfaces to the platform's services and the adapters that implement them."""
 
 from toucanpin.platform.ports import *  # noqa: F403
--- a/toucanpin/platform/advice.py
+++ b/toucanpin/platform/advice.py
@@ -1,8 +1,8 @@
 """
-Advice of the platform
-======================
+Advice service client
+=====================
 
-Ask the service that knows which workers a queue's policy allows.
+Ask the platform's advice service which workers a queue's policy allows.
 """
 
 from __future__ import annotations
@@ -17,45 +17,45 @@
 
 __all__ = ["AdviceClient"]
 
-TIMEOUT = 5.0  # s: the service decides about one worker after another, and one call at a time
+CALL_TIMEOUT_S = 5.0  # the service handles one call at a time, and its workers one after another
 
 
-class _Question(msgspec.Struct):
+class _Request(msgspec.Struct):
     step: str
     workers: tuple[str, ...]
 
 
 class _Answer(msgspec.Struct, rename="camel"):
-    """Hold rows of a worker's id and its ticket."""
+    """The answer; ``approved`` holds pairs of a worker's id and its ticket."""
 
     approved: list[tuple[str, str]] = []
     validity_ms: float = 0
 
 
 class AdviceClient:
-    """Call the advice service, from this host or through another."""
+    """Call the advice service, directly or through a peer."""
 
-    __slots__ = ("_caller",)
+    __slots__ = ("_transport",)
 
-    def __init__(self, caller: Transport) -> None:
-        self._caller = caller
+    def __init__(self, transport: Transport) -> None:
+        self._transport = transport
 
     async def ask(self, group: Group, workers: tuple[str, ...]) -> Advice:
         """
-        Ask which of ``workers`` may run a step.
+        Return which of ``workers`` may run a step.
 
         Raises
         ------
         CallError
-            If there was no usable answer; asking has no effect, so it may be repeated.
+            If there is no usable answer.  The call has no side effects and may be repeated.
         """
-        question = _Question(f"{group.job}.{group.occurrence}.{group.step}", workers)
+        question = _Request(f"{group.job}.{group.occurrence}.{group.step}", workers)
         body = msgspec.json.encode(question)
-        answer = await self._caller.call("POST", "/advise", body, timeout=TIMEOUT)
+        answer = await self._transport.call("POST", "/advise", body, timeout=CALL_TIMEOUT_S)
         if answer.status != 200:
             raise CallError(Verdict.NOT_RUN, f"the advice service answered {answer.status}")
         try:
             found = msgspec.json.decode(answer.body, type=_Answer)
         except msgspec.MsgspecError as error:
-            raise CallError(Verdict.NOT_RUN, f"advice can't be read: {error}") from error
+            raise CallError(Verdict.NOT_RUN, f"advice can't be decoded: {error}") from error
         return Advice(dict(found.approved), found.validity_ms / 1_000)
--- a/toucanpin/platform/exchange.py
+++ b/toucanpin/platform/exchange.py
@@ -1,9 +1,9 @@
 """
-One HTTP exchange with the platform
-===================================
+HTTP exchange with the platform
+===============================
 
-Sends a request once, never again by itself, and says of each failure whether it may have had an
-effect.
+Send each request once, without retries, and report for every failure whether the request may have
+taken effect.
 """
 
 from __future__ import annotations
@@ -20,17 +20,17 @@
 from toucanpin.platform.messages import CLIENT_HEADER, EFFECT_HEADER, EFFECT_NONE
 from toucanpin.platform.ports import StoreFault, Unavailable, Unknown
 
-__all__ = ["MAX_ANSWER", "Answer", "Exchange"]
+__all__ = ["MAX_ANSWER_BYTES", "Answer", "Exchange"]
 
-MAX_ANSWER = 64 * 1024 * 1024
-READ_SIZE = 65_536
-NOT_SENT = (NewConnectionError, ConnectTimeoutError)
-BROKEN = (HTTPError, http.client.HTTPException, OSError, ValueError)
+MAX_ANSWER_BYTES = 64 * 1024 * 1024
+READ_SIZE_BYTES = 65_536
+NOT_SENT_ERRORS = (NewConnectionError, ConnectTimeoutError)
+UNKNOWN_OUTCOME_ERRORS = (HTTPError, http.client.HTTPException, OSError, ValueError)
 
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """Hold one whole answer."""
+    """A complete answer."""
 
     status: int
     headers: Mapping[str, str]
@@ -39,36 +39,40 @@
 
 class Exchange:
     """
-    Exchange requests and answers with hosts of the platform; safe to use from several threads.
+    Send requests to hosts of the platform; thread-safe.
 
     Parameters
     ----------
     client
         Name of this process, sent with each request.
     timeout
-        Seconds for one exchange in whole.
+        Time limit of a whole exchange, in seconds.
     pools
-        Number of hosts to which connections are kept.
+        Maximum number of hosts with pooled connections.
     connections
-        Number of idle connections kept for each host.
+        Maximum number of pooled connections per host.
     """
 
     def __init__(self, client: str, timeout: float, pools: int = 8, connections: int = 8) -> None:
         self.client = client
         self.timeout = timeout
-        # retries=False: a repeated commit whose first answer was lost could apply twice.
+        # No retries: a commit whose answer was lost could be applied twice.
         self._pools = urllib3.PoolManager(num_pools=pools, maxsize=connections, retries=False)
 
     def send(self, method: str, url: str, body: bytes | None = None) -> Result[Answer, StoreFault]:
-        """Send one request; any status is an answer, but for one that states it had no effect."""
+        """
+        Send one request and return its answer, whatever the status.
+
+        A status whose headers state that the request had no effect is an Unavailable error.
+        """
         deadline = time.monotonic() + self.timeout
         try:
             answer = self._exchange(method, url, body, deadline)
-        except NOT_SENT as error:
+        except NOT_SENT_ERRORS as error:
             return Error(Unavailable(str(error)))
-        except BROKEN as error:
-            # The first byte may have been written, also when writing itself failed: a reset tells
-            # nothing of what the platform had read before.
+        except UNKNOWN_OUTCOME_ERRORS as error:
+            # Part of the request may have been sent even if writing failed: a reset doesn't show
+            # how much the platform had read before it.
             return Error(Unknown(f"{type(error).__name__}: {error}"))
         if answer.headers.get(EFFECT_HEADER) == EFFECT_NONE:
             return Error(Unavailable(f"status {answer.status}: {answer.body[:200]!r}"))
@@ -79,7 +83,7 @@
         self._pools.clear()
 
     def _exchange(self, method: str, url: str, body: bytes | None, deadline: float) -> Answer:
-        """Send one request and read its whole answer, or raise."""
+        """Send one request and return its complete answer."""
         headers = {CLIENT_HEADER: self.client, "Content-Type": "application/json"}
         response = self._pools.request(
             method,
@@ -101,19 +105,28 @@
 
 
 def read_body(response: urllib3.BaseHTTPResponse, deadline: float) -> bytes:
-    """Read a body of the stated length, or raise."""
-    # A head that is cut between two lines, or a chunked body that is cut at its end mark, looks
-    # whole to the library, and a body without a length ends where the connection does.  A length
-    # that is there, whole and met shows that nothing was cut: a cut head has no body.
+    """
+    Return a body that has the length stated by its Content-Length header.
+
+    Raises
+    ------
+    ValueError
+        If the length is missing, not met, or above MAX_ANSWER_BYTES.
+    TimeoutError
+        If the deadline passes while the body arrives.
+    """
+    # urllib3 accepts headers that are truncated between two lines and a chunked body that is
+    # truncated at its final chunk, and a body without a length ends with the connection.  A
+    # matching Content-Length rules out all three: truncated headers are followed by no body.
     stated = response.headers.get("Content-Length", "")
     if not stated.isdecimal():
         raise ValueError("the answer doesn't state its length")
     parts = []
     size = 0
-    while part := response.read1(READ_SIZE):
+    while part := response.read1(READ_SIZE_BYTES):
         parts.append(part)
         size += len(part)
-        if size > MAX_ANSWER:
+        if size > MAX_ANSWER_BYTES:
             raise ValueError("the answer is too long")
         if time.monotonic() > deadline:
             raise TimeoutError("the answer took too long")
--- a/toucanpin/platform/http.py
+++ b/toucanpin/platform/http.py
@@ -1,9 +1,10 @@
 """
-Adapters of the four ports over HTTP
-====================================
+HTTP adapters
+=============
 
-Speak the dialect of docs/PLATFORM.md.  Nothing that the platform answers raises into a decision: an
-answer that breaks the dialect is a fault, and one of a commit may have taken effect.
+Implement the four interfaces of ``ports`` over the HTTP protocol of docs/PLATFORM.md.  Invalid
+answers are returned as faults and never raised.  After an invalid answer to a commit, the commit
+may have taken effect.
 """
 
 from __future__ import annotations
@@ -45,35 +46,45 @@
 
 __all__ = ["HttpHostList", "HttpObjectStore", "HttpTable", "HttpWorkers"]
 
-DEFAULT_TIMEOUT = 2.0
-WORKER_POOLS = 4_096
+DEFAULT_TIMEOUT_S = 2.0
+MAX_WORKER_POOLS = 4_096
 
 T = TypeVar("T")
 
 
 class HttpTable:
-    """Read and change rows of the platform's table."""
+    """The platform's transactional table."""
 
-    def __init__(self, base_url: str, client: str, timeout: float = DEFAULT_TIMEOUT) -> None:
+    def __init__(self, base_url: str, client: str, timeout: float = DEFAULT_TIMEOUT_S) -> None:
         self._base = base_url.rstrip("/")
         self._exchange = Exchange(client, timeout)
 
     def read(self, key: str) -> Result[Row | None, StoreFault]:
-        """Read one row, None if absent."""
+        """Return one row, None if it doesn't exist."""
         url = f"{self._base}/table/row?{urlencode({'key': key})}"
         answer = self._exchange.send("GET", url)
         return answer.bind(lambda it: decode(it, RowAnswer)).map(lambda it: it.row)
 
     def scan(self, prefix: str, after: int = 0) -> Result[tuple[Row, ...], StoreFault]:
-        """Read, in key order, the rows below a prefix whose version is greater than ``after``."""
+        """Return, in key order, the rows with a prefix whose version is above ``after``."""
         url = f"{self._base}/table/rows?{urlencode({'prefix': prefix, 'after': after})}"
         answer = self._exchange.send("GET", url)
         return answer.bind(lambda it: decode(it, RowsAnswer)).map(lambda it: it.rows)
 
     def commit(self, transaction: Transaction) -> Result[Committed, CommitFault]:
-        """Apply a transaction, all or nothing; raise ValueError if it has too many rows."""
+        """
+        Apply a transaction atomically.
+
+        Raises
+        ------
+        ValueError
+            If it has more than MAX_TRANSACTION_ROWS rows.
+        """
         if len(transaction.writes) > MAX_TRANSACTION_ROWS:
-            raise ValueError(f"a transaction has at most {MAX_TRANSACTION_ROWS} rows")
+            raise ValueError(
+                f"transaction of {len(transaction.writes)} rows;"
+                f" at most {MAX_TRANSACTION_ROWS} are allowed"
+            )
         body = msgspec.json.encode(CommitRequest(transaction.token, transaction.writes))
         match self._exchange.send("POST", f"{self._base}/table/commit", body):
             case Result(tag="ok", ok=answer):
@@ -87,23 +98,23 @@
 
 
 class HttpObjectStore:
-    """Keep objects in the platform's store."""
+    """The platform's object store."""
 
-    def __init__(self, base_url: str, client: str, timeout: float = DEFAULT_TIMEOUT) -> None:
+    def __init__(self, base_url: str, client: str, timeout: float = DEFAULT_TIMEOUT_S) -> None:
         self._base = base_url.rstrip("/")
         self._exchange = Exchange(client, timeout)
 
     def put(self, name: str, body: bytes) -> Result[None, StoreFault]:
-        """Store an object; storing the same name again replaces it."""
+        """Store an object, replacing any of the same name."""
         answer = self._exchange.send("PUT", self._url(name), body)
         return answer.bind(read_put)
 
     def get(self, name: str) -> Result[bytes | None, StoreFault]:
-        """Read an object, None if absent."""
+        """Return an object, None if it doesn't exist."""
         return self._exchange.send("GET", self._url(name)).bind(read_object)
 
     def names(self, prefix: str) -> Result[tuple[str, ...], StoreFault]:
-        """List the names below a prefix."""
+        """Return the names of objects with a prefix."""
         url = f"{self._base}/objects?{urlencode({'prefix': prefix})}"
         answer = self._exchange.send("GET", url)
         return answer.bind(lambda it: decode(it, NamesAnswer)).map(lambda it: it.names)
@@ -113,19 +124,19 @@
         self._exchange.close()
 
     def _url(self, name: str) -> str:
-        """Return where an object is kept."""
+        """Return the URL of an object."""
         return f"{self._base}/objects/{quote(name, safe='')}"
 
 
 class HttpHostList:
-    """Read the platform's host list."""
+    """The platform's host list."""
 
-    def __init__(self, base_url: str, client: str, timeout: float = DEFAULT_TIMEOUT) -> None:
+    def __init__(self, base_url: str, client: str, timeout: float = DEFAULT_TIMEOUT_S) -> None:
         self._base = base_url.rstrip("/")
         self._exchange = Exchange(client, timeout)
 
     def hosts(self) -> Result[tuple[ListedHost, ...], StoreFault]:
-        """Read the whole list."""
+        """Return all hosts."""
         answer = self._exchange.send("GET", f"{self._base}/hosts")
         return answer.bind(lambda it: decode(it, HostsAnswer)).map(lambda it: it.hosts)
 
@@ -135,13 +146,13 @@
 
 
 class HttpWorkers:
-    """Speak with the workers' agents."""
+    """The agents on the workers."""
 
-    def __init__(self, client: str, timeout: float = DEFAULT_TIMEOUT) -> None:
-        self._exchange = Exchange(client, timeout, pools=WORKER_POOLS, connections=2)
+    def __init__(self, client: str, timeout: float = DEFAULT_TIMEOUT_S) -> None:
+        self._exchange = Exchange(client, timeout, pools=MAX_WORKER_POOLS, connections=2)
 
     def poll(self, host: ListedHost, poll: Poll) -> Result[Report, WorkerFault]:
-        """Send one poll and wait for its report."""
+        """Send one poll and return the worker's report."""
         url = f"http://{host.address}:{host.port}/poll"
         body = msgspec.json.encode(write_poll(poll))
         answer = self._exchange.send("POST", url, body)
@@ -152,18 +163,18 @@
         self._exchange.close()
 
 
-def decode(answer: Answer, form: type[T]) -> Result[T, StoreFault]:
-    """Decode a 200 answer; anything else breaks the dialect."""
+def decode(answer: Answer, message_type: type[T]) -> Result[T, StoreFault]:
+    """Decode the body of a 200 answer; any other status is a fault."""
     if answer.status != HTTPStatus.OK:
         return Error(Unknown(f"status {answer.status}: {answer.body[:200]!r}"))
     try:
-        return Ok(msgspec.json.decode(answer.body, type=form))
+        return Ok(msgspec.json.decode(answer.body, type=message_type))
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
         return Error(Unknown(f"the answer can't be understood: {error}"))
 
 
 def read_commit(answer: Answer) -> Result[Committed, CommitFault]:
-    """Tell a commit from a conflict."""
+    """Return the outcome of a commit, which may be a conflict."""
     if answer.status != HTTPStatus.CONFLICT:
         return decode(answer, CommitAnswer).map(lambda it: Committed(it.version))
     match decode(Answer(HTTPStatus.OK, answer.headers, answer.body), ConflictAnswer):
@@ -174,14 +185,14 @@
 
 
 def read_put(answer: Answer) -> Result[None, StoreFault]:
-    """Accept only the status that confirms a stored object."""
+    """Return None if the answer confirms that the object was stored."""
     if answer.status != HTTPStatus.OK:
         return Error(Unknown(f"status {answer.status}: {answer.body[:200]!r}"))
     return Ok(None)
 
 
 def read_object(answer: Answer) -> Result[bytes | None, StoreFault]:
-    """Tell an object from its absence; a 404 of anything else isn't taken for absence."""
+    """Return an object, None if the store states its absence; other 404 answers are faults."""
     if answer.status == HTTPStatus.OK:
         return Ok(answer.body)
     absent = answer.headers.get(OBJECT_HEADER) == OBJECT_ABSENT
@@ -191,5 +202,5 @@
 
 
 def read_worker_fault(fault: StoreFault) -> WorkerFault:
-    """Say of a fault whether the worker may have acted on the poll."""
+    """Return the worker's fault, ``reached`` if the worker may have acted on the poll."""
     return WorkerFault(fault.detail, reached=isinstance(fault, Unknown))
--- a/toucanpin/platform/job_messages.py
+++ b/toucanpin/platform/job_messages.py
@@ -1,8 +1,8 @@
 """
-Callers' interface of jobs
-==========================
+Messages of the job interface
+=============================
 
-Decode what callers hand in, and encode what they are told.
+Decode the jobs that callers submit and encode the states and counts that they read.
 """
 
 from __future__ import annotations
@@ -20,9 +20,9 @@
 from toucanpin.exception import ToucanpinError
 
 DEADLINE_HEADER = "x-deadline-ms"
-MAX_SPEC = 4_000  # bytes, by the platform's page
+MAX_SPEC_BYTES = 4_000  # the platform's limit
 _JOB_ID = re.compile(r"[0-9a-fA-F]{16}")
-_WORDS = {
+_STATE_NAMES = {
     JobState.PENDING: "pending",
     JobState.ACTIVE: "active",
     JobState.COMPLETED: "completed",
@@ -32,11 +32,11 @@
 
 
 class JobSyntaxError(ToucanpinError):
-    """Report a job that can't be read."""
+    """Raised if a submitted job can't be decoded."""
 
 
 class _Step(msgspec.Struct, rename="camel"):
-    """Hold a step; flags come as true, counts of fillers as a number or true."""
+    """A step of a job; ``fill_count`` arrives as a number or a boolean."""
 
     count: int = 1
     cpu: int = 0
@@ -70,25 +70,25 @@
 
 
 def is_job_id(text: str) -> bool:
-    """Tell whether a text is the id of a job."""
+    """Return whether ``text`` is a job id."""
     return _JOB_ID.fullmatch(text) is not None
 
 
 def decode_submission(identifier: str, queue: Queue, body: bytes, clock: int) -> Job:
     """
-    Decode a caller's job for a queue; ``clock`` is the table's, in ms.
+    Return the job in ``body``, accepted into ``queue`` at ``clock``, the store's time in ms.
 
     Raises
     ------
     JobSyntaxError
-        If the body isn't a job.
+        If the body is not a valid job.
     """
     try:
         submission = _decoder.decode(body)
     except msgspec.MsgspecError as error:
         raise JobSyntaxError(str(error)) from error
-    if len(submission.spec.encode()) > MAX_SPEC:
-        raise JobSyntaxError(f"spec has more than {MAX_SPEC} bytes")
+    if len(submission.spec.encode()) > MAX_SPEC_BYTES:
+        raise JobSyntaxError(f"spec has more than {MAX_SPEC_BYTES} bytes")
     return Job(
         id=identifier,
         queue=queue.name,
@@ -108,12 +108,12 @@
 
 
 def encode_state(state: JobState) -> bytes:
-    """Return a job's state as callers read it."""
-    return msgspec.json.encode({"state": _WORDS[state]})
+    """Return the JSON form of a job's state."""
+    return msgspec.json.encode({"state": _STATE_NAMES[state]})
 
 
 def encode_count(count: int) -> bytes:
-    """Return how many jobs of a queue wait."""
+    """Return the JSON form of the number of pending jobs in a queue."""
     return msgspec.json.encode({"pendingJobs": count})
 
 
--- a/toucanpin/platform/machines.py
+++ b/toucanpin/platform/machines.py
@@ -1,8 +1,9 @@
 """
-Machines of the platform
-========================
+Machines service client
+=======================
 
-List the machines below the workers, send them into upkeep, and read what operators ask of them.
+List the machines that host the workers, order their upkeep, and decode the upkeep waves
+that operators request.
 """
 
 from __future__ import annotations
@@ -30,7 +31,7 @@
 STATUS_TABLE = "status"
 WAVE_PREFIX = "wave/"
 T = TypeVar("T")
-TIMEOUT = 1.0  # s for one call; the platform may be slow
+CALL_TIMEOUT_S = 1.0
 MAX_PAGES = 200
 _HOLDER_HEADER = "X-Lease-Holder"
 _TOKEN_HEADER = "X-Fencing-Token"
@@ -43,16 +44,16 @@
 
 
 class UpkeepOutcome(enum.Enum):
-    """Say what became of an order to a machine."""
+    """Outcome of an order to begin a machine's upkeep."""
 
-    DONE = "done"  # now, or by an earlier order
+    DONE = "done"  # by this order or an earlier one
     FENCED = "fenced"
     BUSY = "busy"
     NOT_IN_WAVE = "not in wave"
     UNKNOWN_MACHINE = "unknown machine"
 
 
-_REASONS = {
+_REFUSALS = {
     "fence": UpkeepOutcome.FENCED,
     "busy": UpkeepOutcome.BUSY,
     "wave": UpkeepOutcome.NOT_IN_WAVE,
@@ -60,7 +61,7 @@
 
 
 class _Machine(msgspec.Struct, rename="camel"):
-    """Hold a machine; ``id`` is that of the worker which it is now."""
+    """A machine; ``id`` is that of the worker running on it."""
 
     machine: str
     pool: str = ""
@@ -68,8 +69,8 @@
     id: str | None = ""
 
 
-class _Named(msgspec.Struct):
-    """Hold what is sure of an entry that can't be read further."""
+class _MachineName(msgspec.Struct):
+    """The minimum of an entry, for entries that don't decode as a whole."""
 
     machine: str
 
@@ -89,7 +90,7 @@
 
 
 class _Wave(msgspec.Struct, rename="camel"):
-    """Hold a wave; the wire's ``cap`` is how many machines may be down for it at once."""
+    """An upkeep wave; at most ``cap`` of its machines may be down at once."""
 
     wave: int
     machines: tuple[str, ...] = ()
@@ -98,7 +99,11 @@
 
 
 class MachineClient:
-    """Call the platform's machines; orders carry their holder and its token."""
+    """
+    Call the platform's machines service.
+
+    Orders carry the name of their sender as the lease holder, and its fencing token.
+    """
 
     __slots__ = ("_client", "_holder")
 
@@ -107,41 +112,41 @@
         self._holder = holder
 
     def close(self) -> None:
-        """Close the connections."""
+        """Close the idle connections."""
         self._client.close()
 
     async def list(self) -> tuple[Machine, ...]:
         """
-        List all machines.
+        Return all machines.
 
         Raises
         ------
         CallError
-            If the list could not be read whole.
+            If the list can't be read completely.
         """
         machines: list[Machine] = []
         path = "/machines"
         for _ in range(MAX_PAGES):
-            answer = await self._client.call("GET", path, timeout=TIMEOUT)
+            answer = await self._client.call("GET", path, timeout=CALL_TIMEOUT_S)
             page = _decode(answer, _Page)
             machines += [_read_machine(raw) for raw in page.machines]
             if not page.next_token:
                 return tuple(machines)
             path = f"/machines?pageToken={quote(page.next_token)}"
-        raise CallError(Verdict.NOT_RUN, f"the machines fill more than {MAX_PAGES} pages")
+        raise CallError(Verdict.NOT_RUN, f"the list of machines has more than {MAX_PAGES} pages")
 
     async def begin_upkeep(self, machine: str, wave: int, token: int) -> UpkeepOutcome:
         """
-        Send a machine into its upkeep, which ends all that runs there.
+        Order a machine's upkeep, which ends all tasks that run on it.
 
         Raises
         ------
         CallError
-            If there was no answer; the order may have been carried out, and may be repeated.
+            If there is no answer.  The order may have been carried out and may be repeated.
         """
         body = msgspec.json.encode(_Upkeep(machine, wave))
         headers = ((_HOLDER_HEADER, self._holder), (_TOKEN_HEADER, str(token)))
-        answer = await self._client.call("POST", "/machine-upkeep", body, headers, TIMEOUT)
+        answer = await self._client.call("POST", "/machine-upkeep", body, headers, CALL_TIMEOUT_S)
         match answer.status:
             case 200:
                 return UpkeepOutcome.DONE
@@ -149,47 +154,55 @@
                 return UpkeepOutcome.UNKNOWN_MACHINE
             case 409:
                 reason = _decode(answer, _Refusal).reason
-                if reason in _REASONS:
-                    return _REASONS[reason]
-                raise PlatformError(f"an upkeep was refused for an unknown reason: {reason!r}")
-        raise CallError(Verdict.NOT_RUN, f"the machines' platform answered {answer.status}")
+                if reason in _REFUSALS:
+                    return _REFUSALS[reason]
+                raise PlatformError(f"upkeep of {machine} refused for an unknown reason {reason!r}")
+        raise CallError(Verdict.NOT_RUN, f"the machines service answered {answer.status}")
 
 
 def decode_wave(value: bytes) -> Wave:
-    """Decode what operators ask of some machines."""
+    """
+    Decode an upkeep wave that operators requested.
+
+    Raises
+    ------
+    PlatformError
+        If the value is not a valid wave.
+    """
     try:
         wave = msgspec.json.decode(value, type=_Wave)
     except (msgspec.MsgspecError, ValueError) as error:
-        raise PlatformError(f"a wave can't be read: {error}") from error
+        raise PlatformError(f"upkeep wave can't be decoded: {error}") from error
     return Wave(wave.wave, wave.machines, wave.duration_s, max(1, wave.cap))
 
 
 def encode_wave_status(completed: bool) -> bytes:
-    """Return how far a wave is, as operators read it."""
+    """Return the JSON form of a wave's state."""
     return msgspec.json.encode({"state": "completed" if completed else "active"})
 
 
 def _decode(answer: Answer, kind: type[T]) -> T:
     if answer.status not in (200, 409):
-        raise CallError(Verdict.NOT_RUN, f"the machines' platform answered {answer.status}")
+        raise CallError(Verdict.NOT_RUN, f"the machines service answered {answer.status}")
     try:
         return msgspec.json.decode(answer.body, type=kind)
     except msgspec.MsgspecError as error:
-        detail = f"an answer about machines can't be read: {error}"
+        detail = f"the machines service's answer can't be decoded: {error}"
         raise CallError(Verdict.MAY_HAVE_RUN, detail) from error
 
 
 def _read_machine(raw: msgspec.Raw) -> Machine:
     """
-    Read one entry of the list.
+    Decode one entry of the list.
 
-    A machine of which only the name can be read is there, and nothing is ordered of it: taken for
-    gone, it would be counted as through its upkeep.
+    An entry of which only the name can be decoded counts as a machine that is down, so it gets no
+    orders.  Without it the machine would count as removed, and its upkeep as completed.
 
     Raises
     ------
     CallError
-        If not even that can be read: then no machine can be said to be gone.
+        If not even the name can be decoded, since any machine that is missing from the list could
+        be this one.
     """
     try:
         machine = msgspec.json.decode(raw, type=_Machine)
@@ -201,7 +214,7 @@
 
 def _read_name(raw: msgspec.Raw) -> str:
     try:
-        return msgspec.json.decode(raw, type=_Named).machine
+        return msgspec.json.decode(raw, type=_MachineName).machine
     except (msgspec.MsgspecError, ValueError) as error:
-        detail = f"an entry of the list of machines names none: {error}"
+        detail = f"an entry in the list of machines has no valid name: {error}"
         raise CallError(Verdict.MAY_HAVE_RUN, detail) from error
--- a/toucanpin/platform/messages.py
+++ b/toucanpin/platform/messages.py
@@ -1,8 +1,8 @@
 """
-Messages of the platform's HTTP dialect
-=======================================
+Messages of the platform's HTTP protocol
+========================================
 
-The JSON forms that the adapters and the stand-ins exchange; docs/PLATFORM.md describes them.
+JSON messages that the adapters and the stand-ins exchange, as described in docs/PLATFORM.md.
 """
 
 from __future__ import annotations
@@ -51,50 +51,50 @@
 
 
 class RowAnswer(msgspec.Struct, frozen=True):
-    """Answer the read of one row."""
+    """Answer to a read of one row."""
 
     row: Row | None
 
 
 class RowsAnswer(msgspec.Struct, frozen=True):
-    """Answer a scan."""
+    """Answer to a scan."""
 
     rows: tuple[Row, ...]
 
 
 class CommitRequest(msgspec.Struct, frozen=True):
-    """Ask for a transaction."""
+    """Request to apply a transaction."""
 
     token: str
     writes: tuple[Write, ...]
 
 
 class CommitAnswer(msgspec.Struct, frozen=True):
-    """Answer a transaction that was applied."""
+    """Answer to a transaction that was applied."""
 
     version: int
 
 
 class ConflictAnswer(msgspec.Struct, frozen=True):
-    """Answer a transaction that found rows at other versions."""
+    """Answer to a transaction that was refused, with the rows at unexpected versions."""
 
     rows: tuple[Row, ...]
 
 
 class NamesAnswer(msgspec.Struct, frozen=True):
-    """Answer a listing of objects."""
+    """Answer to a listing of objects."""
 
     names: tuple[str, ...]
 
 
 class HostsAnswer(msgspec.Struct, frozen=True):
-    """Answer a reading of the host list."""
+    """Answer to a read of the host list."""
 
     hosts: tuple[ListedHost, ...]
 
 
 class OrderMessage(msgspec.Struct, frozen=True, omit_defaults=True):
-    """Carry one order in the one field that is set."""
+    """One order, in the field of its kind; the other fields are None."""
 
     start: Start | None = None
     stop: Stop | None = None
@@ -104,7 +104,7 @@
 
 
 class PollRequest(msgspec.Struct, frozen=True):
-    """Ask a worker for its report."""
+    """Request for a worker's report, with the orders for it."""
 
     epoch: int
     incarnation: str
@@ -113,7 +113,7 @@
 
 
 def write_order(order: Order) -> OrderMessage:
-    """Put an order into the field of its kind."""
+    """Return the message that carries an order."""
     match order:
         case Start():
             return OrderMessage(start=order)
@@ -128,7 +128,14 @@
 
 
 def read_order(message: OrderMessage) -> Order:
-    """Return the one order of a message, or raise ValueError."""
+    """
+    Return the order in a message.
+
+    Raises
+    ------
+    ValueError
+        If not exactly one field is set.
+    """
     fields = (message.start, message.stop, message.throttle, message.checkpoint, message.forget)
     orders = [order for order in fields if order is not None]
     if len(orders) != 1:
@@ -137,12 +144,19 @@
 
 
 def write_poll(poll: Poll) -> PollRequest:
-    """Turn a poll into its JSON form."""
+    """Return the request that carries a poll."""
     orders = tuple(write_order(order) for order in poll.orders)
     return PollRequest(poll.epoch, poll.incarnation, poll.lease_until, orders)
 
 
 def read_poll(request: PollRequest) -> Poll:
-    """Turn the JSON form into a poll, or raise ValueError."""
+    """
+    Return the poll in a request.
+
+    Raises
+    ------
+    ValueError
+        If one of its orders is invalid.
+    """
     orders = tuple(read_order(message) for message in request.orders)
     return Poll(request.epoch, request.incarnation, request.lease_until, orders)
--- a/toucanpin/platform/nodefile.py
+++ b/toucanpin/platform/nodefile.py
@@ -1,8 +1,8 @@
 """
-Settings file of the platform
-=============================
+Node settings file
+==================
 
-Read the file of ``name=value`` lines that the platform lays on each host.
+Read the file of ``name=value`` lines that the platform provides on each host.
 """
 
 from __future__ import annotations
@@ -15,13 +15,13 @@
 
 __all__ = ["parse_settings", "read_settings"]
 
-VARIABLE = "TOUCANPIN_NODE_FILE"
+PATH_VARIABLE = "TOUCANPIN_NODE_FILE"
 DEFAULT_PATH = "/etc/toucanpin/local.conf"
 
 
 def read_settings() -> HostSettings:
-    """Read the settings of this process."""
-    path = Path(os.environ.get(VARIABLE, DEFAULT_PATH))
+    """Return the settings in this host's file."""
+    path = Path(os.environ.get(PATH_VARIABLE, DEFAULT_PATH))
     try:
         text = path.read_text()
     except OSError as error:
@@ -31,18 +31,18 @@
 
 def parse_settings(text: str) -> HostSettings:
     """
-    Decode the text of a settings file; unknown names are ignored.
+    Return the settings in the text of a file; unknown names are ignored.
 
     Raises
     ------
     SettingsError
-        If a name that is needed is missing or its value can't be used.
+        If required names are missing or values are invalid; lists all of them.
     """
     reader = _Reader(text)
     mode = reader.text("controlMode", "invoke")
     if mode != "invoke":
         reader.faults.append(f"controlMode={mode}: only invoke is supported")
-    # The two names are one letter apart on the page: seconds end in S or _s, the others in Ms.
+    # Units differ: names that end in S or _s are in seconds, those in Ms or _ms in milliseconds.
     bounds = Bounds(
         longest_lease=reader.number("bounds.maxHoldMs", 10_000) / 1_000,
         stop=reader.number("bounds.stopTimeoutMs", 200) / 1_000,
@@ -71,7 +71,7 @@
         heartbeat=reader.number("heartbeatMs", 1_100) / 1_000,
         max_row=int(reader.number("platform.rowBytes", 65_536)),
         bounds=bounds,
-        # The platform gives a share of one core that is so many times as fast.
+        # The platform grants a share of one core that is ``limits.cores`` times as fast.
         cores=reader.number("limits.cpuShare", 1) * reader.number("limits.cores", 1),
     )
     if reader.faults:
@@ -80,7 +80,7 @@
 
 
 class _Reader:
-    """Read values by name and collect the faults."""
+    """Reads values by name and collects the faults found."""
 
     def __init__(self, text: str) -> None:
         lines = (line.strip() for line in text.splitlines())
@@ -102,12 +102,12 @@
         try:
             return float(value)
         except ValueError:
-            self.faults.append(f"{name}={value} is no number")
+            self.faults.append(f"{name}={value} is not a number")
             return default
 
     def address(self, name: str) -> str:
         value = self.text(name)
         host, _, port = value.rpartition(":")
         if value and not (host and port.isdigit()):
-            self.faults.append(f"{name}={value} is no address with a port")
+            self.faults.append(f"{name}={value} is not an address with a port")
         return value
--- a/toucanpin/platform/ports.py
+++ b/toucanpin/platform/ports.py
@@ -1,10 +1,10 @@
 """
-Ports of the platform
-=====================
+Interfaces to the platform
+==========================
 
-The four narrow interfaces behind which the platform stands: the transactional table, the object
-store, the host list and the workers.  An adapter for another dialect of the platform implements
-these protocols and changes nothing else.
+The four interfaces through which the platform is used: the transactional table, the object store,
+the host list and the workers.  An adapter for another platform implements these protocols; nothing
+else depends on the platform's messages.
 """
 
 from __future__ import annotations
@@ -48,16 +48,16 @@
     "Write",
 ]
 
-ABSENT = 0
+ABSENT = 0  # version expected of a row that must not exist
 MAX_TRANSACTION_ROWS = 64
 
 
 @dataclass(frozen=True, slots=True)
 class Row:
     """
-    Hold one row of the table.
+    A row of the table.
 
-    Versions are positions in the table's one commit order: they only grow, also over rows.
+    Versions are positions in the table's single commit order, so they increase across all rows.
     """
 
     key: str
@@ -68,10 +68,10 @@
 @dataclass(frozen=True, slots=True)
 class Write:
     """
-    Change one row if its version is still the expected one.
+    A write of one row, conditional on the row's version.
 
     ``expected`` is ABSENT for a row that must not exist; ``value`` is None to delete the row.
-    With ``check_only`` the version is compared and the row left as it is.
+    With ``check_only`` the version is checked and the row isn't written.
     """
 
     key: str
@@ -82,7 +82,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Transaction:
-    """Commit all writes or none; ``token`` is unique to this attempt and names it in logs."""
+    """Writes to apply atomically; ``token`` is unique to this attempt and identifies it in logs."""
 
     token: str
     writes: tuple[Write, ...]
@@ -90,28 +90,32 @@
 
 @dataclass(frozen=True, slots=True)
 class Committed:
-    """Give the one version that all rows of a transaction received."""
+    """A transaction was applied; ``version`` is the new version of all its rows."""
 
     version: int
 
 
 @dataclass(frozen=True, slots=True)
 class Conflict:
-    """Give the rows, as they stand, that were not at the expected version (absent: version 0)."""
+    """
+    A transaction was refused, as rows were not at their expected versions.
+
+    ``rows`` holds these rows in their current state; a row that doesn't exist has version 0.
+    """
 
     rows: tuple[Row, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class Unavailable:
-    """Say that the store could not be asked: the operation certainly had no effect."""
+    """The operation certainly had no effect."""
 
     detail: str
 
 
 @dataclass(frozen=True, slots=True)
 class Unknown:
-    """Say that the answer was lost: the operation may have taken effect, or may still do so."""
+    """The operation's answer was lost; it may have taken effect or may still do so."""
 
     detail: str
 
@@ -121,40 +125,40 @@
 
 
 class Table(Protocol):
-    """Read and change rows; a commit counts as one write of the budget."""
+    """The transactional table; a commit counts as one write against the write budget."""
 
     def read(self, key: str) -> Result[Row | None, StoreFault]:
-        """Read one row, None if absent."""
+        """Return one row, None if it doesn't exist."""
         ...
 
     def scan(self, prefix: str, after: int = 0) -> Result[tuple[Row, ...], StoreFault]:
-        """Read, in key order, the rows below a prefix whose version is greater than ``after``."""
+        """Return, in key order, the rows with a prefix whose version is above ``after``."""
         ...
 
     def commit(self, transaction: Transaction) -> Result[Committed, CommitFault]:
-        """Apply a transaction of at most MAX_TRANSACTION_ROWS rows, all or nothing."""
+        """Apply a transaction of at most MAX_TRANSACTION_ROWS rows atomically."""
         ...
 
 
 class ObjectStore(Protocol):
-    """Keep immutable byte strings by name."""
+    """Byte strings stored under names."""
 
     def put(self, name: str, body: bytes) -> Result[None, StoreFault]:
-        """Store an object; storing the same name again replaces it."""
+        """Store an object, replacing any of the same name."""
         ...
 
     def get(self, name: str) -> Result[bytes | None, StoreFault]:
-        """Read an object, None if absent."""
+        """Return an object, None if it doesn't exist."""
         ...
 
     def names(self, prefix: str) -> Result[tuple[str, ...], StoreFault]:
-        """List the names below a prefix."""
+        """Return the names of objects with a prefix."""
         ...
 
 
 @dataclass(frozen=True, slots=True)
 class Size:
-    """Measure what a task takes or a host has: processors, memory in MiB, accelerators."""
+    """Resources of a task or a host: processors, memory in MiB, accelerators."""
 
     processors: int
     memory: int
@@ -162,7 +166,7 @@
 
 
 class HostRole(enum.Enum):
-    """Say what a listed host is for."""
+    """Role of a listed host."""
 
     ENTRY = "entry"
     WORKER = "worker"
@@ -172,9 +176,10 @@
 @dataclass(frozen=True, slots=True)
 class ListedHost:
     """
-    Describe one host as the platform lists it; the list lags behind reality both ways.
+    A host in the platform's list.
 
-    ``service`` names the service of an instance; ``size`` is the capacity of a worker.
+    The list is delayed: it may lack new hosts and hold hosts that are gone.  ``service`` names the
+    service of an instance; ``size`` is the capacity of a worker.
     """
 
     name: str
@@ -191,15 +196,15 @@
 
 
 class HostList(Protocol):
-    """List the hosts that the platform believes live or leaving."""
+    """The hosts that the platform considers live or leaving."""
 
     def hosts(self) -> Result[tuple[ListedHost, ...], StoreFault]:
-        """Read the whole list."""
+        """Return all hosts."""
         ...
 
 
 class TaskState(enum.Enum):
-    """Say what a worker last did with one attempt of a task."""
+    """State of an attempt of a task on a worker."""
 
     RUNNING = "running"
     FINISHED = "finished"
@@ -210,10 +215,11 @@
 @dataclass(frozen=True, slots=True)
 class Start:
     """
-    Start one attempt, which the worker refuses unless it is higher than any it saw of the task.
+    Order to start an attempt.
 
-    ``checkpoint`` names the object to resume from, empty for none; ``output`` names the object
-    that receives the result; ``standing`` tasks have no end of their own.
+    The worker refuses it unless its number is higher than that of every attempt it has seen of the
+    task.  ``checkpoint`` names the object to resume from, empty for none; ``output`` names the
+    object that receives the result; ``standing`` tasks run until they are stopped.
     """
 
     task: str
@@ -228,7 +234,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Stop:
-    """Stop an attempt, after writing ``checkpoint`` if it is named, and refuse it from then on."""
+    """
+    Order to stop an attempt and to refuse any later start of it.
+
+    If ``checkpoint`` isn't empty, the attempt's progress is first written to the object it names.
+    """
 
     task: str
     attempt: int
@@ -237,7 +247,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Throttle:
-    """Limit a running attempt to a share of its processors, between 0.05 and 1.0."""
+    """Order to limit a running attempt to a share of its processors, from 0.05 to 1.0."""
 
     task: str
     attempt: int
@@ -246,7 +256,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Checkpoint:
-    """Write the attempt's progress to the named object and let it run on."""
+    """Order to write a running attempt's progress to the object ``name``."""
 
     task: str
     attempt: int
@@ -255,7 +265,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Forget:
-    """Drop an ended attempt from the worker's reports, once its outcome is in the table."""
+    """Order to drop an ended attempt, whose outcome is in the table, from the reports."""
 
     task: str
     attempt: int
@@ -267,12 +277,12 @@
 @dataclass(frozen=True, slots=True)
 class Poll:
     """
-    Renew a worker's lease, give it orders and ask for its report, in one message.
+    A message that renews a worker's lease, gives it orders and requests its report.
 
-    The lease ends at ``lease_until`` on the worker's own monotonic clock (milliseconds), computed
-    from a clock reading in an earlier report, so a delayed poll can't lengthen it.  Zero renews
-    nothing.  A worker refuses the whole poll if ``epoch`` is lower than the highest it has seen,
-    or if ``incarnation`` is neither empty nor its own.
+    The lease ends at ``lease_until`` on the worker's monotonic clock, in milliseconds.  It is
+    computed from a clock reading in an earlier report, so a delayed poll can't extend the lease.
+    With 0 the lease isn't renewed.  A worker refuses the whole poll if ``epoch`` is lower than the
+    highest it has seen, or if ``incarnation`` is neither empty nor its own.
     """
 
     epoch: int
@@ -284,10 +294,10 @@
 @dataclass(frozen=True, slots=True)
 class TaskReport:
     """
-    Report one attempt: its state, the newest checkpoint written and its usage.
+    State, latest checkpoint and resource usage of an attempt.
 
-    ``progress`` is in the task's own units of work; ``processors`` and ``memory`` (MiB) are
-    measured use, as of ``sampled_at`` on the worker's clock (milliseconds).
+    ``progress`` is in the task's own units of work; ``processors`` and ``memory`` (MiB) are the
+    usage measured at ``sampled_at`` on the worker's clock, in milliseconds.
     """
 
     task: str
@@ -303,7 +313,7 @@
 
 @dataclass(frozen=True, slots=True)
 class UsageSample:
-    """Measure the p99 latency in milliseconds of a service on this host at a past instant."""
+    """Load and p99 latency, in milliseconds, of a service on the worker at ``sampled_at``."""
 
     service: str
     sampled_at: int
@@ -314,11 +324,11 @@
 @dataclass(frozen=True, slots=True)
 class Report:
     """
-    Answer a poll; ``accepted`` is False if the poll was refused and changed nothing.
+    Answer to a poll; ``accepted`` is False if the poll was refused and had no effect.
 
-    ``clock`` is the worker's monotonic clock (milliseconds) when the report was made, ``epoch``
-    the highest epoch it has seen.  ``lapsed`` is True once its lease has run out: its guard has
-    then stopped every task, and a new lease starts it afresh.
+    ``clock`` is the worker's monotonic clock, in milliseconds, when the report was made; ``epoch``
+    is the highest epoch it has seen.  ``lapsed`` is True once its lease has expired: the worker has
+    then stopped every task, and takes new ones once it has a new lease.
     """
 
     worker: str
@@ -334,15 +344,15 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkerFault:
-    """Say that a worker gave no answer; ``reached`` is True if it may have acted on the poll."""
+    """A worker gave no answer; ``reached`` is True if it may have acted on the poll."""
 
     detail: str
     reached: bool
 
 
 class Workers(Protocol):
-    """Speak with the workers' own agents."""
+    """The agents on the workers."""
 
     def poll(self, host: ListedHost, poll: Poll) -> Result[Report, WorkerFault]:
-        """Send one poll and wait for its report."""
+        """Send one poll and return the worker's report."""
         ...
--- a/toucanpin/platform/queues.py
+++ b/toucanpin/platform/queues.py
@@ -1,8 +1,8 @@
 """
-Operators' configuration on the platform
-========================================
+Operators' configuration
+========================
 
-Decode the document of queues and services that the operators keep in the store.
+Decode the document of queues and services that operators maintain in the store.
 """
 
 from __future__ import annotations
@@ -25,11 +25,16 @@
 OPERATORS_TABLE = "op"
 CONFIGURATION_KEY = "config"
 EVACUATION_PREFIX = "evacuate/"
-EVACUATION_END_KEY = "evacuate0"  # the first key behind those of evacuations
+EVACUATION_END_KEY = "evacuate0"  # the first key after all with EVACUATION_PREFIX
 
 
 class _Advice(msgspec.Struct, rename="camel"):
-    """Hold what a call for advice takes, what each worker in it adds, and how long it holds."""
+    """
+    Advice service of a queue.
+
+    A call takes ``decision_ms`` and ``period_ms`` more for each worker in it; its answer is valid
+    for ``validity_ms``.
+    """
 
     decision_ms: float = 0
     period_ms: float = 0
@@ -37,7 +42,7 @@
 
 
 class _Route(msgspec.Struct, rename="camel"):
-    """Hold a route, which the pages also call a queue."""
+    """A route, the platform's term for a queue."""
 
     name: str = ""
     host: str = ""
@@ -74,17 +79,17 @@
 
 def decode_configuration(value: bytes) -> Configuration:
     """
-    Decode the operators' document.
+    Return the configuration in the operators' document.
 
     Raises
     ------
     PlatformError
-        If it isn't one.
+        If the document is invalid.
     """
     try:
         document = _decoder.decode(value)
     except (msgspec.MsgspecError, ValueError) as error:
-        raise PlatformError(f"the operators' configuration can't be read: {error}") from error
+        raise PlatformError(f"operators' configuration can't be decoded: {error}") from error
     queues = tuple(_to_queue(route) for route in document.routes)
     services = {
         service.name: Service(service.name, service.rejects_overload, service.standby)
@@ -97,7 +102,7 @@
 
 
 def list_evacuated_data_centres(keys: Iterable[str]) -> frozenset[str]:
-    """Return the data centres that operators' rows name as evacuated, whatever the rows hold."""
+    """Return the data centres to evacuate, which the keys name; the rows' values don't matter."""
     named = (
         key.removeprefix(EVACUATION_PREFIX) for key in keys if key.startswith(EVACUATION_PREFIX)
     )
--- a/toucanpin/platform/store.py
+++ b/toucanpin/platform/store.py
@@ -1,8 +1,8 @@
 """
-Store of the platform
-=====================
+Store client
+============
 
-Rows in tables: conditional transactions, ranges, and what has changed.
+Read and follow the rows of the platform's store, and write them in conditional transactions.
 """
 
 from __future__ import annotations
@@ -33,18 +33,19 @@
     "Store",
 ]
 
-READ_TIMEOUT_S = 2.0  # s: a healthy answer takes 10 ms, one of a store 60 times slower 0.6 s
-PAGE_ROWS = 150  # rows asked for at a time, so that a page also passes the inner protocol
-BACKGROUND_PAGE_ROWS = 40  # rows asked for at a time where nobody waits for them
-MAX_PAGE_ROWS = 500  # rows of one answer, by the platform's page
+READ_TIMEOUT_S = 2.0  # a healthy store answers in 10 ms, one that is 60 times slower in 0.6 s
+PAGE_ROWS = 150  # small enough for a page to fit the inner protocol
+BACKGROUND_PAGE_ROWS = 40  # for reads that nothing waits for
+MAX_PAGE_ROWS = 500  # the platform's limit
 
 
 @dataclass(frozen=True, slots=True)
 class Row:
     """
-    Hold one row; ``version`` is 0 where it doesn't exist.
+    A row; ``version`` is 0 if it doesn't exist.
 
-    ``sound`` tells whether its value could be read at all; other writers' rows may hold anything.
+    ``part`` is the partition of the table.  ``readable`` is False if the value could not be
+    decoded, since other writers may store anything.
     """
 
     table: str
@@ -58,7 +59,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ExpectedVersion:
-    """Demand the version that a row must have for a transaction to apply; 0 means none."""
+    """The version that a row must have for a transaction to apply; 0 if it must not exist."""
 
     table: str
     key: str
@@ -67,7 +68,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Put:
-    """Write one row, or drop it where ``value`` is None."""
+    """A write of one row, or its removal if ``value`` is None."""
 
     table: str
     key: str
@@ -76,7 +77,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Committed:
-    """Say that a transaction was applied; ``clock`` is the store's, in ms."""
+    """A transaction was applied; ``clock`` is the store's time, in ms."""
 
     version: int
     clock: int
@@ -84,14 +85,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Conflict:
-    """Say that a transaction was not applied, with the rows that it named as they are."""
+    """A transaction was not applied; ``rows`` holds the current state of the rows it named."""
 
     rows: tuple[Row, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class Page:
-    """Hold rows as of one moment: ``version`` is the store's newest then, ``clock`` its time."""
+    """Rows at one point in time; ``version`` is the store's version then, ``clock`` its time."""
 
     rows: tuple[Row, ...]
     more: bool
@@ -100,7 +101,7 @@
 
 
 class Transport(Protocol):
-    """Call the store, directly or through a peer."""
+    """Carries requests to a service of the platform, directly or through a peer."""
 
     async def call(
         self, method: str, path: str, body: bytes = b"", *, timeout: float = 1.0
@@ -108,7 +109,7 @@
 
 
 class _Key(msgspec.Struct, rename="camel"):
-    """Name a row in a request; the wire calls the version of a row ``rowVersion``."""
+    """A row's name in a request."""
 
     table: str
     part: str
@@ -130,7 +131,7 @@
 
 
 class _Transaction(msgspec.Struct, rename="camel"):
-    """The wire calls the conditions ``expectedRevision`` though each holds a row's version."""
+    """A transaction; the conditions in ``expected_revision`` hold row versions."""
 
     expected_revision: list[_Expectation]
     puts: list[_Value]
@@ -138,7 +139,7 @@
 
 
 class _WireRow(msgspec.Struct, rename="camel"):
-    """Hold a row; its value is text in base64, or whatever another writer has left there."""
+    """A row; its value should be base64 text, but other writers may store anything."""
 
     table: str = ""
     part: str = ""
@@ -156,17 +157,17 @@
 
 
 class Store:
-    """Speak to the store in rows; every failure says whether a write may still take effect."""
+    """Client of the store; every failed write reports whether it may still take effect."""
 
-    __slots__ = ("_caller", "clock", "clock_estimate")
+    __slots__ = ("_transport", "clock", "clock_estimate")
 
-    def __init__(self, caller: Transport) -> None:
-        self._caller = caller
-        self.clock = 0  # the store's own, in ms, from its newest answer
+    def __init__(self, transport: Transport) -> None:
+        self._transport = transport
+        self.clock = 0  # the store's time, in ms, in its newest answer
         self.clock_estimate = ClockEstimate()
 
     def read_clock(self) -> int:
-        """Return the store's clock as it is now, in ms, not as its newest answer told it."""
+        """Return an estimate of the store's current time, in ms, no earlier than ``clock``."""
         return max(self.clock, int(self.clock_estimate.read(steady_time())))
 
     async def transact(
@@ -177,12 +178,13 @@
         timeout: float = READ_TIMEOUT_S,
     ) -> Committed | Conflict:
         """
-        Apply all of ``puts`` in one part if all of ``expected`` holds, or nothing.
+        Apply all of ``puts`` to one part if all of ``expected`` hold, and nothing otherwise.
 
         Raises
         ------
         CallError
-            If nothing was done, or it isn't known; a write that isn't known may come seconds later.
+            If nothing was applied or the outcome is unknown.  A write with an unknown outcome may
+            still take effect seconds later.
         """
         transaction = _Transaction(
             [_Expectation(e.table, part, e.key, e.version) for e in expected],
@@ -204,12 +206,12 @@
         limit: int = MAX_PAGE_ROWS,
         timeout: float = READ_TIMEOUT_S,
     ) -> Page:
-        """Read the rows of a range of keys that excludes ``end``, as of one moment."""
+        """Return the rows with keys from ``start`` up to, not including, ``end``."""
         path = f"/rows-get?table={quote(table)}&part={quote(part)}&limit={limit}"
         if start:
             path += f"&from={quote(start)}"
         if end:
-            # The wire's name of the end of a range also stands for other things elsewhere.
+            # ``target`` is the platform's name for the end of a range in this call only.
             path += f"&target={quote(end)}"
         _, rows = await self._call("GET", path, b"", (200,), timeout)
         return self._to_page(rows)
@@ -224,11 +226,11 @@
         after_page: Callable[[float], Awaitable[None]] | None = None,
     ) -> Page:
         """
-        Read all rows of a range in a part, however many pages they fill.
+        Return all rows of a range of keys, with the version and clock of the first page.
 
-        ``version`` and ``clock`` are those of the first page.  A page that wasn't read is asked for
-        again after ``unread``, and the next one after a ``rest`` that is told how many seconds this
-        one took, where these are given.
+        If ``on_error`` is given, it is awaited after each page that can't be read, and the page is
+        then requested again.  If ``after_page`` is given, it is awaited after each page, with the
+        seconds that the page took.
         """
         rows: list[Row] = []
         first: Page | None = None
@@ -259,35 +261,40 @@
         self, table: str, after: int, wait: float, margin: float = READ_TIMEOUT_S
     ) -> Page | None:
         """
-        Wait for changes of a table after a version; None if that history is gone.
+        Wait for changes to a table after a version; return None if they are no longer kept.
 
-        ``margin`` is for how long beyond its wait an answer is waited for.
+        The call times out ``margin`` seconds after the ``wait`` seconds given to the store.
         """
         path = f"/rows-feed?table={quote(table)}&after={after}&waitMs={int(wait * 1_000)}"
         answer, rows = await self._call("GET", path, b"", (200, 410), wait + margin)
         return None if answer.status == 410 else self._to_page(rows)
 
     async def _call(
-        self, method: str, path: str, body: bytes, good: tuple[int, ...], timeout: float
+        self,
+        method: str,
+        path: str,
+        body: bytes,
+        accepted: tuple[int, ...],
+        timeout: float,
     ) -> tuple[Answer, _WireRows]:
         sent = steady_time()
-        answer = await self._caller.call(method, path, body, timeout=timeout)
+        answer = await self._transport.call(method, path, body, timeout=timeout)
         received = steady_time()
-        rows = _WireRows() if answer.status == 410 else self._decode(answer, good)
+        rows = _WireRows() if answer.status == 410 else self._decode(answer, accepted)
         if rows.now_ms:
             self.clock_estimate.note(rows.now_ms, sent, received)
         return answer, rows
 
-    def _decode(self, answer: Answer, good: tuple[int, ...]) -> _WireRows:
+    def _decode(self, answer: Answer, accepted: tuple[int, ...]) -> _WireRows:
         if answer.status in (429, 503):
             detail = f"the store refused with {answer.status}"
             raise CallError(Verdict.NOT_RUN, detail, answer.status)
-        if answer.status not in good:
+        if answer.status not in accepted:
             raise PlatformError(f"the store answered {answer.status}: {answer.body[:200]!r}")
         try:
             rows = msgspec.json.decode(answer.body, type=_WireRows)
         except msgspec.MsgspecError as error:
-            detail = f"the store's answer can't be read: {error}"
+            detail = f"the store's answer can't be decoded: {error}"
             raise CallError(Verdict.MAY_HAVE_RUN, detail) from error
         self.clock = max(self.clock, int(rows.now_ms))
         return rows
@@ -301,7 +308,7 @@
 
 
 def _read_row(raw: msgspec.Raw) -> Iterable[Row]:
-    """Yield a row, whatever its value is; what has no key of its own names nothing."""
+    """Yield the row whatever its value is, or nothing if its other fields can't be decoded."""
     try:
         row = msgspec.json.decode(raw, type=_WireRow)
     except (msgspec.MsgspecError, ValueError):
@@ -312,7 +319,7 @@
 
 
 def _read_value(raw: msgspec.Raw) -> bytes | None:
-    """Return the bytes of a value, None if they can't be read."""
+    """Return the bytes of a value, None if it isn't base64 text."""
     try:
         return binascii.a2b_base64(msgspec.json.decode(raw, type=str), strict_mode=True)
     except (msgspec.MsgspecError, ValueError):
--- a/toucanpin/platform/workers.py
+++ b/toucanpin/platform/workers.py
@@ -1,8 +1,9 @@
 """
-Workers of the platform
-=======================
+Worker client
+=============
 
-The workers' own entries in the store, and the calls that start, stop, pace and hold tasks.
+Decode the workers' entries in the store, and call workers to start, stop and throttle tasks and to
+renew their leases.
 """
 
 from __future__ import annotations
@@ -36,11 +37,11 @@
 ]
 
 WORKERS_TABLE = "servers"
-CALL_TIMEOUT = 0.5  # s: an order takes 2 ms, so 0.5 s without an answer means a lost one
-# Sizes beyond these are no worker's; believed, one entry would seem to have room for all tasks.
-MOST_CPU = 10_000_000  # thousandths of a core: 10,000 cores
-MOST_MEMORY = 1_000_000_000  # MB: 1 PB
-MOST_ACCELERATORS = 10_000
+CALL_TIMEOUT_S = 0.5  # an order takes 2 ms, so after 0.5 s its answer is lost
+# Entries with larger capacities are invalid; one of them would otherwise attract all tasks.
+MAX_CPU_MILLICORES = 10_000_000  # 10,000 cores
+MAX_MEMORY_MB = 1_000_000_000  # 1 PB
+MAX_ACCELERATORS = 10_000
 _INSTANCE_HEADER = "X-Expect-Instance"
 _ENDS = {
     "done": RunEnd.DONE,
@@ -60,21 +61,21 @@
 
 
 class WorkerReplacedError(CallError):
-    """Report that another life of the worker answers: what the earlier one ran is gone."""
+    """Raised if another incarnation of the worker answers; tasks of the earlier one are lost."""
 
 
 class _Capacity(msgspec.Struct, rename="camel"):
-    cpu: Annotated[int, msgspec.Meta(ge=1, le=MOST_CPU)]
-    mem_mb: Annotated[int, msgspec.Meta(ge=1, le=MOST_MEMORY)]
-    gpu: Annotated[int, msgspec.Meta(ge=0, le=MOST_ACCELERATORS)] = 0
+    cpu: Annotated[int, msgspec.Meta(ge=1, le=MAX_CPU_MILLICORES)]
+    mem_mb: Annotated[int, msgspec.Meta(ge=1, le=MAX_MEMORY_MB)]
+    gpu: Annotated[int, msgspec.Meta(ge=0, le=MAX_ACCELERATORS)] = 0
 
 
 class _Entry(msgspec.Struct, rename="camel"):
     """
-    Hold what a worker says of itself.
+    A worker's entry.
 
-    Every worker writes the fields without a default, so an entry that lacks one is another
-    writer's.  Taken for a worker with the default it would get tasks that never run.
+    Every worker writes the fields without a default, so an entry that lacks one comes from another
+    writer.  With a default it would count as a worker, and be given tasks that never run.
     """
 
     service: Annotated[str, msgspec.Meta(min_length=1)]
@@ -130,7 +131,7 @@
 
 
 class WorkerClient:
-    """Call one life of one worker."""
+    """Call one incarnation of a worker."""
 
     __slots__ = ("_client", "_header")
 
@@ -139,7 +140,7 @@
         self._header = ((_INSTANCE_HEADER, identifier),)
 
     def close(self) -> None:
-        """Close the connections."""
+        """Close the idle connections."""
         self._client.close()
 
     async def start(
@@ -152,7 +153,7 @@
         checkpoint: str = "",
         ticket: str = "",
     ) -> StartAnswer:
-        """Start a task under a lease that ends at ``deadline`` on the worker's clock, in ms."""
+        """Start an attempt under a lease that ends at ``deadline`` on the worker's clock, in ms."""
         order = _Start(encode_task(task), attempt, spec, deadline, token, checkpoint, ticket)
         answer = await self._call("/run-start", order)
         if answer.status in (429, 503):
@@ -165,21 +166,25 @@
         return StartAnswer(body.clock_ms, _read_reason(body.reason))
 
     async def stop(self, task: TaskKey, attempt: int, token: int) -> RefusalReason | None:
-        """Stop one attempt for good, also one that isn't there yet."""
+        """Stop an attempt permanently, even if its start has not arrived yet."""
         answer = await self._call("/run-stop", _Stop(encode_task(task), attempt, token))
         return _read_refusal(answer)
 
     async def pace(
         self, task: TaskKey, attempt: int, percent: int, token: int
     ) -> RefusalReason | None:
-        """Let a task work at a share of its speed."""
+        """Throttle an attempt to a percentage of its speed."""
         answer = await self._call("/pace", _Pace(encode_task(task), attempt, percent, token))
         return _read_refusal(answer)
 
     async def hold(
         self, token: int, acknowledged: int, deadline: int, wait: float, timeout: float
     ) -> PollAnswer | RefusalReason:
-        """Renew the lease unless ``deadline`` is 0, acknowledge ends, and look."""
+        """
+        Renew the lease, acknowledge ended attempts and return the running and ended ones.
+
+        The lease is renewed until ``deadline`` on the worker's clock, in ms, unless that is 0.
+        """
         order = _Hold(token, acknowledged, deadline, int(wait * 1_000))
         answer = await self._call("/hold", order, wait + timeout)
         if answer.status in (429, 503):
@@ -194,12 +199,14 @@
         )
 
     async def _call(
-        self, path: str, order: msgspec.Struct, timeout: float = CALL_TIMEOUT
+        self, path: str, order: msgspec.Struct, timeout: float = CALL_TIMEOUT_S
     ) -> Answer:
         body = msgspec.json.encode(order)
         answer = await self._client.call("POST", path, body, self._header, timeout)
         if answer.status == 421:
-            raise WorkerReplacedError(Verdict.NOT_RUN, "another life of the worker answers", 421)
+            raise WorkerReplacedError(
+                Verdict.NOT_RUN, "another incarnation of the worker answers", 421
+            )
         return answer
 
 
@@ -210,12 +217,12 @@
     Raises
     ------
     PlatformError
-        If no worker would have written it so.
+        If the entry is invalid.
     """
     try:
         entry = _entry_decoder.decode(value)
     except (msgspec.MsgspecError, ValueError) as error:
-        raise PlatformError(f"the entry of worker {identifier} can't be read: {error}") from error
+        raise PlatformError(f"entry of worker {identifier} can't be decoded: {error}") from error
     return WorkerEntry(
         id=identifier,
         service=entry.service,
@@ -233,26 +240,26 @@
 
 
 def encode_task(task: TaskKey) -> str:
-    """Return a task's name on the wire."""
+    """Return the wire form of a task's key."""
     return format_task(task)
 
 
 def parse_task(text: str) -> TaskKey:
-    """Read a task's name."""
+    """Return the task key that ``text`` is the wire form of."""
     try:
         job, occurrence, step, index = text.split(".")
         return TaskKey(job, int(occurrence), int(step), int(index))
     except ValueError as error:
-        raise PlatformError(f"{text!r} names no task") from error
+        raise PlatformError(f"{text!r} is not a task key") from error
 
 
-def _decode(answer: Answer, good: tuple[int, ...]) -> _Answer:
-    if answer.status not in good:
+def _decode(answer: Answer, accepted: tuple[int, ...]) -> _Answer:
+    if answer.status not in accepted:
         raise PlatformError(f"a worker answered {answer.status}: {answer.body[:200]!r}")
     try:
         return msgspec.json.decode(answer.body, type=_Answer)
     except msgspec.MsgspecError as error:
-        detail = f"a worker's answer can't be read: {error}"
+        detail = f"a worker's answer can't be decoded: {error}"
         raise CallError(Verdict.MAY_HAVE_RUN, detail) from error
 
 
