--- a/benchmarks/turns.py
+++ b/benchmarks/turns.py
@@ -20,7 +20,7 @@
 
 import click
 
-from toucanpin.scheduling.advising import plan_advice
+from toucanpin.scheduling.advising import plan_advice_requests
 from toucanpin.scheduling.cell import Cell, Now, add_run
 from toucanpin.scheduling.consolidating import consolidate_images
 from toucanpin.scheduling.counting import count_pending
@@ -157,7 +157,7 @@
 Decision = Callable[[FullFleet], object]
 DECISIONS: dict[str, Decision] = {
     "placing": lambda fleet: place_tasks(fleet.cell, fleet.sharing, fleet.now()),
-    "advising": lambda fleet: plan_advice(fleet.cell, fleet.sharing, 8, fleet.now()),
+    "advising": lambda fleet: plan_advice_requests(fleet.cell, fleet.sharing, 8, fleet.now()),
     "moving": lambda fleet: move_tasks(fleet.cell, fleet.now()),
     "pacing": lambda fleet: control_pace(fleet.cell, fleet.sharing, fleet.now()),
     "gathering": lambda fleet: consolidate_images(fleet.cell, fleet.sharing, fleet.now()),
--- a/tools/soak/weakened.py
+++ b/tools/soak/weakened.py
@@ -69,7 +69,7 @@
 
 def _forget_evacuations() -> None:
     """Start tasks in data centres that operators have evacuated."""
-    owner.take_evacuated = lambda cell, evacuated, bound: False
+    owner.apply_evacuations = lambda cell, evacuated, bound: False
 
 
 WEAKENINGS: dict[str, Callable[[], None]] = {
--- a/toucanpin/entry/candidate.py
+++ b/toucanpin/entry/candidate.py
@@ -25,7 +25,7 @@
 from toucanpin.exception import PlatformError
 from toucanpin.http import CallError
 from toucanpin.platform.store import Committed, ExpectedVersion, Put, Row, Store
-from toucanpin.scheduling.evacuating import Evacuated
+from toucanpin.scheduling.evacuating import EvacuationList
 from toucanpin.scheduling.ownership import (
     MIN_HANDOVER_INTERVAL_S,
     MIN_TENURE_S,
@@ -62,7 +62,7 @@
         incarnation: str,
         cell: str,
         guarded: Callable[[], bool],
-        evacuated: Callable[[], Evacuated],
+        evacuated: Callable[[], EvacuationList],
     ) -> None:
         self._store = store
         self._clocks = clocks
--- a/toucanpin/entry/configuration.py
+++ b/toucanpin/entry/configuration.py
@@ -25,7 +25,7 @@
 )
 from toucanpin.platform.store import Store
 from toucanpin.scheduling.configuration import Configuration, Queue, QueueIndex
-from toucanpin.scheduling.evacuating import Evacuated
+from toucanpin.scheduling.evacuating import EvacuationList
 
 __all__ = ["ConfigurationWatch"]
 
@@ -57,7 +57,7 @@
         self._invalid_document: bytes | None = None
         self.current: Configuration | None = None
         self.confirmed = 0.0  # local time at which the newest successful look was sent
-        self.evacuated = Evacuated(frozenset(), float("-inf"))
+        self.evacuated = EvacuationList(frozenset(), float("-inf"))
 
     async def run(self) -> None:
         """Poll for ever."""
@@ -96,7 +96,7 @@
         except (CallError, PlatformError) as error:
             _log.warning("configuration not read", event="configuration.unread", reason=error)
             return False
-        self.evacuated = Evacuated(list_evacuated_data_centres(self._cache.rows), sent_at)
+        self.evacuated = EvacuationList(list_evacuated_data_centres(self._cache.rows), sent_at)
         row = self._cache.rows.get(CONFIGURATION_KEY)
         if row is not None:
             self._apply_document(row.value)
--- a/toucanpin/entry/decision_log.py
+++ b/toucanpin/entry/decision_log.py
@@ -13,7 +13,7 @@
 
 from toucanpin.entry.metrics import LOST_RUNS, START_WAIT, STARTS
 from toucanpin.scheduling.cell import Cell, Now, find_record
-from toucanpin.scheduling.evacuating import describe_evacuations, list_open
+from toucanpin.scheduling.evacuating import describe_evacuations, list_not_evacuated
 from toucanpin.scheduling.job import TaskKey, format_task
 from toucanpin.scheduling.progress import JobState
 from toucanpin.scheduling.worker import Run
@@ -97,7 +97,7 @@
         and now.steady > wait.logged_at + RELOG_PERIOD_S
     ]
     due.sort(key=lambda pair: pair[1].since)
-    frees = (worker.entry.cpu - worker.cpu for worker in list_open(cell))
+    frees = (worker.entry.cpu - worker.cpu for worker in list_not_evacuated(cell))
     free = max(frees, default=0) if due else 0
     for group, wait in due[:MAX_LOGGED_WAITS]:
         wait.logged_at = now.steady
@@ -120,7 +120,7 @@
     """Tell how far evacuations are, and that nothing can start if they leave no worker."""
     if not cell.evacuated:
         _log.info("no data centre is evacuated", event="evacuation.over")
-    elif cell.workers and not list_open(cell):
+    elif cell.workers and not list_not_evacuated(cell):
         _log.error("nothing can start: every data centre is evacuated", event="evacuation.all")
     for it in describe_evacuations(cell):
         _log.info(
--- a/toucanpin/entry/owner.py
+++ b/toucanpin/entry/owner.py
@@ -36,16 +36,16 @@
 from toucanpin.platform.machines import MachineClient
 from toucanpin.platform.store import Row, Store
 from toucanpin.platform.workers import WORKERS_TABLE, decode_worker
-from toucanpin.scheduling.advising import AdviceOrder, plan_advice, take_advice
+from toucanpin.scheduling.advising import AdviceRequest, plan_advice_requests, record_advice
 from toucanpin.scheduling.batches import MAX_FORGOTTEN, apply_batch, has_pending_writes, take_batch
 from toucanpin.scheduling.cell import Cell, Now
 from toucanpin.scheduling.consolidating import consolidate_images
 from toucanpin.scheduling.crashing import fail_crashing_jobs
 from toucanpin.scheduling.evacuating import (
-    Evacuated,
+    EvacuationList,
+    apply_evacuations,
     describe_evacuations,
-    knows_evacuations,
-    take_evacuated,
+    has_current_evacuations,
 )
 from toucanpin.scheduling.holding import OWNER_AUTHORITY_S, expire_leases
 from toucanpin.scheduling.intake import begin_due, forget_ended
@@ -96,7 +96,7 @@
         first: bool,
         advice_dispatcher: AdviceDispatcher,
         guarded: Callable[[], bool],
-        evacuated: Callable[[], Evacuated],
+        evacuated: Callable[[], EvacuationList],
     ) -> None:
         self._store = store
         self._clocks = clocks
@@ -249,7 +249,7 @@
         self._update_evacuated()
         if self._placing.left(now.steady):
             return
-        if self._has_recent_jobs(now) and knows_evacuations(self._cell, now):
+        if self._has_recent_jobs(now) and has_current_evacuations(self._cell, now):
             most = self._delay.limit_starts(now.steady) - self._workers.count_starting()
             before = len(self._cell.placed)
             place_tasks(self._cell, self._sharing, now, most)
@@ -272,7 +272,7 @@
         return now.table - self._rows.view.clock <= MAX_VIEW_AGE_MS
 
     def _update_evacuated(self) -> None:
-        if take_evacuated(self._cell, self._evacuated(), self._bounds.evacuate):
+        if apply_evacuations(self._cell, self._evacuated(), self._bounds.evacuate):
             log_evacuations(self._cell)
 
     async def _follow_workers(self) -> None:
@@ -307,9 +307,9 @@
             self._cell.progress_rows_to_delete += forgotten
             self._wake.set()
 
-    async def _request_advice(self, order: AdviceOrder) -> None:
+    async def _request_advice(self, order: AdviceRequest) -> None:
         advice = await self._advice_dispatcher.ask(order.group, order.workers)
-        take_advice(self._cell, order, advice, self._clocks.now())
+        record_advice(self._cell, order, advice, self._clocks.now())
         self._wake.set()
 
     async def _tick(self) -> None:
@@ -332,7 +332,7 @@
             for decision in periodic:
                 decision.run_if_due(self._clocks.now())
             free = self._advice_dispatcher.count_free()
-            for order in plan_advice(self._cell, self._sharing, free, now):
+            for order in plan_advice_requests(self._cell, self._sharing, free, now):
                 self._spawn(self._request_advice(order))
             if now.steady > reported_at + REPORT_PERIOD_S:
                 reported_at = now.steady
--- a/toucanpin/scheduling/advising.py
+++ b/toucanpin/scheduling/advising.py
@@ -14,11 +14,13 @@
 from toucanpin.scheduling.interference_model import InterferenceModel
 from toucanpin.scheduling.worker import Worker
 
-__all__ = ["Advice", "AdviceOrder", "find_ticket", "plan_advice", "take_advice"]
+__all__ = ["Advice", "AdviceRequest", "find_ticket", "plan_advice_requests", "record_advice"]
 
-QUESTION = 40  # workers of one question; more make the answer late, fewer leave too little choice
-MARGIN = 0.5  # s before a ticket's end from which on it isn't used
-PAUSE = 0.3  # s after a question without an answer
+MAX_WORKERS_PER_REQUEST = (
+    40  # workers of one question; more make the answer late, fewer leave too little choice
+)
+EXPIRY_MARGIN_S = 0.5  # s before a ticket's end from which on it isn't used
+RETRY_DELAY_S = 0.3  # s after a question without an answer
 
 
 @dataclass(frozen=True, slots=True)
@@ -30,7 +32,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AdviceOrder:
+class AdviceRequest:
     """Ask about workers for a step."""
 
     group: Group
@@ -43,18 +45,20 @@
     if known is None:
         return ""
     ticket, until = known.tickets.get(worker, ("", 0.0))
-    return ticket if now.steady < until - MARGIN else ""
+    return ticket if now.steady < until - EXPIRY_MARGIN_S else ""
 
 
-def plan_advice(cell: Cell, model: InterferenceModel, free: int, now: Now) -> list[AdviceOrder]:
+def plan_advice_requests(
+    cell: Cell, model: InterferenceModel, free: int, now: Now
+) -> list[AdviceRequest]:
     """
     Return at most ``free`` questions that steps need now, the most urgent first.
 
     Answers hold for seconds only, so nobody asks about workers that couldn't take a task now.
     """
-    orders: list[AdviceOrder] = []
+    requests: list[AdviceRequest] = []
     if not free:
-        return orders
+        return requests
     eligible: list[Worker] | None = None
     round_ = PlacementRound(model, now)
     for group in sorted(cell.waiting, key=lambda group: rank_group(cell, group, now)):
@@ -71,26 +75,28 @@
             continue
         # What was refused stays refused, so the next question goes to other workers.
         ids = (worker.entry.id for worker in fitting)
-        asked = [worker for worker in ids if worker not in known.refused][:QUESTION]
-        if asked:
+        requested = [worker for worker in ids if worker not in known.refused][
+            :MAX_WORKERS_PER_REQUEST
+        ]
+        if requested:
             known.request_pending = True
-            orders.append(AdviceOrder(group, tuple(asked)))
-        if len(orders) >= free:
+            requests.append(AdviceRequest(group, tuple(requested)))
+        if len(requests) >= free:
             break
-    return orders
+    return requests
 
 
-def take_advice(cell: Cell, order: AdviceOrder, advice: Advice | None, now: Now) -> None:
+def record_advice(cell: Cell, request: AdviceRequest, advice: Advice | None, now: Now) -> None:
     """Take note of an answer, or of its lack."""
-    known = cell.step_tickets.get(order.group)
+    known = cell.step_tickets.get(request.group)
     if known is None:
         return
     known.request_pending = False
     if advice is None:
-        known.retry_at = now.steady + PAUSE
+        known.retry_at = now.steady + RETRY_DELAY_S
         return
     until = now.steady + advice.valid
-    for worker in order.workers:
+    for worker in request.workers:
         ticket = advice.tickets.get(worker)
         if ticket is None:
             known.refused.add(worker)
--- a/toucanpin/scheduling/choosing.py
+++ b/toucanpin/scheduling/choosing.py
@@ -14,7 +14,7 @@
 
 from toucanpin.scheduling.cell import Cell, Group, LiveJob, Now
 from toucanpin.scheduling.crashing import count_suspected
-from toucanpin.scheduling.evacuating import list_open
+from toucanpin.scheduling.evacuating import list_not_evacuated
 from toucanpin.scheduling.interference_model import InterferenceModel
 from toucanpin.scheduling.job import Step
 from toucanpin.scheduling.prediction import estimate_utilization, predict_rise, predict_share
@@ -188,7 +188,7 @@
 
 def list_eligible(cell: Cell, now: Now) -> list[Worker]:
     """Return the workers that may get something new."""
-    return [worker for worker in list_open(cell) if _is_eligible(worker, now)]
+    return [worker for worker in list_not_evacuated(cell) if _is_eligible(worker, now)]
 
 
 def may_place_long_running(
--- a/toucanpin/scheduling/evacuating.py
+++ b/toucanpin/scheduling/evacuating.py
@@ -19,22 +19,22 @@
 from toucanpin.scheduling.worker import Worker
 
 __all__ = [
-    "Evacuated",
+    "EvacuationList",
     "Evacuation",
     "describe_evacuations",
     "is_evacuated",
-    "knows_evacuations",
-    "list_open",
-    "take_evacuated",
+    "has_current_evacuations",
+    "list_not_evacuated",
+    "apply_evacuations",
 ]
 
 # Of the time within which an evacuation has to be in force; the rest is for the read that first
 # shows it and for a start on its way.
-OLDEST_SHARE = 0.5
+MAX_AGE_SHARE = 0.5
 
 
 @dataclass(frozen=True, slots=True)
-class Evacuated:
+class EvacuationList:
     """Hold the data centres that are evacuated, as read at a local time."""
 
     data_centres: frozenset[str]
@@ -50,7 +50,7 @@
     runs: int
 
 
-def take_evacuated(cell: Cell, evacuated: Evacuated, bound: float) -> bool:
+def apply_evacuations(cell: Cell, evacuated: EvacuationList, bound: float) -> bool:
     """
     Take up what was read; return whether other data centres are evacuated now.
 
@@ -58,11 +58,11 @@
     """
     changed = cell.evacuated != evacuated.data_centres
     cell.evacuated = evacuated.data_centres
-    cell.evacuated_until = evacuated.read_at + bound * OLDEST_SHARE
+    cell.evacuated_until = evacuated.read_at + bound * MAX_AGE_SHARE
     return changed
 
 
-def knows_evacuations(cell: Cell, now: Now) -> bool:
+def has_current_evacuations(cell: Cell, now: Now) -> bool:
     """
     Tell whether what is evacuated is known as it was lately.
 
@@ -77,7 +77,7 @@
     return worker.entry.data_centre in cell.evacuated
 
 
-def list_open(cell: Cell) -> list[Worker]:
+def list_not_evacuated(cell: Cell) -> list[Worker]:
     """Return the workers outside evacuated data centres."""
     return [worker for worker in cell.workers.values() if not is_evacuated(cell, worker)]
 
--- a/toucanpin/scheduling/large_tasks.py
+++ b/toucanpin/scheduling/large_tasks.py
@@ -11,7 +11,7 @@
 
 from toucanpin.scheduling.cell import Cell, Group
 from toucanpin.scheduling.choosing import meets_constraints
-from toucanpin.scheduling.evacuating import list_open
+from toucanpin.scheduling.evacuating import list_not_evacuated
 from toucanpin.scheduling.job import Step
 from toucanpin.scheduling.worker import Worker
 
@@ -32,7 +32,7 @@
 
     def __init__(self, cell: Cell, eligible: list[Worker]) -> None:
         self._cell = cell
-        self._min_eligible = len(list_open(cell)) * (1 - MAX_RESERVED_SHARE)
+        self._min_eligible = len(list_not_evacuated(cell)) * (1 - MAX_RESERVED_SHARE)
         self._by_free_cores: list[tuple[int, int, Worker]] = []
         self.eligible = eligible
 
--- a/toucanpin/scheduling/placing.py
+++ b/toucanpin/scheduling/placing.py
@@ -40,7 +40,7 @@
     record_shortage,
     record_unplaceable,
 )
-from toucanpin.scheduling.reserving import reserve_room
+from toucanpin.scheduling.reserving import reserve_cores
 from toucanpin.scheduling.retrying import list_retry_workers, wastes_attempt
 from toucanpin.scheduling.worker import (
     Worker,
@@ -66,7 +66,7 @@
         cell.waits.clear()
         return
     all_eligible = list_eligible(cell, now)
-    reserve_room(cell, all_eligible, now)
+    reserve_cores(cell, all_eligible, now)
     reservation = LargeTaskReservation(cell, all_eligible)
     round_ = PlacementRound(model, now)
     preemption = PreemptionRound()
--- a/toucanpin/scheduling/reserving.py
+++ b/toucanpin/scheduling/reserving.py
@@ -21,23 +21,23 @@
 from toucanpin.scheduling.job import Step
 from toucanpin.scheduling.worker import Worker
 
-__all__ = ["leaves_reserve", "reserve_room"]
+__all__ = ["leaves_reserve", "reserve_cores"]
 
-LEAST = 0.05  # of all cores
-MOST = 0.1  # of all cores
-MEMORY = 10.0  # s in which what is remembered of a peak falls to a third
-PERIOD = 0.25  # s between choices
+MIN_RESERVED_SHARE = 0.05  # of all cores
+MAX_RESERVED_SHARE = 0.1  # of all cores
+PEAK_DECAY_S = 10.0  # s in which what is remembered of a peak falls to a third
+RESERVE_PERIOD_S = 0.25  # s between choices
 
 
-def reserve_room(cell: Cell, able: Sequence[Worker], now: Now) -> None:
+def reserve_cores(cell: Cell, eligible: Sequence[Worker], now: Now) -> None:
     """Reserve cores on the workers that have least lasting work, whole ones if there are any."""
-    if now.steady < cell.reserved_at + PERIOD:
+    if now.steady < cell.reserved_at + RESERVE_PERIOD_S:
         return
     cell.reserved_at = now.steady
     for worker in cell.workers.values():
         worker.reserved = 0
-    left = _find_size(cell, able)
-    for worker in sorted(able, key=_rank):
+    left = _compute_reserve(cell, eligible)
+    for worker in sorted(eligible, key=_rank):
         free = max(0, worker.entry.cpu - worker.cpu)
         if free >= left:
             worker.reserved = left
@@ -47,21 +47,29 @@
         left -= free
 
 
-def _find_size(cell: Cell, able: Sequence[Worker]) -> int:
+def _compute_reserve(cell: Cell, eligible: Sequence[Worker]) -> int:
     """
     Return the cores to reserve: what brief tasks asked for lately, less what they hold now.
 
     Lasting tasks keep what they once have, so an owner that has seen no load yet reserves most, and
     gives up what turns out not to be needed.
     """
-    whole = sum(worker.entry.cpu for worker in able)
-    held = sum(worker.cpu - worker.lasting_cpu for worker in able)
-    remembered = cell.short_task_peak if cell.short_task_peak is not None else MOST * whole
-    cell.short_task_peak = max(held + _sum_waiting(cell), remembered * math.exp(-PERIOD / MEMORY))
-    return int(min(MOST * whole, max(LEAST * whole, cell.short_task_peak - held)))
-
-
-def _sum_waiting(cell: Cell) -> int:
+    whole = sum(worker.entry.cpu for worker in eligible)
+    held = sum(worker.cpu - worker.lasting_cpu for worker in eligible)
+    remembered = (
+        cell.short_task_peak if cell.short_task_peak is not None else MAX_RESERVED_SHARE * whole
+    )
+    cell.short_task_peak = max(
+        held + _sum_waiting_cpu(cell), remembered * math.exp(-RESERVE_PERIOD_S / PEAK_DECAY_S)
+    )
+    return int(
+        min(
+            MAX_RESERVED_SHARE * whole, max(MIN_RESERVED_SHARE * whole, cell.short_task_peak - held)
+        )
+    )
+
+
+def _sum_waiting_cpu(cell: Cell) -> int:
     """Return the cores that waiting brief tasks ask for."""
     cores = 0
     for group, waiting in cell.waiting.items():
--- a/toucanpin/scheduling/starting.py
+++ b/toucanpin/scheduling/starting.py
@@ -11,7 +11,7 @@
 
 from toucanpin.scheduling.cell import Cell, Group, Now, mark_started
 from toucanpin.scheduling.ending import RETRY_DELAY_S, end_run
-from toucanpin.scheduling.evacuating import is_evacuated, knows_evacuations
+from toucanpin.scheduling.evacuating import has_current_evacuations, is_evacuated
 from toucanpin.scheduling.holding import lease_end
 from toucanpin.scheduling.orders import RefusalReason, StartAnswer
 from toucanpin.scheduling.stopping import stop_run
@@ -59,7 +59,7 @@
         return 0
     if not cell.workers_enforce_limits and now.steady > worker.listed_at + MAX_ENTRY_AGE_S:
         return 0
-    if not knows_evacuations(cell, now):
+    if not has_current_evacuations(cell, now):
         return 0
     until = lease_end(cell, now)
     if worker.silent or until - now.steady < MIN_START_LEASE_S:
--- a/toucanpin/scheduling/tests/test_advising.py
+++ b/toucanpin/scheduling/tests/test_advising.py
@@ -6,10 +6,10 @@
 
 from toucanpin.scheduling.advising import (
     Advice,
-    AdviceOrder,
+    AdviceRequest,
     find_ticket,
-    plan_advice,
-    take_advice,
+    plan_advice_requests,
+    record_advice,
 )
 from toucanpin.scheduling.cell import Group
 from toucanpin.scheduling.job import Step
@@ -25,10 +25,10 @@
         self.fleet.run(0.2)
         self.fleet.submit(make_job(steps=(Step(count=2, cpu=1_000),), advised=True))
 
-    def _ask(self, free: int = 5) -> list[AdviceOrder]:
+    def _ask(self, free: int = 5) -> list[AdviceRequest]:
         for worker in self.fleet.cell.workers.values():
             worker.answered_at = self.fleet.time
-        return plan_advice(self.fleet.cell, self.fleet.model, free, self.fleet.now())
+        return plan_advice_requests(self.fleet.cell, self.fleet.model, free, self.fleet.now())
 
     def test_nothing_is_placed_without_a_ticket(self) -> None:
         place_tasks(self.fleet.cell, self.fleet.model, self.fleet.now())
@@ -39,13 +39,13 @@
 
     def test_only_approved_workers_get_the_step_with_their_ticket(self) -> None:
         (order,) = self._ask()
-        take_advice(self.fleet.cell, order, Advice({"w1": "t1"}, 3.0), self.fleet.now())
+        record_advice(self.fleet.cell, order, Advice({"w1": "t1"}, 3.0), self.fleet.now())
         place_tasks(self.fleet.cell, self.fleet.model, self.fleet.now())
         self.assertEqual({("w1", "t1")}, {(r.worker, r.ticket) for r in self.fleet.cell.placed})
 
     def test_an_old_ticket_is_not_used(self) -> None:
         (order,) = self._ask()
-        take_advice(self.fleet.cell, order, Advice({"w1": "t1"}, 3.0), self.fleet.now())
+        record_advice(self.fleet.cell, order, Advice({"w1": "t1"}, 3.0), self.fleet.now())
         self.fleet.time += 2.8
         self.assertEqual("", find_ticket(self.fleet.cell, GROUP, "w1", self.fleet.now()))
         (again,) = self._ask()
@@ -53,7 +53,7 @@
 
     def test_a_question_without_an_answer_is_asked_again(self) -> None:
         (order,) = self._ask()
-        take_advice(self.fleet.cell, order, None, self.fleet.now())
+        record_advice(self.fleet.cell, order, None, self.fleet.now())
         self.assertFalse(self._ask())
         self.fleet.time += 0.5
         self.assertEqual(1, len(self._ask()))
--- a/toucanpin/scheduling/tests/test_evacuating.py
+++ b/toucanpin/scheduling/tests/test_evacuating.py
@@ -6,10 +6,10 @@
 
 from toucanpin.scheduling.cell import WaitReason
 from toucanpin.scheduling.evacuating import (
-    Evacuated,
+    EvacuationList,
+    apply_evacuations,
     describe_evacuations,
-    knows_evacuations,
-    take_evacuated,
+    has_current_evacuations,
 )
 from toucanpin.scheduling.job import Step
 from toucanpin.scheduling.large_tasks import LargeTaskReservation
@@ -27,8 +27,8 @@
         self.fleet.run(0.3)
 
     def _evacuate(self, *data_centres: str) -> bool:
-        known = Evacuated(frozenset(data_centres), self.fleet.time + 1_000.0)
-        return take_evacuated(self.fleet.cell, known, BOUND)
+        known = EvacuationList(frozenset(data_centres), self.fleet.time + 1_000.0)
+        return apply_evacuations(self.fleet.cell, known, BOUND)
 
     def test_nothing_starts_in_an_evacuated_data_centre(self) -> None:
         """Guards against tasks that are sent to workers of a data centre that is being emptied."""
@@ -94,8 +94,8 @@
         """Guards against an owner cut off from the store that goes on with what it once read."""
         cell = self.fleet.cell
         self.fleet.submit(make_job())
-        take_evacuated(cell, Evacuated(frozenset(), self.fleet.time - BOUND), BOUND)
-        self.assertFalse(knows_evacuations(cell, self.fleet.now()))
+        apply_evacuations(cell, EvacuationList(frozenset(), self.fleet.time - BOUND), BOUND)
+        self.assertFalse(has_current_evacuations(cell, self.fleet.now()))
         self.fleet.run(1.0)
         self.assertFalse(self.here.starts + self.there.starts)
         self._evacuate()
