--- a/toucanpin/placement/authority.py
+++ b/toucanpin/placement/authority.py
@@ -237,14 +237,14 @@
         self, now: float, present: frozenset[ControllerId]
     ) -> tuple[tuple[ControllerId, int], ...]:
         """Return the processes that have ended for good, with the versions of their rows."""
-        gone = (
+        absent = (
             (controller, observed)
             for controller, observed in self._observed.items()
             if controller not in present
         )
         return tuple(
             (controller, observed.version)
-            for controller, observed in gone
+            for controller, observed in absent
             if self._is_expired(observed, now)
         )
 
--- a/toucanpin/placement/cells.py
+++ b/toucanpin/placement/cells.py
@@ -52,10 +52,10 @@
     incarnation: str = ""
     size: Size = Size(0, 0, 0)
     clock: int = 0
-    received: float = 0.0
+    received_at: float = 0.0
     failed: bool = False
     next_poll: float = 0.0
-    renewed: float = 0.0
+    renewed_at: float = 0.0
     lapsed: bool = True
     incarnations: dict[str, WorkerIncarnation] = field(default_factory=dict)
     tasks: dict[tuple[str, int], TaskReport] = field(default_factory=dict)
@@ -77,7 +77,7 @@
         """Return the lease to grant now, after recording its end."""
         if not self.incarnation:
             return NO_GRANT
-        grant = compute_grant(self.clock, self.received, until, terms)
+        grant = compute_grant(self.clock, self.received_at, until, terms)
         state = self.incarnation_state(self.incarnation)
         state.lease_end = max(state.lease_end, grant.latest_end)
         return grant
@@ -99,7 +99,7 @@
         self.incarnation = report.incarnation
         self.size = report.size
         self.clock = report.clock
-        self.received = received
+        self.received_at = received
         self.failed = False
 
 
@@ -164,8 +164,8 @@
         """Delay the next start of a task, doubling the delay for consecutive calls."""
         known = self.backoffs.get(task, Backoff(0, 0.0))
         count = known.count + 1 if now < known.until + longest else 1
-        pause = min(longest, first * 2 ** min(count - 1, MAX_BACKOFF_DOUBLINGS))
-        self.backoffs[task] = Backoff(count, now + pause)
+        delay = min(longest, first * 2 ** min(count - 1, MAX_BACKOFF_DOUBLINGS))
+        self.backoffs[task] = Backoff(count, now + delay)
 
     def request_stop(self, task: str, reason: StopReason) -> None:
         """Request the stop of a running task."""
--- a/toucanpin/placement/interference_aware.py
+++ b/toucanpin/placement/interference_aware.py
@@ -22,7 +22,7 @@
     Summary,
     Tuning,
 )
-from toucanpin.interference import Evict as Move
+from toucanpin.interference import Evict as InterferenceEvict
 from toucanpin.placement.policy import Evict, Limit, PolicyAction
 from toucanpin.placement.records import CellRow, TaskRecord
 from toucanpin.placement.tracking import HostTracker
@@ -116,7 +116,7 @@
                     tracker.avoided_until = until
                 case SetShare(task, share):
                     yield from self._limit(now, tracker, task, share)
-                case Move(task):
+                case InterferenceEvict(task):
                     yield Evict(task)
         for it in tracker.residents:
             if it.batch:
--- a/toucanpin/placement/lease_renewal.py
+++ b/toucanpin/placement/lease_renewal.py
@@ -80,14 +80,14 @@
             continue
         for name in cell.row.workers:
             link = cell.link(name)
-            late = state.now >= max(link.next_poll, link.renewed + state.options.poll)
+            late = state.now >= max(link.next_poll, link.renewed_at + state.options.poll)
             if link.incarnation and not link.failed and not link.lapsed and late:
                 yield cell, link
 
 
 def _make_poll(state: ControlState, cell: Cell, link: WorkerLink) -> WorkerPoll:
     """Return a poll that renews a lease without orders."""
-    link.renewed = state.now
+    link.renewed_at = state.now
     grant = link.grant(state.authority.until, state.terms)
     poll = Poll(cell.row.epoch, link.incarnation, grant.lease_until, ())
     return WorkerPoll(worker_host(cell.row.workers[link.name]), poll)
@@ -104,4 +104,4 @@
         cell.refused = True
     elif report.accepted and report.incarnation == link.incarnation:
         link.clock = report.clock
-        link.received = now
+        link.received_at = now
--- a/toucanpin/placement/ownership.py
+++ b/toucanpin/placement/ownership.py
@@ -51,8 +51,8 @@
 __all__ = [
     "delete_expired_authority",
     "hand_over_cells",
-    "read_queues",
     "read_plan_rows",
+    "read_queues",
     "release_cell",
     "take_cells",
 ]
@@ -152,7 +152,7 @@
 
 
 def take_cells(state: ControlState, view: ClusterView) -> Decision[None]:
-    """Take the cells that prefer this process and have no live owner."""
+    """Take the cells that this process should own and that may be taken from their owners."""
     controllers = view.alive_controllers()
     eligible = state.eligible_controllers(view)
     listed = {shape.name for shape in view.shapes}
--- a/toucanpin/placement/placing.py
+++ b/toucanpin/placement/placing.py
@@ -141,8 +141,8 @@
 
 
 def _is_ready(link: WorkerLink, now: float, poll: float) -> bool:
-    heard = not link.failed and link.incarnation and now - link.received <= 3 * poll
-    return bool(heard) and link.incarnation_state(link.incarnation).reached
+    answering = not link.failed and link.incarnation and now - link.received_at <= 3 * poll
+    return bool(answering) and link.incarnation_state(link.incarnation).reached
 
 
 def choose_placements(
@@ -195,8 +195,8 @@
     task = waiting.record.task
     if task in cell.row.tasks or task in cell.cancels or task in cell.closed:
         return False
-    pause = cell.backoffs.get(task)
-    return pause is None or now >= pause.until
+    backoff = cell.backoffs.get(task)
+    return backoff is None or now >= backoff.until
 
 
 def _avoid_failed(record: TaskRecord, workers: list[str]) -> list[str]:
@@ -279,8 +279,8 @@
         if not _may_place(cell, waiting, now):
             continue
         delay = state.options.move_after * 2**waiting.record.moves
-        never = shape is None or not shape.can_hold(waiting.record.size)
-        if never or now - waiting.since >= delay:
+        infeasible = shape is None or not shape.can_hold(waiting.record.size)
+        if infeasible or now - waiting.since >= delay:
             yield waiting
 
 
--- a/toucanpin/placement/policy.py
+++ b/toucanpin/placement/policy.py
@@ -108,14 +108,14 @@
     def __init__(self, policy: PlacementPolicy) -> None:
         self.policy = policy
         self._fallback = BestFitPolicy()
-        self._fault = ""
+        self._failure = ""
 
     def prepare(self, now: float, bundle: Bundle | None, workers: Collection[str]) -> None:
         """Prepare the policy for a turn."""
         try:
             self.policy.prepare(now, bundle, workers)
         except Exception as error:
-            self._record_fault(error)
+            self._record_failure(error)
 
     def choose(
         self, task: TaskRecord, workers: Sequence[str], cell: CellRow, waited: float
@@ -124,7 +124,7 @@
         try:
             chosen = self.policy.choose(task, workers, cell, waited)
         except Exception as error:
-            self._record_fault(error)
+            self._record_failure(error)
             return self._fallback.choose(task, workers, cell, waited)
         return chosen if chosen in workers else None
 
@@ -133,7 +133,7 @@
         try:
             self.policy.observe(now, report, tasks)
         except Exception as error:
-            self._record_fault(error)
+            self._record_failure(error)
 
     def act(self, now: float, cell: CellRow) -> tuple[PolicyAction, ...]:
         """Return the policy's actions, with an event if the policy has failed."""
@@ -141,12 +141,12 @@
         try:
             acts = self.policy.act(now, cell)
         except Exception as error:
-            self._record_fault(error)
-        if self._fault:
-            acts = (*acts, PolicyEvent("policy.fail", "", self._fault))
-            self._fault = ""
+            self._record_failure(error)
+        if self._failure:
+            acts = (*acts, PolicyEvent("policy.fail", "", self._failure))
+            self._failure = ""
         return acts
 
-    def _record_fault(self, error: Exception) -> None:
+    def _record_failure(self, error: Exception) -> None:
         """Keep the first failure until it is recorded."""
-        self._fault = self._fault or f"{type(error).__name__}: {error}"
+        self._failure = self._failure or f"{type(error).__name__}: {error}"
--- a/toucanpin/placement/polling.py
+++ b/toucanpin/placement/polling.py
@@ -133,7 +133,7 @@
         payload = _find_payload(cell, record, bundle)
         # A lease computed from an old reading of the worker's clock may have ended on arrival.  The
         # worker would then refuse the start, and the attempt would be used up.
-        fresh = now - link.received < state.terms.lease / 2
+        fresh = now - link.received_at < state.terms.lease / 2
         if payload is not None and fresh and state.authority.holds(now):
             yield _make_start(record, payload)
     else:
--- a/toucanpin/placement/reports.py
+++ b/toucanpin/placement/reports.py
@@ -267,33 +267,33 @@
     cannot take the whole cell out of service.
     """
     if not record.failed_on:
-        now = workers.get(worker.name, worker)
-        faults = now.faults + 1
-        state = now.state
+        current = workers.get(worker.name, worker)
+        faults = current.faults + 1
+        state = current.state
         if faults >= FAULTS_TO_QUARANTINE and _may_quarantine(cell, workers):
             state = WorkerState.QUARANTINED
-        workers[worker.name] = msgspec.structs.replace(now, faults=faults, state=state)
+        workers[worker.name] = msgspec.structs.replace(current, faults=faults, state=state)
         return
     first = record.failed_on[0]
     if first != worker.name and len(record.failed_on) == 1 and first in cell.row.workers:
-        blamed = workers.get(first, cell.row.workers[first])
-        faults = max(0, blamed.faults - 1)
-        state = blamed.state
+        first_worker = workers.get(first, cell.row.workers[first])
+        faults = max(0, first_worker.faults - 1)
+        state = first_worker.state
         if state is WorkerState.QUARANTINED and faults < FAULTS_TO_QUARANTINE:
             state = WorkerState.ACTIVE
-        workers[first] = msgspec.structs.replace(blamed, faults=faults, state=state)
+        workers[first] = msgspec.structs.replace(first_worker, faults=faults, state=state)
 
 
 def _may_quarantine(cell: Cell, workers: dict[str, WorkerRow]) -> bool:
     newest = {**cell.row.workers, **workers}.values()
-    out = sum(it.state is WorkerState.QUARANTINED for it in newest)
-    return len(newest) > 1 and out < max(1, len(newest) // 3)
+    quarantined = sum(it.state is WorkerState.QUARANTINED for it in newest)
+    return len(newest) > 1 and quarantined < max(1, len(newest) // 3)
 
 
 def _clear_faults(worker: WorkerRow, workers: dict[str, WorkerRow]) -> None:
-    now = workers.get(worker.name, worker)
-    if now.faults and now.state is WorkerState.ACTIVE:
-        workers[worker.name] = msgspec.structs.replace(now, faults=0)
+    current = workers.get(worker.name, worker)
+    if current.faults and current.state is WorkerState.ACTIVE:
+        workers[worker.name] = msgspec.structs.replace(current, faults=0)
 
 
 def _apply_cancellations(cell: Cell) -> Iterator[Change]:
--- a/toucanpin/placement/state.py
+++ b/toucanpin/placement/state.py
@@ -157,8 +157,8 @@
         All authority rows are then unchanged since before the outage.  Their owners get time to
         renew them before an unchanged row counts as a sign of death.
         """
-        quiet = self.terms.takeover_after + self.terms.renew_every
-        return self.health.recovered_at > 0 and now < self.health.recovered_at + quiet
+        grace_period = self.terms.takeover_after + self.terms.renew_every
+        return self.health.recovered_at > 0 and now < self.health.recovered_at + grace_period
 
     def eligible_controllers(self, view: ClusterView) -> tuple[ControllerId, ...]:
         """
