--- a/toucanpin/entry/decision_log.py
+++ b/toucanpin/entry/decision_log.py
@@ -50,8 +50,8 @@
         queue=live.job.queue if live else "",
         image=run.step.image,
         age=round(age, 3),
-        waited=round(run.waited, 3),
-        why=run.why,
+        waited=round(run.waiting_time, 3),
+        why=run.wait_reason,
     )
 
 
--- a/toucanpin/scheduling/assigning.py
+++ b/toucanpin/scheduling/assigning.py
@@ -35,15 +35,15 @@
     record.worker = worker.entry.id
     run = Run(task, record.attempt, worker.entry.id, step, Phase.PLACED)
     run.priority = live.job.priority
-    run.doubt = find_suspicion(live, task)
+    run.suspicion = find_suspicion(live, task)
     run.checkpoint = record.checkpoint
     run.untimed = bool(record.checkpoint)
     group = Group(task.job, task.occurrence, task.step)
     run.ticket = find_ticket(cell, group, worker.entry.id, now)
     wait = cell.waits.get(group)
     if wait is not None:
-        run.waited = now.steady - wait.since
-        run.why = wait.reason.value
+        run.waiting_time = now.steady - wait.since
+        run.wait_reason = wait.reason.value
     add_run(cell, worker, run)
     cell.placed.append(run)
     mark_dirty(cell, live)
--- a/toucanpin/scheduling/crashing.py
+++ b/toucanpin/scheduling/crashing.py
@@ -70,9 +70,9 @@
 
 def clear_survivor(run: Run, record: TaskRecord) -> None:
     """Clear a lasting task that has been at work for long."""
-    if run.step.long_running and run.shown_at > run.started_at + SURVIVAL_PERIOD_S:
+    if run.step.long_running and run.last_listed_at > run.started_at + SURVIVAL_PERIOD_S:
         record.crashed = {}
-        run.doubt = CrashSuspicion.NONE
+        run.suspicion = CrashSuspicion.NONE
 
 
 def restore_crashes(cell: Cell, task: TaskKey, record: TaskRecord) -> None:
@@ -123,7 +123,7 @@
 
 def runs_last_attempt(worker: Worker, now: Now) -> bool:
     """Tell whether a worker runs a task that is given up if it is lost once more."""
-    runs = (run for run in worker.runs.values() if run.doubt is CrashSuspicion.LAST_ATTEMPT)
+    runs = (run for run in worker.runs.values() if run.suspicion is CrashSuspicion.LAST_ATTEMPT)
     return any(_is_suspected(run, now) for run in runs)
 
 
@@ -177,7 +177,7 @@
     """Tell whether a run may be what ended its worker."""
     if run.phase is Phase.ORDERED and not run.ordered_at:
         return False
-    if run.step.long_running and run.shown_at > run.started_at + SURVIVAL_PERIOD_S:
+    if run.step.long_running and run.last_listed_at > run.started_at + SURVIVAL_PERIOD_S:
         return False
     # One that no list names any more, as its address tells, may have crashed before this owner
     # heard of it.
@@ -193,7 +193,7 @@
     """
     if run.phase is Phase.UNKNOWN or not run.ordered_at:
         return False
-    return run.shown_at < run.ordered_at + START_PERIOD_S
+    return run.last_listed_at < run.ordered_at + START_PERIOD_S
 
 
 def _exceed_limit(lives: Mapping[str, bool]) -> bool:
@@ -218,6 +218,6 @@
 
 
 def _is_suspected(run: Run, now: Now) -> bool:
-    if run.doubt is CrashSuspicion.NONE:
+    if run.suspicion is CrashSuspicion.NONE:
         return False
     return not run.ordered_at or now.steady < run.ordered_at + SUSPICION_PERIOD_S
--- a/toucanpin/scheduling/holding.py
+++ b/toucanpin/scheduling/holding.py
@@ -206,16 +206,16 @@
     record = find_record(live, run.task) if live else None
     if run.phase is Phase.UNKNOWN or run.phase is Phase.ORDERED:
         run.phase = Phase.RUNNING
-        run.started_at = run.moved_at = now.steady
-        run.unsure = False
+        run.started_at = run.progressed_at = now.steady
+        run.start_unconfirmed = False
         run.untimed = run.untimed or running.percent > 0
         mark_started(cell, run.task.job)
         if live is None or record is None or JobState(live.progress.state).ended:
             stop_run(cell, run, "job ended")
     if running.percent - run.percent >= MIN_PROGRESS_PERCENT or running.percent < run.percent:
-        run.moved_at = now.steady
+        run.progressed_at = now.steady
     run.percent = running.percent
-    run.shown_at = now.steady
+    run.last_listed_at = now.steady
     run.measure = running.measure
     if record is not None:
         clear_survivor(run, record)
@@ -242,5 +242,5 @@
             end_run(cell, worker, run, now)
         case Phase.RUNNING if sent_at > run.started_at:
             end_run(cell, worker, run, now)
-        case Phase.STOPPING if run.stopped_at and sent_at > run.stopped_at:
+        case Phase.STOPPING if run.stop_acknowledged_at and sent_at > run.stop_acknowledged_at:
             end_run(cell, worker, run, now)
--- a/toucanpin/scheduling/intake.py
+++ b/toucanpin/scheduling/intake.py
@@ -53,7 +53,7 @@
                     run = Run(task, record.attempt, worker.entry.id, step, Phase.UNKNOWN)
                     run.checkpoint = record.checkpoint
                     run.priority = job.priority
-                    run.doubt = assess_suspicion(record)
+                    run.suspicion = assess_suspicion(record)
                     add_run(cell, worker, run)
         if not JobState(progress.state).ended:
             queue_ready_steps(cell, live, occurrence)
--- a/toucanpin/scheduling/moving.py
+++ b/toucanpin/scheduling/moving.py
@@ -130,7 +130,7 @@
     An owner that hears nothing for a while, since its link is full, would otherwise stop every task
     that it follows and lose their work.
     """
-    return run.percent < 100 and run.shown_at - run.moved_at > STALL
+    return run.percent < 100 and run.last_listed_at - run.progressed_at > STALL
 
 
 def _find_slow(cell: Cell, times: Times, worker: Worker) -> list[Run]:
@@ -214,4 +214,4 @@
 
 
 def _whole_time(run: Run) -> float:
-    return (run.shown_at - run.started_at) * 100 / max(1, run.percent)
+    return (run.last_listed_at - run.started_at) * 100 / max(1, run.percent)
--- a/toucanpin/scheduling/pacing.py
+++ b/toucanpin/scheduling/pacing.py
@@ -82,11 +82,11 @@
         if not run.step.target or run.phase is not Phase.RUNNING:
             continue
         if run.measure <= run.step.target:
-            run.over_since = 0.0
-        elif not run.over_since:
-            run.over_since = now.steady
+            run.over_target_since = 0.0
+        elif not run.over_target_since:
+            run.over_target_since = now.steady
         else:
-            longest = max(longest, now.steady - run.over_since)
+            longest = max(longest, now.steady - run.over_target_since)
     return longest
 
 
@@ -198,5 +198,5 @@
         return
     run.pace = percent
     run.paced_at = now.steady
-    run.moved_at = now.steady
+    run.progressed_at = now.steady
     cell.orders.append(PaceOrder(run.worker, run.task, run.attempt, percent))
--- a/toucanpin/scheduling/starting.py
+++ b/toucanpin/scheduling/starting.py
@@ -77,8 +77,8 @@
     match answer.refused:
         case None:
             run.phase = Phase.RUNNING
-            run.started_at = run.moved_at = now.steady
-            run.unsure = False
+            run.started_at = run.progressed_at = now.steady
+            run.start_unconfirmed = False
             mark_started(cell, run.task.job)
             return StartOutcome.SETTLED
         case RefusalReason.FENCED:
@@ -104,8 +104,8 @@
     """Take note that a start got no answer; ``certain`` says that it was never sent."""
     if run.phase is not Phase.ORDERED:
         return StartOutcome.SETTLED
-    run.unsure = run.unsure or not certain
-    if not run.unsure:
+    run.start_unconfirmed = run.start_unconfirmed or not certain
+    if not run.start_unconfirmed:
         worker.suspect_until = max(worker.suspect_until, now.steady + UNHEALTHY_BACKOFF_S)
         _abandon_start(cell, worker, run, now)
         return StartOutcome.SETTLED
@@ -116,11 +116,11 @@
 def record_stop_acknowledged(worker: Worker, run: Run, now: Now) -> None:
     """Take note that a worker acknowledged a stop; its next list shows what is left."""
     if run.phase is Phase.STOPPING:
-        run.stopped_at = now.steady
+        run.stop_acknowledged_at = now.steady
 
 
 def _abandon_start(cell: Cell, worker: Worker, run: Run, now: Now) -> None:
-    if run.unsure:
+    if run.start_unconfirmed:
         stop_run(cell, run, "start unsure")
     else:
         end_run(cell, worker, run, now)
--- a/toucanpin/scheduling/stopping.py
+++ b/toucanpin/scheduling/stopping.py
@@ -38,7 +38,7 @@
             requeue_task(cell, run)
         return
     mark_stopping(worker, run)
-    run.stopped_at = run.stop_sent_at = 0.0
+    run.stop_acknowledged_at = run.stop_sent_at = 0.0
     cell.orders.append(StopOrder(run.worker, run.task, run.attempt, reason))
 
 
@@ -78,7 +78,7 @@
     at_work = sum(
         other.phase is Phase.RUNNING
         and other.percent >= 100
-        and now.steady < other.shown_at + MAX_LISTING_AGE_S
+        and now.steady < other.last_listed_at + MAX_LISTING_AGE_S
         for other in list_runs(cell, live)
         if other is not run
         and other.task.step == run.task.step
--- a/toucanpin/scheduling/tests/test_consolidating.py
+++ b/toucanpin/scheduling/tests/test_consolidating.py
@@ -49,7 +49,7 @@
             step,
             Phase.RUNNING,
             percent=100,
-            shown_at=NOW.steady,
+            last_listed_at=NOW.steady,
         )
         add_run(self.cell, self.cell.workers[worker], run)
         return run
--- a/toucanpin/scheduling/worker.py
+++ b/toucanpin/scheduling/worker.py
@@ -60,25 +60,25 @@
     ordered_at: float = 0.0
     started_at: float = 0.0
     percent: int = 0
-    shown_at: float = 0.0  # when the percentage was last listed
-    moved_at: float = 0.0
+    last_listed_at: float = 0.0  # when the percentage was last listed
+    progressed_at: float = 0.0
     checkpoint: str = ""
     ticket: str = ""
     measure: float = 0.0
     pace: int = 100
     paced_at: float = 0.0
-    over_since: float = 0.0
+    over_target_since: float = 0.0
     # A start without an answer may be carried out seconds later, so another worker may get the
     # task only once a stop was acknowledged or the lease has ended.
-    unsure: bool = False
-    stopped_at: float = 0.0  # when a stop was acknowledged, 0 if it wasn't
+    start_unconfirmed: bool = False
+    stop_acknowledged_at: float = 0.0  # when a stop was acknowledged, 0 if it wasn't
     stop_sent_at: float = 0.0
-    waited: float = 0.0  # s without a place before this one
-    why: str = ""  # what kept it waiting at last
+    waiting_time: float = 0.0  # s without a place before this one
+    wait_reason: str = ""  # what kept it waiting at last
     # It began from a checkpoint, or before it was heard of, so its progress tells no time.
     untimed: bool = False
     priority: int = 0  # that of its job
-    doubt: CrashSuspicion = CrashSuspicion.NONE
+    suspicion: CrashSuspicion = CrashSuspicion.NONE
 
 
 @dataclass(slots=True)
