--- a/tools/soak/weakened.py
+++ b/tools/soak/weakened.py
@@ -25,7 +25,7 @@
 
     def weakened(cell, now):  # type: ignore[no-untyped-def]
         for worker in cell.workers.values():
-            worker.lapse_at = 0.0
+            worker.lease_expires_at = 0.0
         return lapse(cell, now)
 
     owner.expire_leases = weakened
--- a/toucanpin/entry/waves.py
+++ b/toucanpin/entry/waves.py
@@ -208,7 +208,7 @@
         return [worker for worker in self._cell.workers.values() if worker.entry.id in ordered]
 
     def _list_closing_workers(self) -> list[Worker]:
-        return [worker for worker in self._cell.workers.values() if worker.closing_since]
+        return [worker for worker in self._cell.workers.values() if worker.draining_since]
 
     async def _order_missing(self, wave: Wave, record: WaveRecord, version: int) -> bool:
         """
--- a/toucanpin/scheduling/choosing.py
+++ b/toucanpin/scheduling/choosing.py
@@ -83,10 +83,10 @@
         Summed up in each round, this took most of a turn on a few hundred workers.
         """
         now = self.now.steady
-        if worker.heat is None or now > worker.heat_at + UTILIZATION_MAX_AGE_S:
-            worker.heat = estimate_utilization(self.model, worker, planned=True)
-            worker.heat_at = now
-        return worker.heat
+        if worker.utilization is None or now > worker.utilization_at + UTILIZATION_MAX_AGE_S:
+            worker.utilization = estimate_utilization(self.model, worker, planned=True)
+            worker.utilization_at = now
+        return worker.utilization
 
     def is_saturated(self, worker: Worker, cpu: int) -> bool:
         """Tell whether a worker's cores are in use, so that what fills would only be slowed."""
@@ -218,8 +218,8 @@
         and not worker.silent
         and not worker.unsound
         and worker.entry.ready
-        and not worker.strangers
-        and not worker.closing_since
+        and not worker.unknown_tasks
+        and not worker.draining_since
         and now.steady >= worker.full_until
         and is_trusted(worker, now)
         and now.steady - worker.answered_at < CONTACT_TIMEOUT_S
@@ -238,7 +238,7 @@
 
 
 def _is_held_for_others(worker: Worker, live: LiveJob, now: Now) -> bool:
-    return now.steady < worker.kept_until and live.job.priority > worker.kept_for
+    return now.steady < worker.reserved_until and live.job.priority > worker.reserved_priority
 
 
 def _count_group(worker: Worker, group: Group) -> int:
@@ -271,7 +271,7 @@
     """
     cost = 0.0 if step.long_running else WATCHED_TASK_COST * count_suspected(worker, now)
     if doubt is CrashSuspicion.LAST_ATTEMPT:
-        cost += CRASH_RISK_COST * (worker.cpu + worker.filling_cpu) / max(1, worker.entry.cpu)
+        cost += CRASH_RISK_COST * (worker.cpu + worker.best_effort_cpu) / max(1, worker.entry.cpu)
     return cost
 
 
@@ -284,9 +284,9 @@
     if step.long_running and not leaves_reserve(worker, step):
         cost += RESERVE_COST
     if step.target:
-        beside = BATCH_NEIGHBOUR_COST * worker.filling_cpu / whole
+        beside = BATCH_NEIGHBOUR_COST * worker.best_effort_cpu / whole
         return cost + left + beside + _compute_image_cost(worker, step.image)
-    return cost + left + 0.2 * worker.fillers
+    return cost + left + 0.2 * worker.best_effort_count
 
 
 def _compute_batch_cost(round_: PlacementRound, worker: Worker, step: Step) -> float | None:
--- a/toucanpin/scheduling/consolidating.py
+++ b/toucanpin/scheduling/consolidating.py
@@ -87,7 +87,7 @@
 
 def _describe(worker: Worker) -> _WorkerImages:
     images = tuple(run.step.image for run in worker.runs.values() if run.step.target)
-    used = worker.cpu + worker.filling_cpu
+    used = worker.cpu + worker.best_effort_cpu
     return _WorkerImages(worker, images, max(0.0, worker.entry.cpu - used) / 1_000)
 
 
--- a/toucanpin/scheduling/crashing.py
+++ b/toucanpin/scheduling/crashing.py
@@ -129,7 +129,7 @@
 
 def is_new(worker: Worker, now: Now) -> bool:
     """Tell whether a worker's life is new: it may be one of many that end soon."""
-    return now.steady < worker.known_at + NEW_WORKER_PERIOD_S
+    return now.steady < worker.first_listed_at + NEW_WORKER_PERIOD_S
 
 
 def fail_crashing_jobs(cell: Cell, now: Now) -> list[TaskKey]:
@@ -182,7 +182,7 @@
     # One that no list names any more, as its address tells, may have crashed before this owner
     # heard of it.
     announced = bool(worker.entry.address) and not worker.entry.ready
-    return not announced and not worker.closing_since
+    return not announced and not worker.draining_since
 
 
 def _was_lost_at_start(run: Run) -> bool:
--- a/toucanpin/scheduling/holding.py
+++ b/toucanpin/scheduling/holding.py
@@ -63,7 +63,9 @@
     for entry in entries:
         worker = cell.workers.get(entry.id)
         if worker is None:
-            worker = Worker(entry, lapse_at=cell.earlier_leases_end, known_at=now.steady)
+            worker = Worker(
+                entry, lease_expires_at=cell.earlier_leases_end, first_listed_at=now.steady
+            )
             cell.workers[entry.id] = worker
             fresh.append(worker)
         elif not worker.entry.address:
@@ -111,7 +113,11 @@
 def _choose_wait(worker: Worker) -> float:
     if not worker.runs:
         return IDLE_POLL_WAIT_S
-    return SHARED_POLL_WAIT_S if worker.servers and worker.fillers else BUSY_POLL_WAIT_S
+    return (
+        SHARED_POLL_WAIT_S
+        if worker.serving_count and worker.best_effort_count
+        else BUSY_POLL_WAIT_S
+    )
 
 
 def apply_answer(cell: Cell, worker: Worker, held: PollAnswer, sent_at: float, now: Now) -> None:
@@ -125,7 +131,7 @@
             apply_end(cell, worker, ended, now)
             worker.seen = ended.sequence
     listed = {running.task: running for running in held.running}
-    worker.strangers = frozenset(_find_unknown_runs(worker, held.running))
+    worker.unknown_tasks = frozenset(_find_unknown_runs(worker, held.running))
     for running in held.running:
         _apply_running(cell, worker, running, now)
     # A run that is missing may have ended after the last end that fitted into the answer.
@@ -135,7 +141,7 @@
         if found is None or found.attempt != run.attempt:
             _apply_absence(cell, worker, run, sent_at, now)
     worker.reached = True
-    worker.heat = None
+    worker.utilization = None
 
 
 def mark_silent(worker: Worker) -> None:
@@ -155,7 +161,7 @@
     for worker in list(cell.workers.values()):
         if not worker.silent and worker.reached:
             continue
-        if now.steady <= worker.lapse_at:
+        if now.steady <= worker.lease_expires_at:
             continue
         _end_runs(cell, worker, LossCause.LAPSED, now)
         unlisted = now.steady > worker.listed_at + FORGET_WORKER_AFTER_S
@@ -184,7 +190,7 @@
 
 def _update_clock(worker: Worker, clock: int, now: Now) -> None:
     worker.clock = clock
-    worker.clock_at = now.steady
+    worker.clock_read_at = now.steady
 
 
 def _find_unknown_runs(worker: Worker, rows: Iterable[RunningTask]) -> Iterable:
--- a/toucanpin/scheduling/intake.py
+++ b/toucanpin/scheduling/intake.py
@@ -128,6 +128,6 @@
     worker = cell.workers.get(identifier)
     if worker is None:
         entry = WorkerEntry(identifier, cell.name, "", "", False, 0, 0, 0)
-        worker = Worker(entry, lapse_at=cell.earlier_leases_end)
+        worker = Worker(entry, lease_expires_at=cell.earlier_leases_end)
         cell.workers[identifier] = worker
     return worker
--- a/toucanpin/scheduling/learning.py
+++ b/toucanpin/scheduling/learning.py
@@ -34,7 +34,7 @@
     """Find the load of each serving job from its tasks' tails."""
     found: dict[str, list[tuple[float, float]]] = {}
     for worker in cell.workers.values():
-        if not worker.servers or now.steady - worker.answered_at > FRESH:
+        if not worker.serving_count or now.steady - worker.answered_at > FRESH:
             continue
         amounts = _list_amounts(worker)
         for run in worker.runs.values():
@@ -59,7 +59,11 @@
     be a large part of an owner's work, though a pair of images is measured on many of them.
     """
     period = max(LEARN_PERIOD, workers / MOST_SAMPLES)
-    if not worker.servers or not worker.fillers or now.steady < worker.learned_at + period:
+    if (
+        not worker.serving_count
+        or not worker.best_effort_count
+        or now.steady < worker.learned_at + period
+    ):
         return
     amounts = _list_amounts(worker)
     if not amounts:
--- a/toucanpin/scheduling/pacing.py
+++ b/toucanpin/scheduling/pacing.py
@@ -47,7 +47,7 @@
     for worker in cell.workers.values():
         # An owner that was suspended hasn't noticed any silence yet, and its measurements are old.
         fresh = now.steady - worker.answered_at <= FRESH
-        if worker.fillers and worker.reached and not worker.silent and fresh:
+        if worker.best_effort_count and worker.reached and not worker.silent and fresh:
             _control(cell, model, worker, now)
 
 
@@ -123,9 +123,9 @@
     cell: Cell, model: InterferenceModel, worker: Worker, hottest: Run, fillers: list[Run], now: Now
 ) -> None:
     """Take away as much of what fills as brings the hottest task below its target."""
-    if now.steady < worker.slowed_at + LAG:
+    if now.steady < worker.throttled_at + LAG:
         return
-    worker.slowed_at = now.steady
+    worker.throttled_at = now.steady
     excess = model.utilization(hottest) - AIM * model.limit(hottest)
     costs = [
         (predict_rise_of(model, worker, hottest, run.step.image, measure_use(run)), run)
--- a/toucanpin/scheduling/preempting.py
+++ b/toucanpin/scheduling/preempting.py
@@ -130,8 +130,8 @@
         worker = self._eligible[number]
         freed = self._round.get_freed(worker)
         if victims:
-            worker.kept_until = self._now.steady + self._cell.stop_time + HOLD_MARGIN_S
-            worker.kept_for = self._priority
+            worker.reserved_until = self._now.steady + self._cell.stop_time + HOLD_MARGIN_S
+            worker.reserved_priority = self._priority
         for run in victims:
             stop_run(self._cell, run, "makes room for urgent work")
             _add(freed, run.step, 1)
@@ -143,7 +143,9 @@
 
     def _make_entry(self, number: int) -> tuple[float, int, list[Run]] | None:
         worker = self._eligible[number]
-        if bound_freeable_cpu(worker, self._priority) < self._demand.required_cpu(worker.reserved):
+        if bound_freeable_cpu(worker, self._priority) < self._demand.required_cpu(
+            worker.reserved_cpu
+        ):
             return None
         if not meets_constraints(worker, self._group, self._step):
             self.constraint_excluded = True
@@ -160,7 +162,7 @@
 ) -> list[Run] | None:
     """Return the runs to stop on a worker, empty if earlier stops suffice, None if none do."""
     entry = worker.entry
-    cpu = entry.cpu - worker.cpu + freed.cpu - demand.required_cpu(worker.reserved)
+    cpu = entry.cpu - worker.cpu + freed.cpu - demand.required_cpu(worker.reserved_cpu)
     memory = entry.memory - worker.memory + freed.memory - demand.memory
     accelerators = (
         entry.accelerators - worker.accelerators + freed.accelerators - demand.accelerators
--- a/toucanpin/scheduling/reserving.py
+++ b/toucanpin/scheduling/reserving.py
@@ -35,15 +35,15 @@
         return
     cell.reserved_at = now.steady
     for worker in cell.workers.values():
-        worker.reserved = 0
+        worker.reserved_cpu = 0
     left = _compute_reserve(cell, eligible)
     for worker in sorted(eligible, key=_rank):
         free = max(0, worker.entry.cpu - worker.cpu)
         if free >= left:
-            worker.reserved = left
+            worker.reserved_cpu = left
             return
         # What brief tasks hold now is theirs when they end, or lasting ones would take it then.
-        worker.reserved = max(0, worker.entry.cpu - worker.lasting_cpu)
+        worker.reserved_cpu = max(0, worker.entry.cpu - worker.long_running_cpu)
         left -= free
 
 
@@ -55,7 +55,7 @@
     gives up what turns out not to be needed.
     """
     whole = sum(worker.entry.cpu for worker in eligible)
-    held = sum(worker.cpu - worker.lasting_cpu for worker in eligible)
+    held = sum(worker.cpu - worker.long_running_cpu for worker in eligible)
     remembered = (
         cell.short_task_peak if cell.short_task_peak is not None else MAX_RESERVED_SHARE * whole
     )
@@ -81,10 +81,10 @@
 
 def leaves_reserve(worker: Worker, step: Step) -> bool:
     """Tell whether one more task of a step leaves a worker's reserved cores free."""
-    return worker.cpu + step.cpu <= worker.entry.cpu - worker.reserved
+    return worker.cpu + step.cpu <= worker.entry.cpu - worker.reserved_cpu
 
 
 def _rank(worker: Worker) -> tuple[float, str]:
     # Equal workers come in one order for all owners, or each new one would choose others and those
     # chosen before would fill up.
-    return worker.lasting_cpu / max(1, worker.entry.cpu), worker.entry.id
+    return worker.long_running_cpu / max(1, worker.entry.cpu), worker.entry.id
--- a/toucanpin/scheduling/retrying.py
+++ b/toucanpin/scheduling/retrying.py
@@ -28,18 +28,18 @@
 
     On a full fleet a failing worker has the only room, and took all attempts of a task in a row.
     """
-    if worker.failing_until <= now.steady and not is_distrusted(worker):
+    if worker.retries_blocked_until <= now.steady and not is_distrusted(worker):
         return False
     step = live.job.steps[task.step]
     failures = _count_failures(live, task)
     if step.long_running or not failures:
         return False
     last = failures >= live.job.max_failures - 1
-    if worker.failing_until <= now.steady and not last:
+    if worker.retries_blocked_until <= now.steady and not last:
         return False
     group = Group(task.job, task.occurrence, task.step)
     return any(
-        other.failing_until <= now.steady
+        other.retries_blocked_until <= now.steady
         and fits_when_idle(other, step)
         and meets_constraints(other, group, step)
         for other in able
--- a/toucanpin/scheduling/tests/test_interference_model.py
+++ b/toucanpin/scheduling/tests/test_interference_model.py
@@ -160,7 +160,7 @@
         run.percent = 10
         failing = self.cell.workers["w1"]
         failing.failed_jobs = {"x", "y", "z"}
-        failing.failing_until = 12.0
+        failing.retries_blocked_until = 12.0
         self._observe(10.0)
         control_pace(self.cell, self.model, _now(10.3))
         self.assertIsInstance(self.cell.orders[0], PaceOrder)
--- a/toucanpin/scheduling/tests/test_preempting.py
+++ b/toucanpin/scheduling/tests/test_preempting.py
@@ -48,10 +48,10 @@
             self.fleet.submit(make_job("urgent", (Step(cpu=2_000),), priority=0))
             self.fleet.run(0.1)
             begun = self.fleet.time
-            keeping = [w for w in self.fleet.cell.workers.values() if w.kept_until > begun]
+            keeping = [w for w in self.fleet.cell.workers.values() if w.reserved_until > begun]
             self.fleet.run(STOP)
         self.assertEqual(1, len(keeping))
-        self.assertGreater(keeping[0].kept_until, self.fleet.time)
+        self.assertGreater(keeping[0].reserved_until, self.fleet.time)
 
     def test_a_task_that_may_still_be_stopping_is_not_stopped_again(self) -> None:
         """Guards against orders that are sent again and again where stops are slow."""
--- a/toucanpin/scheduling/tests/test_reserving.py
+++ b/toucanpin/scheduling/tests/test_reserving.py
@@ -75,7 +75,7 @@
             if not worker.runs:
                 worker.silent = True
         self.fleet.run(3.0)
-        reserved = [w for w in self.fleet.cell.workers.values() if w.reserved]
+        reserved = [w for w in self.fleet.cell.workers.values() if w.reserved_cpu]
         self.assertTrue(reserved)
         self.assertFalse([w for w in reserved if w.silent])
 
--- a/toucanpin/scheduling/trust.py
+++ b/toucanpin/scheduling/trust.py
@@ -27,7 +27,7 @@
         return
     worker.failed_jobs.add(run.task.job)
     worker.failed_at = now.steady
-    worker.failing_until = max(worker.failing_until, until)
+    worker.retries_blocked_until = max(worker.retries_blocked_until, until)
 
 
 def record_success(worker: Worker, run: Run) -> None:
@@ -35,7 +35,7 @@
     worker.suspect_until = 0.0
     if run.ordered_at > worker.failed_at:
         worker.failed_jobs.clear()
-        worker.failing_until = 0.0
+        worker.retries_blocked_until = 0.0
 
 
 def is_distrusted(worker: Worker) -> bool:
@@ -53,7 +53,7 @@
     """
     if not is_distrusted(worker):
         return True
-    if now.steady < worker.failing_until:
+    if now.steady < worker.retries_blocked_until:
         return False
     return not any(_is_on_trial(worker, run, now) for run in worker.runs.values())
 
--- a/toucanpin/scheduling/upkeep.py
+++ b/toucanpin/scheduling/upkeep.py
@@ -179,7 +179,7 @@
     left = wave.seconds * PLANNED_TIME_SHARE - (now.table - record.begun) / 1_000
     rounds = max(1.0, left / (upkeep + OVERHEAD_S))
     free = min(wave.cap, math.ceil(len(waiting) / rounds)) - len(record.down)
-    closing = {worker.entry.id for worker in cell.workers.values() if worker.closing_since}
+    closing = {worker.entry.id for worker in cell.workers.values() if worker.draining_since}
     candidates: list[Worker] = []
     chosen: list[Worker] = []
     for name in waiting:
@@ -196,9 +196,9 @@
 
 def drain_worker(cell: Cell, worker: Worker, now: Now) -> bool:
     """Have a worker's tasks leave it; return whether nothing is left to lose there."""
-    if not worker.closing_since:
-        worker.closing_since = now.steady
-    patient = now.steady < worker.closing_since + DRAIN_GRACE_S
+    if not worker.draining_since:
+        worker.draining_since = now.steady
+    patient = now.steady < worker.draining_since + DRAIN_GRACE_S
     for run in list(worker.runs.values()):
         if _may_be_stopped(cell, run, patient, now):
             stop_run(cell, run, "upkeep")
@@ -210,7 +210,7 @@
     kept = {worker.entry.id for worker in chosen}
     for worker in workers:
         if worker.entry.id not in kept:
-            worker.closing_since = 0.0
+            worker.draining_since = 0.0
 
 
 def _may_be_stopped(cell: Cell, run: Run, patient: bool, now: Now) -> bool:
--- a/toucanpin/scheduling/worker.py
+++ b/toucanpin/scheduling/worker.py
@@ -90,40 +90,44 @@
     cpu: int = 0
     memory: int = 0
     accelerators: int = 0
-    fillers: int = 0
-    filling_cpu: int = 0
-    servers: int = 0
-    lasting_cpu: int = 0
-    reserved: int = 0  # cores that lasting tasks leave to brief ones
+    best_effort_count: int = 0
+    best_effort_cpu: int = 0
+    serving_count: int = 0
+    long_running_cpu: int = 0
+    reserved_cpu: int = 0  # cores that lasting tasks leave to brief ones
     reached: bool = False
-    known_at: float = 0.0  # when this life was first listed
+    first_listed_at: float = 0.0  # when this life was first listed
     listed_at: float = 0.0
     answered_at: float = 0.0
     silent: bool = False
     unsound: bool = False  # its entry can't be read any more, though it may still answer
     clock: int = 0
-    clock_at: float = 0.0
-    lapse_at: float = 0.0
+    clock_read_at: float = 0.0
+    lease_expires_at: float = 0.0
     seen: int = 0
     acknowledged: int = 0
     suspect_until: float = 0.0
     full_until: float = 0.0  # it had less room than its owner thought
-    kept_until: float = 0.0  # room was made for tasks of priority ``kept_for``, others stay away
-    kept_for: int = 0
-    closing_since: float = 0.0  # it is being emptied for the upkeep of its machine
-    slowed_at: float = 0.0  # when what fills was last slowed or moved
+    reserved_until: float = (
+        0.0  # room was made for tasks of priority ``kept_for``, others stay away
+    )
+    reserved_priority: int = 0
+    draining_since: float = 0.0  # it is being emptied for the upkeep of its machine
+    throttled_at: float = 0.0  # when what fills was last slowed or moved
     learned_at: float = 0.0  # when effects were last learned from its measurements
     failed_jobs: set[str] = field(default_factory=set)  # whose tasks failed since it did one
     failed_at: float = 0.0
-    failing_until: float = 0.0  # no task that has failed is tried there
-    strangers: frozenset[TaskKey] = frozenset()
+    retries_blocked_until: float = 0.0  # no task that has failed is tried there
+    unknown_tasks: frozenset[TaskKey] = frozenset()
     # Sums of cores tell in one look that no stop helps an urgent task; without them each turn would
     # go through all runs of all workers.
-    yielding: dict[int, int] = field(default_factory=dict)  # by priority, of what may be stopped
-    leaving: int = 0  # of what is being stopped
+    preemptible_cpu: dict[int, int] = field(
+        default_factory=dict
+    )  # by priority, of what may be stopped
+    stopping_cpu: int = 0  # of what is being stopped
     # How it fares, as summed up at ``heat_at``, until something comes, goes or is measured.
-    heat: WorkerUtilization | None = None
-    heat_at: float = 0.0
+    utilization: WorkerUtilization | None = None
+    utilization_at: float = 0.0
 
     @property
     def rack(self) -> str:
@@ -188,7 +192,7 @@
 def release_run(worker: Worker, run: Run) -> None:
     """Give the room of a run back, for good."""
     if run.phase is Phase.STOPPING and not run.step.best_effort:
-        worker.leaving -= run.step.cpu
+        worker.stopping_cpu -= run.step.cpu
     run.phase = Phase.ENDED
     if worker.runs.get(run.task) is run:
         del worker.runs[run.task]
@@ -198,14 +202,14 @@
 def mark_stopping(worker: Worker, run: Run) -> None:
     """Take note that a run is being stopped; its room is taken until it has ended."""
     if run.phase is not Phase.STOPPING and not run.step.best_effort:
-        worker.leaving += run.step.cpu
+        worker.stopping_cpu += run.step.cpu
     run.phase = Phase.STOPPING
 
 
 def bound_freeable_cpu(worker: Worker, priority: int) -> int:
     """Return more cores than stops could free for a task of a priority, or as many."""
-    yielding = sum(cpu for other, cpu in worker.yielding.items() if other > priority)
-    return worker.entry.cpu - worker.cpu + worker.leaving + yielding
+    preemptible_cpu = sum(cpu for other, cpu in worker.preemptible_cpu.items() if other > priority)
+    return worker.entry.cpu - worker.cpu + worker.stopping_cpu + preemptible_cpu
 
 
 def grant_lease(worker: Worker, until: float) -> int:
@@ -214,27 +218,27 @@
 
     ``until`` is on the local clock.  Orders may arrive late, but the end that they carry is fixed.
     """
-    ahead = max(0.0, until - worker.clock_at)
+    ahead = max(0.0, until - worker.clock_read_at)
     deadline = worker.clock + int(ahead * 1_000)
-    lapse = worker.clock_at + ahead / MIN_CLOCK_RATE + LEASE_EXPIRY_MARGIN_S
-    worker.lapse_at = max(worker.lapse_at, lapse)
+    lapse = worker.clock_read_at + ahead / MIN_CLOCK_RATE + LEASE_EXPIRY_MARGIN_S
+    worker.lease_expires_at = max(worker.lease_expires_at, lapse)
     return deadline
 
 
 def _adjust_usage(worker: Worker, run: Run, sign: int) -> None:
     step = run.step
-    worker.heat = None
+    worker.utilization = None
     worker.memory += sign * step.memory
     worker.accelerators += sign * step.accelerators
     if step.best_effort:
-        worker.fillers += sign
-        worker.filling_cpu += sign * step.cpu
+        worker.best_effort_count += sign
+        worker.best_effort_cpu += sign * step.cpu
     else:
         worker.cpu += sign * step.cpu
         if step.long_running:
-            worker.lasting_cpu += sign * step.cpu
+            worker.long_running_cpu += sign * step.cpu
         if not step.long_running and not step.gang:
-            known = worker.yielding.get(run.priority, 0)
-            worker.yielding[run.priority] = known + sign * step.cpu
+            known = worker.preemptible_cpu.get(run.priority, 0)
+            worker.preemptible_cpu[run.priority] = known + sign * step.cpu
     if step.target:
-        worker.servers += sign
+        worker.serving_count += sign
