--- a/toucanpin/entry/__init__.py
+++ b/toucanpin/entry/__init__.py
@@ -1,1 +1,1 @@
-"""The process of an entry host: callers' HTTP, ownership of cells, and the parts' wiring."""
+"""Process of an entry host: HTTP for callers, ownership of cells, and the wiring of both."""
--- a/toucanpin/entry/advice_dispatcher.py
+++ b/toucanpin/entry/advice_dispatcher.py
@@ -1,8 +1,8 @@
 """
-Advisers
-========
+Dispatcher of advice requests
+=============================
 
-Share out questions to the advice service, which answers each host one after another.
+Spread requests to the advice service over hosts, since it answers those of one host in sequence.
 """
 
 from __future__ import annotations
@@ -20,15 +20,15 @@
 __all__ = ["AdviceDispatcher"]
 
 _log = logbook.Logger("advice")
-FAILURE_BACKOFF_S = 2.0  # s for which a host isn't asked after a question got no answer through it
+FAILURE_BACKOFF_S = 2.0  # after a request through a host got no answer
 
 
 class AdviceDispatcher:
     """
-    Ask for advice through this host and its peers, one question each at a time.
+    Client that asks for advice through this host and its peers, with one request each at a time.
 
-    A question takes half a second, so one host alone answers two steps a second; what waits behind
-    them would miss its objective.
+    A request takes half a second, so through one host only two steps a second would get advice, and
+    those behind them would miss their objectives.
     """
 
     def __init__(self, name: str, client: Client | None, peers: Peers) -> None:
@@ -39,11 +39,11 @@
         self._avoided: dict[str, float] = {}
 
     def count_free(self) -> int:
-        """Return how many questions may be asked now."""
+        """Return the number of requests that may be sent now."""
         return len(self._list_free())
 
     async def ask(self, group: Group, workers: tuple[str, ...]) -> Advice | None:
-        """Ask which of ``workers`` may run a step; None if there was no answer."""
+        """Return which of ``workers`` may run a step, None without an answer."""
         free = self._list_free()
         if not free or self._client is None:
             return None
@@ -53,7 +53,12 @@
             return await self._make_calls(name).ask(group, workers)
         except CallError as error:
             self._avoided[name] = steady_time() + FAILURE_BACKOFF_S
-            _log.warning("no advice", event="advice.missing", through=name, reason=error)
+            _log.warning(
+                "no answer from the advice service",
+                event="advice.missing",
+                through=name,
+                reason=error,
+            )
             return None
         finally:
             self._busy.discard(name)
--- a/toucanpin/entry/candidate.py
+++ b/toucanpin/entry/candidate.py
@@ -1,8 +1,8 @@
 """
-Contender for a cell
-====================
+Candidate for the ownership of a cell
+=====================================
 
-Watch who owns a cell, take it when nobody does, and own it then.
+Watch the owner of a cell, and take over the ownership when there is none.
 """
 
 from __future__ import annotations
@@ -42,15 +42,15 @@
 __all__ = ["Candidate"]
 
 _log = logbook.Logger("contender")
-RETRY_DELAY_S = 0.4  # s after a row that couldn't be read
-HANDOVER_WAIT_S = 20.0  # s that a watch of resignations waits
-YIELD_CHECK_PERIOD_S = 1.0  # s between looks for a stronger host
-MAX_BACKLOG_AGE_S = 3.0  # s since an owner's row was read in which its backlog counts
-BACKOFF_S = 1.0  # s that a process which lost a cell leaves it to others
+RETRY_DELAY_S = 0.4  # after a failed read of the owner's row
+HANDOVER_WAIT_S = 20.0  # long-poll time of the watch for resignations
+YIELD_CHECK_PERIOD_S = 1.0  # between checks for a stronger host
+MAX_BACKLOG_AGE_S = 3.0  # a backlog read from the owner's row is ignored after this time
+BACKOFF_S = 1.0  # after a cell was lost, or the watch for resignations failed
 
 
 class Candidate:
-    """Contend for one cell for as long as the process lives."""
+    """Candidate for the ownership of one cell, for as long as the process runs."""
 
     def __init__(
         self,
@@ -84,11 +84,11 @@
 
     @property
     def owns(self) -> bool:
-        """Tell whether this process owns the cell."""
+        """Whether this process owns the cell."""
         return self._owner is not None
 
     def read_backlog(self) -> dict[int, int]:
-        """Return by priority for how long new tasks will wait for the cell's owner, in ms."""
+        """Return the owner's estimate of new tasks' waiting time by priority, in ms."""
         if self._owner is not None:
             return self._owner.backlog
         watch = self._watch
@@ -96,15 +96,15 @@
         return watch.record.backlog if fresh and watch.record is not None else {}
 
     def count_waiting(self) -> Counter[str]:
-        """Return how many tasks of each priority wait in the cell, if it is owned."""
+        """Return the number of unplaced tasks by priority, empty if the cell isn't owned."""
         return self._owner.count_waiting() if self._owner else Counter()
 
     def count_evacuated(self) -> dict[str, float]:
-        """Return how many tasks still run in each evacuated data centre, if the cell is owned."""
+        """Return the number of tasks in evacuated data centres, empty if the cell isn't owned."""
         return self._owner.count_evacuated() if self._owner else {}
 
     async def run(self) -> None:
-        """Contend for ever."""
+        """Watch the owner and take over its cell where needed, until told to resign."""
         while not self._resigning:
             pause = RETRY_DELAY_S
             watch = self._watch
@@ -116,7 +116,7 @@
                     self._watch = OwnerWatch()
                 pause = plan_next_read(self._watch, self._peers.count_preferred(self._cell))
             except (CallError, PlatformError) as error:
-                _log.warning("owner not read", event="owner.unread", reason=error)
+                _log.warning("owner's row not read", event="owner.unread", reason=error)
             try:
                 async with asyncio.timeout(pause):
                     await self._handed_over.wait()
@@ -125,7 +125,7 @@
             self._handed_over.clear()
 
     async def follow_handovers(self) -> None:
-        """Look at once when an owner resigns."""
+        """Read the owner's row at once when an owner resigns."""
         after = 0
         while True:
             try:
@@ -140,7 +140,7 @@
                 self._handed_over.set()
 
     async def resign(self) -> None:
-        """Contend no more, and give up the cell if it is owned."""
+        """Stop being a candidate, and give up the cell if it is owned."""
         self._resigning = True
         if self._owner is not None:
             self._owner.resign()
@@ -159,7 +159,8 @@
         """
         Hand the cell to a stronger host once there is one.
 
-        Hosts come and go in any order, so a cell may well fall to one that can't carry it.
+        Hosts start and stop in any order, so a host that is too weak for a cell may have to take
+        it.
         """
         began = steady_time()
         while True:
@@ -169,7 +170,7 @@
                 continue
             if self._peers.has_stronger_host():
                 self._yielded_at = now
-                _log.info("cell yielded", event="cell.yielded", cell=self._cell)
+                _log.info("cell left to a stronger host", event="cell.yielded", cell=self._cell)
                 owner.resign()
                 return
 
@@ -183,7 +184,13 @@
         result = await self._store.transact(self._cell, expected, put)
         if not isinstance(result, Committed):
             return
-        _log.info("cell taken", event="cell.taken", cell=self._cell, token=token, before=previous)
+        _log.info(
+            "ownership of the cell taken",
+            event="cell.taken",
+            cell=self._cell,
+            token=token,
+            before=previous,
+        )
         TAKEOVERS.add(1)
         self._owner = Owner(
             self._store,
@@ -202,7 +209,9 @@
         try:
             await self._owner.run()
         except OwnershipLostError as error:
-            _log.warning("cell lost", event="cell.lost", cell=self._cell, reason=error)
+            _log.warning(
+                "ownership of the cell lost", event="cell.lost", cell=self._cell, reason=error
+            )
         except Exception:
             _log.exception("owner failed", event="cell.failed", cell=self._cell)
         finally:
@@ -214,10 +223,10 @@
 
 def _read_owner(row: Row, reader: RowReader) -> OwnerRecord:
     """
-    Return who owns a cell; nobody does where the row can't be read.
+    Return the owner of a cell, a record without a host if the row can't be decoded.
 
-    The token of the last owner isn't known then.  Each owner has written its row at least once, so
-    the store's version of the row is above every token that was ever given.
+    The token of the last owner is unknown then, and the row's version takes its place: each owner
+    has written the row at least once, so its version is at least as high as any token so far.
     """
     record = reader.read_one((row,), lambda it: decode_owner(it.value))
     return record or OwnerRecord("", "", row.version, 0)
--- a/toucanpin/entry/cell_jobs.py
+++ b/toucanpin/entry/cell_jobs.py
@@ -2,7 +2,7 @@
 Jobs of a cell
 ==============
 
-Take up new jobs and wishes to cancel in the name of the cell's owner, as their rows appear.
+Follow the rows of a cell's jobs, and pass new jobs and cancel requests on to its owner.
 """
 
 from __future__ import annotations
@@ -27,17 +27,17 @@
 __all__ = ["FEED_MARGIN_S", "FEED_WAIT_S", "RETRY_DELAY_S", "CellJobs"]
 
 _log = logbook.Logger("jobs")
-# An answer without rows tells that there are no jobs that this owner hasn't read.  Callers' counts
-# are as old as the newest answer, and may be two seconds old.  A connection may be silent for good;
-# a watch on it is given up before a cancel is due, in 3 s.
-FEED_WAIT_S = 0.5  # s that a watch of the jobs waits
-FEED_MARGIN_S = 1.0  # s that its answer may take beyond; a slow store takes 0.6 s
-LATE_MARGIN_S = 0.5  # s beyond its wait after which a read of the jobs is told of
-RETRY_DELAY_S = 0.1  # s before a read is repeated
+# An answer without rows confirms that this owner has read all jobs.  Counts shown to callers are as
+# old as the last answer, and may be at most 2 s old.  A connection may stop answering without being
+# closed; a watch on it has to time out before a cancel must be in force, which is after 3 s.
+FEED_WAIT_S = 0.5  # long-poll time of the watch on jobs
+FEED_MARGIN_S = 1.0  # time-out beyond the long-poll time; a slow store takes 0.6 s to answer
+LATE_MARGIN_S = 0.5  # answers later than this, beyond the long-poll time, are logged
+RETRY_DELAY_S = 0.1  # before a failed read is repeated
 
 
 class CellJobs:
-    """Follow the rows of one cell's jobs; ``changed`` is called after each change."""
+    """Reader of the rows of one cell's jobs; calls ``on_change`` after each change."""
 
     __slots__ = (
         "_cell",
@@ -69,10 +69,10 @@
         self._keep_ended = keep_ended
         self._on_change = on_change
         self._parts = frozenset(list_job_parts(cell.name))
-        self.followed_version = 0  # the store's version up to which the jobs are known
+        self.followed_version = 0  # version of the store up to which the jobs are known
 
     async def follow(self) -> None:
-        """Watch for changes for ever."""
+        """Watch the rows of jobs until cancelled."""
         while True:
             asked_at = steady_time()
             try:
@@ -80,7 +80,7 @@
                     JOBS_TABLE, self.followed_version, FEED_WAIT_S, FEED_MARGIN_S
                 )
             except (CallError, PlatformError) as error:
-                _log.warning("jobs not followed", event="jobs.unread", reason=error)
+                _log.warning("watch on jobs failed", event="jobs.unread", reason=error)
                 await asyncio.sleep(RETRY_DELAY_S)
                 continue
             if page is None:
@@ -88,32 +88,32 @@
                 continue
             took = steady_time() - asked_at
             if took > FEED_WAIT_S + LATE_MARGIN_S:
-                _log.warning("jobs read late", event="jobs.late", took=round(took, 3))
+                _log.warning("watch on jobs answered late", event="jobs.late", took=round(took, 3))
             self._apply_changes(page)
 
     async def relist(self) -> None:
         """
-        Read all jobs now and then, for what a watch has missed.
+        Read all jobs periodically, in case the watch has missed changes.
 
-        Read in one go, thousands of jobs fill a slow link for seconds, and the owner's own writes
-        come so late that it is replaced.
+        The reads are throttled: thousands of jobs would occupy a slow link for seconds, and the
+        owner's own writes would be so late that another host takes the cell.
         """
         while True:
             await asyncio.sleep(FULL_READ_PERIOD_S)
             await self._read_all(_throttle)
 
     async def _read_all(self, throttle: Callable[[float], Awaitable[None]] | None = None) -> None:
-        """Read all jobs, however long it takes; the watch goes on from there if it is behind."""
+        """Read all jobs, with retries; the watch continues from there if it is older."""
         page = await self._rows.read_jobs(throttle)
         self._apply_page(page, page.clock)
 
     def _apply_changes(self, page: Page) -> None:
-        """Take up what a watch gave; an answer that is full may lack later changes."""
+        """Apply an answer of the watch; a full page may lack later changes."""
         full = len(page.rows) >= MAX_PAGE_ROWS
         self._apply_page(page, self._rows.view.clock if full else page.clock)
 
     def _apply_page(self, page: Page, clock: int) -> None:
-        """Take up rows that are whole as of a moment, and note which one."""
+        """Apply rows that are complete as of ``clock``, and update the view."""
         self._apply_rows(page.rows)
         if page.version >= self.followed_version:
             self.followed_version = page.version
@@ -138,11 +138,11 @@
         job = self._reader.read_one((row,), decode_job_row)
         if job is None:
             return
-        # A row that was dropped since it was read is of a job that has long ended.
+        # A job that is older than the retention has ended; its row may have been deleted since.
         if now.table - job.accepted < self._keep_ended * 1_000 or not job.accepted:
             submit_job(self._cell, job, now)
 
 
 async def _throttle(took: float) -> None:
-    """Rest after a page that took so many seconds."""
+    """Sleep so long that reads take ``MAX_FULL_READ_SHARE`` of the time."""
     await asyncio.sleep(took / MAX_FULL_READ_SHARE - took)
--- a/toucanpin/entry/cell_rows.py
+++ b/toucanpin/entry/cell_rows.py
@@ -2,7 +2,7 @@
 Rows of a cell
 ==============
 
-Read and write what lasts of one cell, in the name of its owner.
+Read and write the persistent state of one cell on behalf of its owner.
 """
 
 from __future__ import annotations
@@ -44,25 +44,26 @@
 __all__ = ["CellRows", "OwnershipLostError", "decode_job_row"]
 
 _log = logbook.Logger("rows")
-RETRY_DELAY_S = 0.1  # s before a read is repeated
-INITIAL_BACKOFF_S = 0.02  # s before a commit is repeated; doubled each time
-MAX_BACKOFF_S = 0.2  # s
-COMMIT_TIMEOUT_S = 2.0  # s for one try of a commit; a store 60 times slower takes 0.6 s
-COUNTS_PERIOD_S = 0.5  # s between writes of how many jobs wait
-EFFECTS_PERIOD_S = 3.0  # s between writes of what was learned
+RETRY_DELAY_S = 0.1  # before a failed call is repeated
+INITIAL_BACKOFF_S = 0.02  # before a commit is repeated; doubled each time
+MAX_BACKOFF_S = 0.2
+COMMIT_TIMEOUT_S = 2.0  # of one attempt; a store that is 60 times slower than usual takes 0.6 s
+COUNTS_PERIOD_S = 0.5  # between writes of the counts of pending jobs
+EFFECTS_PERIOD_S = 3.0  # between writes of the learned effects and durations
 
 
 class OwnershipLostError(Exception):
-    """Say that another process owns the cell."""
+    """Raised if another process owns the cell, or this one has resigned."""
 
 
 class CellRows:
     """
-    Read and write the rows of one cell.
+    Rows of one cell.
 
-    ``record`` is the owner's row as it was last written, at ``version``; ``written_at`` is when
-    that write was sent.  ``blocked`` names jobs whose progress can't be read: they may have run, so
-    none of their tasks is started.  ``view`` tells which jobs have been taken up.
+    ``record`` is the owner's row as last written, at ``version``, and ``written_at`` the time at
+    which that write was sent.  ``blocked`` holds jobs whose progress can't be read: their tasks may
+    have run already, so none is started.  ``view`` is the state of the table up to which jobs are
+    known.
     """
 
     def __init__(
@@ -89,7 +90,7 @@
         self.backlog: dict[int, int] = {}  # written with the owner's row
 
     async def load(self, now: Callable[[], Now]) -> int:
-        """Read all rows of the cell into it; return the version to follow the jobs from."""
+        """Read all rows of the cell; return the version from which to follow the jobs."""
         jobs = await self.read_jobs()
         progress = await self._read_part(PROGRESS_TABLE, self._cell.name)
         learned = await self._read_part(EFFECTS_TABLE, self._cell.name)
@@ -116,7 +117,7 @@
             progress = known.get(row.key)
             if progress is not None and not matches_job(progress, job):
                 self.blocked.add(row.key)
-                _log.error("progress doesn't fit its job", event="job.blocked", job=row.key)
+                _log.error("progress doesn't match its job", event="job.blocked", job=row.key)
             elif row.key in self.blocked:
                 _log.error("progress can't be read", event="job.blocked", job=row.key)
             elif progress is not None:
@@ -129,10 +130,9 @@
 
     async def read_jobs(self, throttle: Callable[[float], Awaitable[None]] | None = None) -> Page:
         """
-        Read the jobs of all parts, however long it takes, with a rest after each page if one is
-        given.
+        Read the jobs of all parts, with retries; ``throttle`` is awaited after each page.
 
-        ``version`` and ``clock`` are of the oldest moment.
+        The ``version`` and ``clock`` of the result are those of the oldest page.
         """
         parts = list_job_parts(self._cell.name)
         pages = [await self._read_part(JOBS_TABLE, part, throttle) for part in parts]
@@ -147,15 +147,16 @@
         throttle: Callable[[float], Awaitable[None]] | None = None,
     ) -> Page:
         async def pause(error: ToucanpinError) -> None:
-            _log.warning("cell not read", event="cell.unread", part=part, reason=error)
+            _log.warning("rows of the cell not read", event="cell.unread", part=part, reason=error)
             await asyncio.sleep(RETRY_DELAY_S)
 
-        # Begun anew after each lost answer, a read of many pages might never end.
+        # Only the failed page is repeated: with some answers lost, a read of many pages that starts
+        # over each time might never end.
         return await self._store.read_all(table, part, on_error=pause, after_page=throttle)
 
     async def write(self, batch: WriteBatch, resigning: bool) -> None:
         """
-        Write a batch, however long it takes; nothing of a later one is written before.
+        Write a batch, with retries; batches are written in order.
 
         Raises
         ------
@@ -170,9 +171,9 @@
 
     async def renew(self, resigning: bool) -> None:
         """
-        Write the owner's row alone, while the cell's rows aren't read yet, or give the cell up.
+        Write the owner's row alone, to renew the ownership or to resign.
 
-        Counts of what isn't known would be wrong, and so would effects.
+        Used until the cell's rows are read; counts and effects would be incomplete before.
 
         Raises
         ------
@@ -197,7 +198,7 @@
                     self._cell.name, expected, puts, COMMIT_TIMEOUT_S
                 )
             except CallError as error:
-                _log.warning("commit not answered", event="commit.unanswered", reason=error)
+                _log.warning("no answer to a commit", event="commit.unanswered", reason=error)
                 await asyncio.sleep(pause)
                 pause = min(MAX_BACKOFF_S, 2 * pause)
                 continue
@@ -207,7 +208,7 @@
             row = result.rows[0]
             found = self._reader.read_one((row,), _decode_owner) if row.version else None
             if found == record:
-                # An earlier try whose answer was lost was carried out.
+                # An earlier attempt, whose answer was lost, was applied.
                 self._version = row.version
                 break
             if found == self.record:
@@ -219,11 +220,11 @@
         self._cell.confirmed_at = sent_at
 
     async def drop_jobs(self, identifiers: Sequence[str]) -> None:
-        """Drop the own rows of jobs that ended long ago, however long it takes."""
+        """Delete the rows of ended jobs and of their cancel requests, with retries."""
         await asyncio.gather(*(self._drop_job(identifier) for identifier in identifiers))
 
     async def _drop_job(self, identifier: str) -> None:
-        """Drop a job's own rows before its progress, or it would look like a new one."""
+        """Delete a job's row before its progress; the other order would make it look new."""
         drops = (Put(JOBS_TABLE, identifier, None), Put(JOBS_TABLE, cancel_key(identifier), None))
         while True:
             try:
@@ -248,7 +249,14 @@
 
 
 def decode_job_row(row: Row) -> Job:
-    """Decode a job's row; one that names another job, or no possible one, isn't a job."""
+    """
+    Decode a job's row.
+
+    Raises
+    ------
+    PlatformError
+        If the job is invalid, or its id isn't the row's key.
+    """
     job = decode_job(row.value)
     fault = find_job_fault(job)
     if fault or job.id != row.key:
--- a/toucanpin/entry/cell_workers.py
+++ b/toucanpin/entry/cell_workers.py
@@ -2,7 +2,7 @@
 Workers of a cell
 =================
 
-Send the orders of a cell's owner to its workers, and bring back what they answer.
+Send the orders of a cell's owner to its workers, and handle their answers.
 """
 
 from __future__ import annotations
@@ -47,15 +47,15 @@
 __all__ = ["CellWorkers"]
 
 _log = logbook.Logger("workers")
-START_RETRY_DELAY_S = 0.02  # s before a start is repeated
-RETRY_DELAY_S = 0.1  # s before another order is repeated
-SILENT_RETRY_DELAY_S = 0.3  # s between questions to a worker that doesn't answer
-RENEWAL_PERIOD_S = 1.0  # s between renewals of a lease while the cell's rows are being read
-MAX_WRITE_WAIT_S = 0.4  # s for which a worker isn't asked while its ends are being written
+START_RETRY_DELAY_S = 0.02  # before a start without an answer is repeated
+RETRY_DELAY_S = 0.1  # before any other order is repeated
+SILENT_RETRY_DELAY_S = 0.3  # between polls of a worker that doesn't answer
+RENEWAL_PERIOD_S = 1.0  # between renewals of a lease while the cell's rows are being read
+MAX_WRITE_WAIT_S = 0.4  # polls of a worker pause for up to this time while its ends are written
 
 
 class CellWorkers:
-    """Speak to the workers of one cell; ``changed`` is called after each answer."""
+    """Connections to the workers of one cell; calls ``on_change`` after each answer."""
 
     def __init__(
         self,
@@ -77,20 +77,20 @@
         self._written = asyncio.Event()
         self._loaded = asyncio.Event()
         self._fastest = MinAnswerTime()
-        self._starts_sent_at: dict[int, float] = {}  # when starts without an answer were sent
+        self._starts_sent_at: dict[int, float] = {}  # starts that have no answer yet
 
     def count_starting(self) -> int:
-        """Return how many starts are on their way that an answer may still be read for."""
+        """Return the number of starts that have been sent and may still be answered."""
         now = steady_time()
         oldest = now - START_ANSWER_TIME_S - self._delay.read(now)
         return sum(sent_at > oldest for sent_at in self._starts_sent_at.values())
 
     def note_loaded(self) -> None:
-        """Take note that the cell's rows are read, so that answers mean something."""
+        """Signal that the cell's rows are read, so that workers' answers can be interpreted."""
         self._loaded.set()
 
     def note_written(self) -> None:
-        """Wake those who wait for ends to be written."""
+        """Wake the polls that wait for ends to be written."""
         self._written.set()
         self._written.clear()
 
@@ -102,21 +102,21 @@
     def take_entries(
         self, entries: Iterable[WorkerEntry], malformed: Collection[str] = frozenset()
     ) -> None:
-        """Take up the workers' own entries, and speak to those that are new."""
+        """Update the cell's workers from their entries, and start to poll new ones."""
         for worker in update_workers(self._cell, entries, self._clocks.now(), malformed):
             entry = worker.entry
             self._calls[entry.id] = WorkerClient(entry.id, entry.address)
             self._spawn(self._poll(worker))
 
     async def _poll(self, worker: Worker) -> None:
-        """Ask one worker for ever, so that its lease is renewed and its ends are heard."""
+        """Poll one worker, to renew its lease and to learn of ended runs, until it is replaced."""
         identifier = worker.entry.id
         calls = self._calls[identifier]
         await self._renew_until_loaded(worker, calls)
         while self._cell.workers.get(identifier) is worker:
             order = plan_poll(self._cell, worker, self._clocks.now())
             sent_at = steady_time()
-            # Only the answer to a second question tells whether the first was lost or is late.
+            # Only a second poll shows whether the answer to the first was lost or is late.
             timeout = MAX_LATENESS_S if worker.silent else self._answers.allow(sent_at)
             try:
                 answer = await calls.hold(
@@ -133,9 +133,13 @@
                 if repeated:
                     await asyncio.sleep(SILENT_RETRY_DELAY_S)
                     continue
-                # One answer may just be lost, and its worker gets nothing until it answers.
+                # Poll again at once: a single answer may have been lost, and the worker gets no
+                # tasks until it answers.
                 _log.warning(
-                    "worker silent", event="worker.silent", worker=identifier, reason=error
+                    "no answer from a worker",
+                    event="worker.silent",
+                    worker=identifier,
+                    reason=error,
                 )
                 continue
             if isinstance(answer, RefusalReason):
@@ -147,7 +151,12 @@
             apply_answer(self._cell, worker, answer, sent_at, now)
             if is_distrusted(worker) and not was_doubted:
                 jobs = sorted(worker.failed_jobs)
-                _log.warning("tasks fail", event="worker.doubted", worker=identifier, jobs=jobs)
+                _log.warning(
+                    "tasks of several jobs fail on a worker",
+                    event="worker.doubted",
+                    worker=identifier,
+                    jobs=jobs,
+                )
             learn_effects(self._sharing, worker, len(self._cell.workers), now)
             self._on_change()
             await self._wait_for_writes(worker)
@@ -160,8 +169,8 @@
         """
         Renew a worker's lease until the cell's rows are read.
 
-        On a link that is slow for what it has to read a new owner takes longer than a lease, and
-        all that runs would be lost with each takeover.
+        On a slow link a new owner needs longer than a lease to read them; without renewals each
+        takeover would lose all running tasks.
         """
         while not self._loaded.is_set():
             deadline = plan_renewal(self._cell, worker, self._clocks.now())
@@ -184,10 +193,10 @@
 
     async def _wait_for_writes(self, worker: Worker) -> None:
         """
-        Wait until the ends that a worker lists are written and can be acknowledged.
+        Wait until the ended runs that a worker lists are written and can be acknowledged.
 
-        A worker lists them again at once until then, so each question would be wasted.  A slow
-        write mustn't hold up the next renewal of the lease.
+        Until then the worker answers each poll at once with the same list.  The wait is bounded so
+        that a slow write doesn't delay the next renewal of the lease.
         """
         until = steady_time() + MAX_WRITE_WAIT_S
         while worker.seen > worker.acknowledged and steady_time() < until:
@@ -198,7 +207,7 @@
                 return
 
     async def start(self, run: Run) -> None:
-        """Send one start until its outcome is known."""
+        """Send a start, and repeat it until its outcome is known."""
         while run.phase is Phase.ORDERED:
             worker = self._cell.workers.get(run.worker)
             calls = self._calls.get(run.worker)
@@ -257,7 +266,7 @@
         self._delay.note(self._fastest.note(now - sent_at), now)
 
     async def order(self, order: StopOrder | PaceOrder) -> None:
-        """Carry out an order, however often it has to be sent."""
+        """Send an order to its worker."""
         match order:
             case StopOrder():
                 _log.info(
@@ -273,7 +282,7 @@
                 await self._pace(order)
 
     async def _stop(self, order: StopOrder) -> None:
-        """Send one stop until it is acknowledged or the worker's life is over."""
+        """Send a stop until it is acknowledged or the worker is replaced."""
         while True:
             worker = self._cell.workers.get(order.worker)
             calls = self._calls.get(order.worker)
--- a/toucanpin/entry/clocks.py
+++ b/toucanpin/entry/clocks.py
@@ -2,7 +2,7 @@
 Clocks
 ======
 
-The three clocks that decisions use, read at one moment.
+Read the three clocks that scheduling uses, at one moment.
 """
 
 from __future__ import annotations
@@ -15,15 +15,15 @@
 from toucanpin.scheduling.timing import ClockEstimate
 from toucanpin.steady import steady_time
 
-MIN_AGREEING_HOSTS = 3  # hosts from which on their median decides
-OFFSET_PERIOD_S = 0.5  # s; hosts announce themselves each 4 s
-UNKNOWN_ERROR_MS = 60_000  # ms: an estimate of which nothing is known
+MIN_AGREEING_HOSTS = 3  # with at least so many hosts, the median of their offsets is used
+OFFSET_PERIOD_S = 0.5  # between computations of the median; hosts announce themselves every 4 s
+UNKNOWN_ERROR_MS = 60_000  # for an estimate whose error is unknown
 
 __all__ = ["MIN_AGREEING_HOSTS", "Clocks", "measure_wall_offset", "steady_time"]
 
 
 class Clocks:
-    """Read the clocks; the table's is estimated from its answers."""
+    """Reader of the clocks; the table's clock is estimated from its answers."""
 
     __slots__ = ("_offset", "_offset_until", "_store", "offsets")
 
@@ -34,22 +34,22 @@
         self.offsets: Callable[[], Sequence[int]] = tuple
 
     def now(self) -> Now:
-        """Return all clocks as they are."""
+        """Return the present time of all clocks."""
         steady = steady_time()
         table = int(self._store.clock_estimate.read(steady))
         return Now(steady, table, self._read_wall(steady, table))
 
     def _read_wall(self, steady: float, table: int) -> int:
         """
-        Return the time of day.
+        Return the time of day in ms.
 
-        The time of day of a host may jump by seconds, and due times with it.  Every host has
-        announced how far its own is ahead of the table's steady clock, and a jump of some of them
-        doesn't move the median.
+        The time of day of a host may jump by seconds, which would shift due times.  Each host
+        announces by how much its own is ahead of the table's monotonic clock.  The median of these
+        offsets doesn't move if some hosts' clocks jump.
         """
         if steady >= self._offset_until:
-            # Decisions read the clocks some thousand times a second, and going through all hosts'
-            # offsets each time would cost an owner more with each host.
+            # The clocks are read some thousand times a second.  Sorting the offsets of all hosts
+            # each time would get more expensive with each host.
             self._offset_until = steady + OFFSET_PERIOD_S
             self._offset = self._compute_offset()
         if self._offset is None or not self._store.clock_estimate.known:
@@ -57,16 +57,16 @@
         return table + self._offset
 
     def _compute_offset(self) -> int | None:
-        """Return the median of the hosts' offsets, None if too few know theirs."""
+        """Return the median of the hosts' offsets, None if there are too few."""
         offsets = sorted(self.offsets())
         return offsets[len(offsets) // 2] if len(offsets) >= MIN_AGREEING_HOSTS else None
 
 
 def measure_wall_offset(table: ClockEstimate) -> tuple[int, int]:
     """
-    Return how far the time of day is ahead of the table's clock, and the error of that, in ms.
+    Return by how much the time of day is ahead of the table's clock, and its error, both in ms.
 
-    A process may be suspended between two readings, so the time that they took is part of the
+    The process may be suspended between the two readings, so the time between them is part of the
     error.
     """
     before = steady_time()
--- a/toucanpin/entry/configuration.py
+++ b/toucanpin/entry/configuration.py
@@ -2,8 +2,8 @@
 Configuration watch
 ===================
 
-Keep the newest configuration that the operators wrote in force in this process, and know which data
-centres they evacuate.
+Apply the operators' newest configuration in this process, and track which data centres they
+evacuate.
 """
 
 from __future__ import annotations
@@ -30,13 +30,13 @@
 __all__ = ["ConfigurationWatch"]
 
 _log = logbook.Logger("configuration")
-POLL_PERIOD_S = 0.6  # s: a version has to be in force 2 s after it was accepted, at 240 ms a read
-REFRESH_TIMEOUT_S = 20.0  # s after which a look that nobody waits for is given up
-MAX_LOOKUP_AGE_S = 0.25  # s for which a version that was read may decide that a queue doesn't exist
+POLL_PERIOD_S = 0.6  # a version must be in force 2 s after it was accepted, and a read takes 240 ms
+REFRESH_TIMEOUT_S = 20.0  # of a refresh that no caller waits for
+MAX_LOOKUP_AGE_S = 0.25  # maximum age of a version by which a queue is said not to exist
 
 
 class ConfigurationWatch:
-    """Follow the operators' document; a lower version than one in force is never taken."""
+    """Reader of the operators' document; never applies a lower version than the current one."""
 
     __slots__ = (
         "_cache",
@@ -56,20 +56,20 @@
         self._document = b""
         self._invalid_document: bytes | None = None
         self.current: Configuration | None = None
-        self.confirmed = 0.0  # local time at which the newest successful look was sent
+        self.confirmed = 0.0  # local time at which the last successful read was sent
         self.evacuated = EvacuationList(frozenset(), float("-inf"))
 
     async def run(self) -> None:
-        """Poll for ever."""
+        """Poll the document until cancelled."""
         while True:
             await self.refresh()
             await asyncio.sleep(POLL_PERIOD_S)
 
     async def refresh(self, max_age: float = 0.0, time_limit: float = REFRESH_TIMEOUT_S) -> bool:
         """
-        Look for changes unless that was done within ``age`` seconds; return whether it is.
+        Read changes unless that was done in the last ``max_age`` seconds; return whether it worked.
 
-        It isn't after ``patience`` seconds.
+        The result is False after ``time_limit`` seconds.
         """
         try:
             async with asyncio.timeout(max(0.0, time_limit)):
@@ -80,8 +80,8 @@
     async def _refresh(self, max_age: float) -> bool:
         wanted = steady_time() - max_age
         while self.confirmed < wanted:
-            # All who ask at a time share one look.  One after the other they would wait for each
-            # other's, the last of them for many time-outs.
+            # Concurrent callers share one read.  If each of them had its own, one after another,
+            # the last would wait for many time-outs.
             if self._fetching is None or self._fetching.done():
                 self._fetching = asyncio.ensure_future(self._fetch())
             if not await asyncio.shield(self._fetching):
@@ -89,7 +89,7 @@
         return True
 
     async def _fetch(self) -> bool:
-        """Take what has changed; return whether the document in force is known to be the newest."""
+        """Apply changes; return whether the applied document is known to be the newest."""
         sent_at = steady_time()
         try:
             await self._cache.update()
@@ -107,9 +107,9 @@
 
     async def find(self, host: str, path: str, time_limit: float) -> Queue | None:
         """
-        Return the queue of a request; that there is none is said of a fresh version only.
+        Return the queue of a request, or None if a recent version of the document has none.
 
-        The look at one takes ``patience`` seconds at most.
+        Reading a recent version takes ``time_limit`` seconds at most.
         """
         queue = self._index.find(host, path)
         if queue is None:
@@ -118,16 +118,16 @@
         return queue
 
     def has_queue(self, name: str) -> bool:
-        """Tell whether the configuration in force has a queue of a name."""
+        """Return whether the current configuration has a queue of that name."""
         return self._index.has(name)
 
     def apply(self, configuration: Configuration) -> None:
-        """Put a configuration in force."""
+        """Make a configuration the current one."""
         self.current = configuration
         self._index = QueueIndex(configuration.queues)
 
     def _apply_document(self, value: bytes) -> None:
-        """Put a document in force unless it is old or can't be read."""
+        """Apply a document unless it is older than the current one or can't be decoded."""
         if value == self._document:
             self._invalid_document = None
             return
@@ -137,7 +137,9 @@
             configuration = decode_configuration(value)
         except PlatformError as error:
             self._invalid_document = value
-            _log.error("configuration unreadable", event="configuration.unreadable", reason=error)
+            _log.error(
+                "configuration can't be decoded", event="configuration.unreadable", reason=error
+            )
             return
         self._invalid_document = None
         if self.current is not None and configuration.version <= self.current.version:
@@ -145,7 +147,7 @@
         self._document = value
         self.apply(configuration)
         _log.info(
-            "configuration in force",
+            "configuration applied",
             event="configuration.applied",
             version=configuration.version,
             queues=len(configuration.queues),
--- a/toucanpin/entry/decision_log.py
+++ b/toucanpin/entry/decision_log.py
@@ -1,8 +1,8 @@
 """
-Log of decisions
-================
+Log of scheduling decisions
+===========================
 
-One line for each task that gets a place or is lost, each job that ends, and what waits for long.
+Log each task that is placed or lost, each job that ends, and tasks that wait for long.
 """
 
 from __future__ import annotations
@@ -28,13 +28,13 @@
 ]
 
 _log = logbook.Logger("decisions")
-MIN_LOGGED_WAIT_S = 0.5  # s without a place from which on a wait is told
-RELOG_PERIOD_S = 2.0  # s until it is told again
-MAX_LOGGED_WAITS = 10  # waits told at a time, of thousands in an overload
+MIN_LOGGED_WAIT_S = 0.5  # shorter waits for a worker aren't logged
+RELOG_PERIOD_S = 2.0  # until the same wait is logged again
+MAX_LOGGED_WAITS = 10  # per call, as thousands of steps may wait in an overload
 
 
 def log_place(cell: Cell, run: Run, now: Now) -> None:
-    """Tell where a task goes, how long it waited for a place, and why."""
+    """Log the worker of a task, how long the task waited for it, and why."""
     live = cell.jobs.get(run.task.job)
     age = (now.table - live.job.accepted) / 1_000 if live else 0.0
     STARTS.add(1)
@@ -56,7 +56,7 @@
 
 
 def log_losses(cell: Cell) -> None:
-    """Tell once of each run that was lost with its worker, and how long it was there."""
+    """Log each run that was lost with its worker, once."""
     losses = cell.unlogged_losses
     cell.unlogged_losses = []
     for loss in losses:
@@ -76,11 +76,11 @@
 
 
 def log_given_up(cell: Cell, tasks: Iterable[TaskKey]) -> None:
-    """Tell of each task that is given up which workers were lost under it."""
+    """Log each task that has crashed too many workers, with those workers."""
     for task in tasks:
         record = find_record(cell.jobs[task.job], task)
         _log.warning(
-            "given up",
+            "task failed for good: it crashed too many workers",
             event="task.given_up",
             job=task.job,
             task=format_task(task),
@@ -89,7 +89,7 @@
 
 
 def log_waits(cell: Cell, now: Now) -> None:
-    """Tell what waits for long, the longest first, a bounded number at a time."""
+    """Log the longest waits for a worker, at most ``MAX_LOGGED_WAITS`` per call."""
     due = [
         (group, wait)
         for group, wait in cell.waits.items()
@@ -117,11 +117,11 @@
 
 
 def log_evacuations(cell: Cell) -> None:
-    """Tell how far evacuations are, and that nothing can start if they leave no worker."""
+    """Log the progress of evacuations, and an error if they leave no usable worker."""
     if not cell.evacuated:
         _log.info("no data centre is evacuated", event="evacuation.over")
     elif cell.workers and not list_not_evacuated(cell):
-        _log.error("nothing can start: every data centre is evacuated", event="evacuation.all")
+        _log.error("no task can start: all data centres are evacuated", event="evacuation.all")
     for it in describe_evacuations(cell):
         _log.info(
             "data centre evacuated" if it.workers else "no worker is in an evacuated data centre",
@@ -133,7 +133,7 @@
 
 
 def log_ended(cell: Cell, identifiers: Iterable[str], now: Now) -> None:
-    """Tell once of each job that has ended, and by how much it missed its objective."""
+    """Log each job that has ended, once, and by how much it missed its objective."""
     for identifier in identifiers:
         live = cell.jobs.get(identifier)
         if live is None or live.end_logged or not JobState(live.progress.state).ended:
--- a/toucanpin/entry/frames.py
+++ b/toucanpin/entry/frames.py
@@ -2,7 +2,7 @@
 Frames between hosts
 ====================
 
-Read and write messages of the inner protocol under the key that all hosts share.
+Read and write messages of the inner protocol, authenticated by the key that all hosts share.
 """
 
 from __future__ import annotations
@@ -29,11 +29,13 @@
 ]
 
 _LENGTH = struct.Struct(">I")
-# Whatever the store may answer has to pass: a host that it turns away kept an old configuration.
+# Any answer of the store has to fit.  Otherwise a host that the store refuses couldn't read a large
+# configuration through its peers.
 # The second term, in bytes, is for what the inner protocol adds around an answer.
-MAX_FRAME_BYTES = MAX_ANSWER_BYTES + 65_536
-# A weak link takes seconds for a document with thousands of queues.
-MAX_TRANSFER_TIME_S = 6.0  # s that an answer may take that keeps arriving
+MAX_FRAME_BYTES = MAX_ANSWER_BYTES + 65_536  # an answer and the envelope around it
+# Total time of an answer that keeps arriving.  A slow link takes seconds for a document with
+# thousands of queues.
+MAX_TRANSFER_TIME_S = 6.0
 
 
 async def read_frame(reader: asyncio.StreamReader) -> bytes:
@@ -48,7 +50,7 @@
 
 
 async def read_payload(reader: asyncio.StreamReader, size: int, idle_timeout: float) -> bytes:
-    """Read what fills the link as long as a direct answer may take; no pause beyond patience."""
+    """Read a frame of ``size`` bytes, with a time-out for the whole and one for each pause."""
     parts: list[bytes] = []
     async with asyncio.timeout(MAX_TRANSFER_TIME_S):
         while size:
--- a/toucanpin/entry/logs.py
+++ b/toucanpin/entry/logs.py
@@ -2,8 +2,7 @@
 Logs of the entry process
 =========================
 
-One JSON line for each event, on standard output, with limits that neither load nor a reader that
-stands still can exceed.
+Write one JSON line per event to standard output, with limits on the rate and on buffered lines.
 """
 
 from __future__ import annotations
@@ -19,18 +18,18 @@
 
 __all__ = ["LineHandler", "make_handler"]
 
-MAX_LINES_PER_S = 600.0  # lines a second; an owner of hundreds of workers drops some at its busiest
-MAX_BURST_LINES = 3_000.0  # lines that may come at once, such as all tasks at a takeover
-RESERVED_LINES = 300.0  # of these lines, for warnings and errors
-MAX_BUFFERED_BYTES = 262_144  # bytes that wait for a reader before lines are dropped
+MAX_LINES_PER_S = 600.0  # an owner of hundreds of workers exceeds it under peak load
+MAX_BURST_LINES = 3_000.0  # such as a line for each task at a takeover
+RESERVED_LINES = 300.0  # part of the burst that is kept for warnings and errors
+MAX_BUFFERED_BYTES = 262_144  # waiting for a slow reader, before lines are dropped
 
 
 class LineHandler(logbook.Handler):
     """
-    Write lines without ever blocking; ``dropped`` counts those that found no room.
+    Handler that writes lines without blocking; ``dropped`` counts those that were discarded.
 
-    A log reader that stands still would otherwise stop the process at a full pipe, with all leases
-    that it holds.
+    With blocking writes, a log reader that hangs would stop the process at a full pipe, and all
+    leases that it renews would expire.
     """
 
     def __init__(self, host: str, descriptor: int, clock: Callable[[], int] | None = None) -> None:
@@ -45,7 +44,7 @@
         self._reported_drops = 0
 
     def emit(self, record: logbook.LogRecord) -> None:
-        """Write one record, or count it."""
+        """Write one record, or count it as dropped."""
         reserved = RESERVED_LINES if record.level < logbook.WARNING else 0.0
         if not self._take_token(reserved) or len(self._buffer) > MAX_BUFFERED_BYTES:
             self.dropped += 1
@@ -57,9 +56,9 @@
 
     def _take_token(self, reserved: float) -> bool:
         """
-        Take the right to one line, if more than so many are left.
+        Take a token for one line if more than ``reserved`` tokens are left.
 
-        At its busiest an owner would otherwise drop the lines that tell of it.
+        Without the reserve an overloaded owner would drop the warnings about its overload.
         """
         now = time.monotonic()
         self._tokens = min(
@@ -98,14 +97,14 @@
         except BlockingIOError:
             return
         except OSError:
-            # Nobody reads any more, which is no reason to stop serving.
+            # The reader has closed the pipe, which is no reason to stop the process.
             self._buffer.clear()
             return
         del self._buffer[:written]
 
 
 def make_handler(host: str) -> LineHandler:
-    """Build the handler that writes this process's log."""
+    """Return the handler that writes this process's log to standard output."""
     descriptor = sys.stdout.fileno()
     os.set_blocking(descriptor, False)
     return LineHandler(host, descriptor)
--- a/toucanpin/entry/metrics.py
+++ b/toucanpin/entry/metrics.py
@@ -2,12 +2,12 @@
 Metrics of the entry process
 ============================
 
-OpenTelemetry instruments, and the text that operators' collectors read.
+OpenTelemetry instruments, and their export as text for operators' collectors.
 
 Notes
 -----
-The instruments come from the API, which is quick to import.  The library that counts takes several
-times as long and is loaded once the process serves, since its start is part of each recovery.
+The instruments come from the API package, which is quick to import.  The SDK takes several times as
+long and is imported only after the start, since the start is part of each recovery.
 """
 
 from __future__ import annotations
@@ -44,9 +44,10 @@
 
 class BatchedCounter:
     """
-    Count what comes hundreds of times a second, and hand it on when metrics are read.
+    Counter of frequent events that passes its counts to the SDK when metrics are read.
 
-    The library takes as long to count one as to count a thousand.
+    The SDK takes as long to count one event as a thousand, and some come hundreds of times a
+    second.
     """
 
     __slots__ = ("_counter", "_counts", "_label")
@@ -57,15 +58,15 @@
         self._counts: Counter[str] = Counter()
 
     def add(self, amount: int, value: str = "") -> None:
-        """Count under a value of the label, if there is one."""
+        """Add to the count of one value of the label."""
         self._counts[value] += amount
 
     def reset(self) -> None:
-        """Count from now on, as all other instruments do once the library is there."""
+        """Discard the counts, since other instruments count only once the SDK is loaded."""
         self._counts.clear()
 
     def flush(self) -> None:
-        """Give the library what was counted since."""
+        """Pass the counts to the SDK."""
         for value, amount in self._counts.items():
             self._counter.add(amount, {self._label: value} if self._label else None)
         self._counts.clear()
@@ -119,7 +120,7 @@
 
 
 def register_gauge(name: str, description: str, label: str, read: Gauge) -> None:
-    """Show the values that ``read`` returns, each under its value of ``label``."""
+    """Register a gauge of the values that ``read`` returns by value of ``label``."""
 
     def observe(_: metrics.CallbackOptions) -> Iterable[metrics.Observation]:
         return [metrics.Observation(value, {label: key}) for key, value in read().items()]
@@ -128,7 +129,7 @@
 
 
 class MetricsServer:
-    """Serve all instruments as text at one address and path."""
+    """HTTP server of all instruments as text, at one address and path."""
 
     def __init__(self, address: str, path: str) -> None:
         self._address = address
@@ -137,7 +138,7 @@
         self._server = Server(self._answer, 16_384, 1_024)
 
     async def run(self) -> None:
-        """Load what counts, and listen."""
+        """Load the SDK, and listen."""
         from opentelemetry.sdk.metrics import MeterProvider
         from opentelemetry.sdk.metrics.export import InMemoryMetricReader
         from opentelemetry.sdk.metrics.view import ExplicitBucketHistogramAggregation, View
@@ -160,7 +161,7 @@
         return Response(200, self.render_text().encode())
 
     def render_text(self) -> str:
-        """Return all metrics in the text form that collectors read."""
+        """Return all metrics in the text format that collectors read."""
         for counter in BATCHED_COUNTERS:
             counter.flush()
         data = self._reader.get_metrics_data() if self._reader else None
--- a/toucanpin/entry/owner.py
+++ b/toucanpin/entry/owner.py
@@ -2,7 +2,7 @@
 Owner of a cell
 ===============
 
-Drive the decisions about one cell while this process owns it.
+Schedule the tasks of one cell while this process owns it.
 """
 
 from __future__ import annotations
@@ -61,27 +61,29 @@
 __all__ = ["Owner"]
 
 _log = logbook.Logger("owner")
-TICK_PERIOD_S = 0.05  # s between looks at what only time brings: lapsed leases, due times, stalls
-MOVE_PERIOD_S = 0.2  # s between looks for tasks that do better elsewhere; answers come each 0.4 s
-LIST_PERIOD_S = 0.5  # s between reads of the workers' entries; a drain must be seen within 2 s
-MAX_VIEW_AGE_MS = 2_500  # ms since the jobs were last known within which tasks are placed
-RETRY_DELAY_S = 0.1  # s before a read is repeated
-CLEANUP_PERIOD_S = 5.0  # s between looks for jobs that ended long ago
-REPORT_PERIOD_S = 1.0  # s between looks for what waits for long
-MAX_PLACING_SHARE = 0.35  # of the time, at most
-MIN_LOGGED_DELAY_S = 0.2  # s of delay that is told
-RETENTION_MARGIN_S = 15.0  # s that ended jobs are kept longer than promised
-# A lease that an earlier owner granted ends on a clock that may be 2% slow, and a little later.
+TICK_PERIOD_S = 0.05  # between checks for expired leases, due start times and stalls
+MOVE_PERIOD_S = 0.2  # between searches for tasks to move; workers answer every 0.4 s
+LIST_PERIOD_S = 0.5  # between reads of the workers' entries; a drain must be noticed within 2 s
+MAX_VIEW_AGE_MS = 2_500  # no tasks are placed if the last read of the jobs is older
+RETRY_DELAY_S = 0.1  # before a failed read is repeated
+CLEANUP_PERIOD_S = 5.0  # between searches for ended jobs whose retention is over
+REPORT_PERIOD_S = 1.0  # between log lines about waiting tasks and delays
+MAX_PLACING_SHARE = 0.35  # maximum fraction of the time that is spent on placing
+MIN_LOGGED_DELAY_S = 0.2  # longer delays of the event loop and of answers are logged
+RETENTION_MARGIN_S = 15.0  # by which ended jobs are kept longer than promised
+# Time until all leases granted by earlier owners have ended.  They end on clocks that may run 2%
+# slow; the rest is a margin.
 PREVIOUS_LEASE_TIME_S = OWNER_AUTHORITY_S * 1.04 + 0.4
 
 
 class Owner:
     """
-    Own one cell until another process does or this one resigns.
+    Scheduler of one cell, until another process owns the cell or this one resigns.
 
-    ``record`` was written at ``version`` by a write that was sent at ``confirmed``; ``first`` says
-    that no other process has owned the cell before, ``guarded`` tells whether the cell's workers
-    refuse what doesn't fit, ``evacuated`` which data centres get nothing more.
+    ``record`` is the owner's row, written at ``version`` by a transaction that was sent at
+    ``confirmed``.  ``first`` is true if no process has owned the cell before.  ``guarded`` returns
+    whether the cell's workers refuse tasks that don't fit, and ``evacuated`` returns the data
+    centres in which no task may start.
     """
 
     def __init__(
@@ -139,7 +141,7 @@
 
     async def run(self) -> None:
         """
-        Decide about the cell.
+        Schedule the cell's tasks until the ownership is lost.
 
         Raises
         ------
@@ -166,15 +168,16 @@
 
     async def _load(self) -> int:
         """
-        Read the cell's rows and renew its ownership meanwhile; return the version to follow from.
+        Read the cell's rows; return the version from which to follow changes.
 
-        A slow store takes seconds for them, and an owner that is silent for 1.3 s is replaced.  So
-        does a slow link, and leases of workers are renewed meanwhile.
+        With a slow store or link this takes seconds.  The ownership is renewed meanwhile, since an
+        owner that writes nothing for 1.3 s is replaced, and so are the leases of the workers.
         """
         reading = asyncio.ensure_future(self._rows.load(self._clocks.now))
         try:
             while not (await asyncio.wait((reading,), timeout=OWNER_WRITE_INTERVAL_S))[0]:
-                # One that leaves has no time to read on, and who waits for its silence loses more.
+                # A process that shuts down has no time to finish reading.  Resigning now saves the
+                # next owner the wait for this one's time-out.
                 await self._rows.renew(self._resigning)
                 self._raise_if_resigned()
                 if self._failure is not None and self._failure.done():
@@ -184,7 +187,7 @@
             reading.cancel()
 
     def count_waiting(self) -> Counter[str]:
-        """Return how many tasks of each priority wait for a place."""
+        """Return the number of unplaced tasks by priority."""
         counts: Counter[str] = Counter()
         for group, indices in self._cell.waiting.items():
             counts[str(self._cell.jobs[group.job].job.priority)] += len(indices)
@@ -192,15 +195,15 @@
 
     @property
     def backlog(self) -> dict[int, int]:
-        """Return by priority for how long new tasks will wait for this owner, in ms."""
+        """Estimated waiting time of new tasks by priority, in ms."""
         return self._rows.backlog
 
     def count_evacuated(self) -> dict[str, float]:
-        """Return how many tasks still run in each evacuated data centre."""
+        """Return the number of tasks that still run in each evacuated data centre."""
         return {it.data_centre: float(it.runs) for it in describe_evacuations(self._cell)}
 
     def resign(self) -> None:
-        """Give the cell up with the next write."""
+        """Give up the ownership with the next write."""
         self._resigning = True
         self._wake.set()
 
@@ -244,7 +247,7 @@
             self._raise_if_resigned()
 
     def _place_tasks(self) -> None:
-        """Place what waits, unless that has taken its share of the time or too little is known."""
+        """Place waiting tasks if its share of the time allows it and the view of jobs is recent."""
         now = self._clocks.now()
         self._update_evacuated()
         if self._placing.left(now.steady):
@@ -259,15 +262,15 @@
         TURN_TIME.record(ended - now.steady, {"what": "placing"})
 
     def _raise_if_resigned(self) -> None:
-        """Raise DeposedError after this owner's resignation was written."""
+        """Raise OwnershipLostError if this owner's resignation has been written."""
         if not self._rows.record.host:
             raise OwnershipLostError("resigned")
 
     def _has_recent_jobs(self, now: Now) -> bool:
         """
-        Tell whether the jobs are known as they were lately.
+        Return whether the jobs were read recently.
 
-        A cancelled job may start nothing 3 s after its cancel is acknowledged, by any host.
+        No task of a cancelled job may start later than 3 s after a host acknowledged the cancel.
         """
         return now.table - self._rows.view.clock <= MAX_VIEW_AGE_MS
 
@@ -276,13 +279,13 @@
             log_evacuations(self._cell)
 
     async def _follow_workers(self) -> None:
-        """Follow the workers' entries."""
+        """Read the workers' entries periodically."""
         followed = RowCache(self._store, WORKERS_TABLE)
         while True:
             try:
                 await followed.update()
             except (CallError, PlatformError) as error:
-                _log.warning("workers not read", event="workers.unread", reason=error)
+                _log.warning("workers' entries not read", event="workers.unread", reason=error)
                 await asyncio.sleep(RETRY_DELAY_S)
                 continue
             rows = followed.rows
@@ -296,7 +299,7 @@
             await asyncio.sleep(LIST_PERIOD_S)
 
     async def _drop_ended_jobs(self) -> None:
-        """Drop the rows of jobs that ended long ago; commits don't wait for it."""
+        """Delete the rows of jobs whose retention is over, without delaying commits."""
         while True:
             forgotten = self._cell.job_rows_to_delete[:MAX_FORGOTTEN]
             if not forgotten:
@@ -326,7 +329,7 @@
             self._delay.note(now.steady - due, now.steady)
             self._update_evacuated()
             for worker in expire_leases(self._cell, now):
-                _log.info("worker gone", event="worker.gone", worker=worker.entry.id)
+                _log.info("worker's lease expired", event="worker.gone", worker=worker.entry.id)
             log_given_up(self._cell, fail_crashing_jobs(self._cell, now))
             begin_due(self._cell, now)
             for decision in periodic:
@@ -350,18 +353,18 @@
         waiting: Counter[int] = Counter()
         for group, indices in self._cell.waiting.items():
             job = self._cell.jobs[group.job].job
-            # Lasting tasks may wait for room for as long as others last.
+            # Long-running tasks may wait for room indefinitely.
             if not job.steps[group.step].long_running:
                 waiting[job.priority] += len(indices)
         delay = self._delay.read(now.steady)
         self._rows.backlog = self._backlog.estimate(waiting, delay, now.steady)
 
     def _log_delay(self, now: Now) -> None:
-        """Tell that this host is too weak for the cell, or paused."""
+        """Log a warning if this host is overloaded or was suspended."""
         delay = self._delay.read(now.steady)
         if delay > MIN_LOGGED_DELAY_S:
             _log.warning(
-                "the owner is behind",
+                "owner can't keep up with its cell",
                 event="owner.behind",
                 cell=self._cell.name,
                 delay=round(delay, 3),
--- a/toucanpin/entry/peer_calls.py
+++ b/toucanpin/entry/peer_calls.py
@@ -2,7 +2,7 @@
 Calls through peers
 ===================
 
-Call one of the platform's services through another host.
+Call a service of the platform through another host.
 """
 
 from __future__ import annotations
@@ -24,11 +24,11 @@
 
 STORE = "store"
 ADVICE = "advice"
-CONNECT_TIMEOUT_S = 0.3  # s to reach a peer
+CONNECT_TIMEOUT_S = 0.3  # of a connection to a peer
 
 
 class PeerCaller:
-    """Call one of the platform's services through one peer."""
+    """Client of one service of the platform that calls through a peer."""
 
     __slots__ = ("_name", "_peer", "_peers", "_service")
 
@@ -92,4 +92,4 @@
     match received.message:
         case RelayAnswer() if received.envelope.nonce == nonce:
             return received.message
-    raise CallError(Verdict.MAY_HAVE_RUN, f"{peer.name} answered something else")
+    raise CallError(Verdict.MAY_HAVE_RUN, f"{peer.name} answered with another message or nonce")
--- a/toucanpin/entry/peers.py
+++ b/toucanpin/entry/peers.py
@@ -2,7 +2,7 @@
 Peers
 =====
 
-Who the other hosts are and the key that all share, as rows of the table tell.
+Registry of the hosts, and the key that they share, both kept in the table.
 """
 
 from __future__ import annotations
@@ -28,19 +28,18 @@
 __all__ = ["Peer", "Peers"]
 
 _log = logbook.Logger("peers")
-ANNOUNCE_PERIOD_S = 4.0  # s between announcements of a host
-READ_PERIOD_S = 2.0  # s between reads of the others
-PEER_TIMEOUT_S = 15.0  # s without an announcement after which a host isn't asked for anything
-# Hosts are replaced all day under new names; kept, their rows would fill every host's link.
-ROW_RETENTION_S = 300.0  # s without an announcement after which a host's row is dropped
-MAX_DROPPED_ROWS = 10  # rows at a time, each with the version that it must have
-RETRY_DELAY_S = 0.3  # s after a failure
-HEALTHY_TIMEOUT_S = (
-    6.0  # s since an announcement for which a host is thought to be well; two of them
-)
-STRONGER_FACTOR = 1.5  # times the cores that are worth a change of owner
+ANNOUNCE_PERIOD_S = 4.0  # between announcements of a host
+READ_PERIOD_S = 2.0  # between reads of the registry
+PEER_TIMEOUT_S = 15.0  # without an announcement, after which a host is no longer called
+# Hosts are replaced under new names all day long.  If their rows were kept, reading them would use
+# up the bandwidth of all hosts.
+ROW_RETENTION_S = 300.0  # without an announcement, after which a host's row is deleted
+MAX_DROPPED_ROWS = 10  # per transaction, each with its expected version
+RETRY_DELAY_S = 0.3  # after a failure
+HEALTHY_TIMEOUT_S = 6.0  # a host counts as healthy for this time after an announcement
+STRONGER_FACTOR = 1.5  # ratio of cores that justifies a change of owner
 KEY_BYTES = 32
-MAX_EXACT_ERROR_MS = 20  # ms of error up to which a host's time of day decides when work is due
+MAX_EXACT_ERROR_MS = 20  # hosts with a larger error don't count for the time of day
 
 
 class Peer(msgspec.Struct, frozen=True, array_like=True):
@@ -62,7 +61,7 @@
 
 
 class Peers:
-    """Keep the list of hosts and announce this one."""
+    """Registry of the hosts, in which this one announces itself."""
 
     __slots__ = ("_reader", "_cache", "_settings", "_store", "known", "secret")
 
@@ -75,7 +74,7 @@
         self.secret = b""
 
     async def run(self) -> None:
-        """Announce and read for ever."""
+        """Announce this host and read the registry until cancelled."""
         announced_at = 0.0
         while True:
             try:
@@ -86,34 +85,34 @@
                     announced_at = time.monotonic()
                 await self._refresh()
             except (CallError, PlatformError) as error:
-                _log.info("peers not read", event="peers.unread", reason=error)
+                _log.info("registry of hosts not read", event="peers.unread", reason=error)
                 await asyncio.sleep(RETRY_DELAY_S)
                 continue
             await asyncio.sleep(READ_PERIOD_S)
 
     def list_live(self) -> tuple[Peer, ...]:
-        """Return the other hosts that are thought to be there."""
+        """Return the other hosts that have announced themselves recently."""
         limit = self._store.clock - int(PEER_TIMEOUT_S * 1_000)
         name = self._settings.name
         return tuple(peer for peer in self.known if peer.name != name and peer.announced > limit)
 
     def has_stronger_host(self) -> bool:
-        """Tell whether a host is there that has far more cores than this one."""
+        """Return whether a healthy host has far more cores than this one."""
         limit = self._store.clock - int(HEALTHY_TIMEOUT_S * 1_000)
         enough = STRONGER_FACTOR * self._settings.cores
         return any(peer.announced > limit and peer.cores >= enough for peer in self.known)
 
     def count_preferred(self, cell: str) -> int:
-        """Return how many other hosts would sooner own a cell: stronger ones, then by lot."""
+        """Return how many live hosts take precedence as owner of a cell: by cores, then by hash."""
         own = _make_rank(cell, self._settings.name, self._settings.cores)
         ranks = (_make_rank(cell, peer.name, peer.cores) for peer in self.list_live())
         return sum(rank < own for rank in ranks)
 
     def wall_offsets(self) -> tuple[int, ...]:
         """
-        Return how far each host's time of day is ahead of the table's clock, in ms.
+        Return by how much each host's time of day is ahead of the table's clock, in ms.
 
-        Where enough hosts know it well, those that know it badly aren't asked.
+        If enough hosts know their offset exactly, the others are left out.
         """
         limit = self._store.clock - int(PEER_TIMEOUT_S * 1_000)
         fresh = [peer for peer in self.known if peer.announced > limit]
@@ -149,7 +148,7 @@
         )
 
     async def _drop_expired(self, rows: list[Row]) -> None:
-        """Drop the rows of hosts that are long gone, unless they are back since."""
+        """Delete the rows of expired hosts that haven't announced themselves since."""
         if not rows:
             return
         expected = [ExpectedVersion(HOSTS_TABLE, row.key, row.version) for row in rows]
--- a/toucanpin/entry/pending_counts.py
+++ b/toucanpin/entry/pending_counts.py
@@ -1,8 +1,8 @@
 """
-Counts of what waits, as callers are told
-=========================================
+Counts of pending jobs
+======================
 
-Read what the owner of a cell has counted, and add what has been handed in since it last looked.
+Read the counts that the owner of a cell has written, and add the jobs submitted since.
 """
 
 from __future__ import annotations
@@ -22,11 +22,11 @@
     store: Store, reader: RowReader, service: str, queue: str
 ) -> tuple[int, int] | None:
     """
-    Return how many jobs of a queue wait, and the age of their owner's view in ms.
+    Return the number of pending jobs of a queue, and the age of the owner's view in ms.
 
-    None stands for a count that isn't known.  An owner that reads its jobs late, or is being
-    replaced, has counted those that it knows: what was handed in since then is counted here, and
-    where the table has forgotten its changes nothing is said.
+    The result is None if the count is unknown.  An owner that reads its jobs late, or is being
+    replaced, has counted only the jobs that it knows.  Jobs submitted later are counted here from
+    the table's feed of changes; if that history is gone, the count is unknown.
 
     Raises
     ------
@@ -40,7 +40,7 @@
     if counts is None or not counts.view.version:
         return None
     known = counts.jobs.get(queue, 0)
-    # On a full link all answers come late, so the newest of them doesn't tell the time either.
+    # On a saturated link all answers are late, so the clock in the newest one is outdated too.
     clock = store.read_clock()
     age = clock - counts.view.clock
     if is_recent(counts.view, clock):
@@ -53,9 +53,9 @@
 
 async def _read_newer(store: Store, version: int, last: int) -> list[Row] | None:
     """
-    Return the jobs' rows that have changed after a version, at least those up to ``last``.
+    Return the rows of jobs that changed after a version, at least up to the version ``last``.
 
-    None if that isn't known.
+    The result is None if that history is gone.
     """
     rows: list[Row] = []
     while True:
@@ -63,7 +63,7 @@
         if page is None:
             return None
         rows += page.rows
-        # Jobs may come faster than answers, and then none would be without rows.
+        # Jobs may be submitted faster than the store answers; then no answer would be empty.
         if not page.rows or page.version >= last:
             return rows
         version = page.version
--- a/toucanpin/entry/periodic.py
+++ b/toucanpin/entry/periodic.py
@@ -2,7 +2,7 @@
 Periodic decisions
 ==================
 
-Make decisions that others can do without again and again, each in its share of the time.
+Run optional decisions periodically, each with a limited share of the process's time.
 """
 
 from __future__ import annotations
@@ -18,16 +18,16 @@
 __all__ = ["PeriodicDecision"]
 
 _log = logbook.Logger("owner")
-MAX_TIME_SHARE = 0.08  # of the time, at most
-RETRY_DELAY_S = 1.0  # s until a decision that failed is made again
+MAX_TIME_SHARE = 0.08  # maximum fraction of the time for one decision
+RETRY_DELAY_S = 1.0  # after a decision failed
 
 
 class PeriodicDecision:
     """
-    Make one decision again and again, ``period`` seconds apart at least.
+    Decision that is made every ``period`` seconds at most.
 
-    A fault in it costs this decision, not the cell: a takeover would have all jobs stand still for
-    seconds, and the next owner would meet the same fault.
+    An error in it is logged, and the owner keeps its cell.  A takeover would stop all scheduling
+    for seconds, and the next owner would run into the same error.
     """
 
     __slots__ = ("_decide", "_due_at", "_period", "_share")
@@ -39,13 +39,13 @@
         self._due_at = 0.0
 
     def run_if_due(self, now: Now) -> None:
-        """Make the decision unless it rests."""
+        """Make the decision if its period is over and its time share allows it."""
         if now.steady < self._due_at or self._share.left(now.steady):
             return
         self._due_at = now.steady + self._period
         try:
             self._decide(now)
         except Exception:
-            _log.exception("a decision failed", event="owner.fault")
+            _log.exception("periodic decision failed", event="owner.fault")
             self._due_at = now.steady + RETRY_DELAY_S
         self._share.note(now.steady, steady_time())
--- a/toucanpin/entry/program.py
+++ b/toucanpin/entry/program.py
@@ -1,8 +1,8 @@
 """
-Program of an entry host
-========================
+Command line of an entry host
+=============================
 
-Read the command line and the settings, and run the process until the host's init ends it.
+Read the command line and the settings, and run the process until the init system stops it.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 def run() -> int:
-    """Run until the host's init ends the process; return the exit code."""
+    """Run until the init system stops the process; return the exit code."""
     options = _parse_options()
     try:
         settings = read_settings()
@@ -42,13 +42,13 @@
 def _parse_options() -> argparse.Namespace:
     parser = argparse.ArgumentParser(
         prog="python -m toucanpin.entry",
-        description="Run an entry host; its settings stand in the file that the host's init names.",
+        description="Run an entry host with the settings of the file that its init system names.",
     )
     parser.add_argument(
         "--metrics",
         type=_parse_metrics,
         metavar="PORT/PATH",
-        help="where collectors read metrics, for example 9464/metrics; nowhere if it is left out",
+        help="port and path of the metrics, for example 9464/metrics; without it there are none",
     )
     return parser.parse_args()
 
@@ -56,5 +56,5 @@
 def _parse_metrics(text: str) -> tuple[int, str]:
     port, _, path = text.partition("/")
     if not port.isdigit() or not 0 < int(port) < 65_536:
-        raise argparse.ArgumentTypeError(f"{text!r} is no PORT/PATH: the port is 1 to 65535")
+        raise argparse.ArgumentTypeError(f"{text!r} is not PORT/PATH with a port from 1 to 65535")
     return int(port), "/" + path
--- a/toucanpin/entry/relay.py
+++ b/toucanpin/entry/relay.py
@@ -2,7 +2,7 @@
 Relay of calls
 ==============
 
-Call the platform's services for other hosts.
+Forward calls of other hosts to the platform's services.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 
 
 class RelayServer:
-    """Call the platform's services for peers that can't, or that share out their calls."""
+    """Server that forwards calls of peers that can't reach a service, or spread their calls."""
 
     __slots__ = ("_name", "_peers", "_server", "_services", "_store")
 
@@ -75,7 +75,7 @@
                     )
                     await writer.drain()
         except (WireError, OSError, asyncio.IncompleteReadError) as error:
-            _log.info("relay refused", event="relay.refused", reason=error)
+            _log.info("relayed call refused", event="relay.refused", reason=error)
         finally:
             writer.close()
 
--- a/toucanpin/entry/relayed_store.py
+++ b/toucanpin/entry/relayed_store.py
@@ -1,8 +1,8 @@
 """
-Store reached directly or through peers
-=======================================
+Access to the store with failover to peers
+==========================================
 
-Reach the platform's store through a peer while the store turns this host away.
+Call the platform's store through a peer while the store refuses or doesn't answer this host.
 """
 
 from __future__ import annotations
@@ -28,14 +28,15 @@
 __all__ = ["RelayedStore"]
 
 _log = logbook.Logger("relay")
-DIRECT_TIMEOUT_S = 1.0  # s of a direct try before a peer is asked; a slow store takes 0.6 s
-MAX_SHORT_TIMEOUT_S = 2.5  # s that calls may take whose silence is a sign of an outage
-PROBE_PERIOD_S = 0.5  # s between direct tries while peers are used
-PROBE_TIMEOUT_S = 0.4  # s
-PEER_BACKOFF_S = 1.0  # s that a peer isn't asked after it couldn't reach the store either
-MAX_PEERS = 3  # asked for one call; in an outage for all, more would only cost the others' time
-RELAY_BACKOFF_S = 0.4  # s that no peer is asked after none of them reached the store
-# Of a row that stays small: the operators' document never came whole over a weak link in that time.
+DIRECT_TIMEOUT_S = 1.0  # of a direct call before a peer is tried; a slow store takes 0.6 s
+MAX_SHORT_TIMEOUT_S = 2.5  # a time-out of a call shorter than this is a sign of an outage
+PROBE_PERIOD_S = 0.5  # between direct calls while peers are used
+PROBE_TIMEOUT_S = 0.4
+PEER_BACKOFF_S = 1.0  # after a peer couldn't reach the store either
+MAX_PEERS = 3  # tried per call; in an outage for all hosts more of them would only add load
+RELAY_BACKOFF_S = 0.4  # without relayed calls after no peer reached the store
+# The probe reads a row that stays small.  On a slow link the operators' document can't be
+# transferred within the time-out.
 _PROBE_PATH = f"/rows-get?table={KEYS_TABLE}&part=&limit=1&from={SHARED_KEY}&target={SHARED_KEY}%00"
 _WATCH_PATH = "/rows-feed"
 _NO_WAIT = "&waitMs=0"
@@ -43,7 +44,7 @@
 
 
 class RelayedStore:
-    """Call the store directly, or through a peer while it answers others and not this host."""
+    """Client of the store that calls through a peer while direct calls fail."""
 
     __slots__ = (
         "_direct",
@@ -65,7 +66,7 @@
         self.direct_works = True
 
     def use_peers(self, peers: Peers) -> None:
-        """Use these peers from now on."""
+        """Set the registry of peers; without it there is no failover."""
         self._peers = peers
 
     async def call(
@@ -74,15 +75,15 @@
         """
         Call the store.
 
-        A call that got no answer directly is repeated through a peer.  That is safe, since every
-        write carries the versions that it expects: whichever copy comes second does nothing.
+        A direct call without an answer is repeated through a peer.  That is safe, since every write
+        carries the versions that it expects: the second copy has no effect.
         """
         deadline = time.monotonic() + timeout
         uncertain = False
         refusal: Answer | None = None
         failure: CallError | None = None
         if self.direct_works or not self._may_relay():
-            # A watch is meant to stay unanswered for long, so its silence says nothing.
+            # A watch may rightly stay unanswered, so its time-out is no sign of an outage.
             is_short = timeout <= MAX_SHORT_TIMEOUT_S and not _is_watch(path)
             direct_timeout = (
                 min(timeout, DIRECT_TIMEOUT_S) if is_short and self._may_relay() else timeout
@@ -133,10 +134,10 @@
 
     def _list_peers(self) -> list[Peer]:
         """
-        Return some peers to ask, in any order, without those that didn't reach the store lately.
+        Return some peers in random order, without those that recently failed to reach the store.
 
-        The store may turn several hosts away.  Each would take its turn through another of them and
-        then rest, and an owner among them wrote nothing for two seconds.
+        The store may refuse several hosts at once.  If such hosts tried each other and then backed
+        off, an owner among them would write nothing for two seconds.
         """
         if self._peers is None or not self._peers.secret:
             return []
@@ -153,12 +154,14 @@
     def _note_failure(self) -> None:
         if self.direct_works:
             self.direct_works = False
-            _log.warning("store not reached directly", event="store.lost")
+            _log.warning(
+                "store can't be reached directly, calls go through peers", event="store.lost"
+            )
         if self._probing is None:
             self._probing = asyncio.ensure_future(self._probe())
 
     async def _probe(self) -> None:
-        """Try the store directly until it answers."""
+        """Call the store directly until it answers."""
         while True:
             await asyncio.sleep(PROBE_PERIOD_S)
             try:
@@ -169,7 +172,7 @@
                 break
         self.direct_works = True
         self._probing = None
-        _log.info("store reached directly", event="store.regained")
+        _log.info("store can be reached directly again", event="store.regained")
 
     async def _relay(
         self, peer: Peer, method: str, path: str, body: bytes, timeout: float
@@ -180,11 +183,11 @@
 
 
 def _is_watch(path: str) -> bool:
-    """Tell whether a call waits for changes; one that only asks for them is answered at once."""
+    """Return whether a call waits for changes; with a wait of 0 it is answered at once."""
     return path.startswith(_WATCH_PATH) and not path.endswith(_NO_WAIT)
 
 
 def _find_table(path: str) -> str:
-    """Return the table that a call reads, empty for a transaction."""
+    """Return the name of the table that a call reads, empty for a transaction."""
     query = parse_qs(urlsplit(path).query)
     return query.get("table", [""])[0]
--- a/toucanpin/entry/requests.py
+++ b/toucanpin/entry/requests.py
@@ -2,7 +2,7 @@
 Callers' requests
 =================
 
-Accept, show, count and cancel jobs: every answer stands in the table before it is given.
+Accept, show, count and cancel jobs.  A request is confirmed only after its effect is in the table.
 """
 
 from __future__ import annotations
@@ -42,24 +42,25 @@
 
 _log = logbook.Logger("requests")
 T = TypeVar("T")
-DEFAULT_DEADLINE_S = 3.0  # s, for callers that don't say how long they wait
-RESPONSE_MARGIN_S = 0.15  # s that an answer needs to reach a caller
-INITIAL_BACKOFF_S = 0.03  # s before the second try at the table; doubled each time
-MAX_BACKOFF_S = 0.25  # s
-ATTEMPT_TIMEOUT_S = 1.8  # s for one try at the table; a slow one takes 0.6 s, and a peer may follow
-REFUSE_AFTER_S = 0.5  # s of certain refusals by the table after which a caller is sent away
-# A version has to be in force 2 to 3 s after it was written.
-MAX_CONFIGURATION_AGE_S = 2.0  # s since a configuration was known to be the newest
-RETRY_AFTER_S = 1  # s after which a caller that was refused should try again
-# Callers try a handful of times.  Outages of the table last 4 to 10 s once they last a second, and
-# callers that come back each second have used their tries before the end.
+DEFAULT_DEADLINE_S = 3.0  # for callers that don't send one
+RESPONSE_MARGIN_S = 0.15  # time for an answer to reach the caller
+INITIAL_BACKOFF_S = 0.03  # before the second attempt; doubled each time
+MAX_BACKOFF_S = 0.25
+ATTEMPT_TIMEOUT_S = 1.8  # a slow store takes 0.6 s, and a call through a peer may follow
+REFUSE_AFTER_S = 0.5  # a caller is refused after the table has refused for this time
+# Time since the configuration was last confirmed to be the newest.  A version has to be in force 2
+# to 3 s after it was written.
+MAX_CONFIGURATION_AGE_S = 2.0
+RETRY_AFTER_S = 1  # for callers that were refused
+# Callers make only a few attempts.  An outage of the table that lasts a second usually lasts 4 to
+# 10 s, and a caller that retries every second would use up its attempts before the end.
 LONG_RETRY_AFTER_S = 2
-MIN_OUTAGE_S = 1.5  # s without the table that count as an outage
+MIN_OUTAGE_S = 1.5  # without the table, after which callers get the longer delay
 
 
 @dataclass(frozen=True, slots=True)
 class _ReadResult(Generic[T]):
-    """Hold what a read gave, if it was answered."""
+    """Result of a read; ``answered`` is False if there was no answer."""
 
     answered: bool
     value: T | None
@@ -70,7 +71,7 @@
 
 
 class RequestHandler:
-    """Answer callers' requests about jobs."""
+    """Handler of callers' requests about jobs."""
 
     __slots__ = ("_clocks", "_configuration", "_reader", "_read_backlog", "_store")
 
@@ -88,7 +89,7 @@
         self._reader = RowReader()
 
     async def handle(self, request: Request) -> Response | None:
-        """Answer one request of a caller; one that isn't served leaves a line."""
+        """Answer a request; server errors are logged."""
         begun = steady_time()
         response = await self._answer(request)
         took = steady_time() - begun
@@ -96,7 +97,7 @@
         REQUEST_TIME.record(took, {"method": request.method})
         if response is not None and response.status >= 500:
             _log.warning(
-                "request not served",
+                "request failed",
                 event="request.unserved",
                 method=request.method,
                 path=request.path,
@@ -110,7 +111,8 @@
         path = request.path.partition("?")[0]
         host = request.headers.get("host", "")
         deadline = time.monotonic() + _read_deadline(request) - RESPONSE_MARGIN_S
-        # Reads of what was accepted go on; nothing new is accepted of a queue that may be dropped.
+        # With an outdated configuration accepted jobs can still be read, but no job is accepted, as
+        # its queue may have been removed.
         if request.method == "POST" and not await self._has_current_configuration(deadline):
             return Response(503, retry_after=self._choose_retry_after())
         queue = await self._configuration.find(host, path, deadline - time.monotonic())
@@ -136,16 +138,16 @@
 
     async def _has_current_configuration(self, deadline: float) -> bool:
         """
-        Tell whether the configuration may still be in force, after one look if that is needed.
+        Return whether the configuration is recent enough, after one refresh if needed.
 
-        Looked at again and again in an outage, the table was tried by so many calls that writes of
-        other callers went to it too, and got no answer that told whether they were done.
+        Only one: with repeated refreshes in an outage, the table was tried so often that writes of
+        other callers were sent to it too, and ended without a definite answer.
         """
         time_limit = min(REFUSE_AFTER_S, deadline - time.monotonic())
         return await self._configuration.refresh(MAX_CONFIGURATION_AGE_S, time_limit)
 
     def _choose_retry_after(self) -> int:
-        """Return after how many seconds a refused caller should try again."""
+        """Return the delay in s after which a refused caller should retry."""
         outage = steady_time() - self._configuration.confirmed
         return LONG_RETRY_AFTER_S if outage > MIN_OUTAGE_S else RETRY_AFTER_S
 
@@ -158,14 +160,14 @@
         except JobSyntaxError as error:
             fault = str(error)
         if fault:
-            _log.info("job refused", event="job.malformed", job=identifier, reason=fault)
+            _log.info("invalid job refused", event="job.malformed", job=identifier, reason=fault)
             return Response(400, msgspec.json.encode({"error": fault}))
         if would_exceed_time_limit(job, self._read_backlog(queue.service)):
             return await self._refuse_overload(queue, identifier, deadline)
         put = Put(JOBS_TABLE, identifier, encode_job(job))
         written = await self._write(job_part(queue.service, identifier), put, deadline)
         _log.info(
-            "job handed in",
+            "job submitted",
             event="job.submitted",
             job=identifier,
             queue=queue.name,
@@ -177,17 +179,22 @@
                 return Response(200)
             case False:
                 return Response(503, retry_after=self._choose_retry_after())
-        # The row may still be written, so neither an acceptance nor a refusal would be true.
+        # The write may still be applied, so neither an acceptance nor a refusal would be correct.
         return Response(504)
 
     async def _refuse_overload(self, queue: Queue, identifier: str, deadline: float) -> Response:
         """
-        Refuse a job that couldn't be in time, unless an earlier try has handed it in.
+        Refuse a job that can't finish in time, unless an earlier attempt has submitted it.
 
-        Told that it never runs, a caller whose first answer was lost would hand it in anew.
+        If a retry of an accepted job were refused, its caller would submit the work again.
         """
         accepted = await self._find_job(queue, identifier, deadline)
-        _log.info("job turned away", event="job.hopeless", job=identifier, queue=queue.name)
+        _log.info(
+            "job refused: it can't finish in time",
+            event="job.hopeless",
+            job=identifier,
+            queue=queue.name,
+        )
         if not accepted.answered:
             return Response(504)
         return Response(200) if accepted.value else Response(503, retry_after=LONG_RETRY_AFTER_S)
@@ -224,7 +231,8 @@
             page = await self._store.read(JOBS_TABLE, part, identifier, end)
             if page.rows:
                 return JobState.PENDING
-            # Between the two reads the job may have ended and been forgotten, never begun.
+            # Neither row exists: the job is unknown, or it ended and was deleted between the
+            # two reads.
             return None
 
         found = await self._read_with_retries(find, deadline)
@@ -245,7 +253,7 @@
             return Response(404)
         count, view_age = (await self._read_with_retries(find, deadline)).value or (-1, -1)
         _log.info(
-            "waiting jobs counted",
+            "pending jobs counted",
             event="jobs.counted",
             queue=queue.name,
             count=count,
@@ -259,10 +267,10 @@
 
     async def _write(self, part: str, put: Put, deadline: float) -> bool | None:
         """
-        Write a row that mustn't exist; None if it isn't known whether it was written.
+        Write a row that mustn't exist yet; return None if the outcome is unknown.
 
-        A try without an answer may be carried out late, so after one of these only finding the
-        row settles the matter, however certain the later refusals are.
+        An attempt without an answer may still be applied later.  After one, only finding the row
+        proves the outcome, even if later attempts are refused for certain.
         """
         begun = time.monotonic()
         backoff = INITIAL_BACKOFF_S
@@ -282,7 +290,7 @@
                 _log.error("write refused", event="store.fault", key=put.key, reason=error)
                 return None if uncertain else False
             else:
-                # A conflict says that the row is there: this try's, or the same request's earlier.
+                # A conflict shows that the row exists, from an earlier attempt or request.
                 return isinstance(result, Committed) or any(row.version for row in result.rows)
             await asyncio.sleep(min(backoff, max(0.0, deadline - time.monotonic())))
             backoff = min(2 * backoff, MAX_BACKOFF_S)
@@ -290,7 +298,7 @@
     async def _read_with_retries(
         self, find: Callable[[], Awaitable[T]], deadline: float
     ) -> _ReadResult[T]:
-        """Repeat a read until it is answered, within the deadline."""
+        """Read, with retries until there is an answer or the deadline has passed."""
         backoff = INITIAL_BACKOFF_S
         while time.monotonic() < deadline:
             try:
--- a/toucanpin/entry/root.py
+++ b/toucanpin/entry/root.py
@@ -2,7 +2,7 @@
 Composition root
 ================
 
-Wire the parts of an entry host's process, and run them until it is told to end.
+Wire the components of an entry host's process, and run them until it is told to stop.
 """
 
 from __future__ import annotations
@@ -36,18 +36,19 @@
 __all__ = ["EntryProcess"]
 
 _log = logbook.Logger("entry")
-DEFAULT_MAX_HEADER_BYTES = 16_384  # bytes, until a configuration says otherwise
-DEFAULT_MAX_BODY_BYTES = 262_144  # bytes, until a configuration says otherwise
-MAX_READY_AGE_S = 2.5  # s without the table after which new connections should go elsewhere
-# The balancer asks each second and needs two misses; connections opened until then are served.
+DEFAULT_MAX_HEADER_BYTES = 16_384  # until a configuration is applied
+DEFAULT_MAX_BODY_BYTES = 262_144  # until a configuration is applied
+MAX_READY_AGE_S = 2.5  # without the table, after which the host isn't ready for new connections
+# The load balancer probes every second and needs two failures.  Connections that it opens until
+# then are still served.
 LINGER_TIME_S = 2.6
-LAG_PERIOD_S = 0.25  # s between measurements of the loop's lag
-RESTART_DELAY_S = 0.3  # s after which a part that failed is begun again
-EXIT_MARGIN_S = 1.2  # s before the platform kills the process
+LAG_PERIOD_S = 0.25  # between measurements of the event loop's lag
+RESTART_DELAY_S = 0.3  # before a component that failed is started again
+EXIT_MARGIN_S = 1.2  # requests are answered this long before the platform kills the process
 
 
 class EntryProcess:
-    """Run everything of one entry host."""
+    """Process of one entry host, with all of its components."""
 
     def __init__(
         self,
@@ -88,7 +89,7 @@
             logs.clock = lambda: self._clocks.now().table
 
     async def run(self) -> None:
-        """Run until SIGTERM."""
+        """Run until SIGTERM, then shut down."""
         ending = asyncio.Event()
         loop = asyncio.get_running_loop()
         loop.add_signal_handler(signal.SIGTERM, ending.set)
@@ -98,7 +99,7 @@
         await self.shut_down()
 
     async def start(self) -> None:
-        """Listen and begin all parts."""
+        """Start to listen, and start all components."""
         await self._front.listen(self._settings.front)
         await self._readiness.listen(self._settings.readiness)
         if self._settings.inner_port:
@@ -116,11 +117,11 @@
         return tuple(cell for cell, it in self._candidates.items() if it.owns)
 
     def has_peers(self) -> bool:
-        """Tell whether this host could reach the store through another."""
+        """Return whether this host could reach the store through a peer."""
         return bool(self._peers.secret) and bool(self._peers.list_live())
 
     async def abort(self) -> None:
-        """End at once, as a kill would; for embedding."""
+        """Stop at once, as a kill would; used where the process is embedded."""
         tasks = tuple(self._tasks)
         for task in tasks:
             task.cancel()
@@ -132,7 +133,7 @@
             await self._metrics.close()
 
     async def shut_down(self) -> None:
-        """Give up what is owned, answer what was read, then close."""
+        """Give up owned cells, answer the requests that were read, and close all connections."""
         self._shutting_down = True
         begun = time.monotonic()
         _log.info("draining", event="process.draining")
@@ -141,8 +142,9 @@
             await candidate.resign()
         await asyncio.sleep(LINGER_TIME_S)
         left = self._settings.bounds.shutdown - EXIT_MARGIN_S - (time.monotonic() - begun)
-        # Callers may wait for longer than this process may live, above all while the store is away.
-        # A request may have taken effect by now, so only 504 is true of all of them.
+        # Callers may wait for longer than this process has left, above all in an outage of the
+        # store.  Their requests may have taken effect, so 504 is the only correct answer to all of
+        # them.
         await self._front.drain(max(0.0, left), timeout_response=Response(504))
         await asyncio.sleep(0.05)
         _log.info("stopped", event="process.stopped")
@@ -188,7 +190,7 @@
         return {"version": current.version if current else 0, "age": age}
 
     async def _run_candidates(self) -> None:
-        """Contend for the cell of each service that the configuration names."""
+        """Run a candidate for the cell of each service in the configuration."""
         while True:
             current = self._configuration.current
             for service in current.services if current else ():
@@ -213,12 +215,12 @@
             await asyncio.sleep(0.1)
 
     def _read_backlog(self, service: str) -> Mapping[int, int]:
-        """Return by priority for how long new tasks of a service will wait for its owner, in ms."""
+        """Return the estimated waiting time of a service's new tasks by priority, in ms."""
         candidate = self._candidates.get(service)
         return candidate.read_backlog() if candidate is not None else {}
 
     def _is_guarded(self, service: str) -> bool:
-        """Tell whether a service's workers refuse what doesn't fit, as far as is known."""
+        """Return whether a service's workers are known to refuse tasks that don't fit."""
         current = self._configuration.current
         known = current.services.get(service) if current is not None else None
         return known is not None and known.guarded
@@ -243,7 +245,7 @@
 
 
 async def _measure_lag() -> None:
-    """Record by how much the loop's turns come late."""
+    """Record the lag of the event loop."""
     while True:
         due = time.monotonic() + LAG_PERIOD_S
         await asyncio.sleep(LAG_PERIOD_S)
@@ -252,10 +254,10 @@
 
 async def _supervise(part: Callable[[], Coroutine[Any, Any, None]]) -> None:
     """
-    Run a part of the process, and again whenever it fails.
+    Run a component of the process, and start it again whenever it fails.
 
-    A process that goes on without one of its parts looks alive to the balancer and answers nothing
-    right; one message that can't be read would do that to every host at the same moment.
+    A process that goes on without one of its components would look healthy to the load balancer but
+    fail its requests, and one malformed message could do that to all hosts at once.
     """
     while True:
         try:
@@ -263,5 +265,5 @@
             return
         except Exception as error:
             where = traceback.format_exception(error)
-            _log.error("part failed", event="process.fault", reason=repr(error), where=where)
+            _log.error("component failed", event="process.fault", reason=repr(error), where=where)
         await asyncio.sleep(RESTART_DELAY_S)
--- a/toucanpin/entry/row_cache.py
+++ b/toucanpin/entry/row_cache.py
@@ -1,8 +1,8 @@
 """
-Followed rows
+Cache of rows
 =============
 
-Keep a range of a table's rows as they are, and read only what has changed.
+Keep a copy of a range of a table's rows, and read only what has changed.
 """
 
 from __future__ import annotations
@@ -15,19 +15,20 @@
 
 __all__ = ["FULL_READ_PERIOD_S", "MAX_FULL_READ_SHARE", "RowCache", "plan_full_read"]
 
-# The table's changes may hear nothing for a second while there are some, and not say so.
-FULL_READ_PERIOD_S = 3.0  # s between whole reads, for what changes have missed
-# What is read whole grows with what there is; on a weak link it would take most of the time, and
-# everything else would come late.
-MAX_FULL_READ_SHARE = 0.05  # of the time that whole reads may take
+# The feed of changes may omit the changes of a second without any sign, so all rows are read now
+# and then.
+FULL_READ_PERIOD_S = 3.0
+# Full reads grow with the number of rows.  On a slow link they would take most of the time, and
+# delay everything else.
+MAX_FULL_READ_SHARE = 0.05  # maximum fraction of the time that full reads take
 
 
 class RowCache:
     """
-    Follow the rows of a range of keys in a table's part without a name.
+    Copy of the rows in a range of keys, in a table's part without a name.
 
-    Read whole at each look, what many hosts follow fills their links: the operators' document with
-    its queues, the entries of hundreds of workers.
+    Reading only the changes saves bandwidth on all hosts: the operators' document lists all queues,
+    and there are entries of hundreds of workers.
     """
 
     __slots__ = (
@@ -46,18 +47,19 @@
         self._table = table
         self._start = start
         self._end = end
-        self._version = 0  # the store's, up to which the rows are known here
-        # Changes hold each version of a row.  Of a document that is written in quick succession
-        # they are many times the document, so it is read whole until it rests.
+        self._version = 0  # version of the store up to which the rows are known
+        # The feed contains each version of a row.  For a document that is written many times in
+        # quick succession it is larger than the document, so full reads are used until it stops
+        # changing.
         self._prefers_full_reads = False
-        self._full_read_at = 0.0  # when the rows are read whole again
+        self._full_read_at = 0.0  # time of the next full read
         self.rows: dict[str, Row] = {}
 
     async def update(self) -> None:
         """
-        Read what has changed, or all rows where the store doesn't know that any more.
+        Read what has changed, or all rows if the store no longer has that history.
 
-        They are read whole now and then besides.
+        All rows are also read now and then in case the feed has missed changes.
 
         Raises
         ------
@@ -87,7 +89,7 @@
         try:
             return await self._store.follow(self._table, self._version, 0.0)
         except TooLargeError:
-            # Later there would be even more of them.
+            # The changes since then only grow, so read all rows next time.
             self._prefers_full_reads = True
             raise
 
@@ -98,8 +100,8 @@
 
     def _apply(self, page: Page) -> None:
         for row in self._select_rows(page):
-            # Pages of a whole read are of later and later moments, and changes are asked for from
-            # the first one's on: what is read of a row may be older than what is known.
+            # Each page of a full read is from a later moment, and changes are requested from the
+            # moment of the first page: a row in them may be older than the cached one.
             known = self.rows.get(row.key)
             if known is not None and 0 < row.version < known.version:
                 continue
@@ -111,10 +113,10 @@
 
 
 def plan_full_read(took: float) -> float:
-    """Return the seconds until the next whole read, after one of ``took`` seconds."""
+    """Return the time until the next full read in s, after one that took ``took`` seconds."""
     return max(FULL_READ_PERIOD_S, took / MAX_FULL_READ_SHARE - took)
 
 
 def _count_bytes(rows: Iterable[Row]) -> int:
-    """Return the bytes of some rows' values."""
+    """Return the total size of the rows' values."""
     return sum(len(row.value) for row in rows)
--- a/toucanpin/entry/row_reader.py
+++ b/toucanpin/entry/row_reader.py
@@ -1,8 +1,8 @@
 """
-Entries of many writers
-=======================
+Reader of rows
+==============
 
-Read the rows of a table one by one, so that one which can't be read hides none of the others.
+Decode the rows of a table one by one, so that a malformed row doesn't hide the others.
 """
 
 from __future__ import annotations
@@ -22,15 +22,15 @@
 _log = logbook.Logger("entries")
 T = TypeVar("T")
 DECODE_ERRORS = (ToucanpinError, msgspec.MsgspecError, ValueError)
-MAX_REPORTED_ROWS = 1_000  # entries that are remembered as told; beyond, some are told again
+MAX_REPORTED_ROWS = 1_000  # malformed rows to remember; with more of them some are logged again
 
 
 class RowReader:
     """
-    Read entries, and tell once of each that isn't sound.
+    Decoder of rows that logs each malformed row once.
 
-    Tables that many write may hold anything.  Tables are read every second or so, and a line each
-    time would fill the log.
+    Tables with many writers may hold anything.  They are read about once a second, and a line for
+    each read would fill the log.
     """
 
     __slots__ = ("_reported",)
@@ -39,7 +39,7 @@
         self._reported: dict[tuple[str, str, str], int] = {}
 
     def read(self, rows: Iterable[Row], decode: Callable[[Row], T]) -> Iterator[tuple[Row, T]]:
-        """Yield each row that is sound with what ``decode`` makes of it."""
+        """Yield each valid row with the result of ``decode`` for it."""
         for row in rows:
             if row.deleted:
                 continue
@@ -53,7 +53,7 @@
             yield row, value
 
     def read_one(self, rows: Iterable[Row], decode: Callable[[Row], T]) -> T | None:
-        """Return what the first sound row holds, None without one."""
+        """Return the decoded value of the first valid row, None without one."""
         return next((value for _, value in self.read(rows, decode)), None)
 
     def _report(self, row: Row, error: Exception) -> None:
@@ -65,7 +65,7 @@
         self._reported[name] = row.version
         MALFORMED_ROWS.add(1, {"table": row.table})
         _log.warning(
-            "entry unsound",
+            "malformed row",
             event="entry.unsound",
             table=row.table,
             part=row.part,
--- a/toucanpin/entry/tables.py
+++ b/toucanpin/entry/tables.py
@@ -1,8 +1,8 @@
 """
-Rows of the product
+Tables of the store
 ===================
 
-Where the product keeps what must last: tables, parts and keys.
+Names of the tables, parts and keys in which the entry hosts keep persistent state.
 """
 
 import xxhash
@@ -26,14 +26,14 @@
     "split_key",
 ]
 
-JOBS_TABLE = "jobs"  # by cell and id: jobs as accepted, and wishes to cancel them; by any host
-PROGRESS_TABLE = "progress"  # by cell: what has become of each job; written by the cell's owner
-COUNTS_TABLE = "counts"  # by cell: how many jobs of each queue wait; written by the cell's owner
-EFFECTS_TABLE = "effects"  # by cell: what its owner has learned of neighbours; for the next owner
+JOBS_TABLE = "jobs"  # by cell and id: accepted jobs and cancel requests; written by any host
+PROGRESS_TABLE = "progress"  # by cell: progress of each job; written by the cell's owner
+COUNTS_TABLE = "counts"  # by cell: pending jobs of each queue; written by the cell's owner
+EFFECTS_TABLE = "effects"  # by cell: learned interference and durations; for the next owner
 OWNERS_TABLE = "owners"  # by cell: its owner
-HANDOVERS_TABLE = "handovers"  # by cell: changes as an owner resigns, so that others needn't wait
-WAVES_TABLE = "waves"  # by number: how far a wave of upkeep is; written by owners of its machines
-HOSTS_TABLE = "hosts"  # by name: where each host is, announced by itself
+HANDOVERS_TABLE = "handovers"  # by cell: written when an owner resigns, to notify the candidates
+WAVES_TABLE = "waves"  # by number: progress of a maintenance wave; written by owners
+HOSTS_TABLE = "hosts"  # by name: addresses of the hosts; each host writes its own
 KEYS_TABLE = "keys"  # the key that all hosts share
 OWNER_KEY = "owner"
 SHARED_KEY = "peers"
@@ -46,23 +46,23 @@
     """
     Return the part of a job's row.
 
-    A part carries out one transaction after another, and a slow table three a second.  Were all
-    rows of a cell in one part, its owner's writes would wait behind those of its callers.
+    A part runs its transactions in sequence, and a slow table only three a second.  If all rows of
+    a cell were in one part, the owner's writes would wait behind those of callers.
     """
     return f"{cell}/{xxhash.xxh32_intdigest(job.encode()) % JOB_PARTS}"
 
 
 def list_job_parts(cell: str) -> list[str]:
-    """Return all parts that hold jobs of a cell."""
+    """Return all parts that contain jobs of a cell."""
     return [f"{cell}/{number}" for number in range(JOB_PARTS)]
 
 
 def cancel_key(job: str) -> str:
-    """Return the key of the wish to cancel a job."""
+    """Return the key of the request to cancel a job."""
     return job + _CANCEL
 
 
 def split_key(key: str) -> tuple[str, bool]:
-    """Return the job of a key, and whether the row is a wish to cancel it."""
+    """Return the job of a key, and whether the row is a request to cancel it."""
     job, slash, _ = key.partition("/")
     return job, bool(slash)
--- a/toucanpin/entry/waves.py
+++ b/toucanpin/entry/waves.py
@@ -1,9 +1,9 @@
 """
-Waves of upkeep
-===============
+Maintenance waves
+=================
 
-Carry out what operators ask of machines: empty each worker, send its machine into upkeep, say when
-all are through.
+Take groups of machines through maintenance (``upkeep`` on the wire) as operators request it: drain
+each worker, order the upkeep of its machine, and report when all machines of the wave are done.
 """
 
 from __future__ import annotations
@@ -48,16 +48,17 @@
 __all__ = ["WaveController"]
 
 _log = logbook.Logger("waves")
-IDLE_PERIOD_S = 1.0  # s between looks for waves
-ACTIVE_PERIOD_S = 0.25  # s between turns while a wave is on
-LIST_PERIOD_S = 0.5  # s between lists of machines; all hosts together may read 36 to 60 a second
-ORDER_RETRY_DELAY_S = 0.4  # s before an order without an answer is repeated
-# An owner that was suspended may believe that it still is one; its successor waits this out.
-MAX_COMMIT_AGE_S = 1.0  # s since the newest accepted write within which machines are ordered
+IDLE_PERIOD_S = 1.0  # between reads of the requested waves
+ACTIVE_PERIOD_S = 0.25  # the same while a wave is active
+LIST_PERIOD_S = 0.5  # between lists of machines; all hosts together may send 36 to 60 reads/s
+ORDER_RETRY_DELAY_S = 0.4  # before an order without an answer is repeated
+# Orders are sent only within this time of the last accepted write: an owner that was suspended may
+# have lost its cell without knowing.
+MAX_COMMIT_AGE_S = 1.0
 
 
 class WaveController:
-    """Carry out the waves of one cell's machines, in the name of its owner."""
+    """Controller of the maintenance waves of one cell's machines."""
 
     def __init__(
         self,
@@ -73,7 +74,7 @@
         self._cell = cell
         self._clocks = clocks
         self._bounds = bounds
-        # Orders of two owners for one machine mustn't take turns.
+        # Two owners must not send orders for the same machine alternately.
         self._orders_allowed_at = 0.0 if first else steady_time() + bounds.machine_lease
         self._reader = RowReader()
         self._records: dict[int, tuple[WaveRecord, int]] = {}
@@ -85,14 +86,14 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def run(self) -> None:
-        """Look for waves for ever."""
+        """Advance waves until cancelled."""
         try:
             while True:
                 active = False
                 try:
                     active = await self._reconcile()
                 except (CallError, PlatformError) as error:
-                    _log.warning("waves not read", event="waves.unread", reason=error)
+                    _log.warning("maintenance waves not read", event="waves.unread", reason=error)
                 await asyncio.sleep(ACTIVE_PERIOD_S if active else IDLE_PERIOD_S)
         finally:
             for task in self._tasks:
@@ -117,7 +118,7 @@
         return True
 
     async def _is_completed(self, wave: Wave) -> bool:
-        """Tell whether a wave is over; one that is new, or names more now, is said to be active."""
+        """Return whether a wave is completed; reopen one to which machines have been added."""
         record, version = self._records.get(wave.number) or await self._read_record(wave)
         if record.completed and not is_completed(wave, record):
             reopened = WaveRecord(self._clocks.now().table, {}, record.done)
@@ -132,17 +133,23 @@
         if known is not None:
             self._records[wave.number] = (known, page.rows[0].version)
             return self._records[wave.number]
-        # One that can't be read is begun anew: an order for what is done already changes nothing.
+        # A record that can't be decoded is replaced by a new one.  That is safe, since an order for
+        # a machine that is done already has no effect.
         version = page.rows[0].version if page.rows else 0
         record = WaveRecord(self._clocks.now().table, {}, [])
-        _log.info("wave begun", event="wave.begun", wave=wave.number, machines=len(wave.machines))
+        _log.info(
+            "maintenance wave started",
+            event="wave.begun",
+            wave=wave.number,
+            machines=len(wave.machines),
+        )
         await self._write_record(wave, record, version, (_put_status(wave, False),))
         return self._records.get(wave.number) or await self._read_record(wave)
 
     async def _write_record(
         self, wave: Wave, record: WaveRecord, version: int, extra_puts: tuple[Put, ...] = ()
     ) -> bool:
-        """Write a record; another's write or a lost answer has it read anew before the next one."""
+        """Write a record; after a conflict or a lost answer the next use reads it again."""
         key = str(wave.number)
         self._records.pop(wave.number, None)
         put = Put(WAVES_TABLE, key, msgspec.msgpack.encode(record))
@@ -164,7 +171,7 @@
         self._listed_at = asked_at
 
     async def _advance(self, wave: Wave) -> list[Worker]:
-        """Take a wave as far as it goes now; return the workers that are being emptied for it."""
+        """Advance a wave by one step; return the workers that are being drained for it."""
         record, version = self._records.get(wave.number) or await self._read_record(wave)
         orders = self._orders.setdefault(wave.number, {})
         finished, repeated = find_returned(
@@ -180,12 +187,17 @@
             await self._write_record(
                 wave, WaveRecord(record.begun, down, record.done + finished), version
             )
-            _log.info("upkeep over", event="upkeep.done", wave=wave.number, machines=finished)
+            _log.info(
+                "maintenance of machines done",
+                event="upkeep.done",
+                wave=wave.number,
+                machines=finished,
+            )
             return self._list_closing_workers()
         if is_completed(wave, record):
             over = WaveRecord(record.begun, {}, record.done, True)
             await self._write_record(wave, over, version, (_put_status(wave, True),))
-            _log.info("wave completed", event="wave.completed", wave=wave.number)
+            _log.info("maintenance wave completed", event="wave.completed", wave=wave.number)
             return []
         for name, worker in record.down.items():
             machine = self._machines.get(name)
@@ -199,9 +211,9 @@
 
     def _list_ordered_workers(self, wave: Wave) -> list[Worker]:
         """
-        Return the workers whose machines are ordered into their upkeep.
+        Return the workers whose machines have been ordered into upkeep.
 
-        An order without an answer may be carried out at any moment and ends all that runs there.
+        An order without an answer may take effect at any moment, and ends all tasks on the machine.
         """
         known = self._records.get(wave.number)
         ordered = set(known[0].down.values()) if known else set()
@@ -212,10 +224,10 @@
 
     async def _order_missing(self, wave: Wave, record: WaveRecord, version: int) -> bool:
         """
-        Order the upkeep of machines that are probably gone; return whether the record changed.
+        Order the upkeep of machines that are missing from lists; return whether the record changed.
 
-        Only the answer to an order tells whether a machine is there.  Counted as through because
-        lists lacked it, one that runs on would be left out of a wave that is said to be completed.
+        Only the answer to an order shows whether a machine still exists.  If absence from the lists
+        were enough, a wave could be reported as completed while a machine of it had no upkeep.
         """
         missing = list_missing_machines(
             self._cell, wave, record, self._machines, self._last_seen, self._listed_at
@@ -245,8 +257,8 @@
         new = {names[worker.entry.id]: worker.entry.id for worker in ready[:free]}
         down = {**record.down, **new}
         if await self._write_record(wave, WaveRecord(record.begun, down, record.done), version):
-            # Those ordered before are ordered again only where the newest list shows them as they
-            # were: one that came back from a crash has tasks that nobody emptied.
+            # Earlier orders are repeated only if the newest list shows the machine unchanged: one
+            # that has restarted after a crash may run tasks that nobody has drained.
             for name in new:
                 self._start_order(wave, name)
         return chosen
@@ -260,27 +272,37 @@
         task.add_done_callback(self._tasks.discard)
 
     async def _send_order(self, wave: Wave, name: str) -> None:
-        """Order one machine's upkeep, once; a later turn repeats it if it is still the same."""
+        """Order the upkeep of a machine once; a later step repeats it if nothing has changed."""
         order = self._orders.setdefault(wave.number, {}).setdefault(name, UpkeepOrder())
         try:
             if steady_time() > self._cell.confirmed_at + MAX_COMMIT_AGE_S:
                 return
             answer = await self._calls.begin_upkeep(name, wave.number, self._cell.token)
-            _log.info("upkeep ordered", event="upkeep.ordered", machine=name, answer=answer.value)
+            _log.info(
+                "maintenance of a machine ordered",
+                event="upkeep.ordered",
+                machine=name,
+                answer=answer.value,
+            )
             if answer is UpkeepOutcome.DONE:
                 order.acknowledged = order.acknowledged or steady_time()
             elif answer is UpkeepOutcome.UNKNOWN_MACHINE and name not in self._machines:
                 await self._remove_missing(wave, name)
-            # A machine that isn't of the wave shows that the platform, or this host, has an old
-            # view of the wave; both read it again.
+            # An answer that the machine isn't part of the wave means that the platform or this host
+            # has an outdated view of the wave; both read it again.
         except (CallError, PlatformError) as error:
-            _log.warning("upkeep not ordered", event="upkeep.failed", machine=name, reason=error)
+            _log.warning(
+                "order for maintenance of a machine failed",
+                event="upkeep.failed",
+                machine=name,
+                reason=error,
+            )
         finally:
             await asyncio.sleep(ORDER_RETRY_DELAY_S)
             self._orders_in_flight.discard(name)
 
     async def _remove_missing(self, wave: Wave, name: str) -> None:
-        """Count a machine as through that isn't there."""
+        """Count a machine that no longer exists as done."""
         record, version = await self._read_record(wave)
         if name in record.down:
             down = {other: worker for other, worker in record.down.items() if other != name}
