--- a/toucanpin/placement/actions.py
+++ b/toucanpin/placement/actions.py
@@ -21,9 +21,9 @@
     "AskStandstill",
     "Commit",
     "Decision",
-    "RecordEvent",
     "PollAll",
     "Read",
+    "RecordEvent",
     "Scan",
     "WorkerPoll",
 ]
--- a/toucanpin/placement/lifecycle.py
+++ b/toucanpin/placement/lifecycle.py
@@ -33,17 +33,17 @@
 
 __all__ = [
     "Change",
+    "accept_checkpoint",
     "cancel",
     "fail",
-    "requeue_lost",
     "finish",
-    "accept_checkpoint",
     "move",
     "name_checkpoint",
     "name_result",
     "place",
     "remove_standing",
     "requeue",
+    "requeue_lost",
 ]
 
 MAX_FAILED_ON = 16  # workers remembered per task
@@ -98,7 +98,7 @@
 
 
 def finish(cell: str, record: TaskRecord, result: str) -> Change:
-    """Finish a job; its row's version makes a concurrent cancellation conflict."""
+    """Finish a job with an attempt's result; a concurrent cancellation conflicts on its row."""
     done = JobRow(record.task, JobState.FINISHED, record, cell, record.attempt, result)
     write = Write(job_key(record.task), record.job_version, encode(done))
     return Change("job.finish", record.task, None, (write,))
@@ -114,7 +114,7 @@
         evictions=record.evictions + int(evicted),
     )
     kind = "task.evict" if evicted else "task.requeue"
-    return _wait(kind, cell, waiting, record.worker)
+    return _queue_again(kind, cell, waiting, record.worker)
 
 
 def requeue_lost(cell: str, record: TaskRecord, checkpoint: str, max_attempts: int) -> Change:
@@ -126,7 +126,7 @@
     """
     lost = record.lost + 1
     if lost >= max_attempts and not record.standing:
-        return _end(
+        return _fail_job(
             cell, record, f"{lost} workers were lost under it, the last was {record.worker}"
         )
     return requeue(cell, msgspec.structs.replace(record, lost=lost), checkpoint, False)
@@ -147,7 +147,7 @@
         failed_on = (*failed_on, record.worker)[-MAX_FAILED_ON:]
     if failures >= max_attempts and not record.standing:
         hosts = ", ".join(failed_on)
-        return _end(cell, record, f"failed {failures} times on {hosts}: {detail}")
+        return _fail_job(cell, record, f"failed {failures} times on {hosts}: {detail}")
     waiting = msgspec.structs.replace(
         record,
         worker="",
@@ -156,16 +156,16 @@
         failures=failures,
         failed_on=failed_on,
     )
-    return _wait("task.fail", cell, waiting, f"{record.worker}: {detail}")
+    return _queue_again("task.fail", cell, waiting, f"{record.worker}: {detail}")
 
 
-def _end(cell: str, record: TaskRecord, reason: str) -> Change:
+def _fail_job(cell: str, record: TaskRecord, reason: str) -> Change:
     done = JobRow(record.task, JobState.FAILED, record, cell, record.attempt, reason=reason)
     write = Write(job_key(record.task), record.job_version, encode(done))
     return Change("job.fail", record.task, None, (write,), detail=reason)
 
 
-def _wait(kind: str, cell: str, waiting: TaskRecord, detail: str) -> Change:
+def _queue_again(kind: str, cell: str, waiting: TaskRecord, detail: str) -> Change:
     write = Write(queue_key(cell, waiting.task), ABSENT, encode(QueueRow(waiting)))
     return Change(kind, waiting.task, None, (write,), queued=waiting, detail=detail)
 
@@ -202,13 +202,13 @@
         moves=record.moves + 1,
     )
     if record.standing:
-        place_row = encode(StandingRow(record.task, target, record.bundle))
-        owner = Write(standing_key(record.task), version, place_row)
+        standing_row = encode(StandingRow(record.task, target, record.bundle))
+        location = Write(standing_key(record.task), version, standing_row)
     else:
         job = JobRow(record.task, JobState.ACCEPTED, moved, target)
-        owner = Write(job_key(record.task), version, encode(job))
+        location = Write(job_key(record.task), version, encode(job))
     return (
         Write(queue_key(cell, record.task), waiting.version, None),
         Write(queue_key(target, record.task), ABSENT, encode(QueueRow(moved, payload))),
-        owner,
+        location,
     )
--- a/toucanpin/placement/policy.py
+++ b/toucanpin/placement/policy.py
@@ -17,13 +17,13 @@
 from toucanpin.platform.ports import Report
 
 __all__ = [
-    "PolicyAction",
+    "BestFitPolicy",
     "Evict",
     "GuardedPolicy",
     "Limit",
     "PlacementPolicy",
+    "PolicyAction",
     "PolicyEvent",
-    "BestFitPolicy",
 ]
 
 
--- a/toucanpin/placement/polling.py
+++ b/toucanpin/placement/polling.py
@@ -147,7 +147,7 @@
     key = (record.task, record.attempt)
     share = link.shares.get(key)
     # Reports don't include the share in force, so the policy would not notice that a throttle was
-    # lost with its poll.  It is repeated with each due poll, which is harmless for the worker.
+    # lost with its poll.  It is repeated with each due poll; a worker that has it changes nothing.
     if share is not None and (key in link.unsent_shares or now >= link.next_poll):
         link.unsent_shares.discard(key)
         yield Throttle(record.task, record.attempt, share)
--- a/toucanpin/placement/queue.py
+++ b/toucanpin/placement/queue.py
@@ -23,10 +23,10 @@
     "Quotas",
     "TaskQueue",
     "WaitingTask",
-    "choose_cell",
     "cell_name",
-    "rendezvous_weight",
+    "choose_cell",
     "list_cell_shapes",
+    "rendezvous_weight",
 ]
 
 SECONDS_PER_PRIORITY = 60.0
--- a/toucanpin/placement/standing.py
+++ b/toucanpin/placement/standing.py
@@ -93,8 +93,8 @@
         if home in state.cells and state.health.may_commit():
             yield from _insert(state, task, bundle, home)
     for cell in list(state.cells.values()):
-        _mark_running(cell, wanted, bundle)
-        yield from _change_waiting(state, cell, wanted, bundle)
+        _stop_outdated(cell, wanted, bundle)
+        yield from _update_waiting(state, cell, wanted, bundle)
 
 
 def _insert(state: ControlState, task: StandingTask, bundle: Bundle, home: str) -> Decision[None]:
@@ -138,7 +138,7 @@
     return digest_description(wanted[record.task]) != record.digest
 
 
-def _mark_running(cell: Cell, wanted: dict[str, StandingTask], bundle: Bundle) -> None:
+def _stop_outdated(cell: Cell, wanted: dict[str, StandingTask], bundle: Bundle) -> None:
     """Request the stop of running tasks that the bundle has removed or changed."""
     for record in cell.row.tasks.values():
         if is_removed(record, bundle):
@@ -147,7 +147,7 @@
             cell.request_stop(record.task, StopReason.REPLACE)
 
 
-def _change_waiting(
+def _update_waiting(
     state: ControlState, cell: Cell, wanted: dict[str, StandingTask], bundle: Bundle
 ) -> Decision[None]:
     """Remove or replace the waiting tasks that the bundle has removed or changed."""
--- a/toucanpin/placement/tests/test_queue.py
+++ b/toucanpin/placement/tests/test_queue.py
@@ -102,7 +102,7 @@
         self.assertEqual(self.order(*entries, ("other", 0.0, {})).index("other"), 7)
 
     def test_quota_bounds_every_component(self):
-        """A team that the bundle doesn't name has no quota at all."""
+        """A team that the bundle doesn't name may use nothing."""
         quotas = Quotas([Team("t", 4, 100, 0)], {"t": Size(3, 10, 0)})
         self.assertTrue(quotas.allows("t", Size(1, 1)))
         quotas.allocate("t", Size(1, 1))
