--- a/toucanpin/entry/cell_workers.py
+++ b/toucanpin/entry/cell_workers.py
@@ -117,7 +117,7 @@
             order = plan_poll(self._cell, worker, self._clocks.now())
             sent_at = steady_time()
             # Only a second poll shows whether the answer to the first was lost or is late.
-            timeout = MAX_LATENESS_S if worker.silent else self._answers.allow(sent_at)
+            timeout = MAX_LATENESS_S if worker.silent else self._answers.limit(sent_at)
             try:
                 answer = await calls.hold(
                     self._cell.token, order.acknowledged, order.deadline, order.wait, timeout
@@ -145,7 +145,7 @@
             if isinstance(answer, RefusalReason):
                 raise OwnershipLostError(f"worker {identifier} refused: {answer.value}")
             now = self._clocks.now()
-            self._answers.note(now.steady - sent_at - order.wait, now.steady)
+            self._answers.record(now.steady - sent_at - order.wait, now.steady)
             _log_ends(worker, answer.ended)
             was_doubted = is_distrusted(worker)
             apply_answer(self._cell, worker, answer, sent_at, now)
@@ -263,7 +263,7 @@
 
     def _note_answer(self, sent_at: float) -> None:
         now = steady_time()
-        self._delay.note(self._fastest.note(now - sent_at), now)
+        self._delay.record(self._fastest.record(now - sent_at), now)
 
     async def order(self, order: StopOrder | PaceOrder) -> None:
         """Send an order to its worker."""
--- a/toucanpin/entry/owner.py
+++ b/toucanpin/entry/owner.py
@@ -227,7 +227,7 @@
                 try:
                     async with asyncio.timeout(min(due, TICK_PERIOD_S)):
                         await self._wake.wait()
-                        await asyncio.sleep(self._placing.left(steady_time()))
+                        await asyncio.sleep(self._placing.remaining_pause(steady_time()))
                 except TimeoutError:
                     pass
             self._wake.clear()
@@ -250,15 +250,15 @@
         """Place waiting tasks if its share of the time allows it and the view of jobs is recent."""
         now = self._clocks.now()
         self._update_evacuated()
-        if self._placing.left(now.steady):
+        if self._placing.remaining_pause(now.steady):
             return
         if self._has_recent_jobs(now) and has_current_evacuations(self._cell, now):
             most = self._delay.limit_starts(now.steady) - self._workers.count_starting()
             before = len(self._cell.placed)
             place_tasks(self._cell, self._sharing, now, most)
-            self._backlog.note_starts(len(self._cell.placed) - before, now.steady)
+            self._backlog.record_starts(len(self._cell.placed) - before, now.steady)
         ended = steady_time()
-        self._placing.note(now.steady, ended)
+        self._placing.record(now.steady, ended)
         TURN_TIME.record(ended - now.steady, {"what": "placing"})
 
     def _raise_if_resigned(self) -> None:
@@ -326,7 +326,7 @@
             due = steady_time() + TICK_PERIOD_S
             await asyncio.sleep(TICK_PERIOD_S)
             now = self._clocks.now()
-            self._delay.note(now.steady - due, now.steady)
+            self._delay.record(now.steady - due, now.steady)
             self._update_evacuated()
             for worker in expire_leases(self._cell, now):
                 _log.info("worker's lease expired", event="worker.gone", worker=worker.entry.id)
@@ -357,7 +357,7 @@
             if not job.steps[group.step].long_running:
                 waiting[job.priority] += len(indices)
         delay = self._delay.read(now.steady)
-        self._rows.backlog = self._backlog.estimate(waiting, delay, now.steady)
+        self._rows.backlog = self._backlog.estimate_waits(waiting, delay, now.steady)
 
     def _log_delay(self, now: Now) -> None:
         """Log a warning if this host is overloaded or was suspended."""
--- a/toucanpin/entry/periodic.py
+++ b/toucanpin/entry/periodic.py
@@ -40,7 +40,7 @@
 
     def run_if_due(self, now: Now) -> None:
         """Make the decision if its period is over and its time share allows it."""
-        if now.steady < self._due_at or self._share.left(now.steady):
+        if now.steady < self._due_at or self._share.remaining_pause(now.steady):
             return
         self._due_at = now.steady + self._period
         try:
@@ -48,4 +48,4 @@
         except Exception:
             _log.exception("periodic decision failed", event="owner.fault")
             self._due_at = now.steady + RETRY_DELAY_S
-        self._share.note(now.steady, steady_time())
+        self._share.record(now.steady, steady_time())
--- a/toucanpin/entry/tests/test_clocks.py
+++ b/toucanpin/entry/tests/test_clocks.py
@@ -21,7 +21,7 @@
     def _tell(self, clock: int) -> None:
         """Let the table answer at once."""
         now = steady_time()
-        self.store.clock_estimate.note(clock, now, now)
+        self.store.clock_estimate.record(clock, now, now)
 
     def test_a_jump_of_some_hosts_moves_nothing(self) -> None:
         """
@@ -64,7 +64,7 @@
         began = steady_time() - 0.6
         true = time.time() * 1_000 - 0.6 * 1_000 - 40_000
         estimate = ClockEstimate()
-        estimate.note(40_000, began, began)
+        estimate.record(40_000, began, began)
         wall, error = measure_wall_offset(estimate)
         self.assertAlmostEqual(true, wall, delta=error + 2)
         self.assertLess(error, 20)
--- a/toucanpin/platform/store.py
+++ b/toucanpin/platform/store.py
@@ -282,7 +282,7 @@
         received = steady_time()
         rows = _WireRows() if answer.status == 410 else self._decode(answer, accepted)
         if rows.now_ms:
-            self.clock_estimate.note(rows.now_ms, sent, received)
+            self.clock_estimate.record(rows.now_ms, sent, received)
         return answer, rows
 
     def _decode(self, answer: Answer, accepted: tuple[int, ...]) -> _WireRows:
--- a/toucanpin/scheduling/answering.py
+++ b/toucanpin/scheduling/answering.py
@@ -29,12 +29,12 @@
         self._latest = MAX_LATENESS_S
         self._noted_at = 0.0
 
-    def note(self, late: float, now: float) -> None:
+    def record(self, late: float, now: float) -> None:
         """Take note of an answer that came ``late`` seconds after it could have."""
         self._latest = max(late, self._fade(now))
         self._noted_at = now
 
-    def allow(self, now: float) -> float:
+    def limit(self, now: float) -> float:
         """Return how late an answer may be before it counts as lost, in seconds."""
         return min(MAX_LATENESS_S, max(MIN_LATENESS_S, PEAK_FACTOR * self._fade(now)))
 
--- a/toucanpin/scheduling/durations.py
+++ b/toucanpin/scheduling/durations.py
@@ -35,7 +35,7 @@
     xx: float = 0.0
     xy: float = 0.0
 
-    def note(self, x: float, y: float) -> None:
+    def add(self, x: float, y: float) -> None:
         """Take note of a step; earlier ones lose weight."""
         kept = 1 - 1 / MEMORY_STEPS
         self.weight = self.weight * kept + 1
@@ -64,11 +64,11 @@
 
     fits: dict[str, Fit]
 
-    def note(self, queue: str, estimate: int, took: float) -> None:
+    def record(self, queue: str, estimate: int, took: float) -> None:
         """Take note of what the longest task of a step took, in s; its estimate is in ms."""
         if estimate >= MIN_TIME_MS and took * 1_000 >= MIN_TIME_MS:
             fit = self.fits.setdefault(queue, Fit())
-            fit.note(math.log(estimate), math.log(took * 1_000))
+            fit.add(math.log(estimate), math.log(took * 1_000))
 
     def predict(self, queue: str, estimate: int) -> int:
         """Return how long a step will take, in ms, as far as is known."""
--- a/toucanpin/scheduling/ending.py
+++ b/toucanpin/scheduling/ending.py
@@ -242,7 +242,7 @@
     """Learn from what the longest task of a step took."""
     times = live.task_durations.get(step)
     if times:
-        cell.durations.note(live.job.queue, live.job.steps[step].estimate, max(times))
+        cell.durations.record(live.job.queue, live.job.steps[step].estimate, max(times))
 
 
 def _stop_copies(cell: Cell, live: LiveJob, task: TaskKey) -> None:
--- a/toucanpin/scheduling/shedding.py
+++ b/toucanpin/scheduling/shedding.py
@@ -62,11 +62,11 @@
         self._rest = 1.0 / share - 1.0
         self._next = 0.0
 
-    def left(self, now: float) -> float:
+    def remaining_pause(self, now: float) -> float:
         """Return the seconds of rest that are left, 0 if the decision may be made."""
         return max(0.0, self._next - now)
 
-    def note(self, begun: float, ended: float) -> None:
+    def record(self, begun: float, ended: float) -> None:
         """Take note of when a decision was made."""
         self._next = ended + (ended - begun) * self._rest
 
@@ -80,7 +80,7 @@
         self._latest = 0.0
         self._noted_at = 0.0
 
-    def note(self, late: float, now: float) -> None:
+    def record(self, late: float, now: float) -> None:
         """Take note of work that was begun ``late`` seconds after it was due."""
         self._latest = max(late, self.read(now))
         self._noted_at = now
@@ -115,7 +115,7 @@
     def __init__(self) -> None:
         self._times: deque[float] = deque(maxlen=LATENCY_WINDOW)
 
-    def note(self, took: float) -> float:
+    def record(self, took: float) -> float:
         """Take note of what an answer took, and return what the quickest of the last ones took."""
         self._times.append(took)
         return min(self._times) if len(self._times) == LATENCY_WINDOW else 0.0
@@ -132,12 +132,14 @@
         self._behind_since: float | None = None
         self._behind_at = 0.0  # when the owner was last behind
 
-    def note_starts(self, count: int, now: float) -> None:
+    def record_starts(self, count: int, now: float) -> None:
         """Take note of tasks that get their place."""
         self._recent = self._fade(now) + count
         self._counted_at = now
 
-    def estimate(self, waiting: Mapping[int, int], delay: float, now: float) -> dict[int, int]:
+    def estimate_waits(
+        self, waiting: Mapping[int, int], delay: float, now: float
+    ) -> dict[int, int]:
         """
         Return by priority how long new tasks will wait for their start, in ms; empty if not.
 
--- a/toucanpin/scheduling/tests/test_durations.py
+++ b/toucanpin/scheduling/tests/test_durations.py
@@ -29,7 +29,7 @@
         for _ in range(steps):
             took = 1_700 * self.random.lognormvariate(0, spread)
             said = took * self.random.lognormvariate(0, off)
-            self.durations.note("q", int(said), took / 1_000)
+            self.durations.record("q", int(said), took / 1_000)
 
     def test_a_caller_is_believed_while_nothing_is_known(self) -> None:
         """Guards against a new queue whose steps are all taken for alike."""
@@ -63,7 +63,7 @@
         self.random.seed(1)
         for _ in range(200):
             took = 3_400 * self.random.lognormvariate(0, 0.5)
-            twice.note("q", int(took * self.random.lognormvariate(0, OFF)), took / 1_000)
+            twice.record("q", int(took * self.random.lognormvariate(0, OFF)), took / 1_000)
         for said in (300, 1_700, 10_000):
             once = self.durations.predict("q", said)
             self.assertAlmostEqual(2 * once, twice.predict("q", 2 * said), delta=once * 0.02)
--- a/toucanpin/scheduling/tests/test_shedding.py
+++ b/toucanpin/scheduling/tests/test_shedding.py
@@ -22,42 +22,42 @@
     def test_a_decision_rests_for_longer_than_it_took(self) -> None:
         """Guards against decisions that take all of a slow host's time, one after the other."""
         share = TimeShare(0.25)
-        self.assertEqual(0.0, share.left(10.0))
-        share.note(10.0, 10.5)
-        self.assertAlmostEqual(1.5, share.left(10.5))
-        self.assertAlmostEqual(0.5, share.left(11.5))
-        self.assertEqual(0.0, share.left(12.0))
+        self.assertEqual(0.0, share.remaining_pause(10.0))
+        share.record(10.0, 10.5)
+        self.assertAlmostEqual(1.5, share.remaining_pause(10.5))
+        self.assertAlmostEqual(0.5, share.remaining_pause(11.5))
+        self.assertEqual(0.0, share.remaining_pause(12.0))
 
     def test_a_quick_host_hardly_rests(self) -> None:
         """Guards against rests that hold up a host which has time to spare."""
         share = TimeShare(0.25)
-        share.note(10.0, 10.002)
-        self.assertLess(share.left(10.002), 0.01)
+        share.record(10.0, 10.002)
+        self.assertLess(share.remaining_pause(10.002), 0.01)
 
 
 class DelayTest(unittest.TestCase):
     def test_a_process_in_time_asks_at_once(self) -> None:
         """Guards against ends that are heard late by a host that has time to spare."""
         delay = ProcessDelay()
-        delay.note(0.005, 10.0)
+        delay.record(0.005, 10.0)
         self.assertEqual(0.0, delay.plan_pause(10.0))
         self.assertEqual(MAX_PENDING_STARTS, delay.limit_starts(10.0))
 
     def test_the_later_a_process_is_the_less_it_asks_and_starts(self) -> None:
         """Guards against questions and starts whose answers can't be read in time."""
         delay = ProcessDelay()
-        delay.note(0.2, 10.0)
+        delay.record(0.2, 10.0)
         self.assertAlmostEqual(0.4, delay.plan_pause(10.0))
         self.assertEqual(MAX_PENDING_STARTS // 2, delay.limit_starts(10.0))
-        delay.note(5.0, 10.0)
+        delay.record(5.0, 10.0)
         self.assertEqual(MAX_PAUSE_S, delay.plan_pause(10.0))
         self.assertGreater(delay.limit_starts(10.0), 0)
 
     def test_a_delay_is_forgotten(self) -> None:
         """Guards against an owner that stays slow after a single pause."""
         delay = ProcessDelay()
-        delay.note(1.0, 10.0)
-        delay.note(0.0, 11.0)
+        delay.record(1.0, 10.0)
+        delay.record(0.0, 11.0)
         self.assertAlmostEqual(0.5, delay.read(11.0))
         self.assertEqual(0.0, delay.plan_pause(16.0))
 
@@ -92,13 +92,13 @@
     def test_slow_workers_do_not_pass_for_a_slow_host(self) -> None:
         """Guards against an owner that starts less since some of its workers are slow."""
         fastest = MinAnswerTime()
-        found = [fastest.note(0.4 if number % 4 else 0.003) for number in range(40)]
+        found = [fastest.record(0.4 if number % 4 else 0.003) for number in range(40)]
         self.assertLess(max(found), 0.01)
 
     def test_a_full_link_shows_in_every_answer(self) -> None:
         """Guards against an owner with time to spare that fills its link with starts."""
         fastest = MinAnswerTime()
-        found = [fastest.note(0.3 + number % 4 / 10) for number in range(40)]
+        found = [fastest.record(0.3 + number % 4 / 10) for number in range(40)]
         self.assertEqual(0.0, found[0])
         self.assertAlmostEqual(0.3, found[-1])
 
@@ -107,29 +107,29 @@
     def setUp(self) -> None:
         self.backlog = StartBacklog()
         for turn in range(100):
-            self.backlog.note_starts(10, turn * 0.1)
+            self.backlog.record_starts(10, turn * 0.1)
 
     def test_an_owner_in_time_turns_nothing_away(self) -> None:
         """Guards against refusals of what waits for room only."""
-        self.assertEqual({}, self.backlog.estimate({0: 10, 2: 5_000}, 0.02, 10.0))
-        self.assertEqual({}, self.backlog.estimate({0: 10, 2: 5_000}, 0.02, 15.0))
+        self.assertEqual({}, self.backlog.estimate_waits({0: 10, 2: 5_000}, 0.02, 10.0))
+        self.assertEqual({}, self.backlog.estimate_waits({0: 10, 2: 5_000}, 0.02, 15.0))
 
     def test_one_that_is_behind_for_long_tells_how_long_each_class_waits(self) -> None:
         """Guards against an owner that takes in more than it can ever start."""
         waiting = {0: 100, 2: 900}
-        self.assertEqual({}, self.backlog.estimate(waiting, 0.3, 10.0), "it may be a pause")
-        self.backlog.note_starts(100, 11.0)
-        self.backlog.note_starts(100, 12.0)
-        found = self.backlog.estimate(waiting, 0.3, 12.0)
+        self.assertEqual({}, self.backlog.estimate_waits(waiting, 0.3, 10.0), "it may be a pause")
+        self.backlog.record_starts(100, 11.0)
+        self.backlog.record_starts(100, 12.0)
+        found = self.backlog.estimate_waits(waiting, 0.3, 12.0)
         self.assertAlmostEqual(1_000, found[0], delta=200)
         self.assertAlmostEqual(10_000, found[2], delta=2_000)
 
     def test_it_takes_in_all_again_once_it_is_in_time(self) -> None:
         """Guards against refusals that outlast their cause."""
-        self.backlog.estimate({2: 900}, 0.3, 10.0)
-        self.assertTrue(self.backlog.estimate({2: 900}, 0.05, 13.0), "delays come and go")
-        self.assertEqual({}, self.backlog.estimate({2: 900}, 0.05, 14.5))
-        self.assertEqual({}, self.backlog.estimate({2: 900}, 0.3, 15.0))
+        self.backlog.estimate_waits({2: 900}, 0.3, 10.0)
+        self.assertTrue(self.backlog.estimate_waits({2: 900}, 0.05, 13.0), "delays come and go")
+        self.assertEqual({}, self.backlog.estimate_waits({2: 900}, 0.05, 14.5))
+        self.assertEqual({}, self.backlog.estimate_waits({2: 900}, 0.3, 15.0))
 
     def test_jobs_are_judged_by_their_own_time(self) -> None:
         """Guards against urgent, lasting and timed jobs that are refused for what others wait."""
--- a/toucanpin/scheduling/tests/test_timing.py
+++ b/toucanpin/scheduling/tests/test_timing.py
@@ -25,15 +25,15 @@
         old by then, and work would begin that much late.
         """
         estimate = ClockEstimate()
-        estimate.note((10.0 + AHEAD) * 1_000, 9.999, 10.001)
+        estimate.record((10.0 + AHEAD) * 1_000, 9.999, 10.001)
         before = estimate.read(14.0)
-        estimate.note((10.1 + AHEAD) * 1_000, 10.099, 14.0)
+        estimate.record((10.1 + AHEAD) * 1_000, 10.099, 14.0)
         self.assertEqual(before, estimate.read(14.0))
 
     def test_an_old_answer_gives_way_to_one_that_took_longer(self) -> None:
         estimate = ClockEstimate()
-        estimate.note((10.0 + AHEAD) * 1_000, 10.0, 10.0)
-        estimate.note((500.0 + AHEAD) * 1_000, 499.9, 500.1)
+        estimate.record((10.0 + AHEAD) * 1_000, 10.0, 10.0)
+        estimate.record((500.0 + AHEAD) * 1_000, 499.9, 500.1)
         self.assertAlmostEqual(100.0, estimate.error(500.1), delta=1.0)
 
     @settings(derandomize=True, deadline=None)
@@ -45,7 +45,7 @@
         for pause, (there, back) in answers:
             sent = now + pause
             now = sent + there + back
-            estimate.note((sent + there + AHEAD) * 1_000, sent, now)
+            estimate.record((sent + there + AHEAD) * 1_000, sent, now)
             off = abs(estimate.read(now) - (now + AHEAD) * 1_000)
             self.assertLessEqual(off, estimate.error(now) + 0.01)
         self.assertLess(
--- a/toucanpin/scheduling/timing.py
+++ b/toucanpin/scheduling/timing.py
@@ -48,7 +48,7 @@
         """Tell whether the remote clock was ever read."""
         return self._reading is not None
 
-    def note(self, clock: float, sent: float, received: float) -> None:
+    def record(self, clock: float, sent: float, received: float) -> None:
         """Take note that an answer told ``clock``, in ms; the local times are in seconds."""
         error = max(0.0, received - sent) / 2
         if self._reading is not None and error > self._reading.error_at(received):
