--- a/toucanpin/entry/waves.py
+++ b/toucanpin/entry/waves.py
@@ -285,7 +285,7 @@
                 answer=answer.value,
             )
             if answer is UpkeepOutcome.DONE:
-                order.acknowledged = order.acknowledged or steady_time()
+                order.acknowledged_at = order.acknowledged_at or steady_time()
             elif answer is UpkeepOutcome.UNKNOWN_MACHINE and name not in self._machines:
                 await self._remove_missing(wave, name)
             # An answer that the machine isn't part of the wave means that the platform or this host
--- a/toucanpin/scheduling/ending.py
+++ b/toucanpin/scheduling/ending.py
@@ -224,10 +224,10 @@
     if any(left):
         queue_ready_steps(cell, live, occurrence)
         return
-    live.progress.over.append(occurrence)
+    live.progress.ended_occurrences.append(occurrence)
     del live.progress.tasks[occurrence]
     del live.tasks_left[occurrence]
-    if len(live.progress.over) == live.job.occurrences:
+    if len(live.progress.ended_occurrences) == live.job.occurrences:
         live.progress.state = JobState.COMPLETED
         live.progress.ended = now.table
 
--- a/toucanpin/scheduling/intake.py
+++ b/toucanpin/scheduling/intake.py
@@ -105,7 +105,7 @@
 
 def _begin_due_occurrences(cell: Cell, live: LiveJob, now: Now) -> None:
     job = live.job
-    over = set(live.progress.over)
+    over = set(live.progress.ended_occurrences)
     for occurrence in range(job.occurrences):
         if job.repeats and job.start_at + occurrence * job.interval > now.wall:
             break
--- a/toucanpin/scheduling/ownership.py
+++ b/toucanpin/scheduling/ownership.py
@@ -69,7 +69,7 @@
     changed_at: float = 0.0
     seen_at: float = 0.0
     read_time: float = 0.0
-    silent: float = 0.0
+    silent_time: float = 0.0
 
 
 def record_read(
@@ -83,11 +83,11 @@
         watch.version = version
         watch.record = record
         watch.changed_at = now
-        watch.silent = 0.0
+        watch.silent_time = 0.0
         return
     # Only time in which the row could be read counts: after an outage of the table its owner
     # needs a moment to write again, and was as well as anybody until then.
-    watch.silent += min(gap, 2 * OWNER_WRITE_INTERVAL_S + took)
+    watch.silent_time += min(gap, 2 * OWNER_WRITE_INTERVAL_S + took)
 
 
 def plan_takeover(
@@ -114,7 +114,7 @@
         + READ_TIME_FACTOR * watch.read_time
         + yielding
     )
-    return 0.0 if watch.silent >= patience else None
+    return 0.0 if watch.silent_time >= patience else None
 
 
 def plan_next_read(watch: OwnerWatch, place: int) -> float:
@@ -126,7 +126,7 @@
     the owner is silent.
     """
     owned = watch.record is not None and bool(watch.record.host)
-    if owned and not watch.silent and place >= SUCCESSOR_COUNT:
+    if owned and not watch.silent_time and place >= SUCCESSOR_COUNT:
         return POLL_INTERVAL_S
     return SUCCESSOR_POLL_INTERVAL_S
 
--- a/toucanpin/scheduling/progress.py
+++ b/toucanpin/scheduling/progress.py
@@ -86,7 +86,7 @@
 
     state: int
     ended: int
-    over: list[int]
+    ended_occurrences: list[int]
     tasks: dict[int, list[TaskRecord]]
 
 
--- a/toucanpin/scheduling/tests/test_ownership.py
+++ b/toucanpin/scheduling/tests/test_ownership.py
@@ -40,7 +40,7 @@
         """
         watch = self._watch([(0.0, 1), (0.4, 1), (20.4, 1)], OWNER)
         self.assertIsNone(plan_takeover(watch, 0.0))
-        self.assertLess(watch.silent, OWNER_TIMEOUT_S)
+        self.assertLess(watch.silent_time, OWNER_TIMEOUT_S)
 
     def test_a_slow_table_gives_an_owner_more_time(self) -> None:
         watch = OwnerWatch()
--- a/toucanpin/scheduling/upkeep.py
+++ b/toucanpin/scheduling/upkeep.py
@@ -74,7 +74,7 @@
 class UpkeepOrder:
     """Follow an order of this owner; ``acknowledged`` is the local time, 0 if it wasn't."""
 
-    acknowledged: float = 0.0
+    acknowledged_at: float = 0.0
 
 
 class WaveRecord(msgspec.Struct, array_like=True):
@@ -119,7 +119,7 @@
         machine = machines.get(name)
         order = orders.get(name)
         if machine is None:
-            begun = order.acknowledged if order is not None else 0.0
+            begun = order.acknowledged_at if order is not None else 0.0
             if begun and listed > begun + upkeep + OVERHEAD_S:
                 through.append(name)
         elif machine.state is not MachineState.UP or not machine.worker:
@@ -129,8 +129,8 @@
             if machine.worker in cell.workers:
                 anew.append(name)
         elif machine.worker != worker:
-            (through if order.acknowledged else anew).append(name)
-        elif order.acknowledged and listed > order.acknowledged + LIST_DELAY_S:
+            (through if order.acknowledged_at else anew).append(name)
+        elif order.acknowledged_at and listed > order.acknowledged_at + LIST_DELAY_S:
             # An order for what is already done is acknowledged, too, and changes nothing.
             through.append(name)
     return through, anew
