--- a/toucanpin/entry/tests/test_advice_dispatcher.py
+++ b/toucanpin/entry/tests/test_advice_dispatcher.py
@@ -1,4 +1,4 @@
-"""Questions to the advice service, shared out among hosts."""
+"""Requests to the advice service, spread over hosts."""
 
 from __future__ import annotations
 
@@ -50,10 +50,10 @@
         body = {"approved": [["w1", "t1"]], "validityMs": 3_000}
         return Response(200, msgspec.json.encode(body))
 
-    async def test_two_hosts_ask_two_questions_at_a_time(self) -> None:
+    async def test_two_hosts_send_two_requests_at_a_time(self) -> None:
         """
-        Steps of two jobs wait for advice, and the service takes half a second for each question of
-        a host.  The second one goes through a peer instead of behind the first.
+        The service takes half a second per request and handles those of one host in sequence, so
+        the second request must go through a peer instead of waiting for the first.
         """
         first = asyncio.ensure_future(self.dispatcher.ask(GROUP, ("w1",)))
         second = asyncio.ensure_future(self.dispatcher.ask(GROUP, ("w1", "w2")))
@@ -66,7 +66,7 @@
             self.assertEqual({"w1": "t1"}, answer.tickets)
         self.assertEqual(2, self.dispatcher.count_free())
 
-    async def test_a_host_through_which_no_answer_came_is_left_alone(self) -> None:
+    async def test_a_host_without_an_answer_is_avoided_for_a_while(self) -> None:
         self.released.set()
         self.relay.close()
         self.dispatcher._busy.add("h0")
--- a/toucanpin/entry/tests/test_backlog.py
+++ b/toucanpin/entry/tests/test_backlog.py
@@ -1,4 +1,4 @@
-"""What callers hear of an owner that can't follow, over real connections."""
+"""Answers to callers while the owner of a cell is overloaded, over real connections."""
 
 from __future__ import annotations
 
@@ -35,8 +35,8 @@
 
         self.assertTrue(await self.site.until(check))
 
-    async def test_every_host_refuses_at_once_what_could_not_be_in_time(self) -> None:
-        """Guards against jobs that are accepted, and wait for longer than they are of use."""
+    async def test_every_host_refuses_jobs_that_cannot_finish_in_time(self) -> None:
+        """Guards against accepted jobs that wait until their results are useless."""
         await self._fall_behind()
         for host in range(2):
             answer = await self.site.submit(host=host)
@@ -45,8 +45,8 @@
         self.assertEqual(410, (await self.site.call("GET", PREFIX + JOB)).status)
         self.assertEqual(200, (await self.site.submit(OTHER_JOB, longRunning=True)).status)
 
-    async def test_a_job_that_was_accepted_is_never_said_to_be_refused(self) -> None:
-        """Guards against a caller that hands a job in anew since its repeat was turned away."""
+    async def test_an_accepted_job_is_not_refused_when_submitted_again(self) -> None:
+        """Guards against a job that its caller submits elsewhere because a retry was refused."""
         self.assertEqual(200, (await self.site.submit()).status)
         await self._fall_behind()
         self.assertEqual(200, (await self.site.submit(host=1)).status)
--- a/toucanpin/entry/tests/test_cell_loading.py
+++ b/toucanpin/entry/tests/test_cell_loading.py
@@ -1,4 +1,4 @@
-"""A new owner that hasn't read the rows of its cell yet."""
+"""A new owner while it reads the rows of its cell."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
 from toucanpin.scheduling.progress import JobState, Progress, encode_progress
 from toucanpin.verdict import Verdict
 
-RENEWALS = 8  # of an owner: more than twice the time after which a silent one is replaced
-BOUND = 5.0  # s for 15 reads and the pauses after those that fail
+RENEWALS = 8  # they take more than twice the time after which a silent owner is replaced
+BOUND = 5.0  # s for 15 reads and the delays after failed ones
 PAGES = 6  # of progress
 
 
@@ -38,11 +38,11 @@
         row = self.site.store.rows.get(("owners", "c", "owner"))
         return decode_owner(row.value) if row else OwnerRecord("", "", 0, 0)
 
-    async def test_an_owner_that_reads_its_cell_for_long_keeps_it(self) -> None:
+    async def test_an_owner_keeps_its_cell_during_a_long_load(self) -> None:
         """
-        A new owner reads the rows of its cell for seconds, since the store is slow or the rows are
-        many.  It wrote nothing meanwhile, so another host took the cell after 1.3 s and began to
-        read, and so on: nobody owned the cell, and callers' jobs waited.
+        Reading the rows of a cell takes seconds if the store is slow or there are many.  Guards
+        against an owner that writes nothing meanwhile: another host takes the cell after 1.3 s and
+        starts to read in turn, so no owner ever schedules.
         """
         self.assertTrue(
             await self.site.until(
@@ -58,11 +58,11 @@
         self.assertTrue(await self.site.until_state("completed"))
         self.assertEqual(1, self._read_owner().token)
 
-    async def test_an_owner_that_leaves_while_it_reads_hands_its_cell_over(self) -> None:
+    async def test_an_owner_that_shuts_down_during_the_load_resigns(self) -> None:
         """
-        A new owner reads the rows of its cell for seconds, and its process is told to end, or a
-        stronger host comes.  It went on renewing its ownership until all was read or the process
-        was killed, so no host served the cell meanwhile: callers' jobs waited for nothing.
+        A new owner is told to shut down, or a stronger host starts, while it reads the rows of its
+        cell.  Guards against renewing the ownership until all rows are read or the process is
+        killed, with no host scheduling meanwhile.
         """
         self.assertTrue(await self.site.until(lambda: self._read_owner().sequence >= 2))
         name = self._read_owner().host
@@ -74,7 +74,7 @@
 
 
 class _Lossy:
-    """Lose each fifth answer."""
+    """Store of which every fifth answer is lost."""
 
     def __init__(self, store: Client) -> None:
         self._store = store
@@ -90,11 +90,10 @@
 
 
 class LostAnswersTest(unittest.IsolatedAsyncioTestCase):
-    async def test_a_cell_is_read_though_answers_are_lost(self) -> None:
+    async def test_a_cell_is_loaded_though_answers_are_lost(self) -> None:
         """
-        The store loses some of its answers while a new owner reads its cell.  After each lost one
-        the owner began anew with the first of all reads, so with a fifth of the answers lost it
-        never came to the last: it kept the cell, and callers' jobs waited.
+        Guards against a new owner that starts over with the first page after each lost answer.
+        With a fifth of the answers lost it never read the last page, and kept the cell idle.
         """
         address = f"127.0.0.1:{free_port()}"
         core = SiteStore()
--- a/toucanpin/entry/tests/test_cell_workers.py
+++ b/toucanpin/entry/tests/test_cell_workers.py
@@ -1,4 +1,4 @@
-"""When a worker is asked again."""
+"""Polls of a worker: when they are repeated, and when they pause."""
 
 from __future__ import annotations
 
@@ -19,10 +19,10 @@
 
 
 class UnwrittenEndsTest(unittest.IsolatedAsyncioTestCase):
-    async def test_a_worker_is_asked_again_once_its_ends_are_written(self) -> None:
+    async def test_a_worker_is_polled_again_once_its_ends_are_written(self) -> None:
         """
-        A worker lists an end that the table hasn't accepted yet.  It would list it again at once,
-        so every question until the write is done costs a look and tells nothing.
+        A worker lists an ended run that isn't written to the table yet.  It would list the run
+        again at once, so polls before the write is done only cost time.
         """
         site = Site()
         clocks = Clocks(Store(site.store))  # type: ignore[arg-type]
@@ -40,15 +40,15 @@
         await asyncio.sleep(0)
         workers.note_written()
         await asyncio.sleep(0)
-        self.assertFalse(waiting.done(), "another worker's write says nothing of this one's")
+        self.assertFalse(waiting.done(), "a write of another worker's ends must not end the wait")
         worker.acknowledged = 1
         workers.note_written()
         await waiting
 
-    async def test_ends_are_noted_while_the_store_refuses_and_written_after(self) -> None:
+    async def test_ends_during_a_store_outage_are_written_afterwards(self) -> None:
         """
-        The store refuses as a task ends.  The worker is still asked, so that its lease goes on, and
-        the job is shown as completed once the store is back.
+        A task ends while the store refuses all calls.  The worker is still polled, which renews its
+        lease, and the job is shown as completed once the store is back.
         """
         site = Site()
         site.configure()
@@ -67,11 +67,11 @@
 
 
 class SilentWorkerTest(unittest.IsolatedAsyncioTestCase):
-    async def test_a_worker_is_asked_again_at_once_and_then_after_a_pause(self) -> None:
+    async def test_a_silent_worker_is_polled_at_once_and_then_after_a_pause(self) -> None:
         """
-        One answer of a worker is lost.  The owner has heard nothing of its ends for a second by
-        then; it waited a third of a second more before it asked again, and gave the worker nothing
-        all the while.  A worker that doesn't answer twice in a row is left alone for a moment.
+        Guards against a delay after a single lost answer: the worker gets no tasks until it
+        answers, and a second has passed already when the poll times out.  Only after two polls
+        without an answer does the owner pause, for a third of a second.
         """
         clocks = Clocks(Store(Site().store))  # type: ignore[arg-type]
         cell = Cell("c", 1, 0.0, 0.0)
@@ -92,7 +92,7 @@
 
 
 class _MuteCalls:
-    """Answer nothing."""
+    """Worker that never answers."""
 
     def __init__(self) -> None:
         self.asked = 0
--- a/toucanpin/entry/tests/test_clocks.py
+++ b/toucanpin/entry/tests/test_clocks.py
@@ -23,23 +23,23 @@
         now = steady_time()
         self.store.clock_estimate.record(clock, now, now)
 
-    def test_a_jump_of_some_hosts_moves_nothing(self) -> None:
+    def test_jumps_of_some_hosts_do_not_move_the_time_of_day(self) -> None:
         """
-        A job is due at a time of day.  The time of day of two hosts of five jumps by an hour, and
-        their runs would begin an hour early; the median of all hosts' offsets stays.
+        A job is due at a time of day.  When the time of day of two hosts of five jumps by an hour,
+        its runs must not start an hour early: the median of all offsets stays the same.
         """
         self.clocks.offsets = lambda: (1_000, 1_002, 3_600_000, 3_600_001, 999)
         now = self.clocks.now()
         self.assertEqual(now.table + 1_002, now.wall)
 
-    def test_few_hosts_leave_the_own_clock(self) -> None:
+    def test_the_own_clock_is_used_with_few_hosts(self) -> None:
         self.clocks.offsets = lambda: (5,)
         self.assertAlmostEqual(time.time() * 1_000, self.clocks.now().wall, delta=60_000)
 
-    def test_the_hosts_offsets_are_not_sorted_at_each_look_at_the_clocks(self) -> None:
+    def test_the_offsets_are_not_sorted_at_each_read_of_the_clocks(self) -> None:
         """
-        An owner reads the clocks for each answer of a worker, and went through what all hosts had
-        announced each time: with a hundred hosts that was most of what an answer cost.
+        An owner reads the clocks for each answer of a worker.  Sorting the offsets of a hundred
+        hosts each time took most of the time that an answer costs.
         """
         offsets = Mock(return_value=(1_000, 1_002, 999))
         self.clocks.offsets = offsets
@@ -48,18 +48,18 @@
             self.assertEqual(now.table + 1_000, now.wall)
         self.assertLessEqual(offsets.call_count, 2)
 
-    def test_the_table_clock_goes_on_between_answers(self) -> None:
+    def test_the_table_clock_advances_between_answers(self) -> None:
         first = self.clocks.now()
         second = self.clocks.now()
         self.assertGreaterEqual(second.table, first.table)
         self._tell(90_000)
         self.assertGreaterEqual(self.clocks.now().table, 90_000)
 
-    def test_what_a_host_announces_does_not_depend_on_when_it_last_heard_of_the_table(self) -> None:
+    def test_an_announced_offset_does_not_depend_on_the_age_of_the_last_answer(self) -> None:
         """
-        A job is due at a time of day.  Hosts announced how far theirs is ahead of the table's
-        clock as of its newest answer, which was up to 0.6 s old, so all of them were ahead and
-        runs began 260 to 350 ms early.
+        Guards against offsets that are computed from the clock in the table's last answer: it is up
+        to 0.6 s old, so the offsets of all hosts were too large and runs started 260 to 350 ms
+        early.
         """
         began = steady_time() - 0.6
         true = time.time() * 1_000 - 0.6 * 1_000 - 40_000
--- a/toucanpin/entry/tests/test_configuration.py
+++ b/toucanpin/entry/tests/test_configuration.py
@@ -1,4 +1,4 @@
-"""What following the operators' configuration costs, and what callers see of it."""
+"""Reads of the operators' configuration: what they cost, and how they affect callers."""
 
 from __future__ import annotations
 
@@ -21,14 +21,14 @@
 from toucanpin.verdict import Verdict
 
 BOUND = 20.0  # s after which a test that would hang fails
-SILENCE = 6.0  # s since the newest look at the configuration
-RARELY = 1_000.0  # s: longer than a test takes
-LOOKS = 6  # at the configuration, of which each but the first finds nothing new
+SILENCE = 6.0  # s since the last read of the configuration
+RARELY = 1_000.0  # s; longer than a test takes
+READS = 6  # of the configuration, of which only the first finds a change
 
 
 class FollowingTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
-        # Whole reads, of which there is one each three seconds at most, aren't meant here.
+        # Exclude full reads, which come every 3 s at most.
         self.enterContext(patch("toucanpin.entry.row_cache.FULL_READ_PERIOD_S", RARELY))
         self.site = Site()
         self.site.configure()
@@ -36,26 +36,25 @@
         await self.site.add_host()
         self.assertTrue(await self.site.until_ready())
 
-    async def test_a_configuration_that_has_not_changed_is_not_read_again(self) -> None:
+    async def test_an_unchanged_configuration_is_not_read_again(self) -> None:
         """
-        The configuration grew by 1,400 queues.  Every host went on reading all of it each 0.6 s:
-        460 to 560 KB/s where it had been 24, about all that the link of most hosts carries.  Counts
-        of such a host came after seconds, then not at all: 1,538 were refused in 110 s, and 25 of
-        32 hosts never read the versions that came later.
+        Guards against hosts that read the whole document every 0.6 s.  With 1,400 more queues that
+        took 460 to 560 KB/s instead of 24, nearly all bandwidth of most hosts: 1,538 counts were
+        refused in 110 s, and 25 of 32 hosts never read the later versions.
         """
         store = self.site.store
         given = store.given["op"]
         asked = store.asked["op"]
-        self.assertTrue(await self.site.until(lambda: store.asked["op"] >= asked + LOOKS))
+        self.assertTrue(await self.site.until(lambda: store.asked["op"] >= asked + READS))
         self.assertEqual(given, store.given["op"])
 
 
 class OldConfigurationTest(unittest.IsolatedAsyncioTestCase):
-    async def test_nothing_is_accepted_under_an_old_configuration(self) -> None:
+    async def test_no_job_is_accepted_under_an_outdated_configuration(self) -> None:
         """
-        The operators drop a queue, and a host behind a full link doesn't hear of it for six
-        seconds, though its other calls are answered.  It went on accepting jobs of that queue, and
-        they ran.  A version has to be in force everywhere 3 s after it was accepted.
+        Operators remove a queue, and a host with a saturated link can't read the document for six
+        seconds, though its other calls are answered.  It must not accept jobs of that queue: a
+        version has to be in force everywhere 3 s after it was accepted.
         """
         site = Site()
         site.configure()
@@ -83,10 +82,10 @@
 
 
 class OldCountTest(unittest.IsolatedAsyncioTestCase):
-    async def test_nothing_is_counted_under_an_old_configuration(self) -> None:
+    async def test_no_jobs_are_counted_under_an_outdated_configuration(self) -> None:
         """
-        The operators drop a queue, and a host can't look at the configuration for six seconds.  A
-        caller who asked it how many jobs of that queue wait got a count, as if it were still there.
+        Operators remove a queue, and a host can't read the document for six seconds.  It must not
+        answer with a count, as if the queue still existed.
         """
         site = Site()
         site.configure()
@@ -102,7 +101,8 @@
             await _fail(followed)
 
         with patch.object(RowCache, "update", fail):
-            # A look that was under way is over once the next has begun; it may confirm what it saw.
+            # A read in progress may still confirm the old version; it has ended once the next
+            # starts.
             self.assertTrue(await site.until(lambda: watch._cache in looked))
             watch.confirmed -= SILENCE
             answer = await site.call("GET", PREFIX)
@@ -114,11 +114,11 @@
         self.caller = _SilentStore()
         self.watch = ConfigurationWatch(Store(self.caller))
 
-    async def test_all_who_ask_at_a_time_share_one_look(self) -> None:
+    async def test_concurrent_callers_share_one_read(self) -> None:
         """
-        The store leaves a host without answers for a while, and callers keep asking it for counts.
-        Each waited for the looks of all before it, a time-out each: the last was answered after
-        38 s, though its caller had left after 3.
+        The store doesn't answer a host while callers request counts.  Guards against callers that
+        wait for the reads of all earlier ones, a time-out each: the last was answered after 38 s,
+        though its caller had closed the connection after 3 s.
         """
         asking = [asyncio.ensure_future(self.watch.refresh(0.25)) for _ in range(5)]
         await self.caller.asked.wait()
@@ -126,10 +126,10 @@
         self.assertEqual([False] * 5, await asyncio.gather(*asking))
         self.assertEqual(1, self.caller.calls)
 
-    async def test_a_caller_is_answered_when_its_time_ends(self) -> None:
+    async def test_a_caller_is_answered_before_its_deadline(self) -> None:
         """
-        The store leaves a host without answers.  A caller waits for 0.2 s and asks how many jobs
-        wait; the answer came once the look at the configuration had failed, seconds after it left.
+        The store doesn't answer a host, and a caller with a deadline of 0.2 s requests a count.
+        The answer must not wait until the read of the configuration fails, seconds later.
         """
         self.watch.apply(Configuration(1, (Queue("q", "", "/jobs/", "c"),)))
         requests = RequestHandler(Store(self.caller), self.watch, Clocks(Store(self.caller)))
@@ -145,7 +145,7 @@
 
 
 class _SilentStore:
-    """Leave calls unanswered until they are made to fail."""
+    """Store that doesn't answer calls until they are made to fail."""
 
     def __init__(self) -> None:
         self.calls = 0
--- a/toucanpin/entry/tests/test_decision_log.py
+++ b/toucanpin/entry/tests/test_decision_log.py
@@ -1,4 +1,4 @@
-"""What the log tells of decisions, and how much of it."""
+"""Log lines about scheduling decisions, and limits on their number."""
 
 from __future__ import annotations
 
@@ -28,10 +28,10 @@
     def _events(self) -> list[str]:
         return [record.kwargs["event"] for record in self.handler.records]
 
-    def test_waits_are_told_the_longest_first_and_not_all(self) -> None:
+    def test_only_the_longest_waits_are_logged(self) -> None:
         """
-        Thousands of steps wait in an overload.  A line for each of them would fill the log and the
-        owner's processor, and none tells the on-call engineer nothing.
+        Thousands of steps wait in an overload.  A line for each of them would fill the log and take
+        the owner's processor time.
         """
         for number in range(3 * MAX_LOGGED_WAITS):
             self.fleet.submit(make_job(f"j{number:02}", (Step(cpu=900),), accepted=number))
@@ -43,10 +43,10 @@
         self.assertEqual(2 * MAX_LOGGED_WAITS, len(told))
         self.assertEqual("no room", self.handler.records[0].kwargs["why"])
 
-    def test_a_wait_tells_what_is_asked_for_and_the_most_that_is_free(self) -> None:
+    def test_a_logged_wait_shows_requested_and_free_cores(self) -> None:
         """
-        A step waits for 40 s while thousands of its queue are served.  Its line said that there
-        was no room, but not that each of its tasks asks for more cores than any worker has free.
+        A step waits for 40 s while thousands of its queue are placed.  The line must show that each
+        of its tasks requests more cores than any worker has free.
         """
         self.fleet.workers["w0"].lasts = 60.0
         self.fleet.submit(make_job("small", (Step(cpu=600),)))
@@ -57,8 +57,8 @@
         told = self.handler.records[0].kwargs
         self.assertEqual((900, 400), (told["cpu"], told["free"]))
 
-    def test_a_run_that_is_lost_with_its_worker_is_told_once(self) -> None:
-        """Guards against tasks that are lost again and again without a line that names them."""
+    def test_a_run_that_is_lost_with_its_worker_is_logged_once(self) -> None:
+        """Guards against tasks that are lost repeatedly without a line in the log."""
         self.fleet.submit(make_job("j1", (Step(cpu=900),)))
         self.fleet.run(0.5)
         del self.fleet.workers["w0"]
@@ -72,7 +72,7 @@
         )
         self.assertEqual("another life answers at its worker's address", told[0]["cause"])
 
-    def test_a_place_tells_its_wait_and_an_end_is_told_once(self) -> None:
+    def test_a_placement_shows_its_wait_and_an_end_is_logged_once(self) -> None:
         self.fleet.submit(make_job("first", (Step(cpu=900),), accepted=1))
         self.fleet.submit(make_job("second", (Step(cpu=900),), accepted=2))
         self.fleet.run(1.3)
--- a/toucanpin/entry/tests/test_dropping_jobs.py
+++ b/toucanpin/entry/tests/test_dropping_jobs.py
@@ -1,4 +1,4 @@
-"""What dropping the rows of jobs that ended long ago costs an owner."""
+"""Deletion of the rows of ended jobs, without delay for the owner's commits."""
 
 from __future__ import annotations
 
@@ -24,17 +24,16 @@
         cell = Cell("c", 1, 0.0, 0.0)
         self.rows = CellRows(self.store, cell, InterferenceModel(), record, 1, 0.0, RowReader())
 
-    async def test_an_owner_commits_while_rows_of_old_jobs_are_dropped(self) -> None:
+    async def test_an_owner_commits_while_rows_of_ended_jobs_are_deleted(self) -> None:
         """
-        An owner dropped the rows of five old jobs, one after the other, before each commit.  On a
-        table that takes 0.6 s for a call, all starts and renewals of a process that is some minutes
-        old would come 3 s late, which is longer than others wait for an owner.
+        Guards against deleting the rows of five ended jobs in sequence before each commit.  With a
+        table that takes 0.6 s per call, each commit would be 3 s late, and the owner be replaced.
         """
         async with asyncio.timeout(BOUND):
             await self.rows.write(WriteBatch({}, ("a1", "a2"), (), {}), False)
         self.assertEqual(["c"], self.store.parts)
 
-    async def test_rows_of_old_jobs_are_dropped_side_by_side(self) -> None:
+    async def test_rows_of_ended_jobs_are_deleted_concurrently(self) -> None:
         dropping = asyncio.ensure_future(self.rows.drop_jobs(["a1", "a2", "a3"]))
         for _ in range(5):
             await asyncio.sleep(0)
@@ -44,7 +43,7 @@
 
 
 class _SlowParts(Store):
-    """Answer the owner's own part, and others once that is wanted."""
+    """Store that answers for the owner's part at once, and for others when released."""
 
     def __init__(self) -> None:
         self.parts: list[str] = []
--- a/toucanpin/entry/tests/test_evacuations.py
+++ b/toucanpin/entry/tests/test_evacuations.py
@@ -1,4 +1,4 @@
-"""What starts in data centres that operators have evacuated, over real connections."""
+"""Evacuation of data centres by operators, over real connections."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from standins.site.site import JOB, Site
 from standins.site.worker import SiteWorker
 
-KNOWN = 1.5  # s after which every owner has read what operators wrote
+READ_TIME = 1.5  # s after which every owner has read what operators wrote
 OTHER_JOB = "00000000000000b2"
 ANOTHER_JOB = "00000000000000c3"
 
@@ -25,20 +25,20 @@
 
     async def _evacuate(self, data_centre: str) -> None:
         self.site.evacuate(data_centre)
-        await asyncio.sleep(KNOWN)
+        await asyncio.sleep(READ_TIME)
 
     async def _finish(self, job: str = JOB, count: int = 6, host: int = 0) -> None:
         await self.site.submit(job, host=host, count=count)
         self.assertTrue(await self.site.until_state("completed", job, host))
 
     async def test_nothing_starts_in_an_evacuated_data_centre(self) -> None:
-        """Guards against tasks that are sent to workers of a data centre that is being emptied."""
+        """Guards against tasks that are started in an evacuated data centre."""
         await self._evacuate("here")
         await self._finish()
         self.assertEqual((0, 6), (_count(self.here), _count(self.there)))
 
-    async def test_an_owner_that_has_just_begun_starts_nothing_there(self) -> None:
-        """Guards against a new owner that places tasks before it knows what is evacuated."""
+    async def test_a_new_owner_starts_nothing_in_an_evacuated_data_centre(self) -> None:
+        """Guards against a new owner that places tasks before it has read the evacuations."""
         await self.site.add_host()
         self.assertTrue(await self.site.until_ready(1))
         await self._evacuate("here")
@@ -47,12 +47,12 @@
         await self._finish(host=1 - owner)
         self.assertEqual((0, 6), (_count(self.here), _count(self.there)))
 
-    async def test_a_data_centre_that_is_taken_back_gets_tasks_again(self) -> None:
-        """Guards against workers that stay shut out after their evacuation."""
+    async def test_a_data_centre_gets_tasks_again_after_its_evacuation(self) -> None:
+        """Guards against workers that get no tasks after the end of an evacuation."""
         await self._evacuate("here")
         self.there.refuse_next = 1_000
         await self.site.submit()
-        await asyncio.sleep(KNOWN)
+        await asyncio.sleep(READ_TIME)
         self.assertEqual(0, _count(self.here))
         self.site.take_back("here")
         self.assertTrue(await self.site.until_state("completed"))
@@ -62,27 +62,27 @@
         self.site.evacuate("here")
         await self._evacuate("there")
         self.assertEqual(200, (await self.site.submit()).status)
-        await asyncio.sleep(KNOWN)
+        await asyncio.sleep(READ_TIME)
         self.assertEqual("pending", await self.site.state())
         self.assertEqual((0, 0), (_count(self.here), _count(self.there)))
         self.site.take_back("there")
         self.assertTrue(await self.site.until_state("completed"))
         self.assertEqual(0, _count(self.here))
 
-    async def test_a_data_centre_that_nobody_knows_changes_nothing(self) -> None:
-        """Guards against an evacuation of an unknown data centre that holds tasks up."""
+    async def test_an_unknown_data_centre_changes_nothing(self) -> None:
+        """Guards against tasks that wait because an unknown data centre is evacuated."""
         await self._evacuate("nowhere")
         await self._finish()
 
-    async def test_what_cannot_be_read_of_an_evacuation_does_not_matter(self) -> None:
-        """Guards against an evacuation that is left out since another writer wrote its value."""
+    async def test_an_evacuation_with_a_malformed_value_applies(self) -> None:
+        """Guards against an evacuation that is ignored because its value can't be decoded."""
         self.site.store.put("op", "evacuate/here", b"\xff{")
-        await asyncio.sleep(KNOWN)
+        await asyncio.sleep(READ_TIME)
         await self._finish()
         self.assertEqual(0, _count(self.here))
 
-    async def test_a_task_that_runs_goes_on(self) -> None:
-        """Guards against work that is thrown away though it would end by itself."""
+    async def test_running_tasks_are_not_stopped(self) -> None:
+        """Guards against the loss of work that would finish by itself."""
         self.here.core.lasts = self.there.core.lasts = 2.5
         await self.site.submit(OTHER_JOB, count=8)
         self.assertTrue(await self.site.until(lambda: _count(self.here) == 4))
--- a/toucanpin/entry/tests/test_job_watch.py
+++ b/toucanpin/entry/tests/test_job_watch.py
@@ -1,4 +1,4 @@
-"""How long an owner goes on without new jobs and cancels while its watch of them is silent."""
+"""The owner's watch on jobs: time-outs, outdated views and full pages."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class _Silent:
-    """Answer nothing, and note how long an answer would be waited for."""
+    """Store that never answers, and records the time-outs of calls."""
 
     def __init__(self) -> None:
         self.waited: list[float] = []
@@ -36,10 +36,10 @@
 
 
 class SilentWatchTest(unittest.IsolatedAsyncioTestCase):
-    async def test_a_silent_watch_is_given_up_before_a_cancel_is_due(self) -> None:
+    async def test_a_silent_watch_times_out_before_a_cancel_must_be_in_force(self) -> None:
         """
-        Open connections go silent without a reset, the owner's watch of the jobs among them.  It
-        waited 5 s for an answer, while a cancelled job mustn't start tasks after 3 s.
+        The connection of the watch stops answering without a reset.  Guards against a time-out of
+        5 s: no task of a cancelled job may start after 3 s.
         """
         silent = _Silent()
         with self.assertRaises(CallError):
@@ -48,11 +48,11 @@
 
 
 class OldViewTest(unittest.IsolatedAsyncioTestCase):
-    async def test_nothing_new_starts_for_an_owner_that_hears_of_no_cancels(self) -> None:
+    async def test_nothing_starts_while_cancels_cannot_be_read(self) -> None:
         """
-        The store takes an owner's writes and tells it nothing of the jobs, neither by its watch nor
-        by reads.  A job that waits for room is cancelled meanwhile, which its owner can't know; as
-        another task ended, long after the cancel was acknowledged, it was started.
+        The store accepts an owner's writes, but its watch and its reads of jobs fail.  A waiting
+        job is cancelled meanwhile, which the owner can't know.  Guards against starting it once
+        another task ends, long after the cancel was acknowledged.
         """
         site = Site()
         site.configure()
@@ -79,10 +79,10 @@
 
 
 class CutPageTest(unittest.IsolatedAsyncioTestCase):
-    async def test_a_page_that_may_be_cut_makes_the_view_no_younger(self) -> None:
+    async def test_a_full_page_does_not_make_the_view_more_recent(self) -> None:
         """
-        More has changed than one answer to the watch holds.  Its rows were taken for all that there
-        are, so callers were told counts without the others as those of this moment.
+        More rows have changed than fit in one answer of the watch.  Guards against taking them for
+        all changes: counts without the others were given to callers as current.
         """
         store = Store(_Silent())
         clocks = Clocks(store)
@@ -101,10 +101,10 @@
 
 
 class RelistTest(unittest.TestCase):
-    def test_full_reads_take_a_small_part_of_the_time_however_long_they_are(self) -> None:
+    def test_full_reads_take_a_small_share_of_the_time(self) -> None:
         """
-        A full read of the jobs takes a weak link seconds, since rows are kept for minutes after
-        their jobs' ends.  Begun again three seconds after each, it left the link to little else.
+        A full read of the jobs takes seconds on a slow link, since rows are kept for minutes after
+        their jobs end.  Repeated after three seconds, it left little bandwidth for anything else.
         """
         for took in (0.1, 1.0, 4.0):
             self.assertLessEqual(took / (took + plan_full_read(took)), 0.0501)
--- a/toucanpin/entry/tests/test_logs.py
+++ b/toucanpin/entry/tests/test_logs.py
@@ -1,4 +1,4 @@
-"""Log lines under load, and with a reader that stands still."""
+"""Log lines under load, and with a reader that hangs or is gone."""
 
 from __future__ import annotations
 
@@ -33,22 +33,22 @@
             except BlockingIOError:
                 return [msgspec.json.decode(line) for line in b"".join(parts).splitlines()]
 
-    def test_a_line_holds_host_clock_event_and_fields(self) -> None:
+    def test_a_line_contains_host_clock_event_and_fields(self) -> None:
         self._log(1)
         (line,) = self._read()
         self.assertEqual(("h", 77, "part.event", 0), tuple(line[k] for k in _KEYS))
         os.close(self.writer)
 
-    def test_a_reader_that_stands_still_stops_nothing(self) -> None:
+    def test_a_reader_that_hangs_does_not_block_the_process(self) -> None:
         """
-        A log collector hangs and the pipe fills up.  A write that waited would stop the process
-        with all leases that it holds; instead lines wait, and then are counted as dropped.
+        A log collector hangs and the pipe is full.  A blocking write would stop the process, and
+        all its leases would expire; instead lines are buffered, then dropped and counted.
         """
         self._log(1_500, "x" * 2_000)
         self.assertGreater(self.handler.dropped, 0)
         os.close(self.writer)
 
-    def test_load_is_bounded_and_what_was_dropped_is_told(self) -> None:
+    def test_the_rate_is_limited_and_dropped_lines_are_reported(self) -> None:
         self.addCleanup(os.close, self.writer)
         written = 0
         for _ in range(int(MAX_BURST_LINES) // 100 + 10):
@@ -62,8 +62,8 @@
         told = self._read()
         self.assertEqual(("log.dropped", dropped), (told[0]["event"], told[0]["lines"]))
 
-    def test_a_warning_is_written_where_lines_are_dropped(self) -> None:
-        """Guards against a load that hides the lines which tell of it."""
+    def test_a_warning_is_written_while_other_lines_are_dropped(self) -> None:
+        """Guards against an overload that leaves no room for the warnings about it."""
         self.addCleanup(os.close, self.writer)
         for _ in range(int(MAX_BURST_LINES) // 100 + 10):
             self._log(100)
@@ -73,7 +73,7 @@
             logbook.Logger("part").warning("late", event="part.late")
         self.assertEqual("part.late", self._read()[-1]["event"])
 
-    def test_a_reader_that_is_gone_stops_nothing(self) -> None:
+    def test_a_closed_pipe_does_not_stop_the_process(self) -> None:
         reader, writer = os.pipe()
         os.close(reader)
         self.handler = LineHandler("h", writer)
--- a/toucanpin/entry/tests/test_metrics.py
+++ b/toucanpin/entry/tests/test_metrics.py
@@ -1,4 +1,4 @@
-"""What collectors read from an entry host."""
+"""Metrics of an entry host, as collectors read them."""
 
 from __future__ import annotations
 
--- a/toucanpin/entry/tests/test_peers.py
+++ b/toucanpin/entry/tests/test_peers.py
@@ -1,4 +1,4 @@
-"""The list of hosts, as hosts come and go for days."""
+"""Registry of hosts, while hosts start and stop."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 from toucanpin.platform.store import Store
 from toucanpin.scheduling.settings import Bounds, HostSettings
 
-LATER = 10 * ROW_RETENTION_S  # s since the last announcement of hosts that are gone
+LATER = 10 * ROW_RETENTION_S  # s since the last announcement of stopped hosts
 
 
-class GoneHostsTest(unittest.IsolatedAsyncioTestCase):
+class ExpiredHostsTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
         self.site = Site()
         self.site.configure()
@@ -30,11 +30,11 @@
     def _is_listed(self, name: str) -> bool:
         return (HOSTS_TABLE, "", name) in self.site.store.rows
 
-    async def test_hosts_that_are_long_gone_are_dropped(self) -> None:
+    async def test_rows_of_expired_hosts_are_deleted(self) -> None:
         """
-        Hosts are replaced all day, each under a name of its own, and announce themselves.  Nobody
-        dropped those that were gone: every host read all that had ever been there, each two
-        seconds, and once they were more than one answer holds, some that were there weren't known.
+        Hosts are replaced all day, each under a new name.  Without deletion every host read the
+        rows of all hosts that ever existed every two seconds, and once they exceeded one answer
+        some live hosts weren't known.
         """
         self._announce("gone", 1)
         now = int(LATER * 1_000)
@@ -44,7 +44,7 @@
         self.assertTrue(self._is_listed("there"))
         self.assertTrue(self._is_listed("h0"))
 
-    async def test_hosts_are_known_however_many_there_were(self) -> None:
+    async def test_hosts_are_known_despite_many_expired_ones(self) -> None:
         for number in range(600):
             self._announce(f"a{number:03}", 1)
         self._announce("there", int(LATER * 1_000))
@@ -52,7 +52,7 @@
         self.assertTrue(await self.site.until(host.has_peers))
 
 
-class PlaceTest(unittest.TestCase):
+class PrecedenceTest(unittest.TestCase):
     def _count_before(self, name: str, cores: float, hosts: list[Peer]) -> int:
         store = Store(Client("127.0.0.1:1"))
         store.clock = 1_000
@@ -61,10 +61,10 @@
         peers.known = tuple(hosts)
         return peers.count_preferred("c")
 
-    def test_hosts_agree_on_their_order_and_the_strong_come_first(self) -> None:
+    def test_hosts_agree_on_their_order_with_stronger_ones_first(self) -> None:
         """
-        A few hosts watch the owner of a cell closely.  If each had its own view of who they are,
-        nobody or everybody would; if they were weak, the cell would be handed on once more.
+        Only the first hosts in order watch the owner of a cell closely.  If hosts disagreed on the
+        order, none or all would; if weak hosts came first, the cell would be handed over once more.
         """
         cores = {f"h{number:02}": 2.0 if number % 5 == 0 else 0.5 for number in range(30)}
         hosts = [Peer(name, "127.0.0.1", 1, 1_000, 0, 0, each) for name, each in cores.items()]
--- a/toucanpin/entry/tests/test_pending_counts.py
+++ b/toucanpin/entry/tests/test_pending_counts.py
@@ -1,4 +1,4 @@
-"""What callers are told of how many jobs wait, while the owner's view isn't whole."""
+"""Counts of pending jobs for callers while the owner's view is incomplete."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 from toucanpin.scheduling.interference_model import InterferenceModel
 from toucanpin.scheduling.ownership import OwnerRecord
 
-SILENCE = 7.0  # s for which the owner hasn't been heard of
+SILENCE = 7.0  # s for which the owner hasn't written anything
 
 
 class OldCountTest(unittest.IsolatedAsyncioTestCase):
@@ -42,27 +42,27 @@
 
     async def test_jobs_that_an_owner_has_not_read_are_counted(self) -> None:
         """
-        An owner on a host without a turn, or one that was lost, has read no job for seven seconds.
-        Callers who asked how many jobs wait were told 0, since that is what it last wrote, by one
-        host after 2.1 s and by another at once, while 8 and 14 jobs had waited for 5 to 7 s.
+        An owner that is starved or lost hasn't read jobs for seven seconds.  Guards against an
+        answer of 0 from the counts that it wrote last; two hosts gave it, at once and after 2.1 s,
+        while 8 and 14 jobs had waited for 5 to 7 s.
         """
         await self._write_counts()
         await self._hand_in(3)
         self.site.store.begun -= SILENCE
         self.assertEqual(3, await self._count())
 
-    async def test_jobs_are_counted_that_no_owner_has_ever_seen(self) -> None:
+    async def test_a_count_is_refused_before_the_cell_has_an_owner(self) -> None:
         """
-        Jobs are handed in before a cell has its first owner.  Without a row of counts callers were
-        told 0; a host that doesn't know must say so.
+        Jobs are submitted before the cell has its first owner, so there is no row of counts.  The
+        count is unknown then, and the answer must not be 0.
         """
         await self._hand_in(2)
         self.assertEqual(503, (await self._ask("GET", PREFIX)).status)
 
-    async def test_a_count_is_not_made_up_where_history_is_gone(self) -> None:
+    async def test_a_count_is_refused_if_the_history_is_gone(self) -> None:
         """
-        The owner has been silent for seven seconds and the table has forgotten its changes.  What
-        was handed in since can't be told, and 0 would be wrong.
+        The owner has written nothing for seven seconds, and the table no longer has the history of
+        changes.  The jobs submitted since are unknown, and the answer must not be 0.
         """
         await self._write_counts()
         await self._hand_in(3)
@@ -77,11 +77,11 @@
         self.site.store.begun -= SILENCE
         self.assertEqual(2, await self._count())
 
-    async def test_a_count_ends_while_jobs_keep_coming(self) -> None:
+    async def test_a_count_ends_while_jobs_are_submitted(self) -> None:
         """
-        The owner is silent, so a host counts what has been handed in since.  It asked again until
-        an answer held nothing new; jobs came faster than the table answered, so no answer did, and
-        the caller got none.  Jobs that are handed in after the question needn't be counted.
+        The owner is silent, so a host counts the jobs submitted since its last write.  Guards
+        against reading changes until there are none: with jobs submitted faster than the table
+        answers, the caller got no answer.  Jobs submitted after the request needn't be counted.
         """
         await self._write_counts()
         await self._hand_in(3)
@@ -97,11 +97,11 @@
         with patch.object(Store, "follow", lambda _, *rest: follow_busy(*rest)):
             self.assertEqual(3, await self._count())
 
-    async def test_a_count_that_was_long_on_its_way_is_not_recent(self) -> None:
+    async def test_a_delayed_count_is_not_recent(self) -> None:
         """
-        The answer with the owner's counts waits behind a large one on a full link and comes 5 s
-        late.  It was compared with its own clock and passed for a recent one, so a caller was told
-        0 though three jobs had waited for as long; nothing newer had reached the host.
+        The answer with the owner's counts is delayed by 5 s behind a large one on a saturated link.
+        Guards against judging its age by the clock that it contains: it passed as recent, and the
+        count was 0 though three jobs had waited as long.
         """
         await self._write_counts()
         await self._hand_in(3)
@@ -128,7 +128,7 @@
         self.assertEqual(asked, self.site.store.asked["jobs"])
 
     async def _write_counts(self) -> None:
-        """Take the cell, read what is there, and write its counts once."""
+        """Read the cell as an owner would, and write its counts once."""
         cell = Cell("c", 1, 0.0, 0.0)
         rows = CellRows(
             self.store,
--- a/toucanpin/entry/tests/test_periodic.py
+++ b/toucanpin/entry/tests/test_periodic.py
@@ -1,4 +1,4 @@
-"""What a fault in one of an owner's decisions costs, over real connections."""
+"""Errors in periodic decisions of an owner, over real connections."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 class FaultTest(unittest.IsolatedAsyncioTestCase):
     async def test_a_decision_that_fails_does_not_cost_the_cell(self) -> None:
-        """Guards against takeovers without end, since each owner meets the same fault."""
+        """Guards against endless takeovers, as each owner would run into the same error."""
         for name in DECISIONS:
             failing = patch(f"toucanpin.entry.owner.{name}", side_effect=ZeroDivisionError(name))
             self.enterContext(failing)
--- a/toucanpin/entry/tests/test_process.py
+++ b/toucanpin/entry/tests/test_process.py
@@ -7,7 +7,7 @@
 import sys
 import unittest
 
-# Sends the signal in the midst of loading: as the first module of the product's own parts is found.
+# Sends the signal while modules are imported: when toucanpin.entry.root is looked up.
 PROGRAM = """
 import importlib.abc, os, runpy, signal, sys
 
@@ -24,14 +24,13 @@
 
 class StartTest(unittest.TestCase):
     """
-    The platform tells by SIGHUP that a settings file has changed, at any moment.
+    The platform sends SIGHUP whenever a settings file has changed.
 
-    A process needs some 0.3 s to load its modules, longer on a busy host, and only then listened
-    for signals.  A change of settings within that time ended it with the signal's default action,
-    so callers lost the host that was just coming.
+    Importing the modules takes 0.3 s, longer on a busy host.  Guards against a process that handles
+    signals only afterwards: a SIGHUP within that time killed it during its start.
     """
 
-    def test_a_change_of_settings_while_modules_are_loaded_does_not_end_the_process(self):
+    def test_sighup_during_imports_does_not_end_the_process(self):
         environment = {**os.environ, "TOUCANPIN_NODE_FILE": "/nonexistent/node.conf"}
         done = subprocess.run(
             [sys.executable, "-c", PROGRAM], env=environment, capture_output=True, text=True
--- a/toucanpin/entry/tests/test_relay.py
+++ b/toucanpin/entry/tests/test_relay.py
@@ -1,4 +1,4 @@
-"""Calls of the store through a peer, and peers that can't be trusted or can't help."""
+"""Calls of the store through peers, and peers that fail or use another key."""
 
 from __future__ import annotations
 
@@ -52,15 +52,15 @@
         assert isinstance(result, Committed)
         return result
 
-    async def test_a_host_that_is_turned_away_writes_through_its_peer(self) -> None:
+    async def test_a_refused_host_writes_through_its_peer(self) -> None:
         self.faults[0].refusing = 503
         await self._put()
         self.assertIn(("t", "", "k"), self.core.rows)
 
-    async def test_a_peer_that_cannot_help_is_followed_by_another(self) -> None:
+    async def test_another_peer_is_tried_after_one_that_fails(self) -> None:
         """
-        The store turns several hosts away, the owner among them.  It asked one of the others, which
-        was turned away too, and rested; so it wrote nothing for two seconds and lost its cell.
+        The store refuses several hosts, an owner among them.  Guards against an owner that backs
+        off after one refused peer: it wrote nothing for two seconds and lost its cell.
         """
         self.faults[0].refusing = 429
         peers = self.stores[0][2]
@@ -71,16 +71,16 @@
             result = await self.stores[0][0].transact("", (), (put,))
             self.assertIsInstance(result, Committed)
 
-    async def test_a_host_that_the_store_does_not_answer_writes_through_its_peer(self) -> None:
+    async def test_a_host_without_answers_writes_through_its_peer(self) -> None:
         self.faults[0].silent = True
         await self._put()
         self.assertIn(("t", "", "k"), self.core.rows)
 
-    async def test_a_large_configuration_passes_a_peer(self) -> None:
+    async def test_a_large_configuration_fits_in_a_frame(self) -> None:
         """
-        The store turns a host away after the operators' document has grown to 1.4 MB.  Its peer
-        read the document and broke off, since a frame between hosts held less: the host stayed at
-        the version before for as long as it was turned away.
+        The store refuses a host after the operators' document has grown to 1.4 MB.  Guards against
+        a smaller limit on frames between hosts: the peer failed to send the document, and the host
+        kept the old version.
         """
         value = b"x" * 1_400_000
         self.core.put("op", "config", value)
@@ -88,11 +88,11 @@
         page = await self.stores[0][0].read("op", timeout=5.0)
         self.assertEqual(value, page.rows[0].value)
 
-    async def test_an_answer_that_arrives_from_a_peer_is_waited_for(self) -> None:
+    async def test_a_slow_answer_from_a_peer_is_read_to_its_end(self) -> None:
         """
-        The store turns a host away whose link carries the operators' document in over two seconds.
-        The host gave its peer up while the document was arriving, counted it as useless for a
-        second and asked the next one for the same: its configuration stayed as it was.
+        The store refuses a host whose link takes over two seconds for the operators' document.
+        Guards against a time-out while the document is arriving: the host avoided the peer for a
+        second, requested the same from the next one, and kept its old configuration.
         """
         self.core.put("op", "config", b"x" * 1_000)
         self.faults[0].refusing = 503
@@ -117,17 +117,17 @@
         page = await self.stores[0][0].read("op", timeout=1.0)
         self.assertEqual(1_000, len(page.rows[0].value))
 
-    async def test_an_outage_for_all_is_a_certain_refusal(self) -> None:
+    async def test_an_outage_for_all_hosts_is_a_certain_refusal(self) -> None:
         for faults in self.faults:
             faults.refusing = 503
         with self.assertRaises(CallError) as caught:
             await self._put()
         self.assertTrue(caught.exception.certain)
 
-    async def test_a_refusal_after_silence_is_not_certain(self) -> None:
+    async def test_a_refusal_after_a_time_out_is_not_certain(self) -> None:
         """
-        The store is silent towards this host and refuses its peer.  The first try may still be
-        carried out, so the refusal of the second proves nothing.
+        The store doesn't answer this host and refuses its peer.  The first attempt may still be
+        applied, so the refusal of the second proves nothing.
         """
         self.faults[0].silent = True
         self.faults[1].refusing = 503
@@ -135,17 +135,17 @@
             await self._put()
         self.assertFalse(caught.exception.certain)
 
-    async def test_a_brief_watch_that_nothing_changes_is_no_sign_of_an_outage(self) -> None:
+    async def test_a_short_watch_without_changes_is_no_sign_of_an_outage(self) -> None:
         """
-        A watch stays unanswered until something changes.  A brief one was taken for a call that the
-        store doesn't answer, and the host went through its peers from then on.
+        A watch stays unanswered until something changes.  Guards against taking a short one for a
+        call that timed out, after which the host called the store only through peers.
         """
         store, relayed, _, _ = self.stores[0]
         page = await store.follow("t", self.core.version, 1.3, 1.0)
         self.assertIsNotNone(page)
         self.assertTrue(relayed.direct_works)
 
-    async def test_a_frame_under_another_key_is_not_obeyed(self) -> None:
+    async def test_a_frame_under_another_key_is_rejected(self) -> None:
         self.faults[0].refusing = 503
         self.stores[0][2].secret = b"x" * 32
         with self.assertRaises(CallError):
@@ -164,12 +164,11 @@
             await asyncio.sleep(0.05)
         self.assertTrue(relayed.direct_works)
 
-    async def test_a_weak_link_regains_the_store_whatever_the_operators_wrote(self) -> None:
+    async def test_direct_calls_resume_on_a_slow_link_with_a_large_document(self) -> None:
         """
-        The store turned a host away for a moment.  Each half second the host tried it again by
-        reading the operators' document, and gave up after 0.4 s.  A document of 1.4 MB takes a link
-        of 10 Mbit/s 1.1 s, so no try came to its end: the host filled its link with them and went
-        through its peers for good.
+        The store refuses a host for a moment, and the host probes it every 0.5 s with a time-out of
+        0.4 s.  Guards against probes that read the operators' document: 1.4 MB take 1.1 s on a link
+        of 10 Mbit/s, so every probe failed and the host called through peers for good.
         """
         away = True
 
@@ -197,11 +196,11 @@
             await asyncio.sleep(0.05)
         self.assertTrue(relayed.direct_works)
 
-    async def test_an_answer_that_is_arriving_is_waited_for(self) -> None:
+    async def test_a_slow_direct_answer_is_read_to_its_end(self) -> None:
         """
-        The configuration takes a weak link 2.2 s.  After one second the host took the store for
-        lost and asked a peer for the same rows, and the next peer, over the same full link; 25 of
-        32 hosts lost the store within two seconds of the moment at which 2,800 queues were written.
+        The configuration takes 2.2 s on a slow link.  Guards against a host that fails over after a
+        second and requests the same rows from peers over the same link: 25 of 32 hosts did within
+        two seconds after 2,800 queues were written.
         """
         server = await asyncio.start_server(_trickle, "127.0.0.1", 0)
         self.addAsyncCleanup(server.wait_closed)
@@ -215,11 +214,11 @@
 
 
 PIECES = 6  # of a body
-PAUSE = 0.3  # s between them: longer than a host waits for a whole answer, none longer alone
+PAUSE = 0.3  # s between pieces; together they exceed the time-out of an answer
 
 
 async def _trickle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-    """Answer one request with a body that takes its time."""
+    """Answer one request with a body that arrives slowly."""
     await reader.readuntil(b"\r\n\r\n")
     await _send_slowly(writer)
     writer.close()
--- a/toucanpin/entry/tests/test_row_cache.py
+++ b/toucanpin/entry/tests/test_row_cache.py
@@ -1,4 +1,4 @@
-"""Rows that are followed from a whole read of several pages on."""
+"""Cache of rows: full reads, changes, and the choice between them."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 from toucanpin.http import Answer, CallError, Client
 from toucanpin.platform.store import Store
 
-LOOKS = 4  # at rows that are written without a pause
-VERSIONS = 5  # of a row, written between two looks
+UPDATES = 4  # of the cache, while rows are written without a pause
+VERSIONS = 5  # of a row, written between two updates
 
 
 class _Script:
-    """Give prepared answers, one a call."""
+    """Store that gives prepared answers, one per call."""
 
     def __init__(self, *answers: dict[str, object]) -> None:
         self._answers = [msgspec.json.encode(answer) for answer in answers]
@@ -36,11 +36,11 @@
 
 
 class FollowedRowsTest(unittest.IsolatedAsyncioTestCase):
-    async def test_a_row_never_goes_back_to_what_it_was(self) -> None:
+    async def test_a_row_is_never_replaced_by_an_earlier_version(self) -> None:
         """
-        A whole read has several pages, each of a later moment, and its changes are asked for from
-        the first one's on.  An answer that holds some of these made a later row an earlier one
-        again: a worker that drained counted as ready, and one that was gone as there.
+        A full read has several pages, each from a later moment, and changes are requested from the
+        moment of the first page.  Guards against changes that replace a row by an earlier version:
+        a draining worker would count as ready, and a deleted one as present.
         """
         followed = RowCache(
             Store(
@@ -62,11 +62,11 @@
 
 
 class GapTest(unittest.IsolatedAsyncioTestCase):
-    async def test_what_was_missed_in_silence_is_read_later(self) -> None:
+    async def test_changes_missing_from_the_feed_are_read_later(self) -> None:
         """
-        The table's changes hear nothing for a second while a worker drains and another one comes,
-        and answers go on as if nothing had changed.  Followed by changes alone, the one got tasks
-        until it left and the other was never known.
+        The feed omits the changes of one second, in which a worker starts to drain and another one
+        registers.  Without full reads the first got tasks until it stopped, and the second stayed
+        unknown.
         """
         store = SiteStore()
         address = f"127.0.0.1:{free_port()}"
@@ -91,7 +91,7 @@
         self.assertEqual(b"ready", followed.rows["b"].value)
 
 
-class StormTest(unittest.IsolatedAsyncioTestCase):
+class FrequentWritesTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
         self.core = SiteStore()
         address = f"127.0.0.1:{free_port()}"
@@ -106,31 +106,31 @@
             self.written += 1
             self.core.put("op", "config", b"%09d" % self.written)
 
-    async def test_versions_that_were_replaced_are_not_read(self) -> None:
+    async def test_replaced_versions_are_not_read(self) -> None:
         """
-        The operators write a large document many times in quick succession.  What has changed of it
-        since the last look is every version in between, so a weak link carried five documents where
-        one would do; meanwhile more were written, and the host fell further behind with each look.
+        Operators write a large document many times in quick succession, and the feed contains each
+        version.  Guards against reading the feed then: a slow link carried five documents instead
+        of one, and the host fell further behind with each update.
         """
         followed = RowCache(Store(self.client), "op")
         self._write(1)
         await followed.update()
         given = self.core.given["op"]
-        for _ in range(LOOKS):
+        for _ in range(UPDATES):
             self._write(VERSIONS)
             await followed.update()
             self.assertEqual(b"%09d" % self.written, followed.rows["config"].value)
-        self.assertLessEqual(self.core.given["op"] - given, VERSIONS + LOOKS - 1)
+        self.assertLessEqual(self.core.given["op"] - given, VERSIONS + UPDATES - 1)
         await followed.update()
         given = self.core.given["op"]
         await followed.update()
         self.assertEqual(given, self.core.given["op"])
 
-    async def test_changes_that_never_come_are_not_asked_for_again(self) -> None:
+    async def test_changes_that_are_too_large_are_not_requested_again(self) -> None:
         """
-        A document of 1.4 MB was written three times within one look, and the answer with all three
-        was larger than any may be.  The host took the store for lost, asked for the same changes
-        again and again, and stayed at its old configuration.
+        A document of 1.4 MB is written three times between two updates, and an answer with all
+        three versions exceeds the limit.  Guards against a host that takes this for an outage,
+        requests the same changes again and again, and keeps its old configuration.
         """
         relayed = RelayedStore(self.client, "h0")
         followed = RowCache(Store(relayed), "op")
--- a/toucanpin/entry/tests/test_row_reader.py
+++ b/toucanpin/entry/tests/test_row_reader.py
@@ -1,4 +1,4 @@
-"""Entries that other writers have left in the tables."""
+"""Malformed rows that other writers have left in the tables."""
 
 from __future__ import annotations
 
@@ -52,7 +52,7 @@
 
 
 class _Page:
-    """Answer every read with one page."""
+    """Store that answers every read with the same page."""
 
     def __init__(self, rows: list) -> None:
         self.body = msgspec.json.encode({"rows": rows, "rowVersion": 9, "nowMs": 5_000})
@@ -85,7 +85,7 @@
 )
 _changed = st.dictionaries(st.sampled_from([*SOUND, "machine", "remainingMs"]), _values)
 _foreign = st.one_of(
-    _values,  # not base64, or not even text
+    _values,  # not base64, or not a string
     st.binary().map(lambda data: base64.b64encode(data).decode()),
     _values.map(_encode),
     _changed.map(lambda fields: _encode({**SOUND, **fields})),
@@ -93,30 +93,30 @@
 
 
 class EntriesTest(unittest.TestCase):
-    def test_an_entry_that_no_worker_writes_names_none(self) -> None:
+    def test_an_invalid_worker_entry_is_rejected(self) -> None:
         for number, entry in enumerate(FOREIGN):
             with self.subTest(number), self.assertRaises(PlatformError):
                 decode_worker("i-1", msgspec.json.encode(entry))
         self.assertEqual("10.0.0.1:80", decode_worker("i-1", msgspec.json.encode(SOUND)).address)
 
-    def test_a_value_that_is_not_base64_hides_no_other_entry(self) -> None:
+    def test_a_value_that_is_not_base64_hides_no_other_row(self) -> None:
         """
-        Another writer leaves bytes that can't be read.  The whole page of the table was refused
-        with them, no worker was known any more, and no job was ever done.
+        Guards against a page that is rejected as a whole for one value that isn't base64: no worker
+        was known then, and no job was run.
         """
         rows = [_row("a", _encode(SOUND)), _row("b", "*"), _row("c", 5), _row("d", _encode(SOUND))]
         self.assertEqual({"a", "d"}, set(_read(rows)))
 
     @settings(derandomize=True, deadline=None, max_examples=300)
     @given(st.lists(_foreign, max_size=6), st.integers(0, 6))
-    def test_no_entry_changes_what_is_read_of_another(self, foreign: list, place: int) -> None:
-        """Whatever stands before or after a sound entry, it is read as if it stood alone."""
+    def test_no_row_changes_how_another_is_decoded(self, foreign: list, place: int) -> None:
+        """A valid row is decoded in the same way whatever rows precede or follow it."""
         rows = [_row(f"f{number}", value) for number, value in enumerate(foreign)]
         rows.insert(min(place, len(rows)), _row("sound", _encode(SOUND)))
         alone = _read([_row("sound", _encode(SOUND))])
         self.assertEqual(alone["sound"], _read(rows)["sound"])
 
-    def test_an_unsound_entry_is_told_once(self) -> None:
+    def test_a_malformed_row_is_logged_once(self) -> None:
         reader = RowReader()
         rows = [Row("servers", "", "x", b"", 3, readable=False)]
         with logbook.TestHandler() as handler:
@@ -126,10 +126,10 @@
 
 
 class ForeignEntriesTest(unittest.IsolatedAsyncioTestCase):
-    async def test_work_goes_on_beside_entries_of_other_writers(self) -> None:
+    async def test_jobs_are_run_despite_malformed_rows_in_all_tables(self) -> None:
         """
-        Another writer has left entries in every table.  The owner's loop ended with an error at the
-        first of them, each host took the cell in turn and failed likewise: no job was ever done.
+        Guards against an owner that fails at the first malformed row.  All hosts took the cell in
+        turn and failed in the same way, so no job was run.
         """
         site = Site()
         site.configure()
@@ -147,10 +147,10 @@
         self.assertTrue(await site.until_state("completed"))
         self.assertEqual(200, (await site.call("GET", PREFIX)).status)
 
-    async def test_an_owner_that_cannot_be_read_is_replaced(self) -> None:
+    async def test_an_owner_whose_row_is_malformed_is_replaced(self) -> None:
         """
-        The row that names the owner holds bytes of another writer.  Nobody could tell who owns the
-        cell, so nobody took it; the token of the next owner must still be above all earlier ones.
+        Another writer has overwritten the owner's row, so the owner is unknown.  A host must take
+        the cell, with a token above all earlier ones.
         """
         site = Site()
         site.configure()
--- a/toucanpin/entry/tests/test_site.py
+++ b/toucanpin/entry/tests/test_site.py
@@ -1,4 +1,4 @@
-"""Whole jobs through entry hosts, the published calls and stand-ins, with failures on the way."""
+"""Jobs from submission to their end, through entry hosts and stand-ins, with failures."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
         self.site.configure()
         self.addAsyncCleanup(self.site.close)
 
-    async def test_a_job_of_two_steps_is_done(self) -> None:
+    async def test_a_job_of_two_steps_completes(self) -> None:
         await self.site.add_host()
         await self.site.add_worker()
         self.assertTrue(await self.site.until_ready())
@@ -28,7 +28,7 @@
         self.assertTrue(await self.site.until_state("completed"))
         self.assertEqual(4, len(self.site.workers[0].core.starts))
 
-    async def test_the_same_job_handed_in_twice_is_one_job(self) -> None:
+    async def test_a_job_submitted_twice_runs_once(self) -> None:
         await self.site.add_host()
         await self.site.add_host()
         await self.site.add_worker()
@@ -39,7 +39,7 @@
         self.assertTrue(await self.site.until_state("completed"))
         self.assertEqual(1, len(self.site.workers[0].core.starts))
 
-    async def test_unknown_things_are_said_to_be_unknown(self) -> None:
+    async def test_unknown_jobs_queues_and_methods_are_refused(self) -> None:
         await self.site.add_host()
         self.assertTrue(await self.site.until_ready())
         self.assertEqual(410, (await self.site.call("GET", PREFIX + JOB)).status)
@@ -48,7 +48,7 @@
         self.assertEqual(404, (await self.site.call("POST", PREFIX + "short", b"{}")).status)
         self.assertEqual(405, (await self.site.call("PUT", PREFIX + JOB, b"{}")).status)
 
-    async def test_a_malformed_job_is_refused_with_its_fault(self) -> None:
+    async def test_a_malformed_job_is_refused_with_its_error(self) -> None:
         await self.site.add_host()
         self.assertTrue(await self.site.until_ready())
         for body, word in (
@@ -62,13 +62,13 @@
             self.assertIn(word, answer.body)
         self.assertEqual(410, (await self.site.call("GET", PREFIX + JOB)).status)
 
-    async def test_an_oversized_body_is_refused_before_it_is_kept(self) -> None:
+    async def test_an_oversized_body_is_refused(self) -> None:
         await self.site.add_host()
         self.assertTrue(await self.site.until_ready())
         answer = await self.site.call("POST", PREFIX + JOB, b"x" * 300_000)
         self.assertEqual(413, answer.status)
 
-    async def test_a_cancelled_job_ends_on_its_worker(self) -> None:
+    async def test_a_cancelled_job_is_stopped_on_its_worker(self) -> None:
         await self.site.add_host()
         worker = await self.site.add_worker(lasts=60.0)
         self.assertTrue(await self.site.until_ready())
@@ -78,7 +78,7 @@
         self.assertTrue(await self.site.until(lambda: not worker.core.runs))
         self.assertTrue(await self.site.until_state("canceled"))
 
-    async def test_a_new_configuration_is_in_force_and_the_old_queue_gone(self) -> None:
+    async def test_a_new_configuration_replaces_the_old_queue(self) -> None:
         await self.site.add_host()
         self.assertTrue(await self.site.until_ready())
         self.site.configure(version=5, prefix="/other/")
@@ -89,7 +89,7 @@
         self.assertTrue(await self.site.until(check))
         self.assertEqual(200, (await self.site.call("GET", "/other/")).status)
 
-    async def test_a_lower_version_is_never_taken(self) -> None:
+    async def test_a_lower_version_is_never_applied(self) -> None:
         await self.site.add_host()
         self.site.configure(version=5)
         self.assertTrue(await self.site.until_ready())
@@ -97,7 +97,7 @@
         self.assertEqual(404, (await self.site.call("GET", "/other/")).status)
         self.assertEqual(200, (await self.site.call("GET", PREFIX)).status)
 
-    async def test_a_document_that_cannot_be_read_leaves_the_last_one_in_force(self) -> None:
+    async def test_a_malformed_document_leaves_the_last_one_in_force(self) -> None:
         await self.site.add_host()
         self.assertTrue(await self.site.until_ready())
         self.site.store.put("op", "config", b"{}")
@@ -109,10 +109,10 @@
 
         self.assertTrue(await self.site.until(check))
 
-    async def test_another_host_takes_over_and_adopts(self) -> None:
+    async def test_another_host_takes_over_the_cell_and_its_running_task(self) -> None:
         """
         The owner is killed while a task runs.  Another host takes the cell, finds the task on its
-        worker and shows the job as completed; the task was started once.
+        worker, and shows the job as completed; the task is started only once.
         """
         await self.site.add_host()
         await self.site.add_host()
@@ -129,8 +129,8 @@
 
     async def test_a_weak_owner_hands_its_cell_to_a_stronger_host(self) -> None:
         """
-        A cell fell to a weak host while no other was there.  It would own it for days, and fall
-        behind with every order; a task that runs meanwhile is not started twice.
+        A weak host takes a cell while there is no other, and would own it for days though it can't
+        keep up.  A task that runs during the change isn't started twice.
         """
         await self.site.add_host(cores=0.5)
         worker = await self.site.add_worker(lasts=10.0)
@@ -144,8 +144,8 @@
 
     async def test_a_refused_start_is_placed_again_once(self) -> None:
         """
-        A worker says that it has no room, which its owner didn't expect.  The start must not be
-        repeated beside the one that follows it.
+        A worker refuses a start for lack of room, which its owner didn't expect.  The refused start
+        must not be repeated beside the next attempt.
         """
         await self.site.add_host()
         worker = await self.site.add_worker()
@@ -155,10 +155,10 @@
         self.assertTrue(await self.site.until_state("completed"))
         self.assertEqual([2], [attempt for _, attempt in worker.core.starts])
 
-    async def test_garbage_from_a_worker_costs_one_try_and_not_the_cell(self) -> None:
+    async def test_an_unknown_status_from_a_worker_does_not_cost_the_cell(self) -> None:
         """
-        A worker answers a start with a status that the protocol doesn't know.  The task may or may
-        not run, so the same start is repeated; the owner keeps its cell.
+        A worker answers a start with a status that the protocol doesn't define.  The task may or
+        may not run, so the same start is repeated, and the owner keeps its cell.
         """
         await self.site.add_host()
         worker = await self.site.add_worker()
@@ -170,7 +170,7 @@
         self.assertTrue(self.site.hosts[0].owned_cells())
 
     async def _add_bystander(self) -> int:
-        """Start two hosts and a worker; return the host that doesn't own the cell."""
+        """Start two hosts and a worker; return the number of the host without the cell."""
         await self.site.add_host()
         await self.site.add_host()
         await self.site.add_worker()
@@ -181,10 +181,10 @@
         self.assertTrue(await self.site.until(lambda: all(h.has_peers() for h in hosts)))
         return 0 if hosts[1].owned_cells() else 1
 
-    async def test_a_resignation_during_a_write_stands_in_the_table(self) -> None:
+    async def test_a_resignation_during_a_write_is_written(self) -> None:
         """
-        The owner is told to end while a write of it is under way.  Were it to end with that write,
-        its row would still name it, and callers would wait until its silence was noticed.
+        The owner is told to stop during one of its writes.  Guards against stopping after that
+        write: its row would still name it, and the cell stay idle until its time-out.
         """
         bystander = await self._add_bystander()
         owner = 1 - bystander
@@ -196,10 +196,10 @@
         self.assertIn(("handovers", "c", "owner"), self.site.store.rows)
         await ending
 
-    async def test_a_write_that_is_done_late_makes_one_job(self) -> None:
+    async def test_a_write_that_is_applied_late_creates_one_job(self) -> None:
         """
-        The store carries the row of a new job out a second late and answers nothing.  The host
-        repeats the write through a peer; whichever comes second finds the row and does nothing.
+        The store writes the row of a new job a second late, without an answer.  The host repeats
+        the write through a peer; the second of the two finds the row and has no effect.
         """
         host = await self._add_bystander()
         self.site.faults[host].late_writes = 1
@@ -207,10 +207,10 @@
         self.assertTrue(await self.site.until_state("completed"))
         self.assertEqual(1, len(self.site.workers[0].core.starts))
 
-    async def test_a_write_without_an_answer_is_not_called_refused(self) -> None:
+    async def test_a_write_without_an_answer_is_not_reported_as_refused(self) -> None:
         """
-        The caller's time ends while a write has no answer; the store carries it out later.  Told
-        "refused", a caller would hand the work in elsewhere, and it would be done twice.
+        The caller's deadline passes while a write has no answer, and the store applies it later.
+        After a refusal the caller would submit the work elsewhere, and it would run twice.
         """
         await self.site.add_host()
         await self.site.add_worker()
@@ -222,7 +222,7 @@
         self.site.faults[0].late_writes = 0
         self.assertTrue(await self.site.until_state("completed"))
 
-    async def test_a_store_that_refuses_everybody_makes_a_true_refusal(self) -> None:
+    async def test_a_job_is_refused_while_the_store_refuses_all_hosts(self) -> None:
         await self.site.add_host()
         self.assertTrue(await self.site.until_ready())
         self.site.faults[0].refusing = 503
@@ -233,10 +233,10 @@
         self.assertTrue(await self.site.until_ready())
         self.assertEqual(410, (await self.site.call("GET", PREFIX + JOB)).status)
 
-    async def test_a_host_that_the_store_turns_away_serves_through_a_peer(self) -> None:
+    async def test_a_host_that_the_store_refuses_serves_through_a_peer(self) -> None:
         """
-        The store answers one host with 503 and serves the other.  Callers of the first host notice
-        nothing: its calls go through the second.
+        The store answers one host with 503 and serves the other.  Callers of the first host aren't
+        affected, since its calls go through the second.
         """
         await self.site.add_host()
         await self.site.add_host()
@@ -248,11 +248,11 @@
         self.assertEqual(200, (await self.site.submit(host=0)).status)
         self.assertTrue(await self.site.until_state("completed", host=0))
 
-    async def test_jobs_are_followed_while_they_cannot_be_read_whole(self) -> None:
+    async def test_the_watch_on_jobs_continues_while_full_reads_fail(self) -> None:
         """
-        Reads of the jobs are refused, watches of them aren't.  The owner reads all jobs every few
-        seconds besides its watch, and did nothing else until that succeeded: new jobs waited, and
-        tasks of cancelled ones were started.
+        Reads of jobs are refused while the watch works.  Guards against an owner that does nothing
+        else until a periodic full read succeeds: new jobs waited, and tasks of cancelled ones
+        started.
         """
         await self.site.add_host()
         worker = await self.site.add_worker(lasts=60.0)
@@ -267,7 +267,7 @@
         self.site.store.put("jobs", JOB + "/cancel", b"1", job_part("c", JOB))
         self.assertTrue(await self.site.until(lambda: not worker.core.runs))
 
-    async def test_history_that_is_gone_is_read_anew(self) -> None:
+    async def test_jobs_are_read_again_after_the_history_is_gone(self) -> None:
         await self.site.add_host()
         await self.site.add_worker()
         self.assertTrue(await self.site.until_ready())
--- a/toucanpin/entry/tests/test_slow_takeover.py
+++ b/toucanpin/entry/tests/test_slow_takeover.py
@@ -1,4 +1,4 @@
-"""What a takeover costs on a host whose link is slow for what it has to read."""
+"""Takeovers by a host whose link is slow for the rows that it has to read."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
 from toucanpin.scheduling.ownership import OwnerRecord
 
 LOADING = LEASE_S + 1.0  # s that a new owner takes to read the cell's rows
-PART_OF_TIME = 0.05  # that reads which nobody waits for may take
-PAGE_TIME = 0.01  # s that a page takes
+MAX_READ_SHARE = 0.05  # of the time, for periodic full reads
+PAGE_TIME = 0.01  # s per page
 
 
 class SlowTakeoverTest(unittest.IsolatedAsyncioTestCase):
-    async def test_what_runs_goes_on_while_a_new_owner_reads_its_rows(self) -> None:
-        """Guards against leases that lapse on all workers while a takeover is under way."""
+    async def test_tasks_keep_running_while_a_new_owner_reads_its_rows(self) -> None:
+        """Guards against leases that expire on all workers during a takeover."""
         site = Site()
         site.configure()
         self.addAsyncCleanup(site.close)
@@ -51,7 +51,7 @@
 
 
 class _SlowPages:
-    """Answer each read with a page of one row, of which there are three in each part."""
+    """Store that answers each read with an empty page."""
 
     def __init__(self) -> None:
         self.asked: list[float] = []
@@ -63,8 +63,8 @@
 
 
 class RelistTest(unittest.IsolatedAsyncioTestCase):
-    async def test_jobs_that_nobody_waits_for_leave_the_link_to_others(self) -> None:
-        """Guards against an owner that is replaced while its own reads fill its link."""
+    async def test_periodic_reads_of_jobs_are_throttled(self) -> None:
+        """Guards against an owner that is replaced because its reads saturate its link."""
         pages = _SlowPages()
         store = Store(None)  # type: ignore[arg-type]
         cell, entries = Cell("c", 1, 0.0, 0.0), RowReader()
@@ -76,8 +76,8 @@
             patch("toucanpin.entry.cell_jobs.FULL_READ_PERIOD_S", 0.0),
         ):
             relisting = asyncio.ensure_future(jobs.relist())
-            await asyncio.sleep(30 * PAGE_TIME / PART_OF_TIME / 10)
+            await asyncio.sleep(30 * PAGE_TIME / MAX_READ_SHARE / 10)
             relisting.cancel()
         gaps = [after - before for before, after in zip(pages.asked, pages.asked[1:], strict=False)]
         self.assertGreater(len(gaps), 1)
-        self.assertGreaterEqual(min(gaps), PAGE_TIME / PART_OF_TIME * 0.9)
+        self.assertGreaterEqual(min(gaps), PAGE_TIME / MAX_READ_SHARE * 0.9)
--- a/toucanpin/entry/tests/test_waves.py
+++ b/toucanpin/entry/tests/test_waves.py
@@ -1,4 +1,4 @@
-"""Waves of upkeep through an entry host, the published calls and stand-ins."""
+"""Maintenance waves through an entry host and stand-ins."""
 
 from __future__ import annotations
 
@@ -33,10 +33,10 @@
         row = self.site.store.rows.get(("status", "", "wave/1"))
         return msgspec.json.decode(row.value)["state"] if row else ""
 
-    async def test_each_machine_goes_through_its_upkeep_and_nothing_runs_there(self) -> None:
+    async def test_each_machine_is_drained_before_its_upkeep(self) -> None:
         """
-        Operators ask for the upkeep of all machines, one at a time, while a service runs.  Its task
-        leaves each worker before the machine goes down, and the wave is over when all are back.
+        Operators request the upkeep of all machines, one at a time, while a service runs.  Its task
+        leaves each worker before the machine goes down, and the wave ends when all are up again.
         """
         await self.site.submit(longRunning=True)
         self.assertTrue(
@@ -57,16 +57,15 @@
         self.assertTrue(await self.site.until(lambda: self._state() == "completed", turns=600))
         self.assertEqual({"m1": 0}, self.machines.through)
 
-    async def test_a_machine_that_is_gone_does_not_hold_up_its_wave(self) -> None:
+    async def test_a_machine_that_no_longer_exists_does_not_block_its_wave(self) -> None:
         self._ask("m1", "m9")
         self.assertTrue(await self.site.until(lambda: self._state() == "completed", turns=600))
         self.assertEqual({"m1": 0}, self.machines.through)
 
-    async def test_a_worker_gets_nothing_while_an_order_to_its_machine_may_come(self) -> None:
+    async def test_a_worker_gets_no_tasks_while_an_order_is_pending(self) -> None:
         """
-        The machines' platform turns orders away for a while.  A worker was emptied and its machine
-        written down as ordered, and from the next turn on it got tasks again.  The order that came
-        through at last ended them.
+        The platform of the machines refuses orders for a while.  Guards against a drained worker
+        that gets tasks again once the order is recorded: the order succeeds later and ends them.
         """
         self.machines.refuse_orders = 4
         self._ask("m1")
@@ -75,10 +74,11 @@
         self.assertTrue(await self.site.until(lambda: self._state() == "completed", turns=600))
         self.assertEqual({"m1": 0}, self.machines.through)
 
-    async def test_a_machine_that_is_down_by_itself_is_not_ordered_beside_another(self) -> None:
+    async def test_a_machine_that_crashed_is_not_ordered_with_another(self) -> None:
         """
-        A machine of the record is down after a crash, and another one of the wave is ready to go.
-        Orders went to both: the one that comes back just then has new tasks, which nobody emptied.
+        A machine in the record is down after a crash, and another one of the wave is drained.
+        Guards against orders for both: the crashed one may be up again, with tasks that weren't
+        drained.
         """
         self.machines.states["m1"] = "down"
         record = msgspec.msgpack.encode([0, {"m1": "a worker before"}, [], False])
@@ -87,10 +87,10 @@
         self.assertTrue(await self.site.until(lambda: "m2" in self.machines.through))
         self.assertEqual({"m2"}, {machine for machine, _, _ in self.machines.holders})
 
-    async def test_a_wave_that_is_withdrawn_leaves_no_worker_closed(self) -> None:
+    async def test_workers_of_a_withdrawn_wave_get_tasks_again(self) -> None:
         """
-        Operators withdraw a wave while a worker is being emptied for it.  The worker was kept from
-        new tasks for as long as its owner lived.
+        Operators withdraw a wave while a worker is being drained for it.  Guards against a worker
+        that gets no new tasks until the next change of owner.
         """
         await self.site.submit(count=3, antiAffinity=1)
         runs = [worker.core.runs for worker in self.site.workers]
@@ -107,18 +107,18 @@
     async def test_a_wave_that_the_platform_does_not_know_yet_is_not_completed(self) -> None:
         """
         Operators have just written a wave, and the platform of the machines answers the first
-        orders as if a machine weren't of it.  The machine counted as through, and the wave as
-        completed without any upkeep.
+        orders that a machine isn't part of it.  Guards against counting the machine as done: the
+        wave was reported as completed without any upkeep.
         """
         self.machines.unknown["m1"] = 2
         self._ask("m1")
         self.assertTrue(await self.site.until(lambda: self._state() == "completed", turns=600))
         self.assertEqual({"m1": 0}, self.machines.through)
 
-    async def test_a_machine_that_is_taken_out_of_its_wave_makes_room_for_others(self) -> None:
+    async def test_a_machine_that_is_removed_from_its_wave_makes_room_for_others(self) -> None:
         """
-        Operators take a machine out of a wave after it was written down as ordered.  It counted as
-        through; now it must not hold the place of those that are still to go.
+        Operators remove a machine from a wave after its order was recorded.  It must not count
+        against the limit of machines that are down at the same time.
         """
         self.machines.unknown = {"m1": 1_000, "m2": 1_000}
         self._ask("m1", "m2")
@@ -129,10 +129,10 @@
         self.assertTrue(await self.site.until(lambda: self._state() == "completed", turns=600))
         self.assertIn(other, self.machines.through)
 
-    async def test_a_wave_that_names_more_machines_is_not_completed_any_more(self) -> None:
+    async def test_a_wave_is_reopened_when_machines_are_added(self) -> None:
         """
-        Operators add a machine to a wave that was completed.  By its record it stayed completed,
-        though a machine of it had no upkeep.
+        Operators add a machine to a completed wave.  Guards against a wave that stays completed by
+        its record though a machine of it had no upkeep.
         """
         self._ask("m1")
         self.assertTrue(await self.site.until(lambda: self._state() == "completed", turns=600))
@@ -141,11 +141,11 @@
         self.assertTrue(await self.site.until(lambda: self._state() == "completed", turns=600))
         self.assertEqual({"m1": 0, "m2": 0}, self.machines.through)
 
-    async def test_a_machine_that_one_list_misses_is_not_taken_for_gone(self) -> None:
+    async def test_a_machine_that_is_missing_from_one_list_is_not_skipped(self) -> None:
         """
-        Operators read that a wave is completed while a machine of it runs on as it was.  A list of
-        machines has several pages, each of another moment: a machine that changed its place between
-        two of them stands in neither, and was counted as gone for good.
+        A list of machines has several pages from different moments, so a machine whose position
+        changes meanwhile may be on none of them.  Guards against taking it for gone: the wave was
+        reported as completed though the machine had no upkeep.
         """
         self.machines.missed["m1"] = 1
         self._ask("m1", "m2")
@@ -154,9 +154,9 @@
 
     async def test_a_machine_that_crashed_before_its_order_is_ordered_again(self) -> None:
         """
-        An owner writes down that a machine goes, and is killed with the order unsent.  The machine
-        crashes and comes back as another worker, as it would after its upkeep.  To call the wave
-        completed would be wrong: that machine has not been through.
+        An owner records the order for a machine and is killed before it sends the order.  Then the
+        machine crashes and restarts as another worker, as it would after its upkeep.  It had none,
+        so the wave isn't completed.
         """
         record = msgspec.msgpack.encode([0, {"m1": "a worker before"}, [], False])
         self.site.store.put("waves", "1", record)
@@ -164,7 +164,7 @@
         self.assertTrue(await self.site.until(lambda: self._state() == "completed", turns=600))
         self.assertEqual({"m1": 0}, self.machines.through)
 
-    async def test_a_new_owner_goes_on_with_a_wave(self) -> None:
+    async def test_a_new_owner_continues_a_wave(self) -> None:
         await self.site.add_host()
         self.assertTrue(await self.site.until_ready(1))
         self._ask("m0", "m1", "m2")
--- a/toucanpin/entry/tests/test_worker_entries.py
+++ b/toucanpin/entry/tests/test_worker_entries.py
@@ -1,4 +1,4 @@
-"""What an owner reads to know its workers."""
+"""Reads of the workers' entries by an owner."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 
 from standins.site.site import Site
 
-RARELY = 1_000.0  # s: longer than a test takes
-LOOKS = 4
+RARELY = 1_000.0  # s; longer than a test takes
+READS = 4
 
 
 class WorkerListTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
-        # Whole reads, of which there is one each three seconds at most, aren't meant here.
+        # Exclude full reads, which come every 3 s at most.
         self.enterContext(patch("toucanpin.entry.row_cache.FULL_READ_PERIOD_S", RARELY))
         self.site = Site()
         self.site.configure()
@@ -24,22 +24,22 @@
         self.assertTrue(await self.site.until_ready())
         self.assertTrue(await self.site.until(lambda: self.worker.looks))
 
-    async def test_entries_that_have_not_changed_are_not_read_again(self) -> None:
+    async def test_unchanged_entries_are_not_read_again(self) -> None:
         """
-        An owner of 246 workers takes in 387 KB/s on a calm fleet, since it reads all their entries
-        twice a second.  On a link of 5 Mbit/s that leaves little for the workers' own answers, so
-        leases and ends came late, and jobs expired.
+        Guards against reading the entries of all workers twice a second.  For 246 workers that took
+        387 KB/s without any change, and left little of a link of 5 Mbit/s for the workers' answers:
+        leases were renewed late, ends read late, and jobs expired.
         """
         store = self.site.store
         given = store.given["servers"]
         asked = store.asked["servers"]
-        self.assertTrue(await self.site.until(lambda: store.asked["servers"] >= asked + LOOKS))
+        self.assertTrue(await self.site.until(lambda: store.asked["servers"] >= asked + READS))
         self.assertEqual(given, store.given["servers"])
 
-    async def test_changes_are_seen_also_after_history_is_gone(self) -> None:
+    async def test_changes_are_read_after_the_history_is_gone(self) -> None:
         """
-        The table forgets its changes just as a worker says that it leaves.  It must get nothing
-        more, and a worker that comes at that moment is found.
+        The table loses its history just as a worker announces that it stops and another one
+        registers.  The first must get no more tasks, and the second must be found.
         """
         self.worker.core.entry = replace(self.worker.core.entry, ready=False)
         self.worker.register()
@@ -47,7 +47,7 @@
         store = self.site.store
         store.forget_history()
         asked = store.asked["servers"]
-        self.assertTrue(await self.site.until(lambda: store.asked["servers"] >= asked + LOOKS))
+        self.assertTrue(await self.site.until(lambda: store.asked["servers"] >= asked + READS))
         await self.site.submit(count=2)
         self.assertTrue(await self.site.until(lambda: len(other.core.runs) == 2))
         self.assertFalse(self.worker.core.starts)
