--- a/toucanpin/http/__init__.py
+++ b/toucanpin/http/__init__.py
@@ -1,4 +1,4 @@
-"""HTTP on one event loop: a client that says what a failure leaves open, and a small server."""
+"""HTTP/1.1 on asyncio: a client that reports whether a failed call may have run, and a server."""
 
 from toucanpin.http.client import Answer, CallError, Client, TooLargeError
 from toucanpin.http.server import Request, Response, Server
--- a/toucanpin/http/client.py
+++ b/toucanpin/http/client.py
@@ -2,7 +2,8 @@
 HTTP client
 ===========
 
-Call one address over kept connections, and say of each failure whether the request may have run.
+Call one address over keep-alive connections, and report for every failure whether the request may
+have run.
 """
 
 from __future__ import annotations
@@ -19,18 +20,17 @@
 
 __all__ = ["Answer", "CallError", "Client", "TooLargeError"]
 
-CONNECT_TIMEOUT = (
-    0.6  # s: one lost opening packet is sent again after 1 s, a dead host never answers
-)
-MAX_ANSWER_BYTES = 4_194_304  # bytes: four times the platform's largest page
-MAX_IDLE = 8  # kept connections to one address
-LATE = 0.05  # s by which time-outs come late in a process that was busy or suspended
+# TCP sends a lost SYN packet again only after 1 s, and a dead host never answers.
+CONNECT_TIMEOUT_S = 0.6
+MAX_ANSWER_BYTES = 4_194_304  # four times the platform's largest page
+MAX_IDLE_CONNECTIONS = 8  # per address
+LATENESS_THRESHOLD_S = 0.05  # a time-out that fires this late means a busy or suspended process
 T = TypeVar("T")
 
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """Hold one whole answer; header names are in lower case."""
+    """A complete answer; header names are in lower case."""
 
     status: int
     headers: dict[str, str]
@@ -38,7 +38,7 @@
 
 
 class CallError(ToucanpinError):
-    """Report a call without a usable answer; ``verdict`` says whether it may have had an effect."""
+    """Raised if a call has no usable answer; ``verdict`` says whether it may have had an effect."""
 
     def __init__(self, verdict: Verdict, detail: str, status: int = 0) -> None:
         super().__init__(detail)
@@ -47,12 +47,12 @@
 
     @property
     def certain(self) -> bool:
-        """Tell whether the request certainly had no effect."""
+        """Return whether the request certainly had no effect."""
         return self.verdict is Verdict.NOT_RUN
 
 
 class TooLargeError(CallError):
-    """Report an answer that is larger than any may be; the other side is well."""
+    """Raised if an answer exceeds MAX_ANSWER_BYTES, which is no sign of an unhealthy server."""
 
     def __init__(self, detail: str) -> None:
         super().__init__(Verdict.MAY_HAVE_RUN, detail)
@@ -80,40 +80,41 @@
         total_timeout: float = 0.0,
     ) -> Answer:
         """
-        Send one request and wait at most ``timeout`` seconds for the whole answer.
+        Send one request and return its answer, which must be complete within ``timeout`` seconds.
 
-        An answer of which a part came within the last ``timeout`` seconds is waited for longer,
-        ``arriving`` seconds in all.
+        While parts of the answer keep arriving at most ``timeout`` seconds apart, the limit is
+        extended up to ``total_timeout`` seconds.
 
         Raises
         ------
         CallError
-            If no whole answer came.
+            If no complete answer arrives.
         """
         request = _encode(method, path, self.address, body, headers)
         loop = asyncio.get_running_loop()
         deadline = loop.time() + timeout
-        connection = await self._connect(min(timeout, CONNECT_TIMEOUT))
+        connection = await self._connect(min(timeout, CONNECT_TIMEOUT_S))
         waiter = connection.send(request)
         try:
             answer = await _await_answer(connection, waiter, deadline, timeout, total_timeout)
         except TimeoutError as error:
             connection.abort()
-            # Kept connections go silent together, without a reset.  Left, each would cost a call.
+            # Idle connections to an address usually go silent together, without a reset, and each
+            # of them would make another call time out.
             self.close()
             detail = f"{self.address} {method} {path}: no answer in {timeout} s"
             raise CallError(Verdict.MAY_HAVE_RUN, detail) from error
         except asyncio.CancelledError:
             connection.abort()
             raise
-        if connection.reusable and len(self._idle) < MAX_IDLE:
+        if connection.reusable and len(self._idle) < MAX_IDLE_CONNECTIONS:
             self._idle.append(connection)
         else:
             connection.abort()
         return answer
 
     def close(self) -> None:
-        """Close the kept connections."""
+        """Close the idle connections."""
         for connection in self._idle:
             connection.abort()
         self._idle.clear()
@@ -128,21 +129,21 @@
         try:
             _, connection = await _wait_until(opening, loop.time() + timeout, timeout)
         except (OSError, TimeoutError) as error:
-            _drop(opening)
+            _cancel_opening(opening)
             detail = f"{self.address} can't be reached: {error or 'time-out'}"
             raise CallError(Verdict.NOT_RUN, detail) from error
         except asyncio.CancelledError:
-            _drop(opening)
+            _cancel_opening(opening)
             raise
         return connection
 
 
 class _Connection(asyncio.Protocol):
-    """Carry requests one after another; anything unexpected ends the connection."""
+    """A connection for one request at a time; unexpected data closes it."""
 
     def __init__(self) -> None:
         self.reusable = True
-        self.received_at = 0.0  # on the loop's clock, of the newest part of an answer
+        self.received_at = 0.0  # the loop's time when the latest data arrived
         self._transport: asyncio.Transport | None = None
         self._waiter: asyncio.Future[Answer] | None = None
         self._reset()
@@ -154,14 +155,14 @@
         self._size = 0
 
     def send(self, request: bytes) -> asyncio.Future[Answer]:
-        """Write one request and return the future of its answer."""
+        """Send one request and return the future of its answer."""
         self._waiter = asyncio.get_running_loop().create_future()
         assert self._transport is not None
         self._transport.write(request)
         return self._waiter
 
     def abort(self) -> None:
-        """Drop the connection with whatever is under way on it."""
+        """Close the connection at once, dropping any request in flight."""
         self.reusable = False
         self._waiter = None
         if self._transport is not None:
@@ -178,15 +179,15 @@
         self._size += len(data)
         self.received_at = asyncio.get_running_loop().time()
         if self._waiter is None:
-            self._fail("an answer that nobody asked for")
+            self._fail("answer without a request")
             return
         if self._size > MAX_ANSWER_BYTES:
-            self._end(TooLargeError(f"an answer of more than {MAX_ANSWER_BYTES} bytes"))
+            self._end(TooLargeError(f"answer of more than {MAX_ANSWER_BYTES} bytes"))
             return
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError as error:
-            self._fail(f"an answer that is no HTTP: {error}")
+            self._fail(f"answer is not HTTP: {error}")
 
     def connection_lost(self, error: Exception | None) -> None:
         self._fail(f"connection ended: {error or 'closed'}")
@@ -208,8 +209,8 @@
             waiter.set_result(answer)
 
     def _fail(self, detail: str) -> None:
-        # Bytes of the request may have reached the other side before the connection ended, also
-        # on a kept connection that was closed as the request was written.
+        # Part of the request may have reached the server before the connection ended, even if an
+        # idle connection was closed while the request was being written.
         self._end(CallError(Verdict.MAY_HAVE_RUN, detail))
 
     def _end(self, error: CallError) -> None:
@@ -234,35 +235,37 @@
         try:
             return await _wait_until(waiter, deadline, timeout)
         except TimeoutError:
-            # Whoever gives up an answer that fills its link asks for the same again.
+            # Giving up an answer that saturates the link only leads to a request for it again.
             following = min(connection.received_at + timeout, latest)
             if following <= deadline:
                 raise
             deadline = following
 
 
-def _drop(opening: asyncio.Task[tuple[asyncio.Transport, _Connection]]) -> None:
-    """Give up a connection that is being opened, or that was opened at this moment."""
+def _cancel_opening(opening: asyncio.Task[tuple[asyncio.Transport, _Connection]]) -> None:
+    """Cancel the opening of a connection, or close the connection if it has just opened."""
     if not opening.cancel() and not opening.cancelled() and opening.exception() is None:
         opening.result()[1].abort()
 
 
-async def _wait_until(waiter: asyncio.Future[T], deadline: float, longest: float) -> T:
+async def _wait_until(waiter: asyncio.Future[T], deadline: float, max_extension: float) -> T:
     """
-    Return a result that comes by a time of the loop's clock.
+    Return the result of ``waiter`` if it is done by ``deadline``, in the loop's time.
 
-    A process that was busy or suspended finds what came meanwhile and its time-outs at the same
-    moment.  Without some time more it would drop answers that are there, and the ends in them.
+    A process that was busy or suspended finds an expired time-out and the data that arrived in the
+    meantime at the same moment.  If the time-out fires late, the deadline is therefore extended by
+    that lateness, at most by ``max_extension``.  Otherwise answers that have arrived would be
+    dropped, and with them the task outcomes that they report.
     """
     loop = asyncio.get_running_loop()
     try:
         async with asyncio.timeout_at(deadline):
             return await asyncio.shield(waiter)
     except TimeoutError:
-        late = loop.time() - deadline
-        if late < LATE and not waiter.done():
+        lateness = loop.time() - deadline
+        if lateness < LATENESS_THRESHOLD_S and not waiter.done():
             raise
-    async with asyncio.timeout_at(loop.time() + min(late, longest)):
+    async with asyncio.timeout_at(loop.time() + min(lateness, max_extension)):
         return await asyncio.shield(waiter)
 
 
--- a/toucanpin/http/server.py
+++ b/toucanpin/http/server.py
@@ -2,7 +2,7 @@
 HTTP server
 ===========
 
-Answer requests one after another on each connection; limits hold before a body is kept.
+Answer the requests of each connection in order; size limits apply before data is buffered.
 """
 
 from __future__ import annotations
@@ -18,15 +18,15 @@
 __all__ = ["Request", "Response", "Server"]
 
 _log = logbook.Logger("http")
-MAX_TARGET = 8_192  # bytes of a request's path and query
-FINISH = 1.0  # s for which a caller may go on writing behind the last answer
-MAX_PIPELINED = 16  # requests that wait on one connection before it is closed
-_REASONS = {200: "OK", 404: "Not Found", 410: "Gone", 429: "Too Many Requests"}
+MAX_TARGET_BYTES = 8_192  # of a request's path and query
+LINGER_TIMEOUT_S = 1.0  # how long a client may still send after its last answer
+MAX_PIPELINED_REQUESTS = 16  # per connection; one more closes it
+_REASON_PHRASES = {200: "OK", 404: "Not Found", 410: "Gone", 429: "Too Many Requests"}
 
 
 @dataclass(slots=True)
 class Request:
-    """Hold one whole request; header names are in lower case."""
+    """A complete request; header names are in lower case."""
 
     method: str = ""
     path: str = ""
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Response:
-    """Answer one request; ``retry_after`` is in whole seconds."""
+    """The response to a request; ``retry_after`` is in seconds."""
 
     status: int
     body: bytes = b""
@@ -47,7 +47,7 @@
 
 
 class Server:
-    """Serve one address; a handler that returns None breaks the caller's connection."""
+    """Server on one address; a handler that returns None aborts the client's connection."""
 
     def __init__(self, handler: Handler, max_headers: int, max_body: int) -> None:
         self.max_headers = max_headers
@@ -65,26 +65,27 @@
             lambda: _Session(self), host, int(port), backlog=512, reuse_address=True
         )
 
-    async def drain(self, seconds: float, timeout_response: Response | None = None) -> None:
+    async def drain(self, timeout: float, timeout_response: Response | None = None) -> None:
         """
-        Take no new connections, answer what was read, then close, within ``seconds``.
+        Accept no new connections, answer the requests that were read and close, in ``timeout`` s.
 
-        What isn't answered by then is answered with ``late``, or not at all if that is None.
+        Requests without an answer by then are answered with ``timeout_response``, or get no answer
+        if it is None.
         """
         self.closing = True
         loop = asyncio.get_running_loop()
-        deadline = loop.time() + seconds
+        deadline = loop.time() + timeout
         while loop.time() < deadline and any(session.busy for session in self.sessions):
             await asyncio.sleep(0.02)
         if self._server is not None:
             self._server.close()
         for session in tuple(self.sessions):
             if timeout_response is not None:
-                session.give_up(timeout_response)
+                session.answer_pending(timeout_response)
             session.close()
 
     async def handle(self, request: Request) -> Response | None:
-        """Answer one request; a fault in the handler becomes a 500 with a log line."""
+        """Return the handler's response to a request; an exception is logged and gives a 500."""
         try:
             return await self._handler(request)
         except Exception:
@@ -93,7 +94,7 @@
 
 
 class _Session(asyncio.Protocol):
-    """Read requests from one connection and answer them in their order."""
+    """A client's connection, whose requests are answered in order."""
 
     def __init__(self, server: Server) -> None:
         self._server = server
@@ -106,25 +107,25 @@
         self._body_size = 0
         self._queue: list[tuple[Request, bool]] = []
         self._task: asyncio.Task[None] | None = None
-        self._broken = False
+        self._ignores_input = False
 
     @property
     def busy(self) -> bool:
-        """Tell whether a request was read and isn't answered."""
+        """Return whether a request was read and is not answered yet."""
         return self._task is not None
 
-    def give_up(self, response: Response) -> None:
-        """Answer alike whatever was read and isn't answered, also what waits its turn."""
+    def answer_pending(self, response: Response) -> None:
+        """Send ``response`` to the request being handled and to every queued one."""
         if self._task is None or self._transport is None or self._transport.is_closing():
             return
         self._task.cancel()
         self._task = None
-        for left in range(len(self._queue), -1, -1):
-            self._transport.write(_encode(response, keep=left > 0))
+        for remaining in range(len(self._queue), -1, -1):
+            self._transport.write(_encode(response, keep_alive=remaining > 0))
         self._queue.clear()
 
     def close(self) -> None:
-        """Close the connection once what was written has left."""
+        """Close the connection once the buffered data is sent."""
         if self._transport is not None:
             self._transport.close()
 
@@ -140,7 +141,7 @@
         self._server.sessions.discard(self)
 
     def data_received(self, data: bytes) -> None:
-        if self._broken:
+        if self._ignores_input:
             return
         try:
             self._parser.feed_data(data)
@@ -157,7 +158,7 @@
     def on_url(self, url: bytes) -> None:
         self._target.append(url)
         self._header_size += len(url)
-        if self._header_size > MAX_TARGET:
+        if self._header_size > MAX_TARGET_BYTES:
             self._refuse(414)
 
     def on_header(self, name: bytes, value: bytes) -> None:
@@ -175,13 +176,13 @@
         self._body.append(body)
 
     def on_message_complete(self) -> None:
-        if self._broken:
+        if self._ignores_input:
             return
         self._request.method = self._parser.get_method().decode("latin-1")
         self._request.path = b"".join(self._target).decode("latin-1")
         self._request.body = b"".join(self._body)
         self._queue.append((self._request, self._parser.should_keep_alive()))
-        if len(self._queue) > MAX_PIPELINED:
+        if len(self._queue) > MAX_PIPELINED_REQUESTS:
             self._refuse(429)
             return
         if self._task is None:
@@ -189,51 +190,52 @@
 
     async def _answer(self) -> None:
         while self._queue:
-            request, keep = self._queue.pop(0)
+            request, keep_alive = self._queue.pop(0)
             response = await self._server.handle(request)
             if self._transport is None or self._transport.is_closing():
                 break
             if response is None:
                 self._transport.abort()
                 break
-            keep = keep and not (self._server.closing and not self._queue)
-            self._transport.write(_encode(response, keep))
-            if not keep:
-                self._finish(self._transport)
+            keep_alive = keep_alive and not (self._server.closing and not self._queue)
+            self._transport.write(_encode(response, keep_alive))
+            if not keep_alive:
+                self._close_after_linger(self._transport)
                 break
         self._task = None
 
     def _refuse(self, status: int) -> None:
-        # What follows a refused head can't be told from a new request, so the connection ends.
-        self._broken = True
+        # Data after a refused request can't be distinguished from a new request, so the
+        # connection is closed.
+        self._ignores_input = True
         if self._transport is not None:
             self._transport.write(_encode(Response(status), False))
-            self._finish(self._transport)
+            self._close_after_linger(self._transport)
 
-    def _finish(self, transport: asyncio.Transport) -> None:
+    def _close_after_linger(self, transport: asyncio.Transport) -> None:
         """
-        End the connection, and close it once the caller does, or after a while.
+        Shut down the sending side; close when the client does or after LINGER_TIMEOUT_S.
 
-        Closed while another request is on its way, it would be reset, and a caller that hasn't read
-        the last answers yet would lose them.
+        If the connection were closed with another request in transit, it would be reset, and a
+        client that has not read the last responses yet would lose them.
         """
-        self._broken = True
+        self._ignores_input = True
         try:
             transport.write_eof()
         except OSError:
-            # The caller has reset it.
+            # The client has reset the connection.
             transport.close()
             return
-        asyncio.get_running_loop().call_later(FINISH, transport.close)
+        asyncio.get_running_loop().call_later(LINGER_TIMEOUT_S, transport.close)
 
 
-def _encode(response: Response, keep: bool) -> bytes:
-    lines = [f"HTTP/1.1 {response.status} {_REASONS.get(response.status, 'Status')}"]
+def _encode(response: Response, keep_alive: bool) -> bytes:
+    lines = [f"HTTP/1.1 {response.status} {_REASON_PHRASES.get(response.status, 'Status')}"]
     if response.body:
         lines.append("Content-Type: application/json")
     lines.append(f"Content-Length: {len(response.body)}")
     if response.retry_after is not None:
         lines.append(f"Retry-After: {response.retry_after}")
-    if not keep:
+    if not keep_alive:
         lines.append("Connection: close")
     return "\r\n".join(lines).encode() + b"\r\n\r\n" + response.body
--- a/toucanpin/http/tests/test_busy_process.py
+++ b/toucanpin/http/tests/test_busy_process.py
@@ -1,4 +1,4 @@
-"""What a call comes to in a process that is itself late."""
+"""Tests of calls whose own process is busy past their time-out."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 
 from toucanpin.http import Client, Request, Response, Server
 
-PATIENCE = 0.2  # s that a call may take
-BUSY = 0.5  # s for which the process does nothing else: its loop has to stand still
+CALL_TIMEOUT_S = 0.2
+BUSY_S = 0.5  # longer than a call's time-out; blocks the event loop
 
 
-class LateProcessTest(unittest.IsolatedAsyncioTestCase):
+class BusyProcessTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
         from standins.site.site import free_port
 
-        self.asked = 0
+        self.handled = 0
         self.server = Server(self._handle, 1_024, 4_096)
         address = f"127.0.0.1:{free_port()}"
         await self.server.listen(address)
@@ -25,26 +25,26 @@
         self.addCleanup(self.client.close)
 
     async def _handle(self, request: Request) -> Response:
-        self.asked += 1
+        self.handled += 1
         return Response(200, request.body)
 
     def _call(self, body: bytes) -> asyncio.Task:
-        return asyncio.ensure_future(self.client.call("POST", "/", body, timeout=PATIENCE))
+        return asyncio.ensure_future(self.client.call("POST", "/", body, timeout=CALL_TIMEOUT_S))
 
-    async def test_an_answer_that_is_there_is_taken(self) -> None:
-        """Guards against answers that are dropped since this process read them after its time."""
+    async def test_answer_received_while_busy_is_returned(self) -> None:
+        """An answer that arrived before the process handled the expired time-out is not dropped."""
         await self._call(b"first")
         call = self._call(b"second")
-        while self.asked < 2:
+        while self.handled < 2:
             await asyncio.sleep(0)
-        time.sleep(BUSY)  # noqa: ASYNC251
+        time.sleep(BUSY_S)  # noqa: ASYNC251
         self.assertEqual(b"second", (await call).body)
         self.assertEqual(1, len(self.server.sessions))
 
-    async def test_a_connection_that_is_there_is_used(self) -> None:
-        """Guards against a host that counts as away since this process was busy meanwhile."""
+    async def test_connection_opened_while_busy_is_used(self) -> None:
+        """A host isn't reported unreachable because this process was busy while connecting."""
         call = self._call(b"first")
         await asyncio.sleep(0)
-        time.sleep(BUSY)  # noqa: ASYNC251
+        time.sleep(BUSY_S)  # noqa: ASYNC251
         self.assertEqual(b"first", (await call).body)
         self.assertEqual(1, len(self.server.sessions))
