--- a/toucanpin/entry/cell_workers.py
+++ b/toucanpin/entry/cell_workers.py
@@ -18,7 +18,7 @@
 from toucanpin.exception import PlatformError
 from toucanpin.http import CallError
 from toucanpin.platform.workers import WorkerClient, WorkerReplacedError
-from toucanpin.scheduling.answering import MAX_LATENESS_S, AnswerTimeout
+from toucanpin.scheduling.answer_timeout import MAX_LATENESS_S, AnswerTimeout
 from toucanpin.scheduling.cell import Cell
 from toucanpin.scheduling.holding import (
     apply_answer,
--- a/toucanpin/scheduling/tests/test_answering.py
+++ b/toucanpin/scheduling/tests/test_answer_timeout.py
@@ -4,7 +4,7 @@
 
 import unittest
 
-from toucanpin.scheduling.answering import MAX_LATENESS_S, MIN_LATENESS_S, AnswerTimeout
+from toucanpin.scheduling.answer_timeout import MAX_LATENESS_S, MIN_LATENESS_S, AnswerTimeout
 
 
 class AnswerTimesTest(unittest.TestCase):
