--- a/benchmarks/sharing.py
+++ b/benchmarks/sharing.py
@@ -18,7 +18,6 @@
 
 from benchmarks.shared_jobs import LEAD, LENGTH, SITES, Arrival, draw_jobs
 from benchmarks.shared_workers import Pairs, SharedRun, SharedWorker, SharedWorld
-from toucanpin.scheduling.batches import apply_batch, take_batch
 from toucanpin.scheduling.cell import Cell, Now
 from toucanpin.scheduling.consolidating import consolidate_images
 from toucanpin.scheduling.holding import apply_answer, plan_poll, update_workers
@@ -32,6 +31,7 @@
 from toucanpin.scheduling.progress import JobState
 from toucanpin.scheduling.starting import apply_start_answer, plan_start, record_stop_acknowledged
 from toucanpin.scheduling.worker import Phase, Run
+from toucanpin.scheduling.write_batches import apply_batch, take_batch
 
 __all__ = ["Outcome", "main", "play"]
 
--- a/toucanpin/entry/owner.py
+++ b/toucanpin/entry/owner.py
@@ -37,7 +37,6 @@
 from toucanpin.platform.store import Row, Store
 from toucanpin.platform.workers import WORKERS_TABLE, decode_worker
 from toucanpin.scheduling.advising import AdviceRequest, plan_advice_requests, record_advice
-from toucanpin.scheduling.batches import MAX_FORGOTTEN, apply_batch, has_pending_writes, take_batch
 from toucanpin.scheduling.cell import Cell, Now
 from toucanpin.scheduling.consolidating import consolidate_images
 from toucanpin.scheduling.crashing import fail_crashing_jobs
@@ -57,6 +56,12 @@
 from toucanpin.scheduling.placing import place_tasks
 from toucanpin.scheduling.settings import HostSettings
 from toucanpin.scheduling.shedding import ProcessDelay, StartBacklog, TimeShare
+from toucanpin.scheduling.write_batches import (
+    MAX_FORGOTTEN,
+    apply_batch,
+    has_pending_writes,
+    take_batch,
+)
 
 __all__ = ["Owner"]
 
--- a/toucanpin/entry/tests/test_dropping_jobs.py
+++ b/toucanpin/entry/tests/test_dropping_jobs.py
@@ -9,10 +9,10 @@
 from toucanpin.entry.cell_rows import CellRows
 from toucanpin.entry.row_reader import RowReader
 from toucanpin.platform.store import Committed, ExpectedVersion, Put, Store
-from toucanpin.scheduling.batches import WriteBatch
 from toucanpin.scheduling.cell import Cell
 from toucanpin.scheduling.interference_model import InterferenceModel
 from toucanpin.scheduling.ownership import OwnerRecord
+from toucanpin.scheduling.write_batches import WriteBatch
 
 BOUND = 5.0  # s after which a test that would hang fails
 
--- a/toucanpin/entry/tests/test_pending_counts.py
+++ b/toucanpin/entry/tests/test_pending_counts.py
@@ -18,10 +18,10 @@
 from toucanpin.entry.tables import COUNTS_TABLE
 from toucanpin.http import Client, Request, Response
 from toucanpin.platform.store import Page, Store
-from toucanpin.scheduling.batches import take_batch
 from toucanpin.scheduling.cell import Cell
 from toucanpin.scheduling.interference_model import InterferenceModel
 from toucanpin.scheduling.ownership import OwnerRecord
+from toucanpin.scheduling.write_batches import take_batch
 
 SILENCE = 7.0  # s for which the owner hasn't written anything
 
--- a/toucanpin/scheduling/tests/fleet.py
+++ b/toucanpin/scheduling/tests/fleet.py
@@ -8,7 +8,6 @@
 from __future__ import annotations
 
 from standins.site.worker_core import WorkerCore
-from toucanpin.scheduling.batches import apply_batch, take_batch
 from toucanpin.scheduling.cell import Cell, Now
 from toucanpin.scheduling.crashing import fail_crashing_jobs
 from toucanpin.scheduling.holding import (
@@ -41,6 +40,7 @@
     record_stop_acknowledged,
 )
 from toucanpin.scheduling.worker import Phase, Run
+from toucanpin.scheduling.write_batches import apply_batch, take_batch
 
 __all__ = ["Fleet", "make_job"]
 
--- a/toucanpin/scheduling/tests/test_failures.py
+++ b/toucanpin/scheduling/tests/test_failures.py
@@ -7,7 +7,6 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from toucanpin.scheduling.batches import apply_batch, take_batch
 from toucanpin.scheduling.ending import RETRY_DELAY_S
 from toucanpin.scheduling.holding import LEASE_S, OWNER_AUTHORITY_S
 from toucanpin.scheduling.intake import cancel_job
@@ -18,6 +17,7 @@
 from toucanpin.scheduling.starting import StartOutcome, apply_start_answer
 from toucanpin.scheduling.tests.fleet import Fleet, make_job
 from toucanpin.scheduling.worker import Phase
+from toucanpin.scheduling.write_batches import apply_batch, take_batch
 
 
 class LostAnswerTest(unittest.TestCase):
