--- a/benchmarks/ablation.py
+++ b/benchmarks/ablation.py
@@ -70,7 +70,7 @@
     "caution about unknown pairs": (Off(f"{_SHARING}.CAUTION", 0.0),),
     "grouping of images": (Off(f"{_CHOOSING}.OTHER_IMAGE_COST", 0.0),),
     "gathering of strays": (Off("benchmarks.sharing.consolidate_images", _nothing),),
-    "rest after no place": (Off("toucanpin.scheduling.recalling.UNPLACEABLE_PERIOD_S", 0.0),),
+    "rest after no place": (Off("toucanpin.scheduling.unplaceable.UNPLACEABLE_PERIOD_S", 0.0),),
 }
 
 
--- a/toucanpin/scheduling/placing.py
+++ b/toucanpin/scheduling/placing.py
@@ -34,14 +34,14 @@
 from toucanpin.scheduling.large_tasks import LargeTaskReservation
 from toucanpin.scheduling.preempting import PreemptionCandidates, PreemptionRound
 from toucanpin.scheduling.progress import CrashSuspicion
-from toucanpin.scheduling.recalling import (
+from toucanpin.scheduling.reserving import reserve_cores
+from toucanpin.scheduling.retrying import list_retry_workers, wastes_attempt
+from toucanpin.scheduling.unplaceable import (
     find_known_reason,
     is_known_unplaceable,
     record_shortage,
     record_unplaceable,
 )
-from toucanpin.scheduling.reserving import reserve_cores
-from toucanpin.scheduling.retrying import list_retry_workers, wastes_attempt
 from toucanpin.scheduling.worker import (
     Worker,
     has_room,
--- a/toucanpin/scheduling/tests/test_turns.py
+++ b/toucanpin/scheduling/tests/test_turns.py
@@ -13,8 +13,8 @@
 from toucanpin.scheduling.large_tasks import LargeTaskReservation
 from toucanpin.scheduling.orders import WorkerEntry
 from toucanpin.scheduling.placing import place_tasks
-from toucanpin.scheduling.recalling import UNPLACEABLE_PERIOD_S
 from toucanpin.scheduling.tests.fleet import Fleet, make_job
+from toucanpin.scheduling.unplaceable import UNPLACEABLE_PERIOD_S
 from toucanpin.scheduling.worker import Worker
 
 WORKERS = 30
