--- a/toucanpin/entry/clocks.py
+++ b/toucanpin/entry/clocks.py
@@ -12,7 +12,7 @@
 
 from toucanpin.platform.store import Store
 from toucanpin.scheduling.cell import Now
-from toucanpin.scheduling.timing import ClockEstimate
+from toucanpin.scheduling.remote_clock import ClockEstimate
 from toucanpin.steady import steady_time
 
 MIN_AGREEING_HOSTS = 3  # with at least so many hosts, the median of their offsets is used
--- a/toucanpin/entry/tests/test_clocks.py
+++ b/toucanpin/entry/tests/test_clocks.py
@@ -9,7 +9,7 @@
 from toucanpin.entry.clocks import Clocks, measure_wall_offset, steady_time
 from toucanpin.platform.store import Store
 from toucanpin.platform.tests.test_store_and_workers import ScriptedTransport
-from toucanpin.scheduling.timing import ClockEstimate
+from toucanpin.scheduling.remote_clock import ClockEstimate
 
 
 class ClocksTest(unittest.TestCase):
--- a/toucanpin/platform/store.py
+++ b/toucanpin/platform/store.py
@@ -17,7 +17,7 @@
 
 from toucanpin.exception import PlatformError, ToucanpinError
 from toucanpin.http.client import Answer, CallError
-from toucanpin.scheduling.timing import ClockEstimate
+from toucanpin.scheduling.remote_clock import ClockEstimate
 from toucanpin.steady import steady_time
 from toucanpin.verdict import Verdict
 
--- a/toucanpin/scheduling/tests/test_timing.py
+++ b/toucanpin/scheduling/tests/test_remote_clock.py
@@ -7,7 +7,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from toucanpin.scheduling.timing import MAX_DRIFT_RATE, ClockEstimate
+from toucanpin.scheduling.remote_clock import MAX_DRIFT_RATE, ClockEstimate
 
 AHEAD = 5_000.0  # s: the remote clock's distance in these tests
 delays = st.tuples(st.floats(0.0, 6.0), st.floats(0.0, 6.0))
