--- a/benchmarks/sharing.py
+++ b/benchmarks/sharing.py
@@ -20,10 +20,10 @@
 from benchmarks.shared_workers import Pairs, SharedRun, SharedWorker, SharedWorld
 from toucanpin.scheduling.cell import Cell, Now
 from toucanpin.scheduling.consolidating import consolidate_images
-from toucanpin.scheduling.holding import apply_answer, plan_poll, update_workers
 from toucanpin.scheduling.intake import submit_job
 from toucanpin.scheduling.interference_model import InterferenceModel
 from toucanpin.scheduling.learning import learn_effects
+from toucanpin.scheduling.leases import apply_answer, plan_poll, update_workers
 from toucanpin.scheduling.moving import move_tasks
 from toucanpin.scheduling.orders import PaceOrder, RunEnd, StartAnswer, StopOrder, WorkerEntry
 from toucanpin.scheduling.pacing import control_pace
--- a/benchmarks/turns.py
+++ b/benchmarks/turns.py
@@ -24,10 +24,10 @@
 from toucanpin.scheduling.cell import Cell, Now, add_run
 from toucanpin.scheduling.consolidating import consolidate_images
 from toucanpin.scheduling.counting import count_pending
-from toucanpin.scheduling.holding import apply_answer, update_workers
 from toucanpin.scheduling.intake import begin_due, submit_job
 from toucanpin.scheduling.interference_model import InterferenceModel
 from toucanpin.scheduling.job import Job, Step, TaskKey
+from toucanpin.scheduling.leases import apply_answer, update_workers
 from toucanpin.scheduling.moving import move_tasks
 from toucanpin.scheduling.orders import PollAnswer, RunningTask, WorkerEntry
 from toucanpin.scheduling.pacing import control_pace
--- a/toucanpin/entry/cell_workers.py
+++ b/toucanpin/entry/cell_workers.py
@@ -20,7 +20,10 @@
 from toucanpin.platform.workers import WorkerClient, WorkerReplacedError
 from toucanpin.scheduling.answer_timeout import MAX_LATENESS_S, AnswerTimeout
 from toucanpin.scheduling.cell import Cell
-from toucanpin.scheduling.holding import (
+from toucanpin.scheduling.interference_model import InterferenceModel
+from toucanpin.scheduling.job import format_task
+from toucanpin.scheduling.learning import learn_effects
+from toucanpin.scheduling.leases import (
     apply_answer,
     mark_silent,
     plan_poll,
@@ -29,9 +32,6 @@
     remove_replaced_worker,
     update_workers,
 )
-from toucanpin.scheduling.interference_model import InterferenceModel
-from toucanpin.scheduling.job import format_task
-from toucanpin.scheduling.learning import learn_effects
 from toucanpin.scheduling.orders import EndedRun, PaceOrder, RefusalReason, StopOrder, WorkerEntry
 from toucanpin.scheduling.shedding import START_ANSWER_TIME_S, MinAnswerTime, ProcessDelay
 from toucanpin.scheduling.starting import (
--- a/toucanpin/entry/owner.py
+++ b/toucanpin/entry/owner.py
@@ -46,9 +46,9 @@
     describe_evacuations,
     has_current_evacuations,
 )
-from toucanpin.scheduling.holding import OWNER_AUTHORITY_S, expire_leases
 from toucanpin.scheduling.intake import begin_due, forget_ended
 from toucanpin.scheduling.interference_model import InterferenceModel
+from toucanpin.scheduling.leases import OWNER_AUTHORITY_S, expire_leases
 from toucanpin.scheduling.moving import move_tasks
 from toucanpin.scheduling.orders import WorkerEntry
 from toucanpin.scheduling.ownership import OWNER_WRITE_INTERVAL_S, OwnerRecord
--- a/toucanpin/entry/tests/test_slow_takeover.py
+++ b/toucanpin/entry/tests/test_slow_takeover.py
@@ -14,8 +14,8 @@
 from toucanpin.entry.row_reader import RowReader
 from toucanpin.platform.store import Page, Store
 from toucanpin.scheduling.cell import Cell, Now
-from toucanpin.scheduling.holding import LEASE_S
 from toucanpin.scheduling.interference_model import InterferenceModel
+from toucanpin.scheduling.leases import LEASE_S
 from toucanpin.scheduling.ownership import OwnerRecord
 
 LOADING = LEASE_S + 1.0  # s that a new owner takes to read the cell's rows
--- a/toucanpin/scheduling/starting.py
+++ b/toucanpin/scheduling/starting.py
@@ -12,7 +12,7 @@
 from toucanpin.scheduling.cell import Cell, Group, Now, mark_started
 from toucanpin.scheduling.ending import RETRY_DELAY_S, end_run
 from toucanpin.scheduling.evacuating import has_current_evacuations, is_evacuated
-from toucanpin.scheduling.holding import lease_end
+from toucanpin.scheduling.leases import lease_end
 from toucanpin.scheduling.orders import RefusalReason, StartAnswer
 from toucanpin.scheduling.stopping import stop_run
 from toucanpin.scheduling.worker import Phase, Run, Worker, grant_lease, is_overcommitted
--- a/toucanpin/scheduling/tests/fleet.py
+++ b/toucanpin/scheduling/tests/fleet.py
@@ -10,7 +10,10 @@
 from standins.site.worker_core import WorkerCore
 from toucanpin.scheduling.cell import Cell, Now
 from toucanpin.scheduling.crashing import fail_crashing_jobs
-from toucanpin.scheduling.holding import (
+from toucanpin.scheduling.intake import begin_due, restore_job, submit_job
+from toucanpin.scheduling.interference_model import InterferenceModel
+from toucanpin.scheduling.job import Job, Step, TaskKey
+from toucanpin.scheduling.leases import (
     OWNER_AUTHORITY_S,
     apply_answer,
     expire_leases,
@@ -19,9 +22,6 @@
     remove_replaced_worker,
     update_workers,
 )
-from toucanpin.scheduling.intake import begin_due, restore_job, submit_job
-from toucanpin.scheduling.interference_model import InterferenceModel
-from toucanpin.scheduling.job import Job, Step, TaskKey
 from toucanpin.scheduling.moving import move_tasks
 from toucanpin.scheduling.orders import (
     PaceOrder,
--- a/toucanpin/scheduling/tests/test_old_views.py
+++ b/toucanpin/scheduling/tests/test_old_views.py
@@ -4,8 +4,8 @@
 
 import unittest
 
-from toucanpin.scheduling.holding import apply_answer
 from toucanpin.scheduling.job import Step, TaskKey
+from toucanpin.scheduling.leases import apply_answer
 from toucanpin.scheduling.moving import move_tasks
 from toucanpin.scheduling.orders import EndedRun, PollAnswer, RunEnd, StopOrder
 from toucanpin.scheduling.pacing import control_pace
