--- a/toucanpin/entry/cell_workers.py
+++ b/toucanpin/entry/cell_workers.py
@@ -32,8 +32,8 @@
     remove_replaced_worker,
     update_workers,
 )
+from toucanpin.scheduling.load_shedding import START_ANSWER_TIME_S, MinAnswerTime, ProcessDelay
 from toucanpin.scheduling.orders import EndedRun, PaceOrder, RefusalReason, StopOrder, WorkerEntry
-from toucanpin.scheduling.shedding import START_ANSWER_TIME_S, MinAnswerTime, ProcessDelay
 from toucanpin.scheduling.starting import (
     StartOutcome,
     apply_start_answer,
--- a/toucanpin/entry/owner.py
+++ b/toucanpin/entry/owner.py
@@ -49,13 +49,13 @@
 from toucanpin.scheduling.intake import begin_due, forget_ended
 from toucanpin.scheduling.interference_model import InterferenceModel
 from toucanpin.scheduling.leases import OWNER_AUTHORITY_S, expire_leases
+from toucanpin.scheduling.load_shedding import ProcessDelay, StartBacklog, TimeShare
 from toucanpin.scheduling.moving import move_tasks
 from toucanpin.scheduling.orders import WorkerEntry
 from toucanpin.scheduling.ownership import OWNER_WRITE_INTERVAL_S, OwnerRecord
 from toucanpin.scheduling.pacing import control_pace
 from toucanpin.scheduling.placing import place_tasks
 from toucanpin.scheduling.settings import HostSettings
-from toucanpin.scheduling.shedding import ProcessDelay, StartBacklog, TimeShare
 from toucanpin.scheduling.write_batches import (
     MAX_FORGOTTEN,
     apply_batch,
--- a/toucanpin/entry/periodic.py
+++ b/toucanpin/entry/periodic.py
@@ -13,7 +13,7 @@
 
 from toucanpin.entry.clocks import steady_time
 from toucanpin.scheduling.cell import Now
-from toucanpin.scheduling.shedding import TimeShare
+from toucanpin.scheduling.load_shedding import TimeShare
 
 __all__ = ["PeriodicDecision"]
 
--- a/toucanpin/entry/requests.py
+++ b/toucanpin/entry/requests.py
@@ -35,8 +35,8 @@
 from toucanpin.platform.store import Committed, ExpectedVersion, Put, Row, Store
 from toucanpin.scheduling.configuration import Queue
 from toucanpin.scheduling.job import encode_job, find_job_fault
+from toucanpin.scheduling.load_shedding import would_exceed_time_limit
 from toucanpin.scheduling.progress import JobState, decode_progress
-from toucanpin.scheduling.shedding import would_exceed_time_limit
 
 __all__ = ["RequestHandler"]
 
--- a/toucanpin/entry/tests/test_cell_workers.py
+++ b/toucanpin/entry/tests/test_cell_workers.py
@@ -12,8 +12,8 @@
 from toucanpin.platform.store import Store
 from toucanpin.scheduling.cell import Cell
 from toucanpin.scheduling.interference_model import InterferenceModel
+from toucanpin.scheduling.load_shedding import ProcessDelay
 from toucanpin.scheduling.orders import WorkerEntry
-from toucanpin.scheduling.shedding import ProcessDelay
 from toucanpin.scheduling.worker import Worker
 from toucanpin.verdict import Verdict
 
--- a/toucanpin/scheduling/tests/test_shedding.py
+++ b/toucanpin/scheduling/tests/test_load_shedding.py
@@ -5,8 +5,7 @@
 import unittest
 
 from toucanpin.scheduling.job import Step
-from toucanpin.scheduling.placing import place_tasks
-from toucanpin.scheduling.shedding import (
+from toucanpin.scheduling.load_shedding import (
     MAX_PAUSE_S,
     MAX_PENDING_STARTS,
     MinAnswerTime,
@@ -15,6 +14,7 @@
     TimeShare,
     would_exceed_time_limit,
 )
+from toucanpin.scheduling.placing import place_tasks
 from toucanpin.scheduling.tests.fleet import Fleet, make_job
 
 
