--- a/benchmarks/turns.py
+++ b/benchmarks/turns.py
@@ -23,7 +23,6 @@
 from toucanpin.scheduling.advising import plan_advice_requests
 from toucanpin.scheduling.cell import Cell, Now, add_run
 from toucanpin.scheduling.consolidating import consolidate_images
-from toucanpin.scheduling.counting import count_pending
 from toucanpin.scheduling.intake import begin_due, submit_job
 from toucanpin.scheduling.interference_model import InterferenceModel
 from toucanpin.scheduling.job import Job, Step, TaskKey
@@ -31,6 +30,7 @@
 from toucanpin.scheduling.moving import move_tasks
 from toucanpin.scheduling.orders import PollAnswer, RunningTask, WorkerEntry
 from toucanpin.scheduling.pacing import control_pace
+from toucanpin.scheduling.pending_counts import count_pending
 from toucanpin.scheduling.placing import place_tasks
 from toucanpin.scheduling.worker import Phase, Run, Worker
 
--- a/toucanpin/entry/cell_jobs.py
+++ b/toucanpin/entry/cell_jobs.py
@@ -21,8 +21,8 @@
 from toucanpin.http import CallError
 from toucanpin.platform.store import MAX_PAGE_ROWS, Page, Row, Store
 from toucanpin.scheduling.cell import Cell, Now
-from toucanpin.scheduling.counting import TableView
 from toucanpin.scheduling.intake import cancel_job, submit_job
+from toucanpin.scheduling.pending_counts import TableView
 
 __all__ = ["FEED_MARGIN_S", "FEED_WAIT_S", "RETRY_DELAY_S", "CellJobs"]
 
--- a/toucanpin/entry/cell_rows.py
+++ b/toucanpin/entry/cell_rows.py
@@ -33,11 +33,11 @@
 from toucanpin.http import CallError
 from toucanpin.platform.store import Committed, ExpectedVersion, Page, Put, Row, Store
 from toucanpin.scheduling.cell import Cell, Now
-from toucanpin.scheduling.counting import TableView, count_pending, encode_counts
 from toucanpin.scheduling.intake import cancel_job, restore_job, submit_job
 from toucanpin.scheduling.interference_model import InterferenceModel, LearnedModel
 from toucanpin.scheduling.job import Job, decode_job, find_job_fault
 from toucanpin.scheduling.ownership import OwnerRecord, decode_owner, encode_owner
+from toucanpin.scheduling.pending_counts import TableView, count_pending, encode_counts
 from toucanpin.scheduling.progress import Progress, decode_progress, matches_job
 from toucanpin.scheduling.write_batches import WriteBatch
 
--- a/toucanpin/entry/pending_counts.py
+++ b/toucanpin/entry/pending_counts.py
@@ -13,7 +13,7 @@
 from toucanpin.entry.row_reader import RowReader
 from toucanpin.entry.tables import COUNTS_KEY, COUNTS_TABLE, JOBS_TABLE, list_job_parts, split_key
 from toucanpin.platform.store import Row, Store
-from toucanpin.scheduling.counting import PendingCounts, decode_counts, is_recent
+from toucanpin.scheduling.pending_counts import PendingCounts, decode_counts, is_recent
 
 __all__ = ["read_pending"]
 
--- a/toucanpin/entry/tests/test_job_watch.py
+++ b/toucanpin/entry/tests/test_job_watch.py
@@ -14,9 +14,9 @@
 from toucanpin.http import Answer, CallError
 from toucanpin.platform.store import MAX_PAGE_ROWS, Page, Row, Store
 from toucanpin.scheduling.cell import Cell
-from toucanpin.scheduling.counting import TableView
 from toucanpin.scheduling.interference_model import InterferenceModel
 from toucanpin.scheduling.ownership import OwnerRecord
+from toucanpin.scheduling.pending_counts import TableView
 from toucanpin.verdict import Verdict
 
 CANCEL_BOUND = 3.0  # s after a cancel is acknowledged from which on no task may start
--- a/toucanpin/scheduling/tests/test_life.py
+++ b/toucanpin/scheduling/tests/test_life.py
@@ -5,9 +5,9 @@
 import unittest
 from dataclasses import replace
 
-from toucanpin.scheduling.counting import count_pending
 from toucanpin.scheduling.intake import cancel_job, forget_ended
 from toucanpin.scheduling.job import Step, TaskKey, find_job_fault
+from toucanpin.scheduling.pending_counts import count_pending
 from toucanpin.scheduling.progress import JobState
 from toucanpin.scheduling.starting import MAX_ENTRY_AGE_S
 from toucanpin.scheduling.tests.fleet import Fleet, make_job
--- a/toucanpin/scheduling/tests/test_counting.py
+++ b/toucanpin/scheduling/tests/test_pending_counts.py
@@ -4,7 +4,7 @@
 
 import unittest
 
-from toucanpin.scheduling.counting import count_pending
+from toucanpin.scheduling.pending_counts import count_pending
 from toucanpin.scheduling.progress import JobState
 from toucanpin.scheduling.tests.fleet import Fleet, make_job
 
