--- a/benchmarks/ablation.py
+++ b/benchmarks/ablation.py
@@ -67,7 +67,7 @@
     "clearing": (Off(f"{_PACING}.OVER_LONG", 1e9),),
     "moves instead of slowing": (Off(f"{_PACING}._moves_freely", _never),),
     "learning by pairs": (Off("benchmarks.sharing.learn_effects", _nothing),),
-    "caution about unknown pairs": (Off(f"{_SHARING}.CAUTION", 0.0),),
+    "caution about unknown pairs": (Off(f"{_SHARING}.CAUTION_DEVIATIONS", 0.0),),
     "grouping of images": (Off(f"{_CHOOSING}.OTHER_IMAGE_COST", 0.0),),
     "gathering of strays": (Off("benchmarks.sharing.consolidate_images", _nothing),),
     "rest after no place": (Off("toucanpin.scheduling.unplaceable.UNPLACEABLE_PERIOD_S", 0.0),),
--- a/toucanpin/scheduling/cell.py
+++ b/toucanpin/scheduling/cell.py
@@ -167,9 +167,9 @@
     which every lease that an earlier owner may have granted has ended; ``confirmed_at`` is when the
     newest write that the table accepted was sent.  ``evacuated`` names the data centres that get no
     new tasks; this list is valid until ``evacuated_until``.  ``unplaceable`` maps the image of a
-    batch task to the cores for which no worker was found and the time until which placement is not
-    retried.  ``stop_time`` and ``restore_time`` are the times in s that workers may take to stop
-    and to resume a task.
+    best-effort task to the cores for which no worker was found and the time until which placement
+    is not retried.  ``stop_time`` and ``restore_time`` are the times in s that workers may take to
+    stop and to resume a task.
     """
 
     name: str
--- a/toucanpin/scheduling/choosing.py
+++ b/toucanpin/scheduling/choosing.py
@@ -49,7 +49,7 @@
 UTILIZATION_MAX_AGE_S = 0.2  # s for which a sum counts; loads are measured as often
 WATCHED_TASK_COST = 1.0  # weight of each other task that is watched, for one that is watched itself
 CRASH_RISK_COST = 10.0  # weight of a whole worker's cores in use for a task that may crash it
-BATCH_NEIGHBOUR_COST = 1.0  # weight against serving beside a worker full of what fills
+BEST_EFFORT_NEIGHBOUR_COST = 1.0  # weight against serving beside a worker full of what fills
 
 
 class ReserveAccess(enum.Enum):
@@ -173,7 +173,7 @@
         if _is_held_for_others(worker, self._live, now) or not is_trusted(worker, now):
             return None
         cost = (
-            _compute_batch_cost(self._round, worker, step)
+            _compute_best_effort_cost(self._round, worker, step)
             if step.best_effort
             else _compute_packing_cost(worker, step)
         )
@@ -284,12 +284,12 @@
     if step.long_running and not leaves_reserve(worker, step):
         cost += RESERVE_COST
     if step.target:
-        beside = BATCH_NEIGHBOUR_COST * worker.best_effort_cpu / whole
+        beside = BEST_EFFORT_NEIGHBOUR_COST * worker.best_effort_cpu / whole
         return cost + left + beside + _compute_image_cost(worker, step.image)
     return cost + left + 0.2 * worker.best_effort_count
 
 
-def _compute_batch_cost(round_: PlacementRound, worker: Worker, step: Step) -> float | None:
+def _compute_best_effort_cost(round_: PlacementRound, worker: Worker, step: Step) -> float | None:
     """Return the cost of a place for a task that fills, None if it would do harm there."""
     model = round_.model
     utilization = round_.utilization(worker)
--- a/toucanpin/scheduling/interference_model.py
+++ b/toucanpin/scheduling/interference_model.py
@@ -1,14 +1,15 @@
 """
-Sharing of workers
+Interference model
 ==================
 
-What is known of the loads of tasks that serve and of the effects of tasks that fill beside them.
+The loads of latency-critical jobs, and the effects of best-effort tasks on the same worker.
 
 Notes
 -----
-A serving task's tail follows a queue: ``tail = quiet / (1 - utilization)``.  What fills beside it
-multiplies its utilization by ``1 + sum(effect * share of the worker's cores in use)``, where the
-effect depends on the two images.  Measured pairs either cost 4 to 5 or next to nothing.
+The tail latency of a latency-critical task follows a queue: ``tail = idle_tail / (1 -
+utilization)``.  Best-effort tasks beside it multiply its utilization by ``1 + sum(effect * share of
+the worker's cores in use)``, where the effect depends on the two images.  The effects of measured
+pairs are either 4 to 5 or close to 0.
 """
 
 from __future__ import annotations
@@ -22,29 +23,31 @@
 from toucanpin.scheduling.durations import Durations, Fit
 from toucanpin.scheduling.worker import Run
 
-__all__ = ["LearnedModel", "Load", "InterferenceModel"]
+__all__ = ["LearnedModel", "LoadEstimate", "InterferenceModel"]
 
-MEMORY = 200.0  # s after which an effect is mostly forgotten
-PRIOR_EFFECT = 1.0  # of a pair never seen
+EFFECT_MEMORY_S = 200.0  # time constant with which old samples lose weight
+PRIOR_EFFECT = 1.0  # of a pair of images without samples
 PRIOR_DEVIATION = 3.0
-CAUTION = 0.2  # deviations that are added to an estimate: what isn't known counts as harmful
-HEAVIEST = 6.0  # effect beyond which estimates are noise; also lets wrong ones be tried again
-LEAST_DEVIATION = 0.5  # of an effect that an earlier owner has learned
-LEAST_LOAD = 0.775  # of the quiet tail's share in the lowest tail seen: load is never quite 0
-SETTLED = 10.0  # s of measurements until the lowest tail shows low load
-SATURATED = 50.0  # quiet tails at which a queue counts as full; beyond, tails grow with load
-SATURATION = 0.98  # utilization there
-FIRST_QUIET = 0.2  # of a target, for an image whose tail was never seen
-FIRST_LOAD = 0.6  # of the limit, for a job that was never measured
-UNSURE_RISE = 0.03  # of utilization by which a load may rise beyond its trend
-AHEAD = 0.8  # s from a change of load to the moment at which a place or a pace answers it
-MOST_RISE = 0.15  # of utilization that a trend is believed
-TREND_MEMORY = 1.5  # s over which a trend is seen
-HIGH_TIDE = 0.85  # of the limit: a job that reached its target by itself would need no care
+CAUTION_DEVIATIONS = 0.2  # added to an estimated effect, so that unknown pairs count as harmful
+# Larger estimates of an effect are noise.  The bound also lets a wrong one be corrected, since its
+# pair is still placed together at times.
+MAX_EFFECT = 6.0
+MIN_RESTORED_DEVIATION = 0.5  # of an effect that an earlier owner has learned
+IDLE_TAIL_RATIO = 0.775  # idle tail to the lowest tail seen, at which the load is still above 0
+SETTLING_TIME_S = 10.0  # of measurements until the lowest tail counts as one at low load
+SATURATED_TAIL_RATIO = 50.0  # to the idle tail; above it the tail grows linearly with the load
+SATURATED_UTILIZATION = 0.98  # at the saturated tail
+INITIAL_IDLE_TAIL_SHARE = 0.2  # of the target, for an image without measurements
+INITIAL_LOAD_SHARE = 0.6  # of the limit, for a job without measurements
+LOAD_MARGIN = 0.03  # of utilization, by which a load may rise beyond its trend
+LOOKAHEAD_S = 0.8  # from a change of load until a placement or a pace order takes effect
+MAX_LOAD_RISE = 0.15  # of utilization, by which a trend is extrapolated at most
+TREND_MEMORY_S = 1.5  # time constant of the trend
+MAX_PLANNED_SHARE = 0.85  # of the limit: jobs don't reach their target without neighbours
 
 
 class Effect(msgspec.Struct, frozen=True, array_like=True):
-    """Hold what was learned of one pair of images."""
+    """Estimated effect of a best-effort image on a latency-critical one."""
 
     serving: str
     filling: str
@@ -54,33 +57,35 @@
 
 class LearnedModel(msgspec.Struct, frozen=True, array_like=True):
     """
-    Hold what the next owner of a cell should know: effects, each image's lowest tail, and how long
-    the steps of each queue take.
+    Part of the model that is stored for the next owner of a cell.
+
+    Holds the effects, the lowest tail of each image in ms, and the fit of step durations of each
+    queue.
     """
 
     effects: list[Effect]
-    lowest: dict[str, float]
+    lowest_tails: dict[str, float]
     durations: dict[str, Fit] = {}
 
 
 @dataclass(slots=True)
-class Load:
+class LoadEstimate:
     """
-    Hold a job's utilization without neighbours, and when it was measured.
+    Utilization of a job without neighbours, and when it was measured.
 
-    ``clean`` says that tasks with harmless neighbours showed it; ``trend`` is by how much it has
-    changed a second.
+    ``undisturbed`` says that it was measured on tasks with harmless neighbours; ``trend`` is its
+    change per second.
     """
 
     value: float
     at: float
-    clean: bool
+    undisturbed: bool
     trend: float = 0.0
 
 
 @dataclass(slots=True)
-class _Lowest:
-    """Hold the lowest tail of an image, since when it is measured, and if that is long."""
+class _LowestTail:
+    """Lowest tail of an image, and whether it was measured for long enough."""
 
     tail: float
     since: float
@@ -88,135 +93,150 @@
 
 
 class InterferenceModel:
-    """Hold what is known of loads and of the effects between images."""
+    """Loads of latency-critical jobs and effects between pairs of images."""
 
-    __slots__ = ("_cautious", "_effects", "_lowest", "_quiet", "_regressions", "loads")
+    __slots__ = (
+        "_cautious_effects",
+        "_effects",
+        "_idle_tails",
+        "_lowest_tails",
+        "_regressions",
+        "loads",
+    )
 
     def __init__(self) -> None:
-        self.loads: dict[str, Load] = {}
+        self.loads: dict[str, LoadEstimate] = {}
         self._regressions: dict[str, Regression] = {}
         self._effects: dict[tuple[str, str], Effect] = {}
-        self._lowest: dict[str, _Lowest] = {}
-        # Both are asked for some hundred thousand times a second on a few hundred workers.
-        self._cautious: dict[tuple[str, str], float] = {}
-        self._quiet: dict[tuple[str, int], float] = {}
+        self._lowest_tails: dict[str, _LowestTail] = {}
+        # Caches of values that are read some 100,000 times a second on a few hundred workers.
+        self._cautious_effects: dict[tuple[str, str], float] = {}
+        self._idle_tails: dict[tuple[str, int], float] = {}
 
-    def effect(self, serving: str, filling: str) -> float:
-        """Return the growth of utilization beside a worker full of an image, with caution."""
-        return self._cautious.get((serving, filling), PRIOR_EFFECT + CAUTION * PRIOR_DEVIATION)
+    def cautious_effect(self, serving: str, filling: str) -> float:
+        """Return an upper estimate of the effect of one image on another."""
+        return self._cautious_effects.get(
+            (serving, filling), PRIOR_EFFECT + CAUTION_DEVIATIONS * PRIOR_DEVIATION
+        )
 
     def expected_effect(self, serving: str, filling: str) -> float:
-        """Return the same without caution."""
+        """Return the mean estimate of the effect of one image on another."""
         known = self._effects.get((serving, filling))
-        return PRIOR_EFFECT if known is None else min(HEAVIEST, max(0.0, known.mean))
+        return PRIOR_EFFECT if known is None else min(MAX_EFFECT, max(0.0, known.mean))
 
-    def quiet(self, image: str, target: int) -> float:
-        """Return the tail of an idle serving task, in ms."""
-        known = self._quiet.get((image, target))
+    def idle_tail(self, image: str, target: int) -> float:
+        """Return the tail latency of an idle latency-critical task, in ms."""
+        known = self._idle_tails.get((image, target))
         if known is None:
-            known = self._quiet[image, target] = self._find_quiet(image, target)
+            known = self._idle_tails[image, target] = self._estimate_idle_tail(image, target)
         return known
 
-    def _find_quiet(self, image: str, target: int) -> float:
-        lowest = self._lowest.get(image)
-        guess = target * FIRST_QUIET
+    def _estimate_idle_tail(self, image: str, target: int) -> float:
+        lowest = self._lowest_tails.get(image)
+        guess = target * INITIAL_IDLE_TAIL_SHARE
         if lowest is None:
             return guess
-        shown = lowest.tail * LEAST_LOAD
-        # Early tails are those of loaded tasks, and taking them for quiet ones hides the load.
+        shown = lowest.tail * IDLE_TAIL_RATIO
+        # Early tails are those of loaded tasks; taken as idle tails they would hide the load.
         return shown if lowest.settled else min(guess, shown)
 
     def utilization(self, run: Run) -> float:
-        """Return the utilization that a serving task's tail shows."""
-        quiet = self.quiet(run.step.image, run.step.target)
-        if run.measure <= quiet:
+        """Return the utilization of a latency-critical task, derived from its tail latency."""
+        idle_tail = self.idle_tail(run.step.image, run.step.target)
+        if run.measure <= idle_tail:
             return 0.0
-        if run.measure > SATURATED * quiet:
-            return SATURATION * run.measure / (SATURATED * quiet)
-        return 1 - quiet / run.measure
+        if run.measure > SATURATED_TAIL_RATIO * idle_tail:
+            return SATURATED_UTILIZATION * run.measure / (SATURATED_TAIL_RATIO * idle_tail)
+        return 1 - idle_tail / run.measure
 
     def limit(self, run: Run) -> float:
-        """Return the utilization at which a serving task reaches its target."""
-        return max(0.05, 1 - self.quiet(run.step.image, run.step.target) / run.step.target)
+        """Return the utilization at which a latency-critical task reaches its target."""
+        return max(0.05, 1 - self.idle_tail(run.step.image, run.step.target) / run.step.target)
 
     def load(self, run: Run) -> float:
-        """Return the utilization that a serving task would have without neighbours."""
+        """Return the utilization that a latency-critical task would have without neighbours."""
         known = self.loads.get(run.task.job)
-        return known.value if known else FIRST_LOAD * self.limit(run)
+        return known.value if known else INITIAL_LOAD_SHARE * self.limit(run)
 
     def planned_load(self, run: Run) -> float:
-        """Return the utilization without neighbours that a serving task may soon reach."""
+        """Return the utilization without neighbours that a task may reach within the lookahead."""
         known = self.loads.get(run.task.job)
         if known is None:
-            return FIRST_LOAD * self.limit(run)
-        rise = min(MOST_RISE, max(0.0, UNSURE_RISE + AHEAD * known.trend))
-        return max(known.value, min(known.value + rise, HIGH_TIDE * self.limit(run)))
+            return INITIAL_LOAD_SHARE * self.limit(run)
+        rise = min(MAX_LOAD_RISE, max(0.0, LOAD_MARGIN + LOOKAHEAD_S * known.trend))
+        return max(known.value, min(known.value + rise, MAX_PLANNED_SHARE * self.limit(run)))
 
-    def note_tail(self, image: str, tail: float, now: float) -> None:
-        """Take note of a tail, which may be the lowest of its image."""
-        lowest = self._lowest.get(image)
+    def record_tail(self, image: str, tail: float, now: float) -> None:
+        """Record a measured tail, and whether it is the lowest of its image."""
+        lowest = self._lowest_tails.get(image)
         if lowest is None:
-            self._lowest[image] = _Lowest(tail, now)
-            self._quiet.clear()
+            self._lowest_tails[image] = _LowestTail(tail, now)
+            self._idle_tails.clear()
             return
-        settled = lowest.settled or now > lowest.since + SETTLED
+        settled = lowest.settled or now > lowest.since + SETTLING_TIME_S
         if tail < lowest.tail or settled != lowest.settled:
             lowest.tail = min(lowest.tail, tail)
             lowest.settled = settled
-            self._quiet.clear()
+            self._idle_tails.clear()
 
-    def note_load(self, job: str, value: float, clean: bool, now: float) -> None:
-        """Take note of a job's load."""
-        self.loads[job] = Load(value, now, clean, self._find_trend(job, value, now))
+    def record_load(self, job: str, value: float, undisturbed: bool, now: float) -> None:
+        """Record a job's load and update its trend."""
+        self.loads[job] = LoadEstimate(
+            value, now, undisturbed, self._compute_trend(job, value, now)
+        )
 
-    def _find_trend(self, job: str, value: float, now: float) -> float:
+    def _compute_trend(self, job: str, value: float, now: float) -> float:
         """
-        Return by how much a job's load changes a second, as seen over the last seconds.
+        Return the smoothed change of a job's load per second.
 
-        Whoever fills up to what a load is now disturbs one that rises, and leaves cores idle beside
-        one that falls.
+        Best-effort work sized for the current load would disturb a job whose load rises, and leave
+        cores idle beside one whose load falls.
         """
         known = self.loads.get(job)
         if known is None or now <= known.at:
             return 0.0
         passed = now - known.at
-        weight = 1 - math.exp(-passed / TREND_MEMORY)
+        weight = 1 - math.exp(-passed / TREND_MEMORY_S)
         return known.trend + weight * ((value - known.value) / passed - known.trend)
 
     def learn(
         self, now: float, serving: str, factor: float, noise: float, amounts: dict[str, float]
     ) -> None:
-        """Learn from a utilization that is ``factor`` times the one without neighbours."""
+        """Update effects from a utilization of ``factor`` times the one without neighbours."""
         model = self._regressions.get(serving)
         if model is None:
-            model = self._regressions[serving] = Regression(MEMORY)
+            model = self._regressions[serving] = Regression(EFFECT_MEMORY_S)
         for image in amounts:
             if image not in model:
                 model.add(now, image, PRIOR_EFFECT, PRIOR_DEVIATION)
         model.learn(now, amounts, factor - 1, noise)
         for image in amounts:
-            self._note_effect(serving, image, model)
+            self._update_effect(serving, image, model)
 
     def export(self, durations: Durations) -> LearnedModel:
-        """Return what was learned, with the durations, for the next owner."""
-        lowest = {image: known.tail for image, known in self._lowest.items() if known.settled}
+        """Return the learned effects, settled tails and durations for the next owner."""
+        lowest = {image: known.tail for image, known in self._lowest_tails.items() if known.settled}
         return LearnedModel(list(self._effects.values()), lowest, durations.fits)
 
     def restore(self, learned: LearnedModel, now: float) -> None:
-        """Begin with what an earlier owner has learned."""
-        self._lowest = {image: _Lowest(tail, now, True) for image, tail in learned.lowest.items()}
-        self._quiet.clear()
+        """Initialize the model with what an earlier owner has learned."""
+        self._lowest_tails = {
+            image: _LowestTail(tail, now, True) for image, tail in learned.lowest_tails.items()
+        }
+        self._idle_tails.clear()
         for effect in learned.effects:
-            model = self._regressions.setdefault(effect.serving, Regression(MEMORY))
+            model = self._regressions.setdefault(effect.serving, Regression(EFFECT_MEMORY_S))
             if effect.filling not in model:
-                deviation = max(LEAST_DEVIATION, effect.deviation)
+                deviation = max(MIN_RESTORED_DEVIATION, effect.deviation)
                 model.add(now, effect.filling, effect.mean, deviation)
-                self._note_effect(effect.serving, effect.filling, model)
+                self._update_effect(effect.serving, effect.filling, model)
 
-    def _note_effect(self, serving: str, image: str, model: Regression) -> None:
-        self._keep_effect(Effect(serving, image, model.mean(image), model.deviation(image)))
+    def _update_effect(self, serving: str, image: str, model: Regression) -> None:
+        self._store_effect(Effect(serving, image, model.mean(image), model.deviation(image)))
 
-    def _keep_effect(self, effect: Effect) -> None:
+    def _store_effect(self, effect: Effect) -> None:
         pair = effect.serving, effect.filling
         self._effects[pair] = effect
-        self._cautious[pair] = min(HEAVIEST, max(0.0, effect.mean + CAUTION * effect.deviation))
+        self._cautious_effects[pair] = min(
+            MAX_EFFECT, max(0.0, effect.mean + CAUTION_DEVIATIONS * effect.deviation)
+        )
--- a/toucanpin/scheduling/pacing.py
+++ b/toucanpin/scheduling/pacing.py
@@ -10,13 +10,13 @@
 from toucanpin.scheduling.cell import Cell, Now
 from toucanpin.scheduling.choosing import list_eligible
 from toucanpin.scheduling.interference_model import InterferenceModel
-from toucanpin.scheduling.learning import FRESH, measure_loads
+from toucanpin.scheduling.learning import MEASUREMENT_MAX_AGE_S, measure_loads
 from toucanpin.scheduling.orders import PaceOrder
 from toucanpin.scheduling.prediction import (
+    estimate_used_cpu,
     estimate_utilization,
-    measure_use,
     predict_rise,
-    predict_rise_of,
+    predict_rise_for_run,
     predict_share,
 )
 from toucanpin.scheduling.stopping import stop_run
@@ -46,7 +46,7 @@
     measure_loads(cell, model, now)
     for worker in cell.workers.values():
         # An owner that was suspended hasn't noticed any silence yet, and its measurements are old.
-        fresh = now.steady - worker.answered_at <= FRESH
+        fresh = now.steady - worker.answered_at <= MEASUREMENT_MAX_AGE_S
         if worker.best_effort_count and worker.reached and not worker.silent and fresh:
             _control(cell, model, worker, now)
 
@@ -128,7 +128,7 @@
     worker.throttled_at = now.steady
     excess = model.utilization(hottest) - AIM * model.limit(hottest)
     costs = [
-        (predict_rise_of(model, worker, hottest, run.step.image, measure_use(run)), run)
+        (predict_rise_for_run(model, worker, hottest, run.step.image, estimate_used_cpu(run)), run)
         for run in fillers
     ]
     for cost, run in sorted(costs, key=lambda pair: -pair[0]):
--- a/toucanpin/scheduling/prediction.py
+++ b/toucanpin/scheduling/prediction.py
@@ -1,8 +1,9 @@
 """
-Prediction of tails
-===================
+Prediction of utilization
+=========================
 
-What a worker's serving tasks will suffer from what fills beside them, now or with one task more.
+Estimate how best-effort tasks raise the utilization of latency-critical tasks on a worker, with the
+tasks that run now or with one more.
 """
 
 from __future__ import annotations
@@ -12,10 +13,10 @@
 from toucanpin.scheduling.worker import Run, Worker
 
 __all__ = [
+    "estimate_used_cpu",
     "estimate_utilization",
-    "measure_use",
     "predict_rise",
-    "predict_rise_of",
+    "predict_rise_for_run",
     "predict_share",
 ]
 
@@ -24,38 +25,42 @@
     model: InterferenceModel, worker: Worker, planned: bool = False
 ) -> WorkerUtilization:
     """
-    Sum up a worker as it is.
+    Return the utilization of a worker with the tasks that run there.
 
-    With ``planned`` the serving tasks are thought to be as loaded as they soon may be.
+    With ``planned``, latency-critical tasks count with the load that they may soon reach.
     """
-    whole = max(1, worker.entry.cpu)
-    cores = 0.0
-    amounts: dict[str, float] = {}
-    hottest: dict[str, Run] = {}
+    capacity = max(1, worker.entry.cpu)
+    used = 0.0
+    core_shares: dict[str, float] = {}  # of the worker's capacity, by best-effort image
+    most_loaded: dict[str, Run] = {}
     for run in worker.runs.values():
         if run.step.target:
             load = model.planned_load(run) if planned else model.load(run)
-            cores += run.step.cpu * load
-            other = hottest.get(run.task.job)
-            # Tasks of one job fare alike, so one of them stands for all.
+            used += run.step.cpu * load
+            other = most_loaded.get(run.task.job)
+            # Tasks of one job have similar tails, so the highest one represents the job.
             if other is None or run.measure > other.measure:
-                hottest[run.task.job] = run
+                most_loaded[run.task.job] = run
             continue
-        used = measure_use(run)
-        cores += used
+        cpu = estimate_used_cpu(run)
+        used += cpu
         if run.step.best_effort:
-            amounts[run.step.image] = amounts.get(run.step.image, 0.0) + used / whole
-    served = tuple(_sum_up(model, run, amounts, planned) for run in hottest.values())
-    return WorkerUtilization(whole, cores, served)
+            core_shares[run.step.image] = core_shares.get(run.step.image, 0.0) + cpu / capacity
+    services = tuple(
+        _summarize_service(model, run, core_shares, planned) for run in most_loaded.values()
+    )
+    return WorkerUtilization(capacity, used, services)
 
 
 def predict_share(
     model: InterferenceModel, utilization: WorkerUtilization, image: str, cpu: float
 ) -> float:
-    """Return the highest utilization with ``cpu`` of an image more, as a share of its limit."""
+    """Return the highest utilization, as a share of its limit, if ``cpu`` of an image is added."""
     highest = 0.0
     for service in utilization.services:
-        rise = service.load * model.effect(service.image, image) * cpu / utilization.capacity
+        rise = (
+            service.load * model.cautious_effect(service.image, image) * cpu / utilization.capacity
+        )
         share = (max(service.expected, service.measured) + rise) / service.limit
         highest = max(highest, share)
     return highest
@@ -64,24 +69,26 @@
 def predict_rise(
     model: InterferenceModel, utilization: WorkerUtilization, image: str, cpu: float
 ) -> float:
-    """Return the most that ``cpu`` of an image add to a serving task's utilization."""
+    """Return the most that ``cpu`` of an image adds to any latency-critical task's utilization."""
     highest = 0.0
     for service in utilization.services:
-        rise = service.load * model.effect(service.image, image) * cpu / utilization.capacity
+        rise = (
+            service.load * model.cautious_effect(service.image, image) * cpu / utilization.capacity
+        )
         highest = max(highest, rise)
     return highest
 
 
-def predict_rise_of(
+def predict_rise_for_run(
     model: InterferenceModel, worker: Worker, serving: Run, image: str, cpu: float
 ) -> float:
-    """Return what ``cpu`` of an image add to the utilization of one serving task."""
-    effect = model.effect(serving.step.image, image)
+    """Return what ``cpu`` of an image adds to the utilization of one latency-critical task."""
+    effect = model.cautious_effect(serving.step.image, image)
     return model.planned_load(serving) * effect * cpu / max(1, worker.entry.cpu)
 
 
-def measure_use(run: Run) -> float:
-    """Return the cores that a task which doesn't serve uses, in thousandths."""
+def estimate_used_cpu(run: Run) -> float:
+    """Return the cores that a task without a latency target uses, in thousandths."""
     if not run.step.best_effort:
         return run.step.cpu
     if run.pace < 100:
@@ -89,11 +96,13 @@
     return run.measure or run.step.cpu
 
 
-def _sum_up(
-    model: InterferenceModel, run: Run, amounts: dict[str, float], planned: bool
+def _summarize_service(
+    model: InterferenceModel, run: Run, core_shares: dict[str, float], planned: bool
 ) -> ServiceUtilization:
     image = run.step.image
-    growth = sum(share * model.effect(image, filling) for filling, share in amounts.items())
+    growth = sum(
+        share * model.cautious_effect(image, filling) for filling, share in core_shares.items()
+    )
     load = model.planned_load(run) if planned else model.load(run)
     return ServiceUtilization(
         image, load, load * (1 + growth), model.utilization(run), model.limit(run)
--- a/toucanpin/scheduling/tests/test_consolidating.py
+++ b/toucanpin/scheduling/tests/test_consolidating.py
@@ -39,7 +39,7 @@
         self.stray = self._run("w0", "feed", FEED, 3)
 
     def _learn(self, image: str, effect: float) -> None:
-        self.model._keep_effect(Effect(image, "batch", effect, 0.2))
+        self.model._store_effect(Effect(image, "batch", effect, 0.2))
 
     def _run(self, worker: str, job: str, step: Step, index: int) -> Run:
         run = Run(
--- a/toucanpin/scheduling/tests/test_interference_model.py
+++ b/toucanpin/scheduling/tests/test_interference_model.py
@@ -8,15 +8,15 @@
 
 from toucanpin.scheduling.cell import Cell, Now, add_run
 from toucanpin.scheduling.interference_model import (
-    AHEAD,
-    CAUTION,
+    CAUTION_DEVIATIONS,
+    LOOKAHEAD_S,
     PRIOR_DEVIATION,
     PRIOR_EFFECT,
     Effect,
     InterferenceModel,
 )
 from toucanpin.scheduling.job import Step, TaskKey
-from toucanpin.scheduling.learning import MOST_SAMPLES, learn_effects, measure_loads
+from toucanpin.scheduling.learning import MAX_SAMPLES_PER_S, learn_effects, measure_loads
 from toucanpin.scheduling.orders import PaceOrder, StopOrder, WorkerEntry
 from toucanpin.scheduling.pacing import OVER_TOO_LONG, control_pace
 from toucanpin.scheduling.prediction import estimate_utilization, predict_share
@@ -44,8 +44,8 @@
     def setUp(self) -> None:
         self.cell = Cell("c", 1, 0.0, 0.0)
         self.model = InterferenceModel()
-        self.model.note_tail("web", QUIET / 0.775, -100.0)
-        self.model.note_tail("web", QUIET / 0.775, 0.0)
+        self.model.record_tail("web", QUIET / 0.775, -100.0)
+        self.model.record_tail("web", QUIET / 0.775, 0.0)
         for name in ("w0", "w1"):
             entry = WorkerEntry(name, "c", "a:1", "dc", True, 60_000, 256_000, 0)
             self.cell.workers[name] = Worker(entry, reached=True)
@@ -71,7 +71,7 @@
         for turn in range(20):
             self._observe(10.0 + turn)
         # A tenth of the worker raised utilization by half: an effect of five.
-        self.assertAlmostEqual(5.0, self.model.effect("web", "batch"), delta=1.0)
+        self.assertAlmostEqual(5.0, self.model.cautious_effect("web", "batch"), delta=1.0)
 
     def test_a_harmless_pair_is_told_from_an_unknown_one(self) -> None:
         self._add("w0", "s", SERVES, 0, _tail(0.3))
@@ -79,9 +79,9 @@
         self._add("w1", "b", FILLS, 0, 6_000)
         for turn in range(20):
             self._observe(10.0 + turn)
-        self.assertLess(self.model.effect("web", "batch"), 1.0)
-        unknown = PRIOR_EFFECT + CAUTION * PRIOR_DEVIATION
-        self.assertEqual(unknown, self.model.effect("web", "other"))
+        self.assertLess(self.model.cautious_effect("web", "batch"), 1.0)
+        unknown = PRIOR_EFFECT + CAUTION_DEVIATIONS * PRIOR_DEVIATION
+        self.assertEqual(unknown, self.model.cautious_effect("web", "other"))
 
     def test_learning_costs_no_more_on_thousands_of_workers(self) -> None:
         """
@@ -97,7 +97,7 @@
         with patch.object(InterferenceModel, "learn", autospec=True) as learned:
             for tenth in range(1, 401):
                 learn_effects(self.model, worker, workers, _now(10.0 + tenth / 10))
-        self.assertLessEqual(learned.call_count * workers / 40.0, 1.1 * MOST_SAMPLES)
+        self.assertLessEqual(learned.call_count * workers / 40.0, 1.1 * MAX_SAMPLES_PER_S)
         self.assertGreater(learned.call_count, 0)
 
     def test_utilization_grows_beyond_full_with_the_tail(self) -> None:
@@ -112,8 +112,8 @@
         short, idle, rises = [], [], []
         for number in range(350):
             steady = 10.0 + 0.2 * number
-            self.model.note_load("s", _swing(steady), True, steady)
-            planned, after = self.model.planned_load(run), _swing(steady + AHEAD)
+            self.model.record_load("s", _swing(steady), True, steady)
+            planned, after = self.model.planned_load(run), _swing(steady + LOOKAHEAD_S)
             short.append(after - planned)
             idle.append(planned - after)
             rises.append(after - _swing(steady))
@@ -173,7 +173,7 @@
         """
         self._add("w0", "s", SERVES, 0, _tail(0.9))
         run = self._add("w0", "b", FILLS, 0, 6_000)
-        self.model._keep_effect(Effect("web", "batch", 0.0, 0.1))
+        self.model._store_effect(Effect("web", "batch", 0.0, 0.1))
         steady = 10.0
         while run.phase is Phase.RUNNING and steady < 15.0:
             self.cell.workers["w0"].answered_at = steady
--- a/toucanpin/scheduling/utilization.py
+++ b/toucanpin/scheduling/utilization.py
@@ -1,8 +1,8 @@
 """
-Heat of a worker
-================
+Utilization of a worker
+=======================
 
-What a worker's cores do, and how the jobs that serve there fare.
+The cores of a worker that are in use, and the utilization of the latency-critical jobs on it.
 """
 
 from __future__ import annotations
@@ -15,10 +15,10 @@
 @dataclass(frozen=True, slots=True)
 class ServiceUtilization:
     """
-    Hold how one serving job fares on a worker.
+    Utilization of one latency-critical job on a worker.
 
-    ``load`` is its utilization without neighbours, ``expected`` and ``measured`` are those with
-    what fills there now; ``limit`` is the one at which it reaches its target.
+    ``load`` is its utilization without neighbours, ``expected`` and ``measured`` are those beside
+    the best-effort tasks that run there now; at ``limit`` its tail latency reaches its target.
     """
 
     image: str
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkerUtilization:
-    """Hold the cores of a worker, those in use, and how its serving jobs fare."""
+    """Cores of a worker and those in use, in thousandths, and its latency-critical jobs."""
 
     capacity: int
     used: float
