--- a/toucanpin/scheduling/moving.py
+++ b/toucanpin/scheduling/moving.py
@@ -1,8 +1,9 @@
 """
-Moving tasks
-============
+Moving of tasks
+===============
 
-Stop tasks that do better elsewhere: on workers that leave, are slow, or where nothing moves.
+Stop or copy tasks that should run elsewhere: on workers that leave, are slow or silent, and tasks
+that make no progress.
 """
 
 from __future__ import annotations
@@ -18,62 +19,63 @@
 
 __all__ = ["move_tasks"]
 
-Times = dict[tuple[str, int], list[tuple[str, float]]]
+StepDurations = dict[tuple[str, int], list[tuple[str, float]]]  # worker and s, by job and step
 
-STALL = 1.5  # s without progress; above what a long task on a slow worker takes for a percent
-SUSPICION = 5.0  # s that a worker is avoided on which a task stood still or was slow
-GANG_PATIENCE = 1.5  # s after which a gang that isn't whole is stopped; workers wait 3 s at least
-SLOW = 2.5  # times their siblings' time that the tasks of a slow worker take
-SLOW_ALONE = 4.0  # the same where one task tells only
-ENOUGH = 2  # tasks whose middle is believed
-SHOWN = 10  # percent from which on progress tells how long a task takes
-MOVE_COST = 0.15  # s that a move takes beyond a stop and a resume: list, write, start
-SILENCE = 0.7  # s without an answer after which a copy is begun elsewhere, where that is allowed
+STALL_TIMEOUT_S = 1.5  # longer than a long task on a slow worker takes for one percent
+SUSPECT_TIME_S = 5.0  # for which a worker is avoided after a task was stalled or slow on it
+GANG_TIMEOUT_S = 1.5  # for an incomplete gang; workers themselves wait at least 3 s
+# A worker is slow if its tasks take this many times as long as their siblings elsewhere.
+SLOW_RATIO = 2.5
+SLOW_RATIO_ALONE = 4.0  # with fewer tasks than MIN_SLOW_TASKS
+MIN_SLOW_TASKS = 2
+MIN_PERCENT = 10  # of progress, from which on the duration of a task is estimated
+MOVE_OVERHEAD_S = 0.15  # of a move beyond stop and resume: report, write and start
+COPY_AFTER_S = 0.7  # without an answer of a worker until copies of its tasks start, if allowed
 
 
 def move_tasks(cell: Cell, now: Now) -> None:
-    """Stop what should run elsewhere."""
-    times = _list_times(cell)
+    """Stop or copy the tasks that should run on another worker."""
+    durations = _list_durations(cell)
     for worker in cell.workers.values():
         if not worker.reached or worker.silent:
-            _copy_silent(cell, worker, now)
+            _copy_silent_runs(cell, worker, now)
             continue
         for run in list(worker.runs.values()):
             if run.phase is Phase.RUNNING:
-                _judge(cell, worker, run, now)
+                _check_run(cell, worker, run, now)
             elif run.step.gang and run.phase is Phase.ORDERED:
-                _judge_gang(cell, run, now)
-        for run in _find_slow(cell, times, worker):
-            if not _has_place(cell, run, now):
+                _stop_incomplete_gang(cell, run, now)
+        for run in _find_slow(cell, durations, worker):
+            if not _has_other_worker(cell, run, now):
                 continue
-            worker.suspect_until = now.steady + SUSPICION
+            worker.suspect_until = now.steady + SUSPECT_TIME_S
             cell.moved_tasks.add(run.task)
-            _leave(cell, run, "slow")
+            _relocate(cell, run, "slow")
 
 
-def _judge(cell: Cell, worker: Worker, run: Run, now: Now) -> None:
-    if not worker.entry.ready and _leaves_too_soon(worker, run, now):
+def _check_run(cell: Cell, worker: Worker, run: Run, now: Now) -> None:
+    if not worker.entry.ready and _outlasts_worker(worker, run, now):
         stop_run(cell, run, "worker leaves")
         return
     if run.step.long_running or run.pace <= 0:
         return
-    if run.step.gang and not _is_whole(cell, run):
-        _judge_gang(cell, run, now)
-    elif _stands_still(run):
-        record_failure(worker, run, now, SUSPICION)
-        _leave(cell, run, "stands still")
+    if run.step.gang and not _is_gang_complete(cell, run):
+        _stop_incomplete_gang(cell, run, now)
+    elif _is_stalled(run):
+        record_failure(worker, run, now, SUSPECT_TIME_S)
+        _relocate(cell, run, "stands still")
 
 
-def _leave(cell: Cell, run: Run, reason: str) -> None:
-    """Let a task run elsewhere: at once where copies are allowed, else once it is stopped."""
+def _relocate(cell: Cell, run: Run, reason: str) -> None:
+    """Run a task elsewhere: at once if copies are allowed, otherwise after it has stopped."""
     if run.step.speculative:
-        _copy(cell, run)
+        _allow_copy(cell, run)
     else:
         stop_run(cell, run, reason)
 
 
-def _copy(cell: Cell, run: Run) -> None:
-    """Let another copy of a task be placed while this one goes on."""
+def _allow_copy(cell: Cell, run: Run) -> None:
+    """Queue another copy of a task while this run goes on."""
     live = cell.jobs.get(run.task.job)
     record = find_record(live, run.task) if live else None
     if live is None or record is None or JobState(live.progress.state).ended:
@@ -86,16 +88,16 @@
     requeue_task(cell, run)
 
 
-def _copy_silent(cell: Cell, worker: Worker, now: Now) -> None:
-    """Don't wait for a silent worker's lease where copies are allowed."""
-    if now.steady - worker.answered_at < SILENCE:
+def _copy_silent_runs(cell: Cell, worker: Worker, now: Now) -> None:
+    """Queue copies of a silent worker's speculative tasks before its lease ends."""
+    if now.steady - worker.answered_at < COPY_AFTER_S:
         return
     for run in worker.runs.values():
         if run.step.speculative and run.phase in (Phase.RUNNING, Phase.ORDERED, Phase.UNKNOWN):
-            _copy(cell, run)
+            _allow_copy(cell, run)
 
 
-def _is_whole(cell: Cell, run: Run) -> bool:
+def _is_gang_complete(cell: Cell, run: Run) -> bool:
     live = cell.jobs.get(run.task.job)
     record = find_record(live, run.task) if live else None
     if live is None or record is None or record.state == TaskState.DONE:
@@ -104,16 +106,16 @@
     return len(members) == run.step.count and all(m.phase is Phase.RUNNING for m in members)
 
 
-def _judge_gang(cell: Cell, run: Run, now: Now) -> None:
-    """Stop a gang some of whose members don't come: the others would only hold their room."""
+def _stop_incomplete_gang(cell: Cell, run: Run, now: Now) -> None:
+    """Stop a gang with missing members: the others would only occupy their resources."""
     live = cell.jobs.get(run.task.job)
-    if live is not None and now.steady > run.ordered_at + GANG_PATIENCE:
+    if live is not None and now.steady > run.ordered_at + GANG_TIMEOUT_S:
         stop_gang(cell, live, run, "gang not whole")
         stop_run(cell, run, "gang not whole")
 
 
-def _leaves_too_soon(worker: Worker, run: Run, now: Now) -> bool:
-    """Tell whether a task won't end before its worker leaves."""
+def _outlasts_worker(worker: Worker, run: Run, now: Now) -> bool:
+    """Return whether a task won't end before its worker leaves."""
     if run.step.long_running:
         return True
     elapsed = now.steady - run.started_at
@@ -123,46 +125,47 @@
     return elapsed * (100 - run.percent) / run.percent > left
 
 
-def _stands_still(run: Run) -> bool:
+def _is_stalled(run: Run) -> bool:
     """
-    Tell whether lists show a task unmoved.
+    Return whether a task made no progress between two reports of its worker.
 
-    An owner that hears nothing for a while, since its link is full, would otherwise stop every task
-    that it follows and lose their work.
+    The time without progress counts up to the latest report, not up to now: an owner whose link is
+    congested gets no reports for a while and would otherwise stop all tasks and lose their work.
     """
-    return run.percent < 100 and run.last_listed_at - run.progressed_at > STALL
+    return run.percent < 100 and run.last_listed_at - run.progressed_at > STALL_TIMEOUT_S
 
 
-def _find_slow(cell: Cell, times: Times, worker: Worker) -> list[Run]:
+def _find_slow(cell: Cell, durations: StepDurations, worker: Worker) -> list[Run]:
     """
-    Return the tasks that would be done sooner if they began anew elsewhere.
+    Return the tasks that would end sooner if they were restarted elsewhere.
 
-    Workers turn several times slower for seconds, and their tasks' jobs are late.  Siblings that
-    took a fraction of the time show it; declared times are too far off.  Single tasks differ from
-    their siblings by up to four times, so the middle of several decides, and no task moves twice.
+    Workers become several times slower for seconds, and make their jobs late.  The durations of
+    sibling tasks reveal it; the callers' estimates are too inaccurate.  Single tasks take up to
+    four times as long as their siblings, so the median over several tasks of the worker decides,
+    and no task is moved twice.
     """
-    shown = [run for run in worker.runs.values() if _tells_time(run)]
+    measured = [run for run in worker.runs.values() if _has_usable_progress(run)]
     ratios = {}
-    for run in shown:
-        usual = _find_usual(cell, times, run)
-        if usual:
-            ratios[run.task] = _whole_time(run) / usual
+    for run in measured:
+        typical = _find_typical_duration(cell, durations, run)
+        if typical:
+            ratios[run.task] = _estimate_duration(run) / typical
     if not ratios:
         return []
     middle = statistics.median(ratios.values())
-    if middle < (SLOW if len(ratios) >= ENOUGH else SLOW_ALONE):
+    if middle < (SLOW_RATIO if len(ratios) >= MIN_SLOW_TASKS else SLOW_RATIO_ALONE):
         return []
     return [
         run
-        for run in shown
+        for run in measured
         if run.task in ratios
         and run.task not in cell.moved_tasks
-        and _gains(cell, run, ratios[run.task])
+        and _finishes_sooner(cell, run, ratios[run.task])
     ]
 
 
-def _has_place(cell: Cell, run: Run, now: Now) -> bool:
-    """Tell whether a sound worker has room for a task that would leave its own."""
+def _has_other_worker(cell: Cell, run: Run, now: Now) -> bool:
+    """Return whether another worker that isn't suspect has room for a task."""
     group = Group(run.task.job, run.task.occurrence, run.task.step)
     return any(
         worker.entry.id != run.worker
@@ -173,45 +176,45 @@
     )
 
 
-def _tells_time(run: Run) -> bool:
+def _has_usable_progress(run: Run) -> bool:
     return (
         run.phase is Phase.RUNNING
         and not run.step.long_running
         and not run.step.gang
         and not run.untimed
         and run.pace == 100
-        and run.percent >= SHOWN
+        and run.percent >= MIN_PERCENT
     )
 
 
-def _gains(cell: Cell, run: Run, ratio: float) -> bool:
-    whole = _whole_time(run)
-    left = whole * (100 - run.percent) / 100
-    again = left / ratio if run.step.checkpoints else whole / ratio
-    return left > again + cell.stop_time + cell.restore_time + MOVE_COST
+def _finishes_sooner(cell: Cell, run: Run, ratio: float) -> bool:
+    total = _estimate_duration(run)
+    left = total * (100 - run.percent) / 100
+    rerun = left / ratio if run.step.checkpoints else total / ratio
+    return left > rerun + cell.stop_time + cell.restore_time + MOVE_OVERHEAD_S
 
 
-def _list_times(cell: Cell) -> Times:
-    """Return what the tasks of each step seem to take, by the workers that run them."""
-    times: Times = {}
+def _list_durations(cell: Cell) -> StepDurations:
+    """Return estimated durations of running tasks with their workers, by step."""
+    durations: StepDurations = {}
     for worker in cell.workers.values():
         for run in worker.runs.values():
-            if _tells_time(run):
-                known = times.setdefault((run.task.job, run.task.step), [])
-                known.append((run.worker, _whole_time(run)))
-    return times
+            if _has_usable_progress(run):
+                known = durations.setdefault((run.task.job, run.task.step), [])
+                known.append((run.worker, _estimate_duration(run)))
+    return durations
 
 
-def _find_usual(cell: Cell, times: Times, run: Run) -> float:
-    """Return the middle of the times that siblings elsewhere took or seem to take, 0 if none."""
+def _find_typical_duration(cell: Cell, durations: StepDurations, run: Run) -> float:
+    """Return the median duration of sibling tasks on other workers, 0 if there are none."""
     live = cell.jobs.get(run.task.job)
     if live is None:
         return 0.0
-    shown = times.get((run.task.job, run.task.step), ())
-    found = [time for worker, time in shown if worker != run.worker]
+    measured = durations.get((run.task.job, run.task.step), ())
+    found = [time for worker, time in measured if worker != run.worker]
     found += live.task_durations.get(run.task.step, ())
     return statistics.median(found) if found else 0.0
 
 
-def _whole_time(run: Run) -> float:
+def _estimate_duration(run: Run) -> float:
     return (run.last_listed_at - run.started_at) * 100 / max(1, run.percent)
--- a/toucanpin/scheduling/pacing.py
+++ b/toucanpin/scheduling/pacing.py
@@ -1,8 +1,9 @@
 """
-Pacing of what fills
-====================
+Pacing of best-effort tasks
+===========================
 
-Slow, quicken or move the tasks that fill beside a serving task, so that it keeps its target.
+Slow down, speed up or stop best-effort tasks, so that latency-critical tasks on the same worker
+meet their targets.
 """
 
 from __future__ import annotations
@@ -24,59 +25,63 @@
 
 __all__ = ["control_pace"]
 
-PERIOD = 0.2  # s between looks; measurements come each 0.4 s
-LAG = 0.7  # s after an order until a tail, a mean of half a second, shows it
-HIGH = 0.95  # of the utilization that a target allows: above it what fills is slowed
-AIM = 0.9  # what slowing aims at
-LOW = 0.9  # below it what fills may work more
-OVER_LONG = 0.9  # s over a target after which the harmful leave, whatever is estimated
-OVER_TOO_LONG = 1.8  # s after which all that fills leaves; four seconds are never reached
-LOWEST_PACE = 30  # percent below which a task is better moved
-STEP = 10  # percent: paces are multiples of it
-SLIGHT = 0.04  # utilization: slowing a task that adds less would cost work and gain nothing
-BETTER = 0.92  # of the allowed utilization that a better place may reach
-CROWD = 1.3  # of its cores that may be asked for there
+CONTROL_PERIOD_S = 0.2  # workers measure every 0.4 s
+EFFECT_LAG_S = 0.7  # from an order until the tail, a mean over half a second, shows its effect
+# Shares of the utilization at which a latency-critical task reaches its target.
+MAX_TARGET_SHARE = 0.95  # best-effort tasks are slowed down above it
+AIMED_TARGET_SHARE = 0.9  # aim of slowing down
+SPEED_UP_SHARE = 0.9  # best-effort tasks are sped up below it
+# A target may not be exceeded for four seconds.  Harmful tasks are stopped after the first time and
+# all best-effort tasks after the second, whatever the model estimates.
+EVICT_HARMFUL_AFTER_S = 0.9
+EVICT_ALL_AFTER_S = 1.8
+MIN_PACE_PERCENT = 30  # a task that would have to go slower is moved if another worker can take it
+PACE_STEP_PERCENT = 10
+NEGLIGIBLE_RISE = 0.04  # of utilization: slowing down a task that adds less only costs work
+MAX_DESTINATION_SHARE = 0.92  # of the limit that another worker may reach with a moved task
+MAX_DESTINATION_CORES = 1.3  # of the other worker's cores that may be requested
 
 
 def control_pace(cell: Cell, model: InterferenceModel, now: Now) -> None:
-    """Adjust what fills on each worker that serves."""
-    if now.steady < cell.paced_at + PERIOD:
+    """Adjust the pace of the best-effort tasks on each worker."""
+    if now.steady < cell.paced_at + CONTROL_PERIOD_S:
         return
     cell.paced_at = now.steady
     measure_loads(cell, model, now)
     for worker in cell.workers.values():
-        # An owner that was suspended hasn't noticed any silence yet, and its measurements are old.
+        # An owner process that was suspended holds old measurements and hasn't marked its workers
+        # as silent yet.
         fresh = now.steady - worker.answered_at <= MEASUREMENT_MAX_AGE_S
         if worker.best_effort_count and worker.reached and not worker.silent and fresh:
-            _control(cell, model, worker, now)
+            _control_worker(cell, model, worker, now)
 
 
-def _control(cell: Cell, model: InterferenceModel, worker: Worker, now: Now) -> None:
-    fillers = [
+def _control_worker(cell: Cell, model: InterferenceModel, worker: Worker, now: Now) -> None:
+    best_effort = [
         run for run in worker.runs.values() if run.step.best_effort and run.phase is Phase.RUNNING
     ]
-    if not fillers:
+    if not best_effort:
         return
-    over = _find_longest_over(worker, now)
-    if over > OVER_LONG:
-        # The estimates have failed here: without this a target could be missed for seconds, by
-        # neighbours that are thought harmless.
-        _clear(cell, fillers, over > OVER_TOO_LONG, model, worker, now)
+    violation = _find_longest_violation(worker, now)
+    if violation > EVICT_HARMFUL_AFTER_S:
+        # The estimates are wrong for this worker: neighbours that they take for harmless could make
+        # a task miss its target for seconds.
+        _evict(cell, best_effort, violation > EVICT_ALL_AFTER_S, model, worker, now)
         return
-    hottest = _find_hottest(model, worker)
-    if hottest is None:
-        for run in fillers:
+    most_loaded = _find_most_loaded(model, worker)
+    if most_loaded is None:
+        for run in best_effort:
             _set_pace(cell, run, 100, now)
         return
-    reached = model.utilization(hottest) / model.limit(hottest)
-    if reached > HIGH:
-        _slow(cell, model, worker, hottest, fillers, now)
-    elif reached < LOW:
-        _quicken(cell, model, worker, fillers, now)
+    target_share = model.utilization(most_loaded) / model.limit(most_loaded)
+    if target_share > MAX_TARGET_SHARE:
+        _slow_down(cell, model, worker, most_loaded, best_effort, now)
+    elif target_share < SPEED_UP_SHARE:
+        _speed_up(cell, model, worker, best_effort, now)
 
 
-def _find_longest_over(worker: Worker, now: Now) -> float:
-    """Return for how long a serving task has been over its target, in seconds."""
+def _find_longest_violation(worker: Worker, now: Now) -> float:
+    """Return for how long a latency-critical task has exceeded its target, in s."""
     longest = 0.0
     for run in worker.runs.values():
         if not run.step.target or run.phase is not Phase.RUNNING:
@@ -90,14 +95,19 @@
     return longest
 
 
-def _clear(
-    cell: Cell, fillers: list[Run], wholly: bool, model: InterferenceModel, worker: Worker, now: Now
+def _evict(
+    cell: Cell,
+    best_effort: list[Run],
+    evict_all: bool,
+    model: InterferenceModel,
+    worker: Worker,
+    now: Now,
 ) -> None:
-    """Have what fills leave a worker, or stand still there."""
+    """Stop best-effort tasks on a worker, or pause those that can't resume elsewhere."""
     utilization = estimate_utilization(model, worker, planned=True)
-    for run in fillers:
+    for run in best_effort:
         rise = predict_rise(model, utilization, run.step.image, run.step.cpu)
-        if not wholly and rise < SLIGHT / 2:
+        if not evict_all and rise < NEGLIGIBLE_RISE / 2:
             continue
         if run.step.checkpoints:
             stop_run(cell, run, "serving task over its target")
@@ -106,7 +116,7 @@
             _set_pace(cell, run, 0, now)
 
 
-def _find_hottest(model: InterferenceModel, worker: Worker) -> Run | None:
+def _find_most_loaded(model: InterferenceModel, worker: Worker) -> Run | None:
     serving = (
         run
         for run in worker.runs.values()
@@ -119,42 +129,54 @@
     )
 
 
-def _slow(
-    cell: Cell, model: InterferenceModel, worker: Worker, hottest: Run, fillers: list[Run], now: Now
+def _slow_down(
+    cell: Cell,
+    model: InterferenceModel,
+    worker: Worker,
+    most_loaded: Run,
+    best_effort: list[Run],
+    now: Now,
 ) -> None:
-    """Take away as much of what fills as brings the hottest task below its target."""
-    if now.steady < worker.throttled_at + LAG:
+    """Slow down best-effort tasks until the most loaded task is below its target."""
+    if now.steady < worker.throttled_at + EFFECT_LAG_S:
         return
     worker.throttled_at = now.steady
-    excess = model.utilization(hottest) - AIM * model.limit(hottest)
+    excess = model.utilization(most_loaded) - AIMED_TARGET_SHARE * model.limit(most_loaded)
     costs = [
-        (predict_rise_for_run(model, worker, hottest, run.step.image, estimate_used_cpu(run)), run)
-        for run in fillers
+        (
+            predict_rise_for_run(
+                model, worker, most_loaded, run.step.image, estimate_used_cpu(run)
+            ),
+            run,
+        )
+        for run in best_effort
     ]
     for cost, run in sorted(costs, key=lambda pair: -pair[0]):
-        if excess <= 0 or cost < SLIGHT:
+        if excess <= 0 or cost < NEGLIGIBLE_RISE:
             return
         current = max(0, run.pace)
         share = min(current / 100, excess / cost) if cost > 0.01 else 0.0
-        wanted = int((current - 100 * share) // STEP) * STEP
+        wanted = int((current - 100 * share) // PACE_STEP_PERCENT) * PACE_STEP_PERCENT
         if wanted >= current:
             continue
         excess -= cost * (current - max(0, wanted)) / 100
-        if _moves_freely(run) or (
-            wanted < LOWEST_PACE and run.percent < 30 and _has_better(cell, model, worker, run, now)
+        if _is_resumable(run) or (
+            wanted < MIN_PACE_PERCENT
+            and run.percent < 30
+            and _has_better_worker(cell, model, worker, run, now)
         ):
             stop_run(cell, run, "harms what serves")
         else:
             _set_pace(cell, run, max(0, wanted), now)
 
 
-def _quicken(
-    cell: Cell, model: InterferenceModel, worker: Worker, fillers: list[Run], now: Now
+def _speed_up(
+    cell: Cell, model: InterferenceModel, worker: Worker, best_effort: list[Run], now: Now
 ) -> None:
-    """Give back what the worker can take, the task that has waited longest first."""
-    if any(run.paced_at > now.steady - LAG for run in fillers):
+    """Speed up best-effort tasks as far as possible, the least recently paced first."""
+    if any(run.paced_at > now.steady - EFFECT_LAG_S for run in best_effort):
         return
-    for run in sorted(fillers, key=lambda run: run.paced_at):
+    for run in sorted(best_effort, key=lambda run: run.paced_at):
         if run.pace >= 100:
             continue
         for wanted in (100, 60, 30):
@@ -163,17 +185,19 @@
                 break
             if (
                 predict_share(model, estimate_utilization(model, worker), run.step.image, more)
-                < AIM
+                < AIMED_TARGET_SHARE
             ):
                 _set_pace(cell, run, wanted, now)
                 break
 
 
-def _has_better(cell: Cell, model: InterferenceModel, worker: Worker, run: Run, now: Now) -> bool:
+def _has_better_worker(
+    cell: Cell, model: InterferenceModel, worker: Worker, run: Run, now: Now
+) -> bool:
     """
-    Tell whether another worker could take a task without harm.
+    Return whether another worker could take a task without interference.
 
-    One that fails what it starts is empty, and would always be the better place.
+    Suspect workers don't count: one on which all tasks fail is empty and would always look best.
     """
     for other in list_eligible(cell, now):
         if other is worker or other.suspect_until > now.steady:
@@ -181,20 +205,20 @@
         if not has_room(other, run.step):
             continue
         utilization = estimate_utilization(model, other, planned=True)
-        if utilization.used + run.step.cpu >= CROWD * utilization.capacity:
+        if utilization.used + run.step.cpu >= MAX_DESTINATION_CORES * utilization.capacity:
             continue
-        if predict_share(model, utilization, run.step.image, run.step.cpu) < BETTER:
+        if predict_share(model, utilization, run.step.image, run.step.cpu) < MAX_DESTINATION_SHARE:
             return True
     return False
 
 
-def _moves_freely(run: Run) -> bool:
-    """Tell whether a task loses nothing by a stop, which saves what it has done."""
+def _is_resumable(run: Run) -> bool:
+    """Return whether a task saves its progress when it is stopped."""
     return run.step.checkpoints
 
 
 def _set_pace(cell: Cell, run: Run, percent: int, now: Now) -> None:
-    if percent == run.pace or now.steady - run.paced_at < LAG:
+    if percent == run.pace or now.steady - run.paced_at < EFFECT_LAG_S:
         return
     run.pace = percent
     run.paced_at = now.steady
--- a/toucanpin/scheduling/tests/test_interference_model.py
+++ b/toucanpin/scheduling/tests/test_interference_model.py
@@ -18,7 +18,7 @@
 from toucanpin.scheduling.job import Step, TaskKey
 from toucanpin.scheduling.learning import MAX_SAMPLES_PER_S, learn_effects, measure_loads
 from toucanpin.scheduling.orders import PaceOrder, StopOrder, WorkerEntry
-from toucanpin.scheduling.pacing import OVER_TOO_LONG, control_pace
+from toucanpin.scheduling.pacing import EVICT_ALL_AFTER_S, control_pace
 from toucanpin.scheduling.prediction import estimate_utilization, predict_share
 from toucanpin.scheduling.worker import Phase, Run, Worker
 
@@ -179,7 +179,7 @@
             self.cell.workers["w0"].answered_at = steady
             control_pace(self.cell, self.model, _now(steady))
             steady += 0.25
-        self.assertLess(steady - 10.0, OVER_TOO_LONG + 1.0)
+        self.assertLess(steady - 10.0, EVICT_ALL_AFTER_S + 1.0)
 
 
 if __name__ == "__main__":
