--- a/toucanpin/wire/__init__.py
+++ b/toucanpin/wire/__init__.py
@@ -1,4 +1,4 @@
-"""The inner protocol between the processes of the system."""
+"""The inner protocol, spoken between the processes of a deployment."""
 
 from toucanpin.wire.client import *  # noqa: F403
 from toucanpin.wire.codec import *  # noqa: F403
--- a/toucanpin/wire/client.py
+++ b/toucanpin/wire/client.py
@@ -2,7 +2,7 @@
 Client of the inner protocol
 ============================
 
-Ask one member one thing and say, if that fails, whether it may have been done.
+Send requests to members, and report for every failure whether the request may have been handled.
 """
 
 from __future__ import annotations
@@ -32,21 +32,21 @@
 
 @dataclass(frozen=True, slots=True)
 class CallFault:
-    """Say why a call gave no answer, and whether the member may have acted on it."""
+    """Why a call has no answer, and whether the member may have handled it."""
 
     verdict: Verdict
     detail: str
 
 
 class InnerClient:
-    """Call the inner protocol of other members, one connection a call."""
+    """Client of other members, with one connection per call."""
 
     def __init__(self, identity: Identity, keys: PeerKeys) -> None:
         self._identity = identity
         self._keys = keys
 
     def call(self, member: Member, request: Message, timeout: float) -> Result[Received, CallFault]:
-        """Send one request and wait at most ``timeout`` seconds for its answer."""
+        """Send one request and return its answer, waiting at most ``timeout`` seconds."""
         deadline = time.monotonic() + timeout
         nonce = secrets.randbelow(_NONCE_LIMIT) + 1
         envelope = self._identity.make_envelope(member.name, nonce)
@@ -77,8 +77,8 @@
             return Error(CallFault(Verdict.NOT_RUN, str(error)))
         except WireError as error:
             return Error(CallFault(Verdict.MAY_HAVE_RUN, f"{member.name}: {error}"))
-        # An old answer of the same member, captured and sent again, carries another nonce.  Without
-        # this check it could pass for a promise that the member never gave this time.
+        # A replayed answer of the same member has another nonce.  Without this check it could be
+        # taken for a promise that the member didn't give to this request.
         if received.envelope.nonce != nonce:
             detail = f"{member.name}: the answer belongs to another request"
             return Error(CallFault(Verdict.MAY_HAVE_RUN, detail))
--- a/toucanpin/wire/codec.py
+++ b/toucanpin/wire/codec.py
@@ -2,10 +2,11 @@
 Frames of the inner protocol
 ============================
 
-Turn an envelope and a message into authenticated bytes and back.
+Encode an envelope and a message as an authenticated frame, and decode it.
 
-A frame is ``TP``, the major version, the purpose, the key id with its length, the MAC and the
-payload.  The MAC covers everything else, so a frame serves one purpose and one sender only.
+A frame consists of ``TP``, the major version, the purpose, the length of the key id, the key id,
+the MAC and the payload.  The MAC covers all other parts, so a frame is valid only for the purpose
+and the sender that it states.
 """
 
 from __future__ import annotations
@@ -23,13 +24,13 @@
 
 from toucanpin.exception import WireError
 from toucanpin.wire import messages
-from toucanpin.wire.keys import MAC_SIZE, PeerKeys
+from toucanpin.wire.keys import MAC_BYTES, PeerKeys
 from toucanpin.wire.messages import Envelope, Message, Received
 from toucanpin.wire.structure import check_struct
 
 __all__ = [
     "MAJOR_VERSION",
-    "MAX_DATAGRAM",
+    "MAX_DATAGRAM_BYTES",
     "MAX_FRAME_BYTES",
     "MINOR_VERSION",
     "MajorVersionError",
@@ -42,7 +43,7 @@
 MAJOR_VERSION = 1
 MINOR_VERSION = 0
 MAX_FRAME_BYTES = 1_048_576
-MAX_DATAGRAM = 1_400
+MAX_DATAGRAM_BYTES = 1_400
 
 _MAGIC = b"TP"
 _PREFIX = struct.Struct(">2sBBB")
@@ -52,7 +53,7 @@
 
 
 class Purpose(enum.IntEnum):
-    """Say what a frame is for; a captured frame is of no use on another channel."""
+    """Purpose of a frame, so that a captured frame can't be replayed on another channel."""
 
     HEARTBEAT = 1
     REQUEST = 2
@@ -60,22 +61,22 @@
 
 
 class MajorVersionError(WireError):
-    """Report an authentic message in a major version that this process can't speak."""
+    """Raised if an authentic message has a major version that this process doesn't support."""
 
 
-def _list_kinds() -> dict[str, type]:
+def _map_message_types() -> dict[str, type]:
     return {
         spec[1]: getattr(messages, spec[2].__name__) for spec in _THRIFT.Body.thrift_spec.values()
     }
 
 
-_KINDS = _list_kinds()
-_NAMES = {kind: name for name, kind in _KINDS.items()}
+_MESSAGE_TYPES = _map_message_types()
+_FIELD_NAMES = {kind: name for name, kind in _MESSAGE_TYPES.items()}
 
 
 @dataclass(frozen=True, slots=True)
 class _Field:
-    """Describe one field of a message: its type, or that of its elements."""
+    """A field of a message; ``elements`` is the element type of a list, otherwise None."""
 
     name: str
     kind: type
@@ -83,22 +84,24 @@
 
 
 def _list_fields(kind: type) -> tuple[_Field, ...]:
-    return tuple(_describe(name, hint) for name, hint in get_type_hints(kind).items())
+    return tuple(_describe_field(name, hint) for name, hint in get_type_hints(kind).items())
 
 
-def _describe(name: str, hint: Any) -> _Field:
+def _describe_field(name: str, hint: Any) -> _Field:
     if typing.get_origin(hint) is tuple:
         return _Field(name, list, typing.get_args(hint)[0])
     return _Field(name, hint, None)
 
 
-_FIELDS = {kind: _list_fields(kind) for kind in (*_KINDS.values(), Envelope, messages.MemberRecord)}
+_FIELDS = {
+    kind: _list_fields(kind) for kind in (*_MESSAGE_TYPES.values(), Envelope, messages.MemberRecord)
+}
 _OPTIONAL = {"audience": "", "nonce": 0, "target": "store"}
 
 
 def encode(keys: PeerKeys, purpose: Purpose, envelope: Envelope, message: Message) -> bytes:
-    """Return the frame of one message, signed with the current key."""
-    body = _THRIFT.Body(**{_NAMES[type(message)]: _to_thrift(message)})
+    """Return the frame of a message, signed with the current key."""
+    body = _THRIFT.Body(**{_FIELD_NAMES[type(message)]: _to_thrift(message)})
     buffer = TCyMemoryBuffer()
     protocol = TCyBinaryProtocol(buffer)
     protocol.write_struct(_to_thrift(envelope))
@@ -107,25 +110,25 @@
 
 
 def seal(keys: PeerKeys, purpose: Purpose, payload: bytes, major: int = MAJOR_VERSION) -> bytes:
-    """Put the header and the MAC before a payload."""
+    """Return the frame of an encoded payload, signed with the current key."""
     key_id = keys.current.encode()
     header = _PREFIX.pack(_MAGIC, major, purpose, len(key_id)) + key_id
     mac = keys.sign(keys.current, header + payload)
     if mac is None:
-        raise WireError(f"no key {keys.current}")
+        raise WireError(f"no key {keys.current!r}")
     return header + mac + payload
 
 
 def decode(keys: PeerKeys, purpose: Purpose, deployment: str, frame: bytes) -> Received:
     """
-    Return the authenticated message of a frame.
+    Return the message of a frame.
 
     Raises
     ------
     MajorVersionError
-        If the frame is authentic and of another major version.
+        If the frame is authentic but has another major version.
     WireError
-        If the frame can't be understood or trusted.
+        If the frame is invalid or not authentic.
     """
     major, payload = _open(keys, purpose, frame)
     end = check_struct(payload)
@@ -144,25 +147,25 @@
         raise WireError(f"payload can't be decoded: {type(error).__name__}") from error
     if envelope.deployment != deployment:
         raise WireError(f"{envelope.sender} belongs to deployment {envelope.deployment!r}")
-    return Received(envelope, _pick(body))
+    return Received(envelope, _get_message(body))
 
 
 def _open(keys: PeerKeys, purpose: Purpose, frame: bytes) -> tuple[int, bytes]:
     if len(frame) < _PREFIX.size:
         raise WireError("frame is shorter than its header")
-    magic, major, given, id_size = _PREFIX.unpack_from(frame)
+    magic, major, actual, id_size = _PREFIX.unpack_from(frame)
     header_size = _PREFIX.size + id_size
-    if magic != _MAGIC or len(frame) < header_size + MAC_SIZE:
+    if magic != _MAGIC or len(frame) < header_size + MAC_BYTES:
         raise WireError("not a frame of the inner protocol")
     key_id = frame[_PREFIX.size : header_size].decode("ascii", "replace")
-    mac = frame[header_size : header_size + MAC_SIZE]
-    payload = frame[header_size + MAC_SIZE :]
-    # Nothing of the payload is looked at before the MAC is checked: whoever has no key can't
-    # reach the decoder.
+    mac = frame[header_size : header_size + MAC_BYTES]
+    payload = frame[header_size + MAC_BYTES :]
+    # The payload isn't decoded before the MAC is verified, so a sender without a key can't reach
+    # the decoder.
     if not keys.verify(key_id, frame[:header_size] + payload, mac):
         raise WireError("frame is not authentic")
-    if given != purpose:
-        raise WireError(f"frame has purpose {given}, expected {int(purpose)}")
+    if actual != purpose:
+        raise WireError(f"frame has purpose {actual}, expected {int(purpose)}")
     return major, payload
 
 
@@ -193,10 +196,10 @@
     return kind(*items)
 
 
-def _pick(body: Any) -> Message:
-    present = [name for name in _KINDS if getattr(body, name) is not None]
+def _get_message(body: Any) -> Message:
+    present = [name for name in _MESSAGE_TYPES if getattr(body, name) is not None]
     if len(present) != 1:
         raise WireError("message is of a kind that this process doesn't know")
     name = present[0]
-    message: Message = _from_thrift(_KINDS[name], getattr(body, name))
+    message: Message = _from_thrift(_MESSAGE_TYPES[name], getattr(body, name))
     return message
--- a/toucanpin/wire/identity.py
+++ b/toucanpin/wire/identity.py
@@ -1,8 +1,8 @@
 """
-Identity of the sender
-======================
+Identity of a process
+=====================
 
-What one process says of itself in the envelope of each message.
+Create the envelopes of a process's messages.
 """
 
 from __future__ import annotations
@@ -29,10 +29,10 @@
 @dataclass(slots=True)
 class Identity:
     """
-    Stamp the messages of one process; one instance serves all of its channels.
+    Identity of one process, shared by all of its channels.
 
-    ``incarnation``, ``bundle`` and ``event`` are asked for at each message; ``hear`` is told the
-    envelope of every message that was understood and trusted.
+    ``incarnation``, ``bundle`` and ``event`` are called for each message sent; ``on_message`` is
+    called with the envelope of each valid message received.
     """
 
     deployment: str
@@ -61,12 +61,12 @@
 
     def open(self, keys: PeerKeys, purpose: Purpose, frame: bytes) -> Received:
         """
-        Decode a frame that arrived.
+        Return the message of a received frame.
 
         Raises
         ------
         WireError
-            If it can't be understood or trusted.
+            If the frame is invalid or not authentic.
         """
         received = decode(keys, purpose, self.deployment, frame)
         self.on_message(received.envelope)
--- a/toucanpin/wire/inner.thrift
+++ b/toucanpin/wire/inner.thrift
@@ -1,8 +1,8 @@
-// Inner protocol of toucanpin: what its own processes say to each other.
+// Inner protocol between the processes of a toucanpin deployment.
 //
 // Every payload is an Envelope followed by a Body. The Envelope's fields keep their numbers and types
-// over all major versions, so that any process can name the sender of a message that it can't read.
-// New fields take new numbers and are optional: an older process skips them.
+// in all major versions, so that any process can name the sender of a message that it can't decode.
+// New fields get new numbers and are optional, so that older processes skip them.
 
 struct Envelope {
   1: required i16 minor
@@ -71,8 +71,8 @@
   1: required string reason
 }
 
-// status is 0 where the store gave no answer; certain then says that it did nothing.
-// target names what is called: "store" if it is left out, or "advice".
+// status is 0 if the service gave no answer; certain then states that the call had no effect.
+// target names the service to call: "store", which is the default, or "advice".
 struct RelayCall {
   1: required string method
   2: required string path
--- a/toucanpin/wire/keys.py
+++ b/toucanpin/wire/keys.py
@@ -2,7 +2,7 @@
 Keys of the inner protocol
 ==========================
 
-The shared keys by which processes of one deployment trust each other's messages.
+Shared keys that authenticate messages between the processes of a deployment.
 """
 
 from __future__ import annotations
@@ -19,17 +19,18 @@
 
 __all__ = ["PeerKeys", "load_peer_keys", "parse_peer_keys"]
 
-MAC_SIZE = 32
-MIN_SECRET = 32
-_ID = re.compile(r"[a-z0-9-]{1,32}")
+MAC_BYTES = 32
+MIN_SECRET_BYTES = 32
+_KEY_ID = re.compile(r"[a-z0-9-]{1,32}")
 
 
 @dataclass(frozen=True, slots=True)
 class PeerKeys:
     """
-    Hold the keys of the inner protocol by id; ``current`` signs, every one of them verifies.
+    Keys by id; ``current`` is used to sign, and all of them to verify.
 
-    Keys rotate in three steps over all processes: add the new key, make it current, drop the old.
+    To rotate keys, complete each of three steps on all processes before the next: add the new key,
+    make it current, remove the old one.
     """
 
     current: str
@@ -43,19 +44,19 @@
         return hmac.digest(secret, data, hashlib.sha256)
 
     def verify(self, key_id: str, data: bytes, mac: bytes) -> bool:
-        """Say whether ``mac`` is that of ``data`` under the named key."""
+        """Return whether ``mac`` is the MAC of ``data`` under the named key."""
         expected = self.sign(key_id, data)
         return expected is not None and hmac.compare_digest(expected, mac)
 
 
 def load_peer_keys(path: Path) -> PeerKeys:
     """
-    Read the key file, TOML with ``current`` and a table ``keys`` of id and hexadecimal secret.
+    Return the keys in a TOML file with ``current`` and a table ``keys`` of hexadecimal secrets.
 
     Raises
     ------
     SettingsError
-        If the file can't be used; no message holds a secret.
+        If the file is invalid or accessible to others; the messages contain no secret.
     """
     try:
         mode = path.stat().st_mode
@@ -63,12 +64,19 @@
     except (OSError, UnicodeDecodeError) as error:
         raise SettingsError((f"{path}: can't be read: {type(error).__name__}",)) from error
     if mode & (stat.S_IRWXG | stat.S_IRWXO):
-        raise SettingsError((f"{path}: others can open it; allow its owner only (mode 0600)",))
+        raise SettingsError((f"{path}: accessible to group or others; set its mode to 0600",))
     return parse_peer_keys(text, str(path))
 
 
 def parse_peer_keys(text: str, name: str = "key file") -> PeerKeys:
-    """Check the text of a key file whole and return its keys."""
+    """
+    Return the keys in the text of a key file.
+
+    Raises
+    ------
+    SettingsError
+        If the text is invalid; lists all faults, and contains no secret.
+    """
     try:
         document = tomllib.loads(text)
     except tomllib.TOMLDecodeError as error:
@@ -78,7 +86,7 @@
     secrets: dict[str, bytes] = {}
     for key_id, value in (table if isinstance(table, dict) else {}).items():
         secret = _parse_secret(value)
-        if not _ID.fullmatch(key_id):
+        if not _KEY_ID.fullmatch(key_id):
             faults.append(f"{name}: key id {key_id!r}: allowed are 1 to 32 of a-z, 0-9 and -")
         elif secret is None:
             faults.append(f"{name}: keys.{key_id}: allowed is a secret of 64 hexadecimal digits")
@@ -99,4 +107,4 @@
         secret = bytes.fromhex(value)
     except ValueError:
         return None
-    return secret if len(secret) >= MIN_SECRET else None
+    return secret if len(secret) >= MIN_SECRET_BYTES else None
--- a/toucanpin/wire/messages.py
+++ b/toucanpin/wire/messages.py
@@ -2,7 +2,7 @@
 Messages of the inner protocol
 ==============================
 
-The typed messages that processes of the system exchange, each preceded by one envelope.
+Typed messages between the processes of a deployment, each sent after an envelope.
 """
 
 from __future__ import annotations
@@ -27,17 +27,17 @@
     "UNCONFIRMED",
 ]
 
-UNCONFIRMED = -1
+UNCONFIRMED = -1  # value of Heartbeat.confirmed_age
 
 
 @dataclass(frozen=True, slots=True)
 class Envelope:
     """
-    Say who sends a message and what it had seen by then.
+    The sender of a message and its state at the time.
 
-    ``sequence`` only grows within one incarnation of a sender; ``event`` is the sequence number
-    of the newest event on the sender's time line; ``bundle`` is the version that it has in force.
-    ``audience`` names the one receiver, empty for any; ``nonce`` ties an answer to its request.
+    ``sequence`` increases within one incarnation of the sender; ``event`` is the sequence number
+    of the latest event on the sender's time line; ``bundle`` is the version in force there.
+    ``audience`` names the only receiver, empty for any; ``nonce`` ties an answer to its request.
     """
 
     minor: int
@@ -54,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberRecord:
-    """Tell what the sender knows of one member; ``sequence`` is the newest one heard of."""
+    """The sender's view of one member; ``sequence`` is the highest it knows of."""
 
     name: str
     site: str
@@ -69,11 +69,11 @@
 @dataclass(frozen=True, slots=True)
 class Heartbeat:
     """
-    Say that the sender is there and what changed in its view.
+    Shows that the sender is alive, and what changed in its view of the members.
 
-    ``digest`` summarizes the names and incarnations in the sender's view; ``confirmed_age`` is
-    the time in milliseconds since the table confirmed the bundle in force, to the sender or to a
-    process that it heard, and UNCONFIRMED if that never happened.
+    ``digest`` is a digest of the names and incarnations in the sender's view.  ``confirmed_age``
+    is the time in milliseconds since the table confirmed the bundle in force, to the sender or to
+    a process that it received messages from; it is UNCONFIRMED if that never happened.
     """
 
     address: str
@@ -86,7 +86,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PushBundle:
-    """Hand over the record of an accepted bundle."""
+    """Delivers the record of an accepted bundle."""
 
     version: int
     record: bytes
@@ -94,7 +94,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PushAnswer:
-    """Say which version is in force after a push, and why the pushed one is not."""
+    """Answer to a push: the version in force, and why the pushed one isn't if it was refused."""
 
     version: int
     applied: bool
@@ -103,14 +103,14 @@
 
 @dataclass(frozen=True, slots=True)
 class PullBundle:
-    """Ask for the bundle in force if its version is higher than ``above``."""
+    """Request for the bundle in force if its version is higher than ``above``."""
 
     above: int
 
 
 @dataclass(frozen=True, slots=True)
 class PullAnswer:
-    """Give the bundle in force; ``record`` is empty if it isn't higher than was asked for."""
+    """Answer to a pull; ``record`` is empty if ``version`` isn't higher than ``above``."""
 
     version: int
     record: bytes
@@ -118,7 +118,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Standstill:
-    """Ask for the promise not to fence ``owner`` for some seconds."""
+    """Request for a promise not to fence ``owner`` for some seconds."""
 
     owner: str
     seconds: float
@@ -126,7 +126,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StandstillAnswer:
-    """Give or refuse the promise."""
+    """Answer to a Standstill: the promise, or the reason for its refusal."""
 
     promised: bool
     reason: str = ""
@@ -134,14 +134,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Refused:
-    """Say that the request was not handled, and why."""
+    """The request was not handled, with the reason."""
 
     reason: str
 
 
 @dataclass(frozen=True, slots=True)
 class RelayCall:
-    """Ask a member to call a service of the platform in the sender's place, within some seconds."""
+    """Request to call a service of the platform for the sender, within ``timeout`` seconds."""
 
     method: str
     path: str
@@ -153,9 +153,9 @@
 @dataclass(frozen=True, slots=True)
 class RelayAnswer:
     """
-    Hand over the service's answer.
+    The service's answer to a relayed call.
 
-    ``status`` is 0 where there was none; ``certain`` then says that the service did nothing.
+    ``status`` is 0 if the service gave none; ``certain`` then states that the call had no effect.
     """
 
     status: int
@@ -179,7 +179,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Received:
-    """Hold one authenticated message."""
+    """An authenticated message with its envelope."""
 
     envelope: Envelope
     message: Message
--- a/toucanpin/wire/server.py
+++ b/toucanpin/wire/server.py
@@ -2,7 +2,7 @@
 Server of the inner protocol
 ============================
 
-Answer the requests of other members over TCP.
+Serve requests of other members over TCP.
 """
 
 from __future__ import annotations
@@ -29,19 +29,19 @@
 Handler = Callable[[Envelope, Any], Message]
 
 MAX_CONNECTIONS = 64
-MAX_CONNECTIONS_EACH = 16
-REQUEST_SECONDS = 5.0
+MAX_CONNECTIONS_PER_PEER = 16
+REQUEST_TIMEOUT_S = 5.0
 _BACKLOG = 64
-_ACCEPT_SECONDS = 1.0
+_ACCEPT_TIMEOUT_S = 1.0
 
 _log = logbook.Logger("wire")
 
 
 class InnerServer:
     """
-    Answer each connection's one request by the handler of its message class.
+    Server with one handler per message class and one request per connection.
 
-    A handler runs on the connection's thread and may be called by several at once.
+    Handlers run on the threads of the connections, so several calls may run concurrently.
     """
 
     def __init__(
@@ -61,7 +61,7 @@
         self._threads: set[threading.Thread] = set()
         self._peers: Counter[str] = Counter()
         self._lock = threading.Lock()
-        self._accepting: threading.Thread | None = None
+        self._accept_thread: threading.Thread | None = None
 
     @property
     def port(self) -> int:
@@ -71,24 +71,24 @@
         return int(self._listener.getsockname()[1])
 
     def start(self) -> None:
-        """Listen and answer until stopped."""
+        """Listen and serve requests until ``stop`` is called."""
         listener = socket.create_server(self._endpoint, backlog=_BACKLOG)
-        listener.settimeout(_ACCEPT_SECONDS)
+        listener.settimeout(_ACCEPT_TIMEOUT_S)
         self._listener = listener
-        self._accepting = threading.Thread(
+        self._accept_thread = threading.Thread(
             target=self._accept, args=(listener,), name="inner-accept", daemon=True
         )
-        self._accepting.start()
+        self._accept_thread.start()
 
     def stop(self, grace: float) -> None:
-        """Take no new connection and finish those in flight within ``grace`` seconds."""
+        """Accept no new connections and wait up to ``grace`` seconds for those in progress."""
         deadline = time.monotonic() + grace
         self._stopping.set()
         if self._listener is not None:
             with contextlib.suppress(OSError):
-                self._listener.shutdown(socket.SHUT_RDWR)  # wakes the accepting thread at once
-        if self._accepting is not None:
-            self._accepting.join()
+                self._listener.shutdown(socket.SHUT_RDWR)  # wakes the accept thread
+        if self._accept_thread is not None:
+            self._accept_thread.join()
         if self._listener is not None:
             self._listener.close()
         for thread in tuple(self._threads):
@@ -104,7 +104,7 @@
                 if self._stopping.is_set():
                     return
                 _log.warning("inner listener: {}", error)
-                self._stopping.wait(_ACCEPT_SECONDS)
+                self._stopping.wait(_ACCEPT_TIMEOUT_S)
                 continue
             if not self._admit(peer[0]):
                 connection.close()
@@ -116,11 +116,11 @@
             thread.start()
 
     def _admit(self, peer: str) -> bool:
-        # A stranger who opens connections and says nothing holds each of them for REQUEST_SECONDS.
-        # With a share of its own it can't keep the other processes out.
+        # A peer that opens connections without sending a request occupies each of them for
+        # REQUEST_TIMEOUT_S.  The limit per peer keeps it from using up all connections.
         with self._lock:
             full = self._peers.total() >= MAX_CONNECTIONS
-            if full or self._peers[peer] >= MAX_CONNECTIONS_EACH:
+            if full or self._peers[peer] >= MAX_CONNECTIONS_PER_PEER:
                 return False
             self._peers[peer] += 1
             return True
@@ -146,21 +146,21 @@
     def _exchange(self, connection: socket.socket) -> None:
         with contextlib.suppress(OSError):
             connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        deadline = time.monotonic() + REQUEST_SECONDS
+        deadline = time.monotonic() + REQUEST_TIMEOUT_S
         frame = receive_frame(connection, deadline)
         if frame is None:
             return
         answer = self.answer(frame)
-        send_frame(connection, answer, time.monotonic() + REQUEST_SECONDS)
+        send_frame(connection, answer, time.monotonic() + REQUEST_TIMEOUT_S)
 
     def answer(self, frame: bytes) -> bytes:
         """
-        Return the answer's frame to a request's frame.
+        Return the frame of the answer to a request.
 
         Raises
         ------
         WireError
-            If the request can't be understood or trusted; it then gets no answer.
+            If the request is invalid or not authentic; it must then get no answer.
         """
         try:
             received = self._identity.open(self._keys, Purpose.REQUEST, frame)
@@ -171,8 +171,8 @@
 
     def _handle(self, received: Received) -> Message:
         envelope = received.envelope
-        # A request captured on its way to another process must not be answered here: the asker
-        # would take this process's promise for that of the other.
+        # A replayed request to another process must not be handled here, since the client would
+        # take this process's promise for that of the other process.
         if envelope.audience != self._identity.name:
             return Refused(f"meant for {envelope.audience!r}, this is {self._identity.name}")
         handler = self._handlers.get(type(received.message))
--- a/toucanpin/wire/stream.py
+++ b/toucanpin/wire/stream.py
@@ -2,7 +2,7 @@
 Frames on a stream
 ==================
 
-Send and receive length-prefixed frames on a TCP socket within a deadline.
+Send and receive length-prefixed frames over TCP within a deadline.
 """
 
 from __future__ import annotations
@@ -20,43 +20,43 @@
 
 
 def send_frame(connection: socket.socket, frame: bytes, deadline: float) -> None:
-    """Send one frame; ``deadline`` is on the monotonic clock, in seconds."""
+    """Send one frame by ``deadline``, in seconds on the monotonic clock."""
     if len(frame) > MAX_FRAME_BYTES:
         raise WireError(f"frame of {len(frame)} bytes; at most {MAX_FRAME_BYTES} are allowed")
-    _limit(connection, deadline)
+    _set_timeout(connection, deadline)
     connection.sendall(_LENGTH.pack(len(frame)) + frame)
 
 
 def receive_frame(connection: socket.socket, deadline: float) -> bytes | None:
     """
-    Receive one whole frame, None if the peer closed before its first byte.
+    Return one frame, None if the peer closed the connection before its first byte.
 
     Raises
     ------
     WireError
-        If the frame is too large, empty or cut.
+        If the frame is too large, empty or truncated.
     TimeoutError
-        If it isn't whole by the deadline, however slowly its bytes drip in.
+        If it isn't complete by the deadline, even if its bytes keep arriving.
     """
     header = _receive(connection, _LENGTH.size, deadline)
     if not header:
         return None
     if len(header) < _LENGTH.size:
-        raise WireError("connection closed within a frame's length")
+        raise WireError(f"connection closed after {len(header)} of {_LENGTH.size} length bytes")
     (size,) = _LENGTH.unpack(header)
-    # The length comes before any proof of who sends it, so it is refused before memory is taken.
+    # The length is not authenticated yet, so it is checked before memory is allocated.
     if not 0 < size <= MAX_FRAME_BYTES:
         raise WireError(f"frame of {size} bytes; allowed are 1 to {MAX_FRAME_BYTES}")
     frame = _receive(connection, size, deadline)
     if len(frame) < size:
-        raise WireError("connection closed within a frame")
+        raise WireError(f"connection closed after {len(frame)} of {size} bytes of a frame")
     return frame
 
 
 def _receive(connection: socket.socket, size: int, deadline: float) -> bytes:
     parts = bytearray()
     while len(parts) < size:
-        _limit(connection, deadline)
+        _set_timeout(connection, deadline)
         part = connection.recv(min(size - len(parts), 65_536))
         if not part:
             break
@@ -64,8 +64,8 @@
     return bytes(parts)
 
 
-def _limit(connection: socket.socket, deadline: float) -> None:
-    left = deadline - time.monotonic()
-    if left <= 0:
+def _set_timeout(connection: socket.socket, deadline: float) -> None:
+    remaining = deadline - time.monotonic()
+    if remaining <= 0:
         raise TimeoutError("deadline passed")
-    connection.settimeout(left)
+    connection.settimeout(remaining)
--- a/toucanpin/wire/structure.py
+++ b/toucanpin/wire/structure.py
@@ -2,15 +2,16 @@
 Structure of a thrift payload
 =============================
 
-Check lengths, types and nesting of binary thrift before the compiled decoder sees it.
+Validate lengths, types and nesting of a binary Thrift payload before the compiled decoder reads it.
 
 Notes
 -----
-The compiled decoder trusts its input: a read past the end yields uninitialized bytes and no error,
-and a list whose element type takes no bytes is looped over for its claimed 2^31 elements.  A cut
-payload would decode to wrong values, a corrupt one would hang the thread with the interpreter lock
-held.  After this check every length lies within the payload and every element takes a byte at
-least, so the decoder's work is bounded by the payload's size.
+The compiled decoder doesn't validate its input.  A read past the end returns uninitialized bytes
+without an error, so a truncated payload would decode to wrong values.  A list whose element type
+takes no bytes is iterated over for as many as 2^31 claimed elements, so a corrupt payload would
+hang the thread while it holds the interpreter lock.  After this check every length lies within the
+payload and every element takes at least one byte, so the decoder's work is bounded by the size of
+the payload.
 """
 
 from __future__ import annotations
@@ -41,7 +42,7 @@
     Raises
     ------
     WireError
-        If the struct is cut, nests too deeply or holds a type or length that can't be.
+        If the struct is truncated, nested too deeply or has an invalid type or length.
     """
     try:
         return _skip_struct(data, start, depth)
@@ -80,7 +81,7 @@
 def _read_length(data: bytes, at: int) -> int:
     (length,) = _LENGTH.unpack_from(data, at)
     if not 0 <= length <= len(data) - at - _LENGTH.size:
-        raise WireError(f"payload claims a length of {length}")
+        raise WireError(f"payload has an invalid length of {length}")
     return length
 
 
--- a/toucanpin/wire/tests/test_codec.py
+++ b/toucanpin/wire/tests/test_codec.py
@@ -7,7 +7,7 @@
 
 from toucanpin.exception import SettingsError, WireError
 from toucanpin.wire.codec import MAJOR_VERSION, MajorVersionError, Purpose, decode, encode, seal
-from toucanpin.wire.keys import MAC_SIZE, PeerKeys, parse_peer_keys
+from toucanpin.wire.keys import MAC_BYTES, PeerKeys, parse_peer_keys
 from toucanpin.wire.messages import (
     Envelope,
     Heartbeat,
@@ -22,9 +22,9 @@
 )
 from toucanpin.wire.structure import check_struct
 
-OLD = bytes(range(32))
-NEW = bytes(range(32, 64))
-KEYS = PeerKeys("k1", {"k1": OLD})
+OLD_SECRET = bytes(range(32))
+NEW_SECRET = bytes(range(32, 64))
+KEYS = PeerKeys("k1", {"k1": OLD_SECRET})
 ENVELOPE = Envelope(0, "swan", "h1/request", "malaga", 3, 17, 5, 40, "h2/control", 99)
 RECORD = MemberRecord("h2/control", "malaga", 8, 21, "127.0.0.2", 7000, "alive", 5)
 HEARTBEAT = Heartbeat("127.0.0.1", 7000, False, -77, 120, (RECORD, RECORD))
@@ -39,21 +39,21 @@
     Refused("not now"),
 )
 FRAME = encode(KEYS, Purpose.REQUEST, ENVELOPE, HEARTBEAT)
-PAYLOAD = FRAME[5 + len("k1") + MAC_SIZE :]
+PAYLOAD = FRAME[5 + len("k1") + MAC_BYTES :]
 FUZZ = settings(derandomize=True, database=None, deadline=None, max_examples=300)
 
 
 class CodecTest(unittest.TestCase):
-    def test_every_message_survives_the_way(self):
+    def test_every_message_is_decoded_unchanged(self):
         for message in MESSAGES:
             frame = encode(KEYS, Purpose.REQUEST, ENVELOPE, message)
             received = decode(KEYS, Purpose.REQUEST, "swan", frame)
             self.assertEqual((received.envelope, received.message), (ENVELOPE, message))
 
-    def test_a_frame_serves_one_purpose_only(self):
+    def test_frame_is_valid_for_one_purpose_only(self):
         """
-        Someone on the network captures a request and sends it as an answer or a heartbeat.
-        Keys and bytes are right, so only the purpose under the MAC tells that it is misused.
+        A captured request is replayed as an answer or a heartbeat.  Its MAC is valid, so only the
+        purpose that the MAC covers reveals the replay.
         """
         for purpose in (Purpose.ANSWER, Purpose.HEARTBEAT):
             with self.assertRaises(WireError):
@@ -62,25 +62,25 @@
             with self.assertRaises(WireError):
                 decode(KEYS, purpose, "swan", relabelled)
 
-    def test_another_deployment_is_refused(self):
+    def test_frame_of_another_deployment_is_refused(self):
         with self.assertRaises(WireError):
             decode(KEYS, Purpose.REQUEST, "stillwater", FRAME)
 
-    def test_keys_rotate_without_a_gap(self):
-        both_old = PeerKeys("k1", {"k1": OLD, "k2": NEW})
-        both_new = PeerKeys("k2", {"k1": OLD, "k2": NEW})
+    def test_frames_are_accepted_during_key_rotation(self):
+        both_old = PeerKeys("k1", {"k1": OLD_SECRET, "k2": NEW_SECRET})
+        both_new = PeerKeys("k2", {"k1": OLD_SECRET, "k2": NEW_SECRET})
         for sender, receiver in ((KEYS, both_old), (both_old, both_new), (both_new, both_old)):
             frame = encode(sender, Purpose.REQUEST, ENVELOPE, HEARTBEAT)
             self.assertEqual(
                 decode(receiver, Purpose.REQUEST, "swan", frame).envelope.sender, "h1/request"
             )
         with self.assertRaises(WireError):
-            decode(PeerKeys("k2", {"k2": NEW}), Purpose.REQUEST, "swan", FRAME)
+            decode(PeerKeys("k2", {"k2": NEW_SECRET}), Purpose.REQUEST, "swan", FRAME)
 
     def test_unknown_fields_of_a_newer_minor_version_are_ignored(self):
         """
-        A newer process adds field 99 to the envelope and to the body during an upgrade.
-        An older one must read the rest as before, or the upgrade cuts the deployment in two.
+        During an upgrade a newer process adds field 99 to the envelope and to the body.  Older
+        processes must still decode the rest, or the upgrade partitions the deployment.
         """
         end = check_struct(PAYLOAD)
         extra = (
@@ -90,13 +90,13 @@
         received = decode(KEYS, Purpose.REQUEST, "swan", seal(KEYS, Purpose.REQUEST, newer))
         self.assertEqual((received.envelope, received.message), (ENVELOPE, HEARTBEAT))
 
-    def test_an_unknown_major_version_is_refused_by_name(self):
+    def test_error_names_sender_of_unknown_major_version(self):
         end = check_struct(PAYLOAD)
         foreign = seal(KEYS, Purpose.REQUEST, PAYLOAD[:end] + b"\xff", MAJOR_VERSION + 1)
         with self.assertRaisesRegex(MajorVersionError, "h1/request speaks major version 2"):
             decode(KEYS, Purpose.REQUEST, "swan", foreign)
 
-    def test_a_message_of_an_unknown_kind_is_refused(self):
+    def test_message_of_unknown_kind_is_refused(self):
         end = check_struct(PAYLOAD)
         unknown = PAYLOAD[:end] + bytes([12, 0, 77, 0, 0])
         with self.assertRaisesRegex(WireError, "kind"):
@@ -128,20 +128,20 @@
 
     @FUZZ
     @given(st.integers(0, len(PAYLOAD) - 1))
-    def test_truncated_by_a_peer_with_the_key(self, size):
+    def test_signed_payload_truncated(self, size):
         """
-        A faulty peer signs a payload that is cut short.  The compiled decoder reads past the end
-        without an error and would hand on values that nobody sent.
+        A faulty peer signs a truncated payload.  The compiled decoder reads past its end without an
+        error and would return values that were never sent.
         """
         self.assert_only_wire_errors(seal(KEYS, Purpose.REQUEST, PAYLOAD[:size]))
 
     @FUZZ
     @given(st.data())
     @example(None)
-    def test_corrupted_by_a_peer_with_the_key(self, data):
+    def test_signed_payload_corrupted(self, data):
         """
-        A faulty peer signs a payload with wrong bytes.  A list of 2^31 elements that take no bytes
-        hung the compiled decoder; every payload must end in a message or a WireError.
+        A faulty peer signs a corrupt payload.  A list of 2^31 elements that take no bytes would
+        hang the compiled decoder; every payload must give a message or a WireError.
         """
         payload = bytearray(PAYLOAD)
         if data is None:
@@ -168,13 +168,13 @@
 
 
 class PeerKeysTest(unittest.TestCase):
-    def test_names_every_fault_and_no_secret(self):
+    def test_error_lists_all_faults_and_no_secret(self):
         with self.assertRaises(SettingsError) as caught:
             parse_peer_keys('current = "k3"\n[keys]\nk1 = "abcd"\n"K 2" = "' + "00" * 32 + '"\n')
         self.assertEqual(len(caught.exception.faults), 3)
         self.assertNotIn("abcd", str(caught.exception))
 
-    def test_shows_no_secret(self):
+    def test_repr_contains_no_secret(self):
         self.assertNotIn("secrets", repr(KEYS))
 
 
--- a/toucanpin/wire/tests/test_exchange.py
+++ b/toucanpin/wire/tests/test_exchange.py
@@ -1,4 +1,4 @@
-"""Tests of the inner protocol over sockets of the loopback network."""
+"""Tests of the inner protocol over loopback sockets."""
 
 import contextlib
 import errno
@@ -25,7 +25,7 @@
 from toucanpin.wire.server import MAX_CONNECTIONS, InnerServer
 from toucanpin.wire.tests.test_codec import PAYLOAD
 
-HOME = "127.0.0.1"
+LOOPBACK = "127.0.0.1"
 KEYS = PeerKeys("k1", {"k1": bytes(32)})
 OTHER_KEYS = PeerKeys("k1", {"k1": bytes(range(32))})
 TIMEOUT = 10.0
@@ -37,19 +37,21 @@
 
 def locate(name, port):
     host, role = name.split("/")
-    return Member(name, host, "malaga", role, 1, HOME, port)
+    return Member(name, host, "malaga", role, 1, LOOPBACK, port)
 
 
 class ServerTest(unittest.TestCase):
     def setUp(self):
-        self.asked = []
-        self.server = InnerServer(HOME, 0, identify("b/control"), KEYS, {Standstill: self.promise})
+        self.requests = []
+        self.server = InnerServer(
+            LOOPBACK, 0, identify("b/control"), KEYS, {Standstill: self.promise}
+        )
         self.server.start()
         self.addCleanup(self.server.stop, TIMEOUT)
         self.member = locate("b/control", self.server.port)
 
     def promise(self, envelope, request):
-        self.asked.append((envelope.sender, request.owner))
+        self.requests.append((envelope.sender, request.owner))
         return StandstillAnswer(True, "")
 
     def call(self, request, member=None, keys=KEYS):
@@ -57,30 +59,30 @@
         return client.call(member or self.member, request, TIMEOUT)
 
     def send(self, data):
-        with socket.create_connection((HOME, self.server.port), TIMEOUT) as connection:
+        with socket.create_connection((LOOPBACK, self.server.port), TIMEOUT) as connection:
             try:
                 connection.sendall(data)
                 connection.shutdown(socket.SHUT_WR)
                 return connection.makefile("rb").read()
             except OSError as error:
-                # The server may drop a bad stream before this end has finished sending it.
+                # The server may close the connection before an invalid stream is sent completely.
                 if error.errno not in (errno.ECONNRESET, errno.EPIPE, errno.ENOTCONN):
                     raise
                 return b""
 
-    def test_answers_the_asker(self):
+    def test_request_is_answered(self):
         match self.call(Standstill("a/control", 6.0)):
             case Result(tag="ok", ok=received):
                 self.assertEqual(received.message, StandstillAnswer(True, ""))
                 self.assertEqual(received.envelope.sender, "b/control")
             case other:
                 self.fail(str(other))
-        self.assertEqual(self.asked, [("a/control", "a/control")])
+        self.assertEqual(self.requests, [("a/control", "a/control")])
 
-    def test_a_request_for_another_process_is_refused(self):
+    def test_request_for_another_process_is_refused(self):
         """
-        The host was replaced, another process answers at its address, or a captured request is sent
-        on.  The asker must not take this process's promise for that of the other.
+        A host was replaced and another process has its address, or a captured request is replayed
+        to another process.  The client must not take this process's promise for the other's.
         """
         match self.call(Standstill("a/control", 6.0), locate("c/control", self.server.port)):
             case Result(tag="error", error=CallFault(verdict, detail)):
@@ -88,17 +90,17 @@
                 self.assertIn("meant for 'c/control'", detail)
             case other:
                 self.fail(str(other))
-        self.assertEqual(self.asked, [])
+        self.assertEqual(self.requests, [])
 
-    def test_an_unhandled_kind_is_refused(self):
+    def test_message_without_handler_is_refused(self):
         self.assertTrue(self.call(PullBundle(1)).is_error())
 
-    def test_an_asker_without_the_key_gets_no_answer(self):
+    def test_client_without_the_key_gets_no_answer(self):
         self.assertTrue(self.call(Standstill("a/control", 6.0), keys=OTHER_KEYS).is_error())
-        self.assertEqual(self.asked, [])
+        self.assertEqual(self.requests, [])
 
-    def test_nobody_there_is_not_run(self):
-        with socket.create_server((HOME, 0)) as probe:
+    def test_refused_connection_is_not_run(self):
+        with socket.create_server((LOOPBACK, 0)) as probe:
             port = probe.getsockname()[1]
         match self.call(PullBundle(1), locate("b/control", port)):
             case Result(tag="error", error=CallFault(verdict, _)):
@@ -106,10 +108,10 @@
             case other:
                 self.fail(str(other))
 
-    def test_bad_streams_harm_nobody_else(self):
+    def test_invalid_streams_do_not_affect_other_requests(self):
         """
-        A peer sends garbage, a cut frame, an empty one and one that claims 4 GB.  Each connection
-        is closed without an answer, and the next request is served as before.
+        A peer sends garbage, a truncated frame, an empty one and one with a stated length of 4 GB.
+        Each connection is closed without an answer, and the next request is served.
         """
         frame = seal(KEYS, Purpose.REQUEST, PAYLOAD)
         for data in (
@@ -123,36 +125,36 @@
             self.assertEqual(self.send(data), b"")
         self.assertTrue(self.call(Standstill("a/control", 6.0)).is_ok())
 
-    def test_silent_connections_of_one_stranger_keep_nobody_out(self):
+    def test_silent_connections_of_one_peer_do_not_block_others(self):
         """
-        A stranger opens as many connections as the server takes at all, and says nothing on them.
-        A member at another address asks meanwhile and gets its answer.
+        A peer opens as many connections as the server's limit and sends nothing.  A request from
+        another address must still be answered.
         """
-        endpoint = (HOME, self.server.port)
+        endpoint = (LOOPBACK, self.server.port)
         with contextlib.ExitStack() as held:
             for _ in range(MAX_CONNECTIONS):
                 source = ("127.0.0.9", 0)
                 held.enter_context(socket.create_connection(endpoint, TIMEOUT, source))
             self.assertTrue(self.call(Standstill("a/control", 6.0)).is_ok())
 
-    def test_an_unknown_major_version_is_told(self):
+    def test_unknown_major_version_is_reported(self):
         """
-        A process of the next major version asks.  It must learn why nothing works, on both sides,
-        instead of waiting for its timeout.
+        A process of the next major version sends a request.  The version must be reported to it,
+        instead of the request timing out.
         """
         frame = seal(KEYS, Purpose.REQUEST, PAYLOAD, MAJOR_VERSION + 1)
         self.assertIn(b"major version 2", self.send(struct.pack(">I", len(frame)) + frame))
 
 
 class ReplayedAnswerTest(unittest.TestCase):
-    def test_an_old_answer_is_not_taken_for_a_new_one(self):
+    def test_replayed_answer_is_rejected(self):
         """
-        A promise to stand still is captured.  Later the same owner asks again, and someone on the
-        path answers with the old bytes.  Sender, key and purpose are right; the nonce is not.
+        A promise is captured and replayed in answer to a later request of the same owner.  Sender,
+        key and purpose are valid; only the nonce differs.
         """
         envelope = identify("b/control").make_envelope("a/control", nonce=5)
         answer = encode(KEYS, Purpose.ANSWER, envelope, StandstillAnswer(True, ""))
-        with socket.create_server((HOME, 0)) as listener:
+        with socket.create_server((LOOPBACK, 0)) as listener:
             replayer = threading.Thread(target=self.replay, args=(listener, answer))
             replayer.start()
             member = locate("b/control", listener.getsockname()[1])
@@ -169,16 +171,16 @@
 
 
 class DatagramTest(unittest.TestCase):
-    def test_heartbeats_arrive_and_garbage_is_dropped(self):
-        first = DatagramSocket(HOME, 0, identify("a/control"), KEYS)
-        second = DatagramSocket(HOME, 0, identify("b/control"), KEYS)
+    def test_heartbeats_are_received_and_garbage_is_dropped(self):
+        first = DatagramSocket(LOOPBACK, 0, identify("a/control"), KEYS)
+        second = DatagramSocket(LOOPBACK, 0, identify("b/control"), KEYS)
         self.addCleanup(first.close)
         self.addCleanup(second.close)
-        heartbeat = Heartbeat(HOME, first.port, False, 1, -1)
+        heartbeat = Heartbeat(LOOPBACK, first.port, False, 1, -1)
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger:
-            stranger.sendto(b"garbage", (HOME, second.port))
+            stranger.sendto(b"garbage", (LOOPBACK, second.port))
             self.assertIsNone(second.receive(TIMEOUT))
-        first.send(heartbeat, ((HOME, second.port),))
+        first.send(heartbeat, ((LOOPBACK, second.port),))
         received = second.receive(TIMEOUT)
         assert received is not None
         self.assertEqual((received.envelope.sender, received.message), ("a/control", heartbeat))
