--- a/toucanpin/scheduling/configuration.py
+++ b/toucanpin/scheduling/configuration.py
@@ -1,8 +1,8 @@
 """
-Configuration in force
-======================
+Configuration
+=============
 
-The queues and services that operators describe, and the queue that a request names.
+Queues and services as operators configure them, and the routing of requests to queues.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Queue:
-    """Describe one queue; ``timeout`` and ``aim`` are in ms."""
+    """A queue; ``timeout`` and ``aim`` are in ms."""
 
     name: str
     host: str
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Service:
-    """Describe one service; ``guarded`` workers refuse what doesn't fit."""
+    """A service; ``guarded`` workers refuse tasks that don't fit."""
 
     name: str
     guarded: bool = True
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Configuration:
-    """Hold one version of what operators wrote."""
+    """One version of the operators' configuration."""
 
     version: int
     queues: tuple[Queue, ...] = ()
@@ -50,30 +50,30 @@
 
 
 class QueueIndex:
-    """Find the queue of a request without going through all of them."""
+    """Index of queues by host and path prefix."""
 
-    __slots__ = ("_by_place", "_lengths", "_names")
+    __slots__ = ("_by_route", "_lengths", "_names")
 
     def __init__(self, queues: Iterable[Queue]) -> None:
         self._names: set[str] = set()
-        self._by_place: dict[tuple[str, str], tuple[int, Queue]] = {}
+        self._by_route: dict[tuple[str, str], tuple[int, Queue]] = {}
         for order, queue in enumerate(queues):
             self._names.add(queue.name)
-            self._by_place.setdefault((queue.host.lower(), queue.prefix), (order, queue))
-        self._lengths = sorted({len(prefix) for _, prefix in self._by_place}, reverse=True)
+            self._by_route.setdefault((queue.host.lower(), queue.prefix), (order, queue))
+        self._lengths = sorted({len(prefix) for _, prefix in self._by_route}, reverse=True)
 
     def has(self, name: str) -> bool:
-        """Tell whether there is a queue of a name."""
+        """Return whether a queue of this name exists."""
         return name in self._names
 
     def find(self, host: str, path: str) -> Queue | None:
-        """Return the queue with the longest prefix of a path, among those of a host or of any."""
+        """Return the queue with the longest prefix of a path, for its host or for any host."""
         name = host.partition(":")[0].lower()
         for length in self._lengths:
             if length > len(path):
                 continue
             prefix = path[:length]
-            found = [self._by_place.get((place, prefix)) for place in (name, "")]
+            found = [self._by_route.get((place, prefix)) for place in (name, "")]
             fitting = [place for place in found if place is not None]
             if fitting:
                 return min(fitting, key=lambda place: place[0])[1]
--- a/toucanpin/scheduling/crashing.py
+++ b/toucanpin/scheduling/crashing.py
@@ -1,14 +1,14 @@
 """
-Crashes
-=======
+Crashing tasks
+==============
 
-Which tasks a lost worker tells against, and when a task is given up for its crashes.
+Suspicion of tasks under which workers were lost, and failure of jobs whose tasks crash workers.
 
 Notes
 -----
-A worker that crashes lists no end, so what ran there is only known to be lost.  Each lost life
-counts against the tasks that it may have been lost under, until that life answers again.  One that
-ends right after a start tells most against what was started.
+A worker that crashes reports no ends, so its runs are only known to be lost.  Each lost incarnation
+of a worker counts against the tasks that may have crashed it, until that incarnation answers again.
+A loss right after a start counts most against the task that was started.
 """
 
 from __future__ import annotations
@@ -39,17 +39,17 @@
     "restore_crashes",
 ]
 
-MAX_CRASHES = 5  # workers lost under a task after which it isn't started any more
-MAX_CRASHES_AT_START = 3  # the same of workers that were lost right after its start
-MIN_CONFIRMED_CRASHES = 2  # of them whose lives are surely over: others may only be cut off
-START_PERIOD_S = 1.0  # s at work after which a task has outlived its start
-SURVIVAL_PERIOD_S = 5.0  # s at work after which a lasting task didn't crash its worker
-NEW_WORKER_PERIOD_S = 10.0  # s for which a worker's life is young
-SUSPICION_PERIOD_S = 2.0  # s that a task is watched which workers were lost under
+MAX_CRASHES = 5  # workers lost under a task until it isn't started any more
+MAX_CRASHES_AT_START = 3  # the same for workers lost right after the task's start
+MIN_CONFIRMED_CRASHES = 2  # lost workers that certainly ended; others may only be disconnected
+START_PERIOD_S = 1.0  # within which a loss counts as one at the start
+SURVIVAL_PERIOD_S = 5.0  # after which a long-running task is cleared of suspicion
+NEW_WORKER_PERIOD_S = 10.0  # since the first listing
+SUSPICION_PERIOD_S = 2.0  # after the start of a task under which workers were lost
 
 
 def record_loss(cell: Cell, worker: Worker, run: Run) -> int:
-    """Count the loss of a worker against a run's task; return how many lives are counted."""
+    """Count the loss of a worker against a run's task; return the number of losses counted."""
     live = cell.jobs.get(run.task.job)
     record = find_record(live, run.task) if live else None
     if live is None or record is None or JobState(live.progress.state).ended:
@@ -64,25 +64,25 @@
 
 
 def clear_worker(cell: Cell, worker: Worker) -> None:
-    """Take note that a worker's life goes on: nothing that was lost there crashed it."""
+    """Discard the losses counted for a worker that answers: nothing crashed it."""
     _discard_losses(cell, worker.entry.id)
 
 
 def clear_survivor(run: Run, record: TaskRecord) -> None:
-    """Clear a lasting task that has been at work for long."""
+    """Discard the losses of a long-running task that has run long enough."""
     if run.step.long_running and run.last_listed_at > run.started_at + SURVIVAL_PERIOD_S:
         record.crashed = {}
         run.suspicion = CrashSuspicion.NONE
 
 
 def restore_crashes(cell: Cell, task: TaskKey, record: TaskRecord) -> None:
-    """Take up what an earlier owner counted against a task."""
+    """Restore the losses that an earlier owner counted against a task."""
     if record.crashed:
         _index_losses(cell, task, record)
 
 
 def forget_crashes(cell: Cell) -> None:
-    """Drop what was counted against tasks of jobs that are forgotten."""
+    """Discard the losses of tasks of forgotten jobs."""
     for worker, tasks in list(cell.suspects.items()):
         tasks -= {task for task in tasks if task.job not in cell.jobs}
         if not tasks:
@@ -91,9 +91,9 @@
 
 def is_start_blocked(cell: Cell, live: LiveJob, task: TaskKey) -> bool:
     """
-    Tell whether a task may not be started until more is known of the workers lost under it.
+    Return whether a task may not be started until more is known of the workers lost under it.
 
-    A copy is begun as soon as a worker falls silent, so silent workers count, too.
+    A copy is started as soon as a worker becomes silent, so silent workers count too.
     """
     record = _get_record(live, task)
     if not live.job.steps[task.step].speculative or not record.attempt:
@@ -104,7 +104,7 @@
 
 
 def assess_suspicion(record: TaskRecord) -> CrashSuspicion:
-    """Return how far a task is suspected of crashing its workers."""
+    """Return how strongly a task is suspected of crashing its workers."""
     if not record.crashed:
         return CrashSuspicion.NONE
     one_more = record.crashed | {"": True}
@@ -112,31 +112,31 @@
 
 
 def find_suspicion(live: LiveJob, task: TaskKey) -> CrashSuspicion:
-    """Return how far a task of a job is suspected of crashing its workers."""
+    """Return how strongly a task of a job is suspected of crashing its workers."""
     return assess_suspicion(_get_record(live, task))
 
 
 def count_suspected(worker: Worker, now: Now) -> int:
-    """Return how many tasks are watched on a worker."""
+    """Return how many suspected tasks a worker runs."""
     return sum(_is_suspected(run, now) for run in worker.runs.values())
 
 
 def runs_last_attempt(worker: Worker, now: Now) -> bool:
-    """Tell whether a worker runs a task that is given up if it is lost once more."""
+    """Return whether a worker runs a task that fails its job if the worker is lost."""
     runs = (run for run in worker.runs.values() if run.suspicion is CrashSuspicion.LAST_ATTEMPT)
     return any(_is_suspected(run, now) for run in runs)
 
 
 def is_new(worker: Worker, now: Now) -> bool:
-    """Tell whether a worker's life is new: it may be one of many that end soon."""
+    """Return whether a worker is new: it may be one of many that end soon after their start."""
     return now.steady < worker.first_listed_at + NEW_WORKER_PERIOD_S
 
 
 def fail_crashing_jobs(cell: Cell, now: Now) -> list[TaskKey]:
     """
-    Fail the jobs of tasks under which enough workers have surely crashed; return the tasks.
+    Fail the jobs of tasks under which enough workers have crashed; return the tasks.
 
-    An owner that hasn't read the list of workers yet knows of no life whether it is over.
+    An owner that hasn't read the list of workers yet can't know whether an incarnation has ended.
     """
     given_up: list[TaskKey] = []
     if not any(worker.entry.address for worker in cell.workers.values()):
@@ -149,7 +149,7 @@
         elif sum(worker not in cell.workers for worker in record.crashed) >= MIN_CONFIRMED_CRASHES:
             cell.crashing.discard(task)
             end_job(cell, live, JobState.FAILED, now)
-            # What was lost beside it counts no more against the others.
+            # The losses are explained, so they no longer count against other tasks.
             for worker in record.crashed:
                 _discard_losses(cell, worker, task)
             given_up.append(task)
@@ -157,7 +157,7 @@
 
 
 def _discard_losses(cell: Cell, worker: str, cause: TaskKey | None = None) -> None:
-    """Count a worker's life against no task any more but the one that crashed it."""
+    """Discard the loss of a worker for all tasks but the one that caused it."""
     for task in cell.suspects.pop(worker, ()):
         live = cell.jobs.get(task.job)
         record = find_record(live, task) if live else None
@@ -174,30 +174,30 @@
 
 
 def _may_have_caused_loss(worker: Worker, run: Run) -> bool:
-    """Tell whether a run may be what ended its worker."""
+    """Return whether a run may have crashed its worker."""
     if run.phase is Phase.ORDERED and not run.ordered_at:
         return False
     if run.step.long_running and run.last_listed_at > run.started_at + SURVIVAL_PERIOD_S:
         return False
-    # One that no list names any more, as its address tells, may have crashed before this owner
-    # heard of it.
+    # A worker without an address is known from a row only. It may have crashed before this owner
+    # listed it, so its readiness says nothing.
     announced = bool(worker.entry.address) and not worker.entry.ready
     return not announced and not worker.draining_since
 
 
 def _was_lost_at_start(run: Run) -> bool:
     """
-    Tell whether a run's worker may have ended as soon as it began.
+    Return whether a run's worker may have been lost right after the start.
 
-    Of one that an earlier owner began nobody knows how long it was at work.
+    The start time of a run that an earlier owner started isn't known.
     """
     if run.phase is Phase.UNKNOWN or not run.ordered_at:
         return False
     return run.last_listed_at < run.ordered_at + START_PERIOD_S
 
 
-def _exceed_limit(lives: Mapping[str, bool]) -> bool:
-    return len(lives) >= MAX_CRASHES or sum(lives.values()) >= MAX_CRASHES_AT_START
+def _exceed_limit(losses: Mapping[str, bool]) -> bool:
+    return len(losses) >= MAX_CRASHES or sum(losses.values()) >= MAX_CRASHES_AT_START
 
 
 def _index_losses(cell: Cell, task: TaskKey, record: TaskRecord) -> None:
--- a/toucanpin/scheduling/durations.py
+++ b/toucanpin/scheduling/durations.py
@@ -2,13 +2,14 @@
 Durations of steps
 ==================
 
-Learn by queue how long steps take, given what their callers say.
+Predict by queue how long steps take, given the estimates of their callers.
 
 Notes
 -----
-Callers' estimates are off by a factor that differs by queue: here they are nearly right, there they
-say nothing.  So the logarithm of the time that a step's longest task takes is fitted by a line on
-that of its estimate.  The flatter the line, the less the estimates of a queue say.
+Callers' estimates are off by a factor that differs by queue: in some they are nearly right, in
+others they carry no information.  So the logarithm of the time that a step's longest task takes is
+fitted by a line on that of its estimate.  The flatter the line, the less informative the estimates
+of a queue are.
 """
 
 from __future__ import annotations
@@ -20,14 +21,14 @@
 
 __all__ = ["Durations", "Fit"]
 
-MEMORY_STEPS = 300.0  # steps that count
-PRIOR_STEPS = 8.0  # steps that an estimate which is right counts as many as
-MIN_TIME_MS = 10.0  # ms: below it a time says nothing
+MEMORY_STEPS = 300.0  # time constant of the weights
+PRIOR_STEPS = 8.0  # weight of the assumption that estimates are right
+MIN_TIME_MS = 10.0  # shorter times aren't informative
 MAX_LOG_TIME = 23.0  # logarithm of ms: some 100 days
 
 
 class Fit(msgspec.Struct, array_like=True):
-    """Hold weighted sums over logarithms of estimates (x) and of times (y) in ms."""
+    """Weighted sums over logarithms of estimates (x) and of times (y) in ms."""
 
     weight: float = 0.0
     x: float = 0.0
@@ -36,7 +37,7 @@
     xy: float = 0.0
 
     def add(self, x: float, y: float) -> None:
-        """Take note of a step; earlier ones lose weight."""
+        """Add a step; earlier ones lose weight."""
         kept = 1 - 1 / MEMORY_STEPS
         self.weight = self.weight * kept + 1
         self.x = self.x * kept + x
@@ -45,7 +46,9 @@
         self.xy = self.xy * kept + x * y
 
     def predict(self, x: float) -> float:
-        """Return the logarithm of the time to expect; the estimate's own while little is known."""
+        """
+        Return the logarithm of the expected time; close to the estimate's while little is known.
+        """
         if self.weight < 1:
             return x
         middle = self.x / self.weight
@@ -60,21 +63,21 @@
 
 @dataclass(slots=True)
 class Durations:
-    """Hold what each queue's steps showed."""
+    """Observed durations of each queue's steps."""
 
     fits: dict[str, Fit]
 
     def record(self, queue: str, estimate: int, took: float) -> None:
-        """Take note of what the longest task of a step took, in s; its estimate is in ms."""
+        """Record the time of the longest task of a step in s; its estimate is in ms."""
         if estimate >= MIN_TIME_MS and took * 1_000 >= MIN_TIME_MS:
             fit = self.fits.setdefault(queue, Fit())
             fit.add(math.log(estimate), math.log(took * 1_000))
 
     def predict(self, queue: str, estimate: int) -> int:
-        """Return how long a step will take, in ms, as far as is known."""
+        """Return the expected duration of a step in ms."""
         fit = self.fits.get(queue)
         if fit is None or estimate < MIN_TIME_MS:
             return estimate
         found = fit.predict(math.log(estimate))
-        # What another writer left in the row mustn't stop the owner that reads it.
+        # Invalid sums in the row, by whichever writer, must not stop the owner that reads them.
         return int(math.exp(found)) if abs(found) < MAX_LOG_TIME else estimate
--- a/toucanpin/scheduling/ending.py
+++ b/toucanpin/scheduling/ending.py
@@ -2,7 +2,7 @@
 Ends of runs
 ============
 
-What an end means for its task, its step and its job.
+Effects of the end of a run on its task, its step and its job.
 """
 
 from __future__ import annotations
@@ -34,11 +34,11 @@
     "finish_run",
 ]
 
-RETRY_DELAY_S = 0.25  # s before a task is placed again for which nothing else bounds the tries
+RETRY_DELAY_S = 0.25  # for tasks whose number of attempts isn't limited otherwise
 
 
 def apply_end(cell: Cell, worker: Worker, ended: EndedRun, now: Now) -> None:
-    """Take note of an end that a worker lists."""
+    """Apply an end that a worker lists."""
     cell.end_sequences[worker.entry.id] = max(
         cell.end_sequences.get(worker.entry.id, 0), ended.sequence
     )
@@ -58,7 +58,7 @@
 def finish_run(
     cell: Cell, worker: Worker, run: Run, end: RunEnd, checkpoint: str, now: Now
 ) -> None:
-    """Give the room of a run back and decide what becomes of its task."""
+    """Release the resources of a run and update its task."""
     drop_run(cell, worker, run)
     live = cell.jobs.get(run.task.job)
     record = find_record(live, run.task) if live else None
@@ -91,8 +91,8 @@
                 end_job(cell, live, JobState.FAILED, now)
                 return
         case RunEnd.FAILED | RunEnd.DONE:
-            # One that ran for longer can't spin.  It goes back at once: on a full fleet another
-            # task would take its place within the delay.
+            # Tasks that ran for longer can't loop quickly. They are requeued at once: on a full
+            # fleet another task would take the free capacity during the delay.
             if now.steady < run.started_at + EARLY_FAILURE_S:
                 cell.delayed_until[run.task] = now.steady + RETRY_DELAY_S
     requeue_task(cell, run)
@@ -101,12 +101,12 @@
 
 
 def end_run(cell: Cell, worker: Worker, run: Run, now: Now) -> None:
-    """Treat a run as ended that certainly doesn't run any more and of which no end is known."""
+    """End a run that certainly doesn't run any more, without a reported end."""
     finish_run(cell, worker, run, RunEnd.LAPSED, run.checkpoint, now)
 
 
 def end_job(cell: Cell, live: LiveJob, state: JobState, now: Now) -> None:
-    """Give a job its final state, and stop what runs of it."""
+    """Set a job's final state and stop its runs."""
     live.progress.state = state
     live.progress.ended = now.table
     mark_dirty(cell, live)
@@ -120,9 +120,9 @@
 
 def _count_failure(live: LiveJob, run: Run, record: TaskRecord) -> None:
     """
-    Count a failure against a task, and once against all members of a gang.
+    Count a failure against a task, or once against all members of its gang.
 
-    A gang fails as a whole, whoever of its members does, and several may at the same moment.
+    A gang fails as a whole if any member fails, and several members may fail at the same time.
     """
     if not run.step.gang:
         _add_failure(record, run.attempt)
@@ -135,10 +135,11 @@
 
 def _apply_late_success(cell: Cell, task: TaskKey, now: Now) -> None:
     """
-    Take note that a run is done that isn't followed: its lease ended, or an earlier owner began it.
+    Apply the success of a run that isn't tracked: its lease expired, or an earlier owner started
+    it.
 
-    The end is acknowledged, so the worker forgets it.  Left out, the task would run once more, and
-    as often as it is moved, though it was done; so whatever took its place is stopped.
+    The worker forgets the end once it is acknowledged. If it were ignored, the task would run
+    again, once after each move, though it is done. So a run that replaced it is stopped.
     """
     live = cell.jobs.get(task.job)
     record = find_record(live, task) if live else None
@@ -157,10 +158,10 @@
 
 def _apply_late_failure(cell: Cell, ended: EndedRun, now: Now) -> None:
     """
-    Count the failure of a run that isn't followed, unless it is counted already.
+    Count the failure of a run that isn't tracked, unless it is counted already.
 
-    Its owner may have ended before it heard of the end.  Left out, the task would be tried more
-    often than its queue allows.
+    Its owner may have died before it received the end. If it were ignored, the task would be
+    retried more often than its queue allows.
     """
     live = cell.jobs.get(ended.task.job)
     record = find_record(live, ended.task) if live else None
@@ -185,7 +186,7 @@
 def _finish_superseded_copy(
     cell: Cell, live: LiveJob, run: Run, record: TaskRecord, end: RunEnd, now: Now
 ) -> None:
-    """Take note of the end of a copy that another one follows: the first that is done counts."""
+    """Apply the end of a copy of which a newer one exists: the first copy that succeeds counts."""
     if not run.step.speculative or JobState(live.progress.state).ended:
         return
     match end:
@@ -201,7 +202,7 @@
 
 
 def _finish_task(cell: Cell, live: LiveJob, task: TaskKey, record: TaskRecord, now: Now) -> None:
-    """Note that a task is done, and with it all of its gang."""
+    """Mark a task as done, and with it its whole gang."""
     step = live.job.steps[task.step]
     done = _list_records(live, task) if step.gang else [record]
     for member in done:
@@ -233,13 +234,13 @@
 
 
 def _record_task_time(live: LiveJob, run: Run, now: Now) -> None:
-    """Keep what a task of a step took, to know slow workers by."""
+    """Record the run time of a task, by which slow workers are detected."""
     if run.started_at and not run.untimed:
         live.task_durations.setdefault(run.task.step, []).append(now.steady - run.started_at)
 
 
 def _record_step_duration(cell: Cell, live: LiveJob, step: int) -> None:
-    """Learn from what the longest task of a step took."""
+    """Update the duration estimates with the longest task of a step."""
     times = live.task_durations.get(step)
     if times:
         cell.durations.record(live.job.queue, live.job.steps[step].estimate, max(times))
--- a/toucanpin/scheduling/intake.py
+++ b/toucanpin/scheduling/intake.py
@@ -2,7 +2,7 @@
 Intake of jobs
 ==============
 
-Take up jobs from their rows, cancellations, and occurrences that are due.
+Submission, restoration and cancellation of jobs, and start of occurrences that are due.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 
 
 def submit_job(cell: Cell, job: Job, now: Now) -> bool:
-    """Take up an accepted job; return whether it is new here."""
+    """Add an accepted job; return whether it is new here."""
     if job.id in cell.jobs:
         return False
     live = _make_live_job(cell, job, Progress(JobState.PENDING, 0, [], {}))
@@ -38,7 +38,7 @@
 
 
 def restore_job(cell: Cell, job: Job, progress: Progress, now: Now) -> None:
-    """Take up a job that an earlier owner has worked on; its placed tasks are unknown at first."""
+    """Add a job of an earlier owner; its placed tasks are in an unknown phase at first."""
     live = _make_live_job(cell, job, progress)
     cell.jobs[job.id] = live
     for occurrence, records in progress.tasks.items():
@@ -69,7 +69,7 @@
 
 
 def begin_due(cell: Cell, now: Now) -> None:
-    """Begin the occurrences whose time has come."""
+    """Begin the occurrences that are due."""
     if now.steady < cell.next_due:
         return
     cell.next_due = now.steady + DUE_CHECK_INTERVAL_S
@@ -79,7 +79,7 @@
 
 
 def forget_ended(cell: Cell, now: Now, keep: float) -> None:
-    """Drop the rows of jobs that ended longer ago than callers may ask, in seconds."""
+    """Forget jobs that ended more than ``keep`` seconds ago, and queue their rows for deletion."""
     limit = now.table - int(keep * 1_000)
     old = [
         identifier
@@ -93,7 +93,7 @@
     forget_crashes(cell)
 
 
-DUE_CHECK_INTERVAL_S = 0.02  # s between looks for occurrences that are due
+DUE_CHECK_INTERVAL_S = 0.02
 
 
 def _make_live_job(cell: Cell, job: Job, progress: Progress) -> LiveJob:
@@ -124,7 +124,7 @@
 
 
 def _find_worker(cell: Cell, identifier: str) -> Worker:
-    """Return a worker, also one that no list names: what it was given may still run there."""
+    """Return a worker, creating an unlisted one: its tasks may still run there."""
     worker = cell.workers.get(identifier)
     if worker is None:
         entry = WorkerEntry(identifier, cell.name, "", "", False, 0, 0, 0)
--- a/toucanpin/scheduling/job.py
+++ b/toucanpin/scheduling/job.py
@@ -2,7 +2,7 @@
 Jobs
 ====
 
-What a caller hands in: steps of tasks, with all that decides where and when each may run.
+Submitted jobs: steps of tasks, with the constraints on where and when each may run.
 """
 
 from __future__ import annotations
@@ -11,17 +11,19 @@
 
 __all__ = ["Job", "Step", "TaskKey", "decode_job", "encode_job", "find_job_fault", "format_task"]
 
-MAX_TASKS = 3_000  # of one occurrence: its record has to fit one row of the table
+MAX_TASKS = 3_000  # per occurrence: its progress has to fit one row of the table
 MAX_STEPS = 200
 
 
 class Step(msgspec.Struct, frozen=True, omit_defaults=True, rename="camel"):
     """
-    Describe equal tasks of a job.
+    Equal tasks of a job.
 
     ``cpu`` is in thousandths of a core, ``memory`` in MB, ``estimate`` and ``target`` in ms.
-    ``after`` numbers the earlier steps that come first; ``rack`` holds the data; ``per_worker``
-    limits the tasks on one worker; ``target`` is the tail latency that a serving task keeps.
+    ``after`` lists the numbers of the earlier steps that must be done first; ``rack`` is the rack
+    that holds the data; ``per_worker`` limits the tasks on one worker; ``target`` is the tail
+    latency objective of a serving task; ``best_effort`` tasks use cores that others leave idle;
+    ``max_unavailable`` limits how many tasks of a service may be stopped at a time.
     """
 
     count: int = 1
@@ -46,9 +48,10 @@
 
 class Job(msgspec.Struct, frozen=True, omit_defaults=True, rename="camel"):
     """
-    Hold a job as it was accepted.
+    A job as it was accepted.
 
-    ``accepted`` is on the table's clock, ``start_at`` counts from 1970, both in ms.
+    ``accepted`` is on the table's clock, ``start_at`` is Unix time, both in ms. A job's time limit
+    is ``aim`` ms plus ``stretch`` times its expected duration.
     """
 
     id: str
@@ -73,7 +76,7 @@
 
 
 class TaskKey(msgspec.Struct, frozen=True, order=True):
-    """Name one task of one occurrence of a job."""
+    """Identity of one task of one occurrence of a job."""
 
     job: str
     occurrence: int
@@ -82,12 +85,12 @@
 
 
 def format_task(task: TaskKey) -> str:
-    """Return a task's name as logs and operators read it."""
+    """Return a task's name as shown in logs and to operators."""
     return f"{task.job}.{task.occurrence}.{task.step}.{task.index}"
 
 
 def find_job_fault(job: Job) -> str:
-    """Return what makes a job malformed, empty if nothing does."""
+    """Return why a job is malformed, or an empty string."""
     if not 1 <= len(job.steps) <= MAX_STEPS:
         return f"a job has 1 to {MAX_STEPS} steps, not {len(job.steps)}"
     if sum(step.count for step in job.steps) > MAX_TASKS:
@@ -97,17 +100,17 @@
     for number, step in enumerate(job.steps):
         if step.count < 1 or min(step.cpu, step.memory, step.accelerators) < 0:
             return f"step {number}: count and sizes must be positive"
-        # Steps name earlier ones only, so no cycle can be written down.
+        # Steps depend on earlier ones only, so there are no cycles.
         if any(not 0 <= earlier < number for earlier in step.after):
             return f"step {number}: it can only follow earlier steps, not {list(step.after)}"
     return ""
 
 
 def encode_job(job: Job) -> bytes:
-    """Return a job as it stands in its row."""
+    """Return the encoded row of a job."""
     return msgspec.json.encode(job)
 
 
 def decode_job(value: bytes) -> Job:
-    """Read a job from its row."""
+    """Decode a job from its row."""
     return msgspec.json.decode(value, type=Job)
--- a/toucanpin/scheduling/leases.py
+++ b/toucanpin/scheduling/leases.py
@@ -1,8 +1,8 @@
 """
-Holding workers
-===============
+Worker leases
+=============
 
-Leases of workers, what their answers say of their runs, and what their silence allows.
+Renewal and expiry of worker leases, and what answers and silence of a worker mean for its runs.
 """
 
 from __future__ import annotations
@@ -31,19 +31,18 @@
     "expire_leases",
 ]
 
-LEASE_S = 4.5  # s: covers the death of an owner (2 s), ends doubts about a lost worker soon
-OWNER_AUTHORITY_S = 8.5  # s that an owner may go on granting leases after its newest accepted write
-SHARED_POLL_WAIT_S = (
-    0.4  # s an answer may wait where batch work disturbs what serves; tails grow within
-)
-# An end is told at once, so other workers are asked for their leases and progress only, and each
-# question takes time of an owner that has hundreds of them.
-BUSY_POLL_WAIT_S = 0.7  # s
-IDLE_POLL_WAIT_S = 1.5  # s for a worker that runs nothing
-FORGET_WORKER_AFTER_S = 3.0  # s that a worker which doesn't answer and isn't listed is remembered
-STOP_RETRY_DELAY_S = 0.4  # s beyond a stop after which a run that still runs is stopped again
-MAX_LISTED_ENDS = 500  # ends that a worker lists at a time, by the platform's page
-MIN_PROGRESS_PERCENT = 1  # percent that counts as a move
+LEASE_S = 4.5  # outlasts the failover of an owner (2 s); bounds the wait for a lost worker
+OWNER_AUTHORITY_S = 8.5  # how long an owner may grant leases after its newest accepted write
+# Where best-effort work disturbs serving tasks, whose tails may grow within a longer wait.
+SHARED_POLL_WAIT_S = 0.4
+# Ends are answered at once, so other workers are polled only for leases and progress, and polling
+# hundreds of workers takes much of an owner's time.
+BUSY_POLL_WAIT_S = 0.7
+IDLE_POLL_WAIT_S = 1.5  # for a worker that runs nothing
+FORGET_WORKER_AFTER_S = 3.0  # for a worker that neither answers nor is listed
+STOP_RETRY_DELAY_S = 0.4  # beyond the stop time, after which a stop is sent again
+MAX_LISTED_ENDS = 500  # per answer, set by the platform
+MIN_PROGRESS_PERCENT = 1  # smallest increase that counts as progress
 
 
 def update_workers(
@@ -53,13 +52,14 @@
     unsound: Collection[str] = frozenset(),
 ) -> list[Worker]:
     """
-    Take up the workers' own entries; return those that are new.
+    Apply the listed entries of workers; return the workers that are new.
 
-    A worker whose entry became ``unsound`` keeps what it runs and gets nothing more.
+    Workers in ``unsound``, whose entries can no longer be decoded, keep their runs and get no new
+    ones.
     """
     for identifier, known in cell.workers.items():
         known.unsound = identifier in unsound
-    fresh = []
+    added = []
     for entry in entries:
         worker = cell.workers.get(entry.id)
         if worker is None:
@@ -67,29 +67,31 @@
                 entry, lease_expires_at=cell.earlier_leases_end, first_listed_at=now.steady
             )
             cell.workers[entry.id] = worker
-            fresh.append(worker)
+            added.append(worker)
         elif not worker.entry.address:
-            fresh.append(worker)
+            added.append(worker)
         worker.entry = entry
         worker.listed_at = now.steady
-    return fresh
+    return added
 
 
 def lease_end(cell: Cell, now: Now) -> float:
     """
     Return the local time until which leases may be granted now.
 
-    An owner that the table hasn't confirmed for long may have been replaced.  Its successor waits
-    for the end of this authority before it starts elsewhere what a silent worker may run.
+    An owner that the table hasn't confirmed recently may have been replaced. Its successor waits
+    for the end of this authority before it starts tasks elsewhere that a silent worker may still
+    run.
     """
     return min(now.steady + LEASE_S, cell.confirmed_at + OWNER_AUTHORITY_S)
 
 
 def plan_poll(cell: Cell, worker: Worker, now: Now) -> PollOrder:
-    """Say what to ask a worker next."""
+    """Return the next poll of a worker."""
     if not worker.reached or worker.silent:
-        # A renewal without an answer may be carried out late, so while a worker is silent it is
-        # only asked; otherwise each try would move the moment at which its lease has surely ended.
+        # A renewal without an answer may be carried out late. So a silent worker is polled without
+        # a renewal; otherwise each retry would postpone the time at which its lease has certainly
+        # expired.
         return PollOrder(worker.acknowledged, 0, 0.0)
     until = lease_end(cell, now)
     deadline = grant_lease(worker, until) if worker.runs and until > now.steady else 0
@@ -100,13 +102,13 @@
 
 
 def plan_renewal(cell: Cell, worker: Worker, now: Now) -> int:
-    """Return the lease's end for a worker of which nothing but its clock is known, 0 before."""
+    """Return the lease's end on the clock of a worker whose runs aren't known yet, 0 if none."""
     until = lease_end(cell, now)
     return grant_lease(worker, until) if worker.clock and until > now.steady else 0
 
 
 def record_clock(worker: Worker, held: PollAnswer, now: Now) -> None:
-    """Take note of a worker's clock alone, before it is known what should run there."""
+    """Record a worker's clock before its runs are known."""
     _update_clock(worker, held.clock, now)
 
 
@@ -121,7 +123,7 @@
 
 
 def apply_answer(cell: Cell, worker: Worker, held: PollAnswer, sent_at: float, now: Now) -> None:
-    """Take note of what a worker lists; ``sent_at`` is when it was asked."""
+    """Apply the runs and ends that a worker lists; ``sent_at`` is when it was polled."""
     _update_clock(worker, held.clock, now)
     worker.answered_at = now.steady
     worker.silent = False
@@ -134,9 +136,9 @@
     worker.unknown_tasks = frozenset(_find_unknown_runs(worker, held.running))
     for running in held.running:
         _apply_running(cell, worker, running, now)
-    # A run that is missing may have ended after the last end that fitted into the answer.
-    whole = len(held.ended) < MAX_LISTED_ENDS
-    for run in list(worker.runs.values()) if whole else ():
+    # A missing run may have ended after the last end that fitted into the answer.
+    complete = len(held.ended) < MAX_LISTED_ENDS
+    for run in list(worker.runs.values()) if complete else ():
         found = listed.get(run.task)
         if found is None or found.attempt != run.attempt:
             _apply_absence(cell, worker, run, sent_at, now)
@@ -145,18 +147,18 @@
 
 
 def mark_silent(worker: Worker) -> None:
-    """Take note that a worker did not answer."""
+    """Record that a worker did not answer."""
     worker.silent = True
 
 
 def remove_replaced_worker(cell: Cell, worker: Worker, now: Now) -> None:
-    """Take note that another life answers at a worker's address: its runs are gone."""
+    """Remove a worker at whose address another incarnation answers; its runs are lost."""
     _end_runs(cell, worker, LossCause.REPLACED, now)
     del cell.workers[worker.entry.id]
 
 
 def expire_leases(cell: Cell, now: Now) -> list[Worker]:
-    """Free what ran on workers whose leases have surely ended; return those that are forgotten."""
+    """End the runs of workers whose leases have expired; return the workers that are forgotten."""
     forgotten = []
     for worker in list(cell.workers.values()):
         if not worker.silent and worker.reached:
@@ -203,7 +205,7 @@
 def _apply_running(cell: Cell, worker: Worker, running: RunningTask, now: Now) -> None:
     run = worker.runs.get(running.task)
     if run is None or run.attempt != running.attempt:
-        # An order of an earlier owner, or one that was carried out late: nothing counts on it.
+        # Started by an earlier owner, or by an order that was carried out late.
         cell.orders.append(StopOrder(worker.entry.id, running.task, running.attempt, "unknown run"))
         return
     if run.phase is Phase.STOPPING:
@@ -233,7 +235,7 @@
 
 
 def _repeat_stop(cell: Cell, run: Run, now: Now) -> None:
-    """Repeat a stop: the first may have found no connection to a worker that was just known."""
+    """Repeat a stop: the first may have been sent before the worker was connected."""
     if not run.stop_sent_at:
         run.stop_sent_at = now.steady
     elif now.steady > run.stop_sent_at + cell.stop_time + STOP_RETRY_DELAY_S:
@@ -244,7 +246,8 @@
 def _apply_absence(cell: Cell, worker: Worker, run: Run, sent_at: float, now: Now) -> None:
     match run.phase:
         case Phase.UNKNOWN:
-            # The worker has this owner's token now, so no order of an earlier owner can start it.
+            # The worker has this owner's token, so no order of an earlier owner can start it any
+            # more.
             end_run(cell, worker, run, now)
         case Phase.RUNNING if sent_at > run.started_at:
             end_run(cell, worker, run, now)
--- a/toucanpin/scheduling/orders.py
+++ b/toucanpin/scheduling/orders.py
@@ -1,8 +1,8 @@
 """
-Orders and reports
+Orders and answers
 ==================
 
-What the owner of a cell tells its workers, and what they answer.
+Messages between the owner of a cell and its workers.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 
 
 class RunEnd(enum.Enum):
-    """Say how a run ended."""
+    """How a run ended."""
 
     DONE = "done"
     FAILED = "failed"
@@ -39,7 +39,7 @@
 
 
 class RefusalReason(enum.Enum):
-    """Say why a worker didn't do what it was told."""
+    """Why a worker refused an order."""
 
     FENCED = "fenced"
     OLD_ATTEMPT = "old attempt"
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkerEntry:
-    """Hold what a worker says of itself; sizes as in a step, ``cold`` and ``left`` in seconds."""
+    """A worker's own entry; sizes as in a step, ``cold`` and ``left`` in seconds."""
 
     id: str
     service: str
@@ -70,7 +70,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RunningTask:
-    """Hold one running task; ``measure`` is its tail latency in ms or the cpu that it uses."""
+    """A running task; ``measure`` is its tail latency in ms or the CPU that it uses."""
 
     task: TaskKey
     attempt: int
@@ -81,7 +81,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndedRun:
-    """Hold one end that the worker keeps until it is acknowledged."""
+    """An end that the worker keeps until it is acknowledged."""
 
     sequence: int
     task: TaskKey
@@ -92,7 +92,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PollAnswer:
-    """Hold a worker's answer: its clock in ms, what runs and what has ended."""
+    """A worker's answer to a poll: its clock in ms, its running tasks and ended runs."""
 
     clock: int
     running: tuple[RunningTask, ...]
@@ -101,7 +101,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StartAnswer:
-    """Hold a worker's answer to a start; ``refused`` is None if the run is there."""
+    """A worker's answer to a start; ``refused`` is None if the task was started."""
 
     clock: int
     refused: RefusalReason | None
@@ -109,7 +109,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PollOrder:
-    """Renew a lease until ``deadline`` on the worker's clock (0: only look); wait for an end."""
+    """Renew a lease until ``deadline`` on the worker's clock (0: no renewal); wait for an end."""
 
     acknowledged: int
     deadline: int
@@ -127,7 +127,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StopOrder:
-    """Stop one attempt of a task on a worker, also one that may only start later."""
+    """Stop one attempt of a task on a worker, even if its start arrives later."""
 
     worker: str
     task: TaskKey
@@ -137,7 +137,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PaceOrder:
-    """Let a task work at a share of its speed, in percent."""
+    """Limit a task's speed to a percentage."""
 
     worker: str
     task: TaskKey
--- a/toucanpin/scheduling/ownership.py
+++ b/toucanpin/scheduling/ownership.py
@@ -2,7 +2,7 @@
 Ownership of a cell
 ===================
 
-Who decides about a cell: one row, written with every commit of its owner.
+Election of the owner of a cell through one row, which is written with every commit of its owner.
 """
 
 from __future__ import annotations
@@ -23,34 +23,28 @@
     "plan_takeover",
 ]
 
-OWNER_TIMEOUT_S = (
-    1.3  # s without a new write after which an owner counts as gone; it writes each 0.35 s
-)
-TAKEOVER_SPREAD_S = 0.12  # s over which hosts spread their grip at a cell that nobody owns
-OWNER_WRITE_INTERVAL_S = 0.35  # s between writes of an owner that has nothing else to write
-# A weak host is used up by the orders and answers of hundreds of workers, reads its jobs late, and
-# starts tasks of jobs that were cancelled meanwhile.
-WEAK_HOST_DELAY_S = 0.6  # s for which a weak host leaves a cell to stronger ones
-MIN_TENURE_S = 4.0  # s after which a weak owner hands its cell to a stronger host
-MIN_HANDOVER_INTERVAL_S = 20.0  # s until a host that did so may do it again
-SUCCESSOR_POLL_INTERVAL_S = (
-    0.4  # s between looks at an owner's row by the hosts that are next in line
-)
-POLL_INTERVAL_S = 1.2  # s between looks by the others
-SUCCESSOR_COUNT = 16  # hosts; most of them may be lost with the owner
-READ_TIME_FACTOR = (
-    3.0  # reads of the row that an owner's write may take longer, while the store is slow
-)
+OWNER_TIMEOUT_S = 1.3  # without a new write; an owner writes every 0.35 s
+TAKEOVER_SPREAD_S = 0.12  # over which hosts spread their attempts to take a cell without owner
+OWNER_WRITE_INTERVAL_S = 0.35  # of an owner without other writes
+# On a weak host the orders and answers of hundreds of workers take all processor time: jobs are
+# read late, and tasks of jobs that were cancelled meanwhile are started.
+WEAK_HOST_DELAY_S = 0.6  # for which a weak host leaves a cell to stronger ones
+MIN_TENURE_S = 4.0  # after which a weak owner may hand its cell to a stronger host
+MIN_HANDOVER_INTERVAL_S = 20.0  # between two handovers by one host
+SUCCESSOR_POLL_INTERVAL_S = 0.4  # between reads of the owner's row by the next hosts in the order
+POLL_INTERVAL_S = 1.2  # between reads by the other hosts
+SUCCESSOR_COUNT = 16  # hosts; most of them may fail together with the owner
+READ_TIME_FACTOR = 3.0  # by which an owner's write may exceed a read while the store is slow
 
 
 class OwnerRecord(msgspec.Struct, frozen=True, array_like=True):
     """
-    Name the owner of a cell.
+    The owner of a cell.
 
-    ``life`` differs between starts of one host; ``token`` grows with each owner and fences the
-    earlier ones; ``sequence`` grows with each write, so no earlier write can apply after a later.
-    An empty ``host`` says that the last owner has resigned.  ``backlog`` holds by priority for how
-    many ms new tasks will wait for an owner that can't follow; it is empty for one that can.
+    ``life`` differs between starts of one host; ``token`` grows with each owner and fences earlier
+    ones; ``sequence`` grows with each write, so that no earlier write can apply after a later one.
+    An empty ``host`` means that the last owner has resigned. ``backlog`` has by priority how many
+    ms new tasks will wait for an overloaded owner; it is empty for one that keeps up.
     """
 
     host: str
@@ -62,7 +56,7 @@
 
 @dataclass(slots=True)
 class OwnerWatch:
-    """Follow the owner's row; ``changed_at`` is when it was first seen as it is."""
+    """Observed state of the owner's row; ``changed_at`` is when its version was first read."""
 
     version: int = -1
     record: OwnerRecord | None = None
@@ -75,7 +69,7 @@
 def record_read(
     watch: OwnerWatch, version: int, record: OwnerRecord | None, took: float, now: float
 ) -> None:
-    """Take note of a read of the row that took ``took`` seconds."""
+    """Record a read of the row that took ``took`` seconds."""
     gap = now - watch.seen_at
     watch.seen_at = now
     watch.read_time = max(took, watch.read_time * 0.8)
@@ -85,8 +79,8 @@
         watch.changed_at = now
         watch.silent_time = 0.0
         return
-    # Only time in which the row could be read counts: after an outage of the table its owner
-    # needs a moment to write again, and was as well as anybody until then.
+    # Only time in which the row could be read counts: after an outage of the table the owner needs
+    # a moment to write again, and may have been alive all the time.
     watch.silent_time += min(gap, 2 * OWNER_WRITE_INTERVAL_S + took)
 
 
@@ -96,34 +90,34 @@
     """
     Return after how many seconds to take the cell, None if it has an owner.
 
-    ``rank`` is from 0 to 1 and spreads the hosts that would take it at the same moment; a ``weak``
-    host leaves it to stronger ones for a while.
+    ``rank`` is between 0 and 1 and spreads the hosts that would take it at the same time; a
+    ``weak`` host leaves it to stronger ones for a while.
     """
     if watch.version < 0:
         return None
-    yielding = WEAK_HOST_DELAY_S if weak else 0.0
+    weak_delay = WEAK_HOST_DELAY_S if weak else 0.0
     if watch.record is None or not watch.record.host:
-        return rank * TAKEOVER_SPREAD_S + yielding
-    # A host runs one process, so an earlier life of this one is over.  Waiting for its silence
-    # would cost the leases of all workers whenever every host restarts.
+        return rank * TAKEOVER_SPREAD_S + weak_delay
+    # A host runs one process, so an earlier process of this host has ended. Waiting for its timeout
+    # would let the leases of all workers expire whenever all hosts restart.
     if watch.record.host == host and watch.record.life != life:
         return 0.0
-    patience = (
+    timeout = (
         OWNER_TIMEOUT_S
         + rank * OWNER_WRITE_INTERVAL_S
         + READ_TIME_FACTOR * watch.read_time
-        + yielding
+        + weak_delay
     )
-    return 0.0 if watch.silent_time >= patience else None
+    return 0.0 if watch.silent_time >= timeout else None
 
 
 def plan_next_read(watch: OwnerWatch, place: int) -> float:
     """
-    Return after how many seconds to look at the row again.
+    Return after how many seconds to read the row again.
 
-    ``place`` counts the hosts that would sooner be the owner.  Where there are a hundred hosts the
-    store would answer mostly these looks.  One that is far behind needs to look closely only once
-    the owner is silent.
+    ``place`` is the number of hosts that precede this one as successors. With a hundred hosts these
+    reads would be most of the store's load. A host far down the order needs frequent reads only
+    once the owner is silent.
     """
     owned = watch.record is not None and bool(watch.record.host)
     if owned and not watch.silent_time and place >= SUCCESSOR_COUNT:
@@ -132,10 +126,10 @@
 
 
 def encode_owner(record: OwnerRecord) -> bytes:
-    """Return a record as it stands in its row."""
+    """Return the encoded row of an owner."""
     return msgspec.msgpack.encode(record)
 
 
 def decode_owner(value: bytes) -> OwnerRecord:
-    """Read a record from its row."""
+    """Decode an owner from its row."""
     return msgspec.msgpack.decode(value, type=OwnerRecord)
--- a/toucanpin/scheduling/pending_counts.py
+++ b/toucanpin/scheduling/pending_counts.py
@@ -1,8 +1,8 @@
 """
-Counts of what waits
-====================
+Counts of pending jobs
+======================
 
-How many jobs of each queue have been accepted and not begun, and of which moment that is true.
+How many jobs of each queue are accepted and not begun, and as of which version of the table.
 """
 
 from __future__ import annotations
@@ -23,16 +23,17 @@
     "is_recent",
 ]
 
-# Callers may be told a count of two seconds ago; what is younger needs no look at newer jobs.
-MAX_COUNT_AGE_MS = 1_500  # ms
-MAX_ROW_BYTES = 48_000  # of a row's 64 KB: some 2,000 queues with jobs that wait
+# Callers may receive counts that are two seconds old; younger counts need no update with newer
+# jobs.
+MAX_COUNT_AGE_MS = 1_500
+MAX_ROW_BYTES = 48_000  # of a row's 64 KB: some 2,000 queues with pending jobs
 
 
 class TableView(msgspec.Struct, frozen=True, array_like=True):
     """
-    Tell which jobs their owner has taken up: all of those up to a version of the table.
+    The jobs known to the owner: all jobs up to a version of the table.
 
-    ``clock`` is the table's as it had that version, in ms.
+    ``clock`` is the table's clock in ms at that version.
     """
 
     version: int = 0
@@ -40,7 +41,7 @@
 
 
 class PendingCounts(msgspec.Struct, frozen=True, array_like=True):
-    """Hold how many jobs of each queue wait; a queue that isn't named has none."""
+    """Number of pending jobs of each queue; a queue that isn't listed has none."""
 
     view: TableView
     jobs: dict[str, int]
@@ -55,16 +56,16 @@
 
 
 def is_recent(view: TableView, clock: int) -> bool:
-    """Tell whether counts of a view may be given as they are at a moment of the table's clock."""
+    """Return whether counts of a view may be returned unchanged at a time on the table's clock."""
     return clock - view.clock <= MAX_COUNT_AGE_MS
 
 
 def encode_counts(view: TableView, jobs: dict[str, int]) -> bytes:
     """
-    Return counts as they stand in their row.
+    Return the encoded row of counts.
 
-    Where they are too many for one row they aren't written, and callers are told that the count
-    isn't known; a count without some queues would be wrong.
+    Counts that exceed one row aren't written, and callers are told that the count isn't known; a
+    count without some queues would be wrong.
     """
     waiting = {queue: count for queue, count in jobs.items() if count}
     value = msgspec.msgpack.encode(PendingCounts(view, waiting))
@@ -74,5 +75,5 @@
 
 
 def decode_counts(value: bytes) -> PendingCounts:
-    """Read counts from their row."""
+    """Decode counts from their row."""
     return msgspec.msgpack.decode(value, type=PendingCounts)
--- a/toucanpin/scheduling/progress.py
+++ b/toucanpin/scheduling/progress.py
@@ -2,7 +2,7 @@
 Progress of a job
 =================
 
-The record of every task of a job, as it stands in one row that the owner of the cell writes.
+The record of every task of a job, stored in one row that is written by the owner of the cell.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 
 class JobState(enum.IntEnum):
-    """Say what has become of a job."""
+    """State of a job."""
 
     PENDING = 0
     ACTIVE = 1
@@ -36,35 +36,35 @@
 
     @property
     def ended(self) -> bool:
-        """Tell whether nothing of the job may start any more."""
+        """Return whether no task of the job may start any more."""
         return self >= JobState.COMPLETED
 
 
 class TaskState(enum.IntEnum):
-    """Say what is known of one task."""
+    """State of a task."""
 
     WAITING = 0
     PLACED = 1
     DONE = 2
-    GANG_FAILED = 3  # placed in a gang whose failure is counted already; its own end counts no more
+    GANG_FAILED = 3  # placed in a gang whose failure is counted; its own end isn't
 
 
 class CrashSuspicion(enum.IntEnum):
-    """Say how far a task is suspected of crashing its workers."""
+    """How strongly a task is suspected of crashing its workers."""
 
     NONE = 0
     SUSPECTED = 1  # a worker was lost under it
-    LAST_ATTEMPT = 2  # one more such loss gives it up
+    LAST_ATTEMPT = 2  # one more such loss fails its job
 
 
 class TaskRecord(msgspec.Struct, array_like=True, omit_defaults=True):
     """
-    Hold what must last of one task.
+    Persistent state of one task.
 
-    A task that is placed may run at ``worker`` under ``attempt`` until an end is known; ``counted``
-    names the attempts that ``failures`` counts, so that an end that is listed again counts once.
-    ``crashed`` names the workers that were lost under the task and haven't answered since, and
-    tells whether that was right after its start.
+    A placed task may run on ``worker`` under ``attempt`` until its end is known. ``counted`` lists
+    the attempts that are included in ``failures``, so that a failure that is reported twice counts
+    once. ``crashed`` maps workers that were lost under the task, and haven't answered since, to
+    whether the loss was right after the start.
     """
 
     state: int = 0
@@ -78,10 +78,10 @@
 
 class Progress(msgspec.Struct, array_like=True):
     """
-    Hold what must last of one job.
+    Persistent state of one job.
 
-    ``ended`` is on the table's clock in ms; ``tasks`` holds the records of each occurrence that
-    has begun and not ended, in the order of steps and indices; ``over`` counts those that ended.
+    ``ended`` is on the table's clock in ms; ``tasks`` has the records of each occurrence in
+    progress, ordered by step and index; ``ended_occurrences`` lists the occurrences that are done.
     """
 
     state: int
@@ -91,17 +91,17 @@
 
 
 def encode_progress(progress: Progress) -> bytes:
-    """Return a job's progress as it stands in its row."""
+    """Return the encoded row of a job's progress."""
     return msgspec.msgpack.encode(progress)
 
 
 def decode_progress(value: bytes) -> Progress:
-    """Read a job's progress from its row."""
+    """Decode a job's progress from its row."""
     return msgspec.msgpack.decode(value, type=Progress)
 
 
 def matches_job(progress: Progress, job: Job) -> bool:
-    """Tell whether progress is that of a job: as many tasks, and states that there are."""
+    """Return whether progress has a job's number of tasks and only known states."""
     total = sum(step.count for step in job.steps)
     known = set(TaskState)
     return progress.state in set(JobState) and all(
--- a/toucanpin/scheduling/remote_clock.py
+++ b/toucanpin/scheduling/remote_clock.py
@@ -2,7 +2,7 @@
 Estimate of a remote clock
 ==========================
 
-Follow a steady clock that is only told in answers, each of which took a while.
+Estimate a remote monotonic clock from the times in its answers, each of which took a while.
 """
 
 from __future__ import annotations
@@ -11,31 +11,31 @@
 
 __all__ = ["ClockEstimate"]
 
-# Two steady clocks that drift apart by a part in ten thousand are already unusual.  A larger bound
-# only makes an old reading give way to a newer one sooner.
+# Monotonic clocks rarely drift apart by more than 1 in 10,000. A larger bound only lets a newer
+# reading replace an older one sooner.
 MAX_DRIFT_RATE = 0.001
 
 
 @dataclass(frozen=True, slots=True)
 class _Reading:
-    """Hold the distance to the remote clock, its error, both in s, and when it was read."""
+    """Offset of the remote clock and its error, both in s, and when it was read."""
 
     ahead: float
     error: float
     at: float
 
     def error_at(self, now: float) -> float:
-        """Return the error that the reading has by now, in seconds."""
+        """Return the error of the reading by now in seconds, including drift."""
         return self.error + MAX_DRIFT_RATE * max(0.0, now - self.at)
 
 
 class ClockEstimate:
     """
-    Estimate a remote clock from the answer that took the least time, as time protocols do.
+    Estimate of a remote clock from the answer with the shortest round trip, as in NTP.
 
-    The remote clock was read at some moment between the request and its answer, so half of that
-    time bounds the error.  An answer that came late, since the remote service is slow or this
-    process was suspended or busy, has a large error and doesn't move the estimate.
+    The remote clock was read between the request and its answer, so half of the round trip bounds
+    the error. A late answer, from a slow service or read by a suspended or busy process, has a
+    large error and doesn't change the estimate.
     """
 
     __slots__ = ("_reading",)
@@ -45,20 +45,20 @@
 
     @property
     def known(self) -> bool:
-        """Tell whether the remote clock was ever read."""
+        """Return whether the remote clock was ever read."""
         return self._reading is not None
 
     def record(self, clock: float, sent: float, received: float) -> None:
-        """Take note that an answer told ``clock``, in ms; the local times are in seconds."""
+        """Record an answer with the remote time ``clock`` in ms; local times are in seconds."""
         error = max(0.0, received - sent) / 2
         if self._reading is not None and error > self._reading.error_at(received):
             return
         self._reading = _Reading(clock / 1_000 - (sent + received) / 2, error, received)
 
     def read(self, now: float) -> float:
-        """Return the remote clock at a local time, in ms; 0 if it was never read."""
+        """Return the remote clock at a local time in ms, 0 if it was never read."""
         return (now + self._reading.ahead) * 1_000 if self._reading else 0.0
 
     def error(self, now: float) -> float:
-        """Return by how much the estimate may be wrong, in ms."""
+        """Return the bound on the estimate's error in ms."""
         return self._reading.error_at(now) * 1_000 if self._reading else float("inf")
--- a/toucanpin/scheduling/retrying.py
+++ b/toucanpin/scheduling/retrying.py
@@ -1,8 +1,8 @@
 """
-Trying again
-============
+Retries
+=======
 
-Where a task may be tried after what became of it before.
+Which workers a task may be retried on after failures and lost workers.
 """
 
 from __future__ import annotations
@@ -24,9 +24,10 @@
     live: LiveJob, task: TaskKey, worker: Worker, able: Iterable[Worker], now: Now
 ) -> bool:
     """
-    Tell whether a task that has failed would be tried where tasks fail, though others could run it.
+    Return whether a retry on a worker where tasks fail would waste an attempt.
 
-    On a full fleet a failing worker has the only room, and took all attempts of a task in a row.
+    On a full fleet a failing worker has the only free capacity, and would use up all attempts of a
+    task in a row. The attempt isn't wasted if no other worker could run the task.
     """
     if worker.retries_blocked_until <= now.steady and not is_distrusted(worker):
         return False
@@ -47,10 +48,10 @@
 
 
 def list_retry_workers(live: LiveJob, task: TaskKey, able: list[Worker], now: Now) -> list[Worker]:
-    """Return the workers on which a task may be tried after what became of it before."""
+    """Return the workers on which a task may run, given its failures and losses."""
     if live.job.steps[task.step].speculative:
-        # What a worker runs is known by its task: a copy there would hide the run that it is for,
-        # whose failure nobody counts and whose room nobody gives back.
+        # Runs of a worker are indexed by task: a copy there would hide the original run, whose
+        # failure wouldn't be counted and whose resources wouldn't be released.
         able = [worker for worker in able if task not in worker.runs]
     if find_suspicion(live, task) is CrashSuspicion.LAST_ATTEMPT:
         able = _list_for_last_attempt(live, task, able, now)
@@ -67,20 +68,22 @@
     live: LiveJob, task: TaskKey, able: list[Worker], now: Now
 ) -> list[Worker]:
     """
-    Return the workers whose loss would tell most of a task.
+    Return the workers whose loss would be the clearest evidence against a task.
 
-    Two that were lost together would be placed together again, and the harmless one given up with
-    the one that crashes its workers; so would one that is tried on workers that come and go.
+    Two tasks that were lost together would be placed together again, and the harmless one failed
+    with the one that crashes its workers. A task on workers that restart often would be failed as
+    well.
     """
     step = live.job.steps[task.step]
     group = Group(task.job, task.occurrence, task.step)
-    alone = [worker for worker in able if not runs_last_attempt(worker, now)]
-    steady = [worker for worker in able if not is_new(worker, now)]
+    available = [worker for worker in able if not runs_last_attempt(worker, now)]
+    established = [worker for worker in able if not is_new(worker, now)]
     if any(
-        fits_when_idle(worker, step) and meets_constraints(worker, group, step) for worker in steady
+        fits_when_idle(worker, step) and meets_constraints(worker, group, step)
+        for worker in established
     ):
-        return [worker for worker in alone if not is_new(worker, now)]
-    return alone
+        return [worker for worker in available if not is_new(worker, now)]
+    return available
 
 
 def _count_failures(live: LiveJob, task: TaskKey) -> int:
--- a/toucanpin/scheduling/settings.py
+++ b/toucanpin/scheduling/settings.py
@@ -2,7 +2,7 @@
 Settings of an entry host
 =========================
 
-What a process learns from its host, in plain types; times are in seconds.
+Settings of a process that come from its host, as plain types; times are in seconds.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """Hold the times that the deployment promises or demands."""
+    """Time bounds of the deployment."""
 
     longest_lease: float = 10.0
     stop: float = 0.2
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HostSettings:
-    """Hold what one process is told."""
+    """Settings of one process."""
 
     name: str
     address: str
@@ -47,4 +47,4 @@
     heartbeat: float
     max_row: int
     bounds: Bounds
-    cores: float = 1.0  # that the host's processor is worth
+    cores: float = 1.0  # processor capacity of the host
--- a/toucanpin/scheduling/starting.py
+++ b/toucanpin/scheduling/starting.py
@@ -2,7 +2,7 @@
 Starting tasks
 ==============
 
-What the answer to a start means, and what to do without one.
+Start orders: when to send them, and how answers and time-outs are handled.
 """
 
 from __future__ import annotations
@@ -26,16 +26,14 @@
     "record_stop_acknowledged",
 ]
 
-MIN_START_LEASE_S = 0.5  # s: a start with less would lapse before it is renewed
-UNHEALTHY_BACKOFF_S = 1.0  # s that a worker gets nothing after it refused to start anything
-MAX_ENTRY_AGE_S = 2.5  # s since a worker that takes whatever it is given was last heard of
-NO_ROOM_BACKOFF_S = (
-    0.3  # s that a worker gets nothing after it had less room than its owner thought
-)
+MIN_START_LEASE_S = 0.5  # a shorter lease would expire before it is renewed
+UNHEALTHY_BACKOFF_S = 1.0  # for a worker that refused to start anything
+MAX_ENTRY_AGE_S = 2.5  # at which tasks are started on workers that accept more than fits
+NO_ROOM_BACKOFF_S = 0.3  # for a worker with less capacity than its owner assumed
 
 
 class StartOutcome(enum.Enum):
-    """Say what to do with a start."""
+    """What to do next with a start order."""
 
     SETTLED = "settled"
     RETRY_NOW = "again"
@@ -46,11 +44,13 @@
 def plan_start(cell: Cell, worker: Worker, run: Run, now: Now) -> int:
     """Return the lease's end for a start on the worker's clock, 0 if it must not be sent now."""
     if worker.silent and not run.ordered_at:
-        # Nothing was ever sent, so nothing can run there: the task needn't wait for the lease.
+        # Nothing was ever sent, so the task can't run there and needn't wait for the lease to
+        # expire.
         end_run(cell, worker, run, now)
         return 0
     if is_evacuated(cell, worker):
-        # A start whose answer was lost may be on its way; sent again, it would begin late for sure.
+        # A start whose answer was lost may still be carried out; repeating it would certainly start
+        # the task after the evacuation.
         _abandon_start(cell, worker, run, now)
         return 0
     if is_overcommitted(worker) and not (cell.workers_enforce_limits and run.ordered_at):
@@ -71,7 +71,7 @@
 def apply_start_answer(
     cell: Cell, worker: Worker, run: Run, answer: StartAnswer, now: Now
 ) -> StartOutcome:
-    """Take note of a worker's answer to a start."""
+    """Apply a worker's answer to a start."""
     if run.phase is not Phase.ORDERED:
         return StartOutcome.SETTLED
     match answer.refused:
@@ -101,7 +101,7 @@
 def apply_start_failure(
     cell: Cell, worker: Worker, run: Run, certain: bool, now: Now
 ) -> StartOutcome:
-    """Take note that a start got no answer; ``certain`` says that it was never sent."""
+    """Handle a start without an answer; ``certain`` says that it was never sent."""
     if run.phase is not Phase.ORDERED:
         return StartOutcome.SETTLED
     run.start_unconfirmed = run.start_unconfirmed or not certain
@@ -109,12 +109,12 @@
         worker.suspect_until = max(worker.suspect_until, now.steady + UNHEALTHY_BACKOFF_S)
         _abandon_start(cell, worker, run, now)
         return StartOutcome.SETTLED
-    # The same start again is safe: the worker accepts an attempt that it already has.
+    # Repeating the start is safe: the worker accepts an attempt that it already has.
     return StartOutcome.RETRY_LATER if worker.silent else StartOutcome.RETRY_NOW
 
 
 def record_stop_acknowledged(worker: Worker, run: Run, now: Now) -> None:
-    """Take note that a worker acknowledged a stop; its next list shows what is left."""
+    """Record that a worker acknowledged a stop; its next answer shows whether the run ended."""
     if run.phase is Phase.STOPPING:
         run.stop_acknowledged_at = now.steady
 
--- a/toucanpin/scheduling/stopping.py
+++ b/toucanpin/scheduling/stopping.py
@@ -2,7 +2,7 @@
 Stopping runs
 =============
 
-Have runs end, alone or with their gang, and let their tasks wait for another place.
+Stop runs, alone or with their gang, and requeue their tasks.
 """
 
 from __future__ import annotations
@@ -14,12 +14,12 @@
 
 __all__ = ["count_unavailable", "list_gang_runs", "stop_gang", "stop_run", "requeue_task"]
 
-# Workers are asked for what they run each 0.4 to 0.7 s, and answer late at times.
-MAX_LISTING_AGE_S = 2.0  # s since a list showed a task at work for which it is thought to be so
+# Workers are polled every 0.4 to 0.7 s, and answers may be late.
+MAX_LISTING_AGE_S = 2.0  # within which a listed task counts as available
 
 
 def stop_run(cell: Cell, run: Run, reason: str) -> None:
-    """Have a run end; one that was never sent ends at once."""
+    """Stop a run; one whose start was never sent ends at once."""
     worker = cell.workers[run.worker]
     if run.phase is Phase.PLACED:
         drop_run(cell, worker, run)
@@ -28,8 +28,8 @@
         record = find_record(live, run.task) if live else None
         if live is None or record is None or record.attempt != run.attempt:
             return
-        # Another copy may have ended the task.  Put back to wait it would run once more and be
-        # counted twice, and the next step would begin while a task of this one is left.
+        # Another copy may have finished the task. If it were requeued, it would run again and be
+        # counted twice, and the next step would begin before this one is done.
         if record.state == TaskState.DONE:
             return
         record.state = TaskState.WAITING
@@ -43,20 +43,20 @@
 
 
 def requeue_task(cell: Cell, run: Run) -> None:
-    """Let the task of a run wait for another place."""
+    """Put the task of a run back into the queue."""
     group = Group(run.task.job, run.task.occurrence, run.task.step)
     cell.waiting.setdefault(group, set()).add(run.task.index)
 
 
 def stop_gang(cell: Cell, live: LiveJob, run: Run, reason: str) -> None:
-    """Stop the other members of a run's gang, which would wait for it or do their work in vain."""
+    """Stop the other members of a run's gang, which can't complete without it."""
     for other in list_gang_runs(cell, live, run):
         if other is not run:
             stop_run(cell, other, reason)
 
 
 def list_gang_runs(cell: Cell, live: LiveJob, run: Run) -> list[Run]:
-    """Return what goes on of a run's gang, the run included."""
+    """Return the active runs of a run's gang, including the run."""
     return [
         other
         for other in list_runs(cell, live)
@@ -68,9 +68,10 @@
 
 def count_unavailable(cell: Cell, run: Run, now: Now) -> int:
     """
-    Return how many other tasks of a lasting task's step are not at work.
+    Return how many other tasks of a long-running task's step are unavailable.
 
-    One that no list showed lately counts as away: its worker may be gone, and its lease run on.
+    A task that wasn't listed recently counts as unavailable: its worker may have crashed while its
+    lease still runs.
     """
     live = cell.jobs.get(run.task.job)
     if live is None:
--- a/toucanpin/scheduling/trust.py
+++ b/toucanpin/scheduling/trust.py
@@ -2,7 +2,7 @@
 Trust in workers
 ================
 
-Which workers may be given tasks, by what became of those that they were given before.
+Which workers may be given tasks, judged by the outcome of their earlier tasks.
 """
 
 from __future__ import annotations
@@ -12,17 +12,18 @@
 
 __all__ = ["EARLY_FAILURE_S", "is_distrusted", "is_trusted", "record_success", "record_failure"]
 
-AVOIDANCE_PERIOD_S = 3.0  # s that a worker is avoided after failures
-MIN_FAILED_JOBS = 3  # jobs whose tasks failed in a row; fewer may themselves be at fault
-EARLY_FAILURE_S = 2.0  # s that a lasting task has to work for its failure to be its own
-TRIAL_PERIOD_S = 1.0  # s that one task is watched before a doubted worker gets the next
+AVOIDANCE_PERIOD_S = 3.0  # after a failure
+MIN_FAILED_JOBS = 3  # with failures in a row; fewer jobs may themselves be at fault
+EARLY_FAILURE_S = 2.0  # a long-running task that fails later isn't its worker's fault
+TRIAL_PERIOD_S = 1.0  # between tasks on a distrusted worker
 
 
 def record_failure(worker: Worker, run: Run, now: Now, avoided: float = AVOIDANCE_PERIOD_S) -> None:
-    """Take note that a task failed or stood still on a worker."""
+    """Record that a task failed or made no progress on a worker."""
     until = now.steady + avoided
     worker.suspect_until = max(worker.suspect_until, until)
-    # A lasting task may fail at any time; only one that fails at its start tells of its worker.
+    # A long-running task may fail at any time; only an early failure says something about its
+    # worker.
     if run.step.long_running and now.steady > run.ordered_at + EARLY_FAILURE_S:
         return
     worker.failed_jobs.add(run.task.job)
@@ -31,7 +32,7 @@
 
 
 def record_success(worker: Worker, run: Run) -> None:
-    """Take note that a worker has done a task; one that began before a failure proves little."""
+    """Record that a worker completed a task; one started before a failure shows little."""
     worker.suspect_until = 0.0
     if run.ordered_at > worker.failed_at:
         worker.failed_jobs.clear()
@@ -39,17 +40,17 @@
 
 
 def is_distrusted(worker: Worker) -> bool:
-    """Tell whether tasks of several jobs have failed on a worker since it did one."""
+    """Return whether tasks of several jobs have failed on a worker since its last success."""
     return len(worker.failed_jobs) >= MIN_FAILED_JOBS
 
 
 def is_trusted(worker: Worker, now: Now) -> bool:
     """
-    Tell whether a worker may get a task.
+    Return whether a worker may be given a task.
 
-    A worker that fails whatever it starts is soon the only one with room on a full fleet, and would
-    use up all attempts of job after job.  So it gets nothing for a while, and then one task at a
-    time until it does one.
+    On a full fleet a worker that fails every task soon has the only free capacity, and would use up
+    all attempts of job after job. So it is given nothing for a while, and then one task at a time
+    until one succeeds.
     """
     if not is_distrusted(worker):
         return True
--- a/toucanpin/scheduling/unplaceable.py
+++ b/toucanpin/scheduling/unplaceable.py
@@ -1,9 +1,8 @@
 """
-Recalling
-=========
+Unplaceable tasks
+=================
 
-Tell which tasks needn't be weighed against the workers, since others that ask for no more found no
-place.
+Remember demands that could not be placed, so that equal or larger ones aren't tried on all workers.
 """
 
 from __future__ import annotations
@@ -15,21 +14,21 @@
 
 __all__ = ["is_known_unplaceable", "record_unplaceable", "record_shortage", "find_known_reason"]
 
-UNPLACEABLE_PERIOD_S = 0.0012  # s a worker for which what found no place isn't weighed again
+UNPLACEABLE_PERIOD_S = 0.0012  # per worker, without another try for best-effort tasks
 
 
 def is_known_unplaceable(cell: Cell, step: Step, now: Now) -> bool:
-    """Tell whether an equal or smaller task found no place a moment ago."""
+    """Return whether an equal or smaller best-effort task could not be placed a moment ago."""
     cpu, until = cell.unplaceable.get(step.image, (0, 0.0))
     return step.best_effort and now.steady < until and step.cpu >= cpu
 
 
 def record_unplaceable(cell: Cell, live: LiveJob, step: Step, now: Now) -> None:
     """
-    Remember that a task that fills found no place.
+    Record that a best-effort task could not be placed.
 
-    A long queue would otherwise be weighed against all workers at each end of a task, which takes
-    more processor time than there is between two ends on a few hundred workers.
+    Otherwise a long queue would be compared with all workers at each end of a task, which on a few
+    hundred workers takes more processor time than there is between two ends.
     """
     if not step.best_effort or step.label or step.per_worker or live.job.advised:
         return
@@ -40,18 +39,18 @@
 
 def _end_shared_period(cell: Cell, now: Now) -> float:
     """
-    Return the end of the rest that all images share.
+    Return the end of the current period, which all images share.
 
-    Rests that end one by one have all workers summed up once for each of them.
+    With separate periods the utilization of all workers would be computed once for each image.
     """
-    rest = UNPLACEABLE_PERIOD_S * len(cell.workers)
-    return (now.steady // rest + 1) * rest if rest else now.steady
+    period = UNPLACEABLE_PERIOD_S * len(cell.workers)
+    return (now.steady // period + 1) * period if period else now.steady
 
 
 def find_known_reason(
     round_: PlacementRound, live: LiveJob, step: Step, claim: ReserveAccess
 ) -> WaitReason | None:
-    """Return why a task can't find a place, if one that asks for no more found none."""
+    """Return why a task can't be placed, if one with no larger demand could not."""
     if step.best_effort or live.job.advised:
         return None
     demand = Demand.of(step)
@@ -70,9 +69,9 @@
     constraint_excluded: bool,
 ) -> None:
     """
-    Remember that a task found no place, unless a rule of its own shut it out of one.
+    Record that a task could not be placed, unless its own rules excluded possible workers.
 
-    With a claim it found only reserved room.
+    With a claim, only reserved capacity was left.
     """
     if step.best_effort or constraint_excluded or live.job.advised:
         return
--- a/toucanpin/scheduling/upkeep.py
+++ b/toucanpin/scheduling/upkeep.py
@@ -2,7 +2,7 @@
 Upkeep of machines
 ==================
 
-Which machine of a wave goes into its upkeep next, and how its worker is emptied before.
+Order in which the machines of a wave go into upkeep, and draining of their workers before.
 """
 
 from __future__ import annotations
@@ -32,17 +32,15 @@
     "end_drains",
 ]
 
-PLANNED_TIME_SHARE = (
-    0.65  # of a wave's time after which all machines should have been through their upkeep
-)
-OVERHEAD_S = 1.5  # s that a machine takes besides its upkeep: emptying, the call, the next list
-LIST_DELAY_S = 0.5  # s after an order until a list of machines surely shows it
-MISSING_AFTER_S = 2.0  # s for which no list holds a machine until it is asked for by an order
-DRAIN_GRACE_S = 2.5  # s that a worker is kept from new tasks while those that can't resume run on
+PLANNED_TIME_SHARE = 0.65  # of a wave's time in which all upkeep should be completed
+OVERHEAD_S = 1.5  # per machine besides the upkeep: drain, request and the next list
+LIST_DELAY_S = 0.5  # after an order until lists of machines certainly show it
+MISSING_AFTER_S = 2.0  # without a listing until an upkeep of the machine is ordered anyway
+DRAIN_GRACE_S = 2.5  # in which tasks without checkpoints may finish
 
 
 class MachineState(enum.Enum):
-    """Say what a machine does."""
+    """State of a machine."""
 
     UP = "up"
     MOVING = "moving"
@@ -52,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Machine:
-    """Hold a machine, its pool and the id of the worker that it is now."""
+    """A machine, its pool and the id of its current worker."""
 
     name: str
     pool: str
@@ -62,7 +60,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Wave:
-    """Hold what operators ask: upkeep of all these machines in time, at most ``cap`` at once."""
+    """An operator's request: upkeep of machines within a time, at most ``cap`` at once."""
 
     number: int
     machines: tuple[str, ...]
@@ -72,17 +70,17 @@
 
 @dataclass(slots=True)
 class UpkeepOrder:
-    """Follow an order of this owner; ``acknowledged`` is the local time, 0 if it wasn't."""
+    """An order sent by this owner; ``acknowledged_at`` is a local time, 0 until acknowledged."""
 
     acknowledged_at: float = 0.0
 
 
 class WaveRecord(msgspec.Struct, array_like=True):
     """
-    Hold what must last of one wave.
+    Persistent state of one wave.
 
-    ``begun`` is on the table's clock in ms; ``down`` holds the worker that each machine was as its
-    upkeep was ordered; ``done`` are machines that have been through it, or are gone.
+    ``begun`` is on the table's clock in ms; ``down`` maps each machine in upkeep to its worker when
+    the upkeep was ordered; ``done`` lists the machines that have completed it or are gone.
     """
 
     begun: int
@@ -92,7 +90,7 @@
 
 
 def is_completed(wave: Wave, record: WaveRecord) -> bool:
-    """Tell whether every machine of a wave has been through its upkeep."""
+    """Return whether all machines of a wave have completed their upkeep."""
     return set(wave.machines) <= set(record.done)
 
 
@@ -105,35 +103,36 @@
     upkeep: float,
 ) -> tuple[list[str], list[str]]:
     """
-    Return the machines that came back from their upkeep, and those to begin anew.
-
-    ``listed`` is when the list of machines was asked for.  A machine that is another worker now may
-    have crashed before its order was carried out, so only an order that was acknowledged shows that
-    it has been through.  One that an earlier owner may have ordered is emptied again first: this
-    owner may have placed tasks there.  A list may miss a machine that is there, so that it is in
-    none says nothing; an acknowledged order does, once an upkeep of ``upkeep`` seconds is over.
+    Return the machines that completed their upkeep, and those to begin anew.
+
+    ``listed`` is when the list of machines was requested. A machine with a new worker may have
+    crashed before its order was carried out, so only an acknowledged order shows that its upkeep
+    took place. A machine that an earlier owner may have ordered is drained again first: this owner
+    may have placed tasks there. A list may omit an existing machine, so an unlisted machine counts
+    as completed only if its order was acknowledged and an upkeep of ``upkeep`` seconds has passed
+    since.
     """
-    through: list[str] = []
-    anew: list[str] = []
+    completed: list[str] = []
+    repeated: list[str] = []
     for name, worker in record.down.items():
         machine = machines.get(name)
         order = orders.get(name)
         if machine is None:
             begun = order.acknowledged_at if order is not None else 0.0
             if begun and listed > begun + upkeep + OVERHEAD_S:
-                through.append(name)
+                completed.append(name)
         elif machine.state is not MachineState.UP or not machine.worker:
             continue
         elif order is None:
-            # One with another cell's worker may have been ordered by that cell's owner just now.
+            # A machine with another cell's worker may just have been ordered by that cell's owner.
             if machine.worker in cell.workers:
-                anew.append(name)
+                repeated.append(name)
         elif machine.worker != worker:
-            (through if order.acknowledged_at else anew).append(name)
+            (completed if order.acknowledged_at else repeated).append(name)
         elif order.acknowledged_at and listed > order.acknowledged_at + LIST_DELAY_S:
-            # An order for what is already done is acknowledged, too, and changes nothing.
-            through.append(name)
-    return through, anew
+            # Repeating an order for a completed upkeep is acknowledged too, and has no effect.
+            completed.append(name)
+    return completed, repeated
 
 
 def list_missing_machines(
@@ -145,10 +144,10 @@
     listed: float,
 ) -> list[str]:
     """
-    Return the machines of a wave that are probably gone; ``seen`` is when a list last held each.
+    Return the machines of a wave that are probably gone; ``seen`` is when each was last listed.
 
-    A list of several pages misses a machine that changes its place between two of them, so one list
-    says nothing.  Neither do several while a worker is there which says that it is that machine.
+    A list of several pages omits a machine that changes its position between two requests, so one
+    list isn't enough. A machine isn't gone either while a worker reports that it runs on it.
     """
     alive = {worker.entry.machine for worker in cell.workers.values()}
     return [
@@ -170,10 +169,10 @@
     now: Now,
 ) -> list[Worker]:
     """
-    Return the workers to be emptied for their upkeep now; an upkeep takes ``upkeep`` seconds.
+    Return the workers to be drained now; an upkeep takes ``upkeep`` seconds.
 
-    As few go at a time as the wave's end allows, those first that lose least: each one that is
-    away leaves its tasks to the others.
+    As few machines as the wave's time allows are in upkeep at once, since their tasks move to the
+    others. Workers that lose the least work go first.
     """
     waiting = [name for name in wave.machines if name not in record.done]
     left = wave.seconds * PLANNED_TIME_SHARE - (now.table - record.begun) / 1_000
@@ -195,38 +194,38 @@
 
 
 def drain_worker(cell: Cell, worker: Worker, now: Now) -> bool:
-    """Have a worker's tasks leave it; return whether nothing is left to lose there."""
+    """Stop a worker's tasks as far as possible now; return whether it is empty."""
     if not worker.draining_since:
         worker.draining_since = now.steady
-    patient = now.steady < worker.draining_since + DRAIN_GRACE_S
+    in_grace = now.steady < worker.draining_since + DRAIN_GRACE_S
     for run in list(worker.runs.values()):
-        if _may_be_stopped(cell, run, patient, now):
+        if _may_be_stopped(cell, run, in_grace, now):
             stop_run(cell, run, "upkeep")
     return not worker.runs and worker.seen == worker.acknowledged
 
 
 def end_drains(workers: Iterable[Worker], chosen: Iterable[Worker]) -> None:
-    """Let workers take tasks again that are not to be emptied any more."""
+    """Let workers accept tasks again that are no longer to be drained."""
     kept = {worker.entry.id for worker in chosen}
     for worker in workers:
         if worker.entry.id not in kept:
             worker.draining_since = 0.0
 
 
-def _may_be_stopped(cell: Cell, run: Run, patient: bool, now: Now) -> bool:
+def _may_be_stopped(cell: Cell, run: Run, in_grace: bool, now: Now) -> bool:
     if run.phase is not Phase.RUNNING:
         return run.phase is Phase.PLACED
     if run.step.long_running:
-        # Users of a service bear so many of its tasks away at a time, and no more.
+        # No more tasks of a service may be unavailable at once than its users tolerate.
         return (
             not run.step.max_unavailable
             or count_unavailable(cell, run, now) < run.step.max_unavailable
         )
-    return run.step.checkpoints or not patient
+    return run.step.checkpoints or not in_grace
 
 
 def _estimate_loss(worker: Worker, now: Now) -> float:
-    """Return what emptying a worker would lose, in core-seconds."""
+    """Return the work that draining a worker would lose, in core-seconds."""
     lost = 0.0
     for run in worker.runs.values():
         elapsed = now.steady - run.started_at
--- a/toucanpin/scheduling/worker.py
+++ b/toucanpin/scheduling/worker.py
@@ -1,8 +1,8 @@
 """
-Workers as their owner sees them
-================================
+Workers
+=======
 
-Room, runs and lease of one life of a worker.
+Capacity, runs and lease of one incarnation of a worker, as known to the owner of its cell.
 """
 
 from __future__ import annotations
@@ -31,26 +31,24 @@
     "reserve_run",
 ]
 
-MIN_CLOCK_RATE = 0.98  # a worker's clock may be 2% slow, by the platform's page
-LEASE_EXPIRY_MARGIN_S = (
-    0.25  # s: time that a worker may take to kill what its lease no longer covers
-)
+MIN_CLOCK_RATE = 0.98  # the platform allows a worker's clock to run 2% slow
+LEASE_EXPIRY_MARGIN_S = 0.25  # time that a worker may take to kill runs whose lease has expired
 
 
 class Phase(enum.Enum):
-    """Say how far one run has come."""
+    """State of a run."""
 
-    PLACED = "placed"  # not written yet: nothing was sent
+    PLACED = "placed"  # the placement isn't written yet, nothing was sent
     ORDERED = "ordered"  # a start was or is being sent
-    RUNNING = "running"  # the worker has said so
-    STOPPING = "stopping"  # it must end; room is taken until the worker lists the end
-    ENDED = "ended"  # nothing is left of it, and no order for it may be sent any more
-    UNKNOWN = "unknown"  # found in a row at takeover; the worker hasn't been asked
+    RUNNING = "running"  # the worker has confirmed the start
+    STOPPING = "stopping"  # resources stay reserved until the worker lists the end
+    ENDED = "ended"  # no order for it may be sent any more
+    UNKNOWN = "unknown"  # read from a row at takeover; the worker hasn't been asked
 
 
 @dataclass(slots=True)
 class Run:
-    """Follow one attempt of a task on one worker; times are on the local steady clock."""
+    """One attempt of a task on one worker; times are on the local monotonic clock."""
 
     task: TaskKey
     attempt: int
@@ -60,30 +58,30 @@
     ordered_at: float = 0.0
     started_at: float = 0.0
     percent: int = 0
-    last_listed_at: float = 0.0  # when the percentage was last listed
+    last_listed_at: float = 0.0  # when the worker last listed it
     progressed_at: float = 0.0
     checkpoint: str = ""
     ticket: str = ""
-    measure: float = 0.0
-    pace: int = 100
+    measure: float = 0.0  # tail latency in ms of a serving task, else the CPU in use
+    pace: int = 100  # percent of full speed
     paced_at: float = 0.0
     over_target_since: float = 0.0
-    # A start without an answer may be carried out seconds later, so another worker may get the
-    # task only once a stop was acknowledged or the lease has ended.
+    # A start without an answer may be carried out seconds later, so the task may run elsewhere only
+    # once a stop is acknowledged or the lease has expired.
     start_unconfirmed: bool = False
-    stop_acknowledged_at: float = 0.0  # when a stop was acknowledged, 0 if it wasn't
+    stop_acknowledged_at: float = 0.0  # 0 if no stop was acknowledged
     stop_sent_at: float = 0.0
-    waiting_time: float = 0.0  # s without a place before this one
-    wait_reason: str = ""  # what kept it waiting at last
-    # It began from a checkpoint, or before it was heard of, so its progress tells no time.
+    waiting_time: float = 0.0  # seconds in the queue before this placement
+    wait_reason: str = ""  # latest reason for the wait
+    # It began from a checkpoint, or before this owner knew of it, so its run time isn't known.
     untimed: bool = False
-    priority: int = 0  # that of its job
+    priority: int = 0  # of its job
     suspicion: CrashSuspicion = CrashSuspicion.NONE
 
 
 @dataclass(slots=True)
 class Worker:
-    """Hold what the owner of a cell knows of a worker; times are on the local steady clock."""
+    """A worker as the owner of its cell knows it; times are on the local monotonic clock."""
 
     entry: WorkerEntry
     runs: dict[TaskKey, Run] = field(default_factory=dict)
@@ -94,49 +92,45 @@
     best_effort_cpu: int = 0
     serving_count: int = 0
     long_running_cpu: int = 0
-    reserved_cpu: int = 0  # cores that lasting tasks leave to brief ones
-    reached: bool = False
-    first_listed_at: float = 0.0  # when this life was first listed
+    reserved_cpu: int = 0  # CPU that long-running tasks leave to short ones
+    reached: bool = False  # it has answered this owner
+    first_listed_at: float = 0.0  # when this incarnation was first listed
     listed_at: float = 0.0
     answered_at: float = 0.0
     silent: bool = False
-    unsound: bool = False  # its entry can't be read any more, though it may still answer
+    unsound: bool = False  # its entry can no longer be decoded, though it may still answer
     clock: int = 0
     clock_read_at: float = 0.0
     lease_expires_at: float = 0.0
-    seen: int = 0
-    acknowledged: int = 0
+    seen: int = 0  # sequence of the newest end that it listed
+    acknowledged: int = 0  # sequence of the newest end that is written
     suspect_until: float = 0.0
-    full_until: float = 0.0  # it had less room than its owner thought
-    reserved_until: float = (
-        0.0  # room was made for tasks of priority ``kept_for``, others stay away
-    )
+    full_until: float = 0.0  # it had less capacity than its owner assumed
+    reserved_until: float = 0.0  # reserved for tasks of ``reserved_priority`` after preemption
     reserved_priority: int = 0
-    draining_since: float = 0.0  # it is being emptied for the upkeep of its machine
-    throttled_at: float = 0.0  # when what fills was last slowed or moved
-    learned_at: float = 0.0  # when effects were last learned from its measurements
-    failed_jobs: set[str] = field(default_factory=set)  # whose tasks failed since it did one
+    draining_since: float = 0.0  # it is drained for the upkeep of its machine
+    throttled_at: float = 0.0  # when best-effort tasks were last throttled or moved
+    learned_at: float = 0.0  # when interference effects were last learned from its measurements
+    failed_jobs: set[str] = field(default_factory=set)  # with failures since its last success
     failed_at: float = 0.0
-    retries_blocked_until: float = 0.0  # no task that has failed is tried there
-    unknown_tasks: frozenset[TaskKey] = frozenset()
-    # Sums of cores tell in one look that no stop helps an urgent task; without them each turn would
-    # go through all runs of all workers.
-    preemptible_cpu: dict[int, int] = field(
-        default_factory=dict
-    )  # by priority, of what may be stopped
-    stopping_cpu: int = 0  # of what is being stopped
-    # How it fares, as summed up at ``heat_at``, until something comes, goes or is measured.
+    retries_blocked_until: float = 0.0  # tasks that have failed before aren't tried there
+    unknown_tasks: frozenset[TaskKey] = frozenset()  # listed tasks that its owner didn't start
+    # These sums show at once that preemption can't help an urgent task; without them each
+    # scheduling turn would visit all runs of all workers.
+    preemptible_cpu: dict[int, int] = field(default_factory=dict)  # by priority
+    stopping_cpu: int = 0  # CPU of runs that are being stopped
+    # Computed at ``utilization_at``; None once a run is added or removed or the worker answers.
     utilization: WorkerUtilization | None = None
     utilization_at: float = 0.0
 
     @property
     def rack(self) -> str:
-        """Return the label that names the rack, empty if none does."""
+        """Return the label that names the rack, or an empty string."""
         return self.entry.labels[1] if len(self.entry.labels) > 1 else ""
 
 
 def has_room(worker: Worker, step: Step) -> bool:
-    """Tell whether a task of a step fits what the worker has left."""
+    """Return whether a task of a step fits the worker's free capacity."""
     entry = worker.entry
     if worker.memory + step.memory > entry.memory:
         return False
@@ -146,7 +140,7 @@
 
 
 def is_overcommitted(worker: Worker) -> bool:
-    """Tell whether a worker has less room than what it was given takes: its room may shrink."""
+    """Return whether the runs of a worker exceed its capacity, which may shrink."""
     entry = worker.entry
     return (
         worker.cpu > entry.cpu
@@ -156,7 +150,7 @@
 
 
 def count_fitting_tasks(worker: Worker, step: Step) -> int:
-    """Return how many tasks of a step fit what a worker has left."""
+    """Return how many tasks of a step fit the worker's free capacity."""
     entry = worker.entry
     sizes = (
         (entry.cpu - worker.cpu, 0 if step.best_effort else step.cpu),
@@ -167,7 +161,7 @@
 
 
 def count_fitting_when_idle(worker: Worker, step: Step) -> int:
-    """Return how many tasks of a step fit a worker that runs nothing."""
+    """Return how many tasks of a step fit the worker if it runs nothing."""
     entry = worker.entry
     sizes = (
         (entry.cpu, step.cpu),
@@ -175,22 +169,22 @@
         (entry.accelerators, step.accelerators),
     )
     most = step.per_worker or step.count
-    return min([most, *(whole // part for whole, part in sizes if part)])
+    return min([most, *(total // part for total, part in sizes if part)])
 
 
 def fits_when_idle(worker: Worker, step: Step) -> bool:
-    """Tell whether a task of a step fits a worker that runs nothing."""
+    """Return whether a task of a step fits the worker if it runs nothing."""
     return count_fitting_when_idle(worker, step) > 0
 
 
 def reserve_run(worker: Worker, run: Run) -> None:
-    """Take the room of a run."""
+    """Add a run to its worker and reserve its resources."""
     worker.runs[run.task] = run
     _adjust_usage(worker, run, 1)
 
 
 def release_run(worker: Worker, run: Run) -> None:
-    """Give the room of a run back, for good."""
+    """Remove a run from its worker and release its resources."""
     if run.phase is Phase.STOPPING and not run.step.best_effort:
         worker.stopping_cpu -= run.step.cpu
     run.phase = Phase.ENDED
@@ -200,23 +194,24 @@
 
 
 def mark_stopping(worker: Worker, run: Run) -> None:
-    """Take note that a run is being stopped; its room is taken until it has ended."""
+    """Mark a run as stopping; its resources stay reserved until it has ended."""
     if run.phase is not Phase.STOPPING and not run.step.best_effort:
         worker.stopping_cpu += run.step.cpu
     run.phase = Phase.STOPPING
 
 
 def bound_freeable_cpu(worker: Worker, priority: int) -> int:
-    """Return more cores than stops could free for a task of a priority, or as many."""
+    """Return an upper bound on the CPU that stops could free for a task of a priority."""
     preemptible_cpu = sum(cpu for other, cpu in worker.preemptible_cpu.items() if other > priority)
     return worker.entry.cpu - worker.cpu + worker.stopping_cpu + preemptible_cpu
 
 
 def grant_lease(worker: Worker, until: float) -> int:
     """
-    Return a lease's end on the worker's clock, and remember when it has ended for certain.
+    Return a lease's end on the worker's clock, and record when it has expired for certain.
 
-    ``until`` is on the local clock.  Orders may arrive late, but the end that they carry is fixed.
+    ``until`` is on the local clock. Orders may arrive late, but the lease end that they carry is
+    fixed.
     """
     ahead = max(0.0, until - worker.clock_read_at)
     deadline = worker.clock + int(ahead * 1_000)
--- a/toucanpin/scheduling/write_batches.py
+++ b/toucanpin/scheduling/write_batches.py
@@ -1,8 +1,8 @@
 """
-Batches
-=======
+Write batches
+=============
 
-What one transaction of a cell's owner carries, and what may be done once it is written.
+Content of one transaction of a cell's owner, and what follows once it is written.
 """
 
 from __future__ import annotations
@@ -16,16 +16,16 @@
 __all__ = ["MAX_FORGOTTEN", "WriteBatch", "apply_batch", "has_pending_writes", "take_batch"]
 
 MAX_ROWS = 90  # of a transaction's 100 entries; the owner's row takes two
-MAX_FORGOTTEN = 5  # jobs that are forgotten at a time
+MAX_FORGOTTEN = 5  # jobs per transaction
 MAX_BYTES = 400_000  # of a transaction's 1 MB, which base64 makes a third larger
 
 
 @dataclass(frozen=True, slots=True)
 class WriteBatch:
     """
-    Hold one transaction's content and what waits for it.
+    Content of one transaction and the actions that depend on it.
 
-    ``records`` are the progress of jobs by id; ``forgotten`` are jobs whose progress is dropped;
+    ``records`` has the progress of jobs by id; ``forgotten`` are jobs whose progress is deleted;
     ``placed`` are runs to be started and ``ends`` the newest written end of each worker.
     """
 
@@ -36,12 +36,12 @@
 
 
 def has_pending_writes(cell: Cell) -> bool:
-    """Tell whether something waits to be written."""
+    """Return whether anything is to be written."""
     return bool(cell.dirty or cell.end_sequences or cell.progress_rows_to_delete)
 
 
 def take_batch(cell: Cell) -> WriteBatch:
-    """Take what waits, as far as one transaction holds it."""
+    """Remove pending writes from the cell, up to the limits of one transaction."""
     records: dict[str, bytes] = {}
     size = 0
     for identifier in list(cell.dirty):
@@ -50,12 +50,12 @@
         del cell.dirty[identifier]
         records[identifier] = encode_progress(cell.jobs[identifier].progress)
         size += len(records[identifier])
-    # Ends and starts wait for the rows of all jobs that they changed.
-    whole = not cell.dirty
-    placed = [run for run in cell.placed if whole or run.task.job not in cell.dirty]
-    cell.placed = [run for run in cell.placed if not whole and run.task.job in cell.dirty]
-    ends = dict(cell.end_sequences) if whole else {}
-    if whole:
+    # Ends and starts depend on the rows of all jobs that they changed.
+    complete = not cell.dirty
+    placed = [run for run in cell.placed if complete or run.task.job not in cell.dirty]
+    cell.placed = [run for run in cell.placed if not complete and run.task.job in cell.dirty]
+    ends = dict(cell.end_sequences) if complete else {}
+    if complete:
         cell.end_sequences.clear()
     forgotten = tuple(cell.progress_rows_to_delete[:MAX_FORGOTTEN])
     del cell.progress_rows_to_delete[: len(forgotten)]
@@ -63,14 +63,14 @@
 
 
 def apply_batch(cell: Cell, batch: WriteBatch) -> list[Run]:
-    """Take note that a batch is written; return the runs that may be started."""
+    """Apply a batch that is written; return the runs that may be started."""
     for identifier, sequence in batch.ends.items():
         worker = cell.workers.get(identifier)
         if worker is not None:
             worker.acknowledged = max(worker.acknowledged, sequence)
     started = []
     for run in batch.placed:
-        # A job may have been cancelled while its places were being written.
+        # A job may have been cancelled while its placements were written.
         if run.phase is Phase.PLACED:
             run.phase = Phase.ORDERED
             started.append(run)
