--- a/toucanpin/platform/tests/scripted_server.py
+++ b/toucanpin/platform/tests/scripted_server.py
@@ -1,4 +1,4 @@
-"""A server on a loopback socket that sends scripted bytes and breaks off where a test says."""
+"""A server on a loopback socket that sends scripted bytes and can end connections early."""
 
 from __future__ import annotations
 
@@ -14,7 +14,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """Send bytes once the request was read (unless ``unread``); then keep, close, reset or hang."""
+    """
+    Bytes to send in answer to a request, and what to do with the connection afterwards.
+
+    ``then`` is "keep", "close", "reset" or "hang".  The request is read first unless ``unread``.
+    """
 
     sent: bytes = b""
     then: str = "close"
@@ -22,12 +26,12 @@
 
 
 class ScriptedServer:
-    """Serve one connection after the other, one reply for each request."""
+    """Serve one connection at a time, with one reply per request."""
 
     def __init__(self, *replies: Reply) -> None:
         self.requests: list[bytes] = []
         self._replies = list(replies)
-        self._ended = threading.Event()
+        self._closing = threading.Event()
         self._socket = socket.create_server(("127.0.0.1", 0))
         self.port: int = self._socket.getsockname()[1]
         self.url = f"http://127.0.0.1:{self.port}"
@@ -35,31 +39,31 @@
         self._thread.start()
 
     def close(self) -> None:
-        """End the server and free its port."""
-        self._ended.set()
+        """Stop the server and close its connections."""
+        self._closing.set()
         self._socket.shutdown(socket.SHUT_RDWR)
         self._socket.close()
         self._thread.join()
 
     def _serve(self) -> None:
-        held = []
+        connections = []
         while self._replies:
             try:
                 connection, _ = self._socket.accept()
             except OSError:
                 break
-            held.append(connection)
+            connections.append(connection)
             self._serve_connection(connection)
-        self._ended.wait()
-        for connection in held:
+        self._closing.wait()
+        for connection in connections:
             connection.close()
 
     def _serve_connection(self, connection: socket.socket) -> None:
         while self._replies:
             reply = self._replies[0]
             if reply.unread:
-                # A reset before the client has written could strike while it still connects, and
-                # that is another case: nothing was sent then.
+                # Wait for the first byte: a reset while the client still connects is another
+                # case, in which nothing was sent.
                 connection.recv(1, socket.MSG_PEEK)
             elif not self._read_request(connection):
                 return
--- a/toucanpin/platform/tests/test_http.py
+++ b/toucanpin/platform/tests/test_http.py
@@ -1,4 +1,4 @@
-"""Tests of the HTTP adapters against every place at which an exchange can break."""
+"""Tests of the HTTP adapters against exchanges that fail at every possible point."""
 
 import unittest
 
@@ -62,10 +62,10 @@
         self.assertIsInstance(fault, Conflict)
         self.assertEqual(fault.rows[0].value, b"\x01\x02")
 
-    def test_nobody_listens(self):
+    def test_refused_connection_is_unavailable(self):
         """
-        The platform is down and its port closed.  No byte of the commit has left, so it has had no
-        effect and the caller may repeat it as it is.
+        The platform is down and its port is closed.  Nothing of the commit was sent, so it had no
+        effect and may be repeated unchanged.
         """
         fault = self.table(f"http://127.0.0.1:{find_closed_port()}").commit(TRANSACTION).error
         self.assertIsInstance(fault, Unavailable)
@@ -73,20 +73,20 @@
     def test_refusal_that_states_no_effect(self):
         self.assertIsInstance(self.commit(Reply(NO_EFFECT)).error, Unavailable)
 
-    def test_503_that_states_nothing(self):
+    def test_503_without_effect_header_is_unknown(self):
         """
-        A proxy of the platform answers 503 after it has passed the commit on.  Taken for "no
-        effect", the commit would be repeated and might apply twice.
+        A proxy of the platform answers 503 after it has forwarded the commit.  If the 503 counted
+        as "no effect", the commit would be repeated and might be applied twice.
         """
         self.assertTrue(is_unknown(self.commit(Reply(answer(b"", 503)))))
 
-    def test_connection_broken_at_every_byte(self):
+    def test_answer_truncated_at_every_byte(self):
         """
-        The platform applies the commit, and its answer is cut after some bytes: none, half a
-        status line, a whole head, half a body.  The caller must see that the commit may have taken
-        effect at every cut, with a close as with a reset, and success only for the whole answer.
+        The platform applies the commit, and its answer is truncated after any number of bytes by a
+        close or a reset.  Only the complete answer may count as success; with any other, the commit
+        may have taken effect.
         """
-        refused = len(NO_EFFECT.rstrip())  # The last blank line adds nothing to what was stated.
+        refused = len(NO_EFFECT.rstrip())  # without the final blank line, which adds no information
         for whole, last in ((APPLIED, len(APPLIED)), (NO_EFFECT, refused)):
             for then in ("close", "reset"):
                 for cut in range(last):
@@ -95,18 +95,18 @@
 
     def test_reset_before_the_request_is_read(self):
         """
-        The connection is made, and the platform resets it while the commit is written.  Nobody can
-        tell how much had been read, so it may have taken effect.
+        The platform resets the connection while the commit is being written.  It is unknown how
+        much the platform had read, so the commit may have taken effect.
         """
         self.assertTrue(is_unknown(self.commit(Reply(b"", "reset", unread=True))))
 
-    def test_no_answer_in_time(self):
+    def test_time_out_is_unknown(self):
         self.assertTrue(is_unknown(self.commit(Reply(b"", "hang"), timeout=0.05)))
 
     def test_late_answer_does_not_reach_the_next_commit(self):
         """
-        The first commit times out and its answer comes later, on a connection that was kept.  Read
-        by the next commit, that answer would tell it of a version that it never got.
+        The first commit times out and its answer arrives later.  If the connection were reused, the
+        next commit would read that answer and return a version that isn't its own.
         """
         server = self.serve(
             Reply(answer(b'{"version":1}')[:20], "hang"), Reply(answer(b'{"version":2}'))
@@ -115,11 +115,10 @@
         self.assertTrue(is_unknown(table.commit(TRANSACTION)))
         self.assertEqual(table.commit(TRANSACTION).ok, Committed(2))
 
-    def test_kept_connection_that_the_platform_closes(self):
+    def test_closed_idle_connection_is_not_retried(self):
         """
-        The first commit leaves its connection open.  The platform reads the second commit on it and
-        closes without an answer, as one that is shutting down does.  A library that repeats by
-        itself would commit twice.
+        The platform reads the second commit on a reused connection and closes it without an answer,
+        as it does when shutting down.  A library that retries automatically would commit twice.
         """
         server = self.serve(
             Reply(answer(b'{"version":1}'), "keep"), Reply(b""), Reply(answer(b'{"version":3}'))
@@ -129,14 +128,14 @@
         self.assertTrue(is_unknown(table.commit(TRANSACTION)))
         self.assertEqual(len(server.requests), 2)
 
-    def test_answers_that_break_the_dialect(self):
+    def test_invalid_answers_are_unknown(self):
         bodies = (b"", b"{", b"[]", b'{"version":"x"}', b"\xff\xfe", b"[" * 5_000)
-        broken = [answer(body) for body in bodies]
-        broken += [answer(body, 409) for body in bodies]
-        broken += [answer(b'{"version":1}', status) for status in (201, 301, 400, 404, 500, 503)]
-        broken += [b"HTTP/1.1 200 x\r\n\r\n{", b"SSH-2.0-x\r\n\r\n", b"HTTP/1.1 abc\r\n\r\n"]
-        broken += [chunk(b"{}").replace(b"2\r\n", b"zz\r\n", 1), b"\x00" * 70_000]
-        for whole in broken:
+        invalid = [answer(body) for body in bodies]
+        invalid += [answer(body, 409) for body in bodies]
+        invalid += [answer(b'{"version":1}', status) for status in (201, 301, 400, 404, 500, 503)]
+        invalid += [b"HTTP/1.1 200 x\r\n\r\n{", b"SSH-2.0-x\r\n\r\n", b"HTTP/1.1 abc\r\n\r\n"]
+        invalid += [chunk(b"{}").replace(b"2\r\n", b"zz\r\n", 1), b"\x00" * 70_000]
+        for whole in invalid:
             with self.subTest(whole=whole[:60]):
                 self.assertTrue(is_unknown(self.commit(Reply(whole))))
 
@@ -151,7 +150,7 @@
         with self.assertRaises(ValueError):
             self.table("http://127.0.0.1:1").commit(Transaction("t", writes))
 
-    def test_client_names_itself(self):
+    def test_client_header(self):
         server = self.serve(Reply(answer(b'{"version":7}')))
         self.table(server.url).commit(TRANSACTION)
         self.assertIn(b"Toucanpin-Client: entry1/control\r\n", server.requests[0])
@@ -163,10 +162,10 @@
         self.addCleanup(objects.close)
         return objects.get("a/b ?")
 
-    def test_cut_object_never_looks_whole(self):
+    def test_truncated_object_is_unknown(self):
         """
-        The store breaks off in the middle of a checkpoint.  Taken as whole, a job would resume from
-        half of its work.
+        The store closes the connection in the middle of a checkpoint.  If that counted as complete,
+        a job would resume from a truncated checkpoint.
         """
         whole = answer(b"x" * 30)
         for cut in range(len(whole)):
@@ -176,25 +175,25 @@
 
     def test_chunked_object_is_refused(self):
         """
-        A chunked object is cut within its end mark, and the library takes it for whole.  The
-        dialect states lengths, so any chunked answer is a fault.
+        The library takes a chunked object that is truncated within its final chunk for complete.
+        The platform always states lengths, so any chunked answer is a fault.
         """
         whole = chunk(b"x" * 30)
         for cut in range(len(whole) + 1):
             with self.subTest(cut=cut):
                 self.assertTrue(is_unknown(self.get(whole[:cut])))
 
-    def test_object_without_stated_end(self):
+    def test_object_without_length_is_unknown(self):
         self.assertTrue(is_unknown(self.get(b"HTTP/1.1 200 x\r\n\r\nhalf")))
 
-    def test_absence_is_only_what_the_store_states(self):
+    def test_absence_requires_the_absent_header(self):
         stated = answer(b"", 404, "Toucanpin-Object: absent\r\n")
         self.assertIsNone(self.get(stated).ok)
         self.assertTrue(is_unknown(self.get(answer(b"", 404))))
 
 
 class HostListTest(AdapterTest):
-    def test_broken_list_is_a_fault(self):
+    def test_invalid_list_is_unknown(self):
         hosts = HttpHostList(self.serve(Reply(answer(b'{"hosts":[{"name":1}]}'))).url, "c")
         self.addCleanup(hosts.close)
         self.assertTrue(is_unknown(hosts.hosts()))
@@ -207,16 +206,16 @@
         host = ListedHost("w1", HostRole.WORKER, "s", "r", "127.0.0.1", port)
         return workers.poll(host, POLL)
 
-    def test_worker_that_is_gone_was_not_reached(self):
+    def test_refused_connection_was_not_reached(self):
         self.assertFalse(self.poll(find_closed_port()).error.reached)
 
     def test_worker_that_states_no_effect_was_not_reached(self):
         self.assertFalse(self.poll(self.serve(Reply(NO_EFFECT)).port).error.reached)
 
-    def test_worker_that_breaks_off_may_have_acted(self):
+    def test_worker_with_invalid_report_was_reached(self):
         """
-        The worker takes a start order and its report is lost, wholly or in part.  The task may be
-        running; an owner that believes the opposite starts it elsewhere as well.
+        The worker accepts a start order and its report is lost or truncated.  The task may be
+        running; an owner that assumed otherwise would start it on another worker as well.
         """
         for reply in (Reply(b""), Reply(answer(b"{}")), Reply(answer(b"x" * 9)[:-3], "reset")):
             with self.subTest(reply=reply):
--- a/toucanpin/platform/tests/test_nodefile.py
+++ b/toucanpin/platform/tests/test_nodefile.py
@@ -1,4 +1,4 @@
-"""Settings files of the platform."""
+"""Tests of the node settings file."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class SettingsTest(unittest.TestCase):
-    def test_names_become_fields_in_seconds(self) -> None:
+    def test_values_are_converted_to_seconds(self) -> None:
         settings = parse_settings(GOOD)
         self.assertEqual("edge-1", settings.name)
         self.assertEqual("here", settings.data_centre)
@@ -31,7 +31,7 @@
         self.assertEqual(8.0, settings.bounds.longest_lease)
         self.assertEqual(90.0, settings.bounds.keep_ended)
 
-    def test_each_fault_is_named(self) -> None:
+    def test_error_lists_all_faults(self) -> None:
         text = GOOD.replace("nodeName=edge-1\n", "").replace("=8000", "=soon")
         text = text.replace("controlMode=invoke", "controlMode=heartbeat")
         text = text.replace("listen.front=10.1.0.13:8161", "listen.front=nowhere")
--- a/toucanpin/platform/tests/test_store_and_workers.py
+++ b/toucanpin/platform/tests/test_store_and_workers.py
@@ -1,4 +1,4 @@
-"""Calls of the store and of workers: what is sent and read, and how they fail."""
+"""Tests of the clients of the store and of workers, and of decoding the platform's documents."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class ScriptedTransport:
-    """Answer each call of the store with the next scripted answer."""
+    """Transport that returns scripted answers and records the calls."""
 
     def __init__(self, *answers: Answer) -> None:
         self.answers = list(answers)
@@ -42,8 +42,8 @@
     return Answer(status, {}, msgspec.json.encode(fields))
 
 
-class StoreCallsTest(unittest.IsolatedAsyncioTestCase):
-    async def test_a_transaction_names_what_it_expects(self) -> None:
+class StoreTest(unittest.IsolatedAsyncioTestCase):
+    async def test_transaction_request(self) -> None:
         caller = ScriptedTransport(_answer(200, rowVersion=7, nowMs=50))
         store = Store(caller)
         result = await store.transact("p", (ExpectedVersion("t", "k", 3),), (Put("t", "k", b"v"),))
@@ -53,14 +53,14 @@
         self.assertEqual(expected, body["expectedRevision"])
         self.assertEqual("dg==", body["puts"][0]["value"])
 
-    async def test_a_conflict_carries_the_rows_as_they_are(self) -> None:
+    async def test_conflict_returns_current_rows(self) -> None:
         row = {"table": "t", "part": "p", "key": "k", "value": "dg==", "rowVersion": 9}
         store = Store(ScriptedTransport(_answer(412, rows=[row], rowVersion=9, nowMs=1)))
         result = await store.transact("p", (ExpectedVersion("t", "k", 3),), ())
         assert isinstance(result, Conflict)
         self.assertEqual((b"v", 9), (result.rows[0].value, result.rows[0].version))
 
-    async def test_refusals_had_no_effect_and_garbage_may_have_had_one(self) -> None:
+    async def test_verdicts_of_refusals_and_invalid_answers(self) -> None:
         cases = (
             (_answer(503), Verdict.NOT_RUN),
             (_answer(429), Verdict.NOT_RUN),
@@ -72,11 +72,11 @@
                 await Store(ScriptedTransport(answer)).transact("p", (), ())
             self.assertIs(verdict, caught.exception.verdict)
 
-    async def test_an_unknown_status_is_a_fault_of_the_protocol(self) -> None:
+    async def test_unknown_status_raises_platform_error(self) -> None:
         with self.assertRaises(PlatformError):
             await Store(ScriptedTransport(_answer(302))).read("t")
 
-    async def test_pages_are_put_together(self) -> None:
+    async def test_read_all_joins_pages(self) -> None:
         first = {"table": "t", "part": "", "key": "a", "value": "dg==", "rowVersion": 1}
         second = {**first, "key": "b", "rowVersion": 2}
         caller = ScriptedTransport(
@@ -88,11 +88,11 @@
         self.assertEqual(5, page.version)
         self.assertIn("from=a%00", caller.calls[1][1])
 
-    async def test_a_page_tells_its_own_moment_however_late_it_comes(self) -> None:
+    async def test_late_page_keeps_its_own_clock(self) -> None:
         """
-        An answer to a watch comes late, after newer ones to other calls.  Its page was given the
-        time of the newest answer, so an owner claimed to know all jobs of a moment that it hadn't
-        seen, and callers were told counts without the jobs handed in since.
+        The answer to a watch arrives after newer answers to other calls.  If its page had the clock
+        of the newest answer, an owner would claim to know all jobs up to a time that it has not
+        seen, and counts told to callers would lack the jobs submitted since.
         """
         caller = ScriptedTransport(
             _answer(200, nowMs=9_000), _answer(200, rowVersion=4, nowMs=7_000)
@@ -104,11 +104,11 @@
         self.assertEqual((4, 7_000), (page.version, page.clock))
         self.assertEqual(9_000, store.clock)
 
-    async def test_a_dropped_history_is_told_from_silence(self) -> None:
+    async def test_follow_returns_none_for_dropped_history(self) -> None:
         self.assertIsNone(await Store(ScriptedTransport(_answer(410))).follow("t", 3, 1.0))
 
 
-class WorkerCallsTest(unittest.IsolatedAsyncioTestCase):
+class WorkerClientTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
         from standins.site.site import free_port
 
@@ -122,24 +122,24 @@
         self.server = Server(handle, 16_384, 65_536)
         address = f"127.0.0.1:{free_port()}"
         await self.server.listen(address)
-        self.calls = WorkerClient("i-1", address)
+        self.client = WorkerClient("i-1", address)
 
     async def asyncTearDown(self) -> None:
-        self.calls.close()
+        self.client.close()
         await self.server.drain(0.0)
 
-    def _set(self, status: int, **fields) -> None:
+    def _set_answer(self, status: int, **fields) -> None:
         self.answer = Response(status, msgspec.json.encode(fields))
 
-    async def test_a_hold_is_read_whole(self) -> None:
+    async def test_hold(self) -> None:
         name = encode_task(TASK)
-        self._set(
+        self._set_answer(
             200,
             clockMs=5,
             running=[[name, 2, "c1", 40, 12.5]],
             finished=[[9, name, 1, "failed", ""]],
         )
-        held = await self.calls.hold(3, 8, 100, 0.0, 1.0)
+        held = await self.client.hold(3, 8, 100, 0.0, 1.0)
         assert isinstance(held, PollAnswer)
         self.assertEqual((TASK, 2, "c1", 40, 12.5), _fields(held.running[0]))
         self.assertIs(RunEnd.FAILED, held.ended[0].end)
@@ -147,7 +147,7 @@
         self.assertEqual({"fencingToken": 3, "ackedSeq": 8, "deadlineMs": 100}, sent)
         self.assertEqual("i-1", self.requests[0].headers["x-expect-instance"])
 
-    async def test_each_reason_of_a_refusal_is_known(self) -> None:
+    async def test_refusal_reasons(self) -> None:
         reasons = {
             "fence": RefusalReason.FENCED,
             "old": RefusalReason.OLD_ATTEMPT,
@@ -156,43 +156,43 @@
             "ticket": RefusalReason.NO_TICKET,
         }
         for word, refused in reasons.items():
-            self._set(409, clockMs=1, reason=word)
-            answer = await self.calls.start(TASK, 1, "s", 100, 1)
+            self._set_answer(409, clockMs=1, reason=word)
+            answer = await self.client.start(TASK, 1, "s", 100, 1)
             self.assertIs(refused, answer.refused)
-        self._set(503)
-        answer = await self.calls.start(TASK, 1, "s", 100, 1)
+        self._set_answer(503)
+        answer = await self.client.start(TASK, 1, "s", 100, 1)
         self.assertIs(RefusalReason.UNHEALTHY, answer.refused)
-        self._set(409, clockMs=1, reason="mood")
+        self._set_answer(409, clockMs=1, reason="mood")
         with self.assertRaises(PlatformError):
-            await self.calls.start(TASK, 1, "s", 100, 1)
+            await self.client.start(TASK, 1, "s", 100, 1)
 
-    async def test_another_life_is_told_from_a_failure(self) -> None:
-        self._set(421)
+    async def test_other_incarnation_raises_worker_replaced_error(self) -> None:
+        self._set_answer(421)
         with self.assertRaises(WorkerReplacedError):
-            await self.calls.stop(TASK, 1, 1)
+            await self.client.stop(TASK, 1, 1)
 
-    async def test_a_broken_connection_may_have_had_an_effect(self) -> None:
+    async def test_aborted_connection_may_have_run(self) -> None:
         self.answer = None
         with self.assertRaises(CallError) as caught:
-            await self.calls.stop(TASK, 1, 1)
+            await self.client.stop(TASK, 1, 1)
         self.assertIs(Verdict.MAY_HAVE_RUN, caught.exception.verdict)
 
-    async def test_garbage_is_a_typed_error(self) -> None:
+    async def test_invalid_answer_raises_call_error(self) -> None:
         self.answer = Response(200, b"not json")
         with self.assertRaises(CallError):
-            await self.calls.hold(1, 0, 0, 0.0, 1.0)
+            await self.client.hold(1, 0, 0, 0.0, 1.0)
 
-    async def test_a_port_without_a_listener_had_no_effect(self) -> None:
+    async def test_refused_connection_is_not_run(self) -> None:
         from standins.site.site import free_port
 
-        calls = WorkerClient("i-1", f"127.0.0.1:{free_port()}")
+        client = WorkerClient("i-1", f"127.0.0.1:{free_port()}")
         with self.assertRaises(CallError) as caught:
-            await calls.stop(TASK, 1, 1)
+            await client.stop(TASK, 1, 1)
         self.assertIs(Verdict.NOT_RUN, caught.exception.verdict)
 
 
 class DocumentsTest(unittest.TestCase):
-    def test_a_worker_describes_itself(self) -> None:
+    def test_worker_entry_is_decoded(self) -> None:
         value = msgspec.json.encode(
             {
                 "service": "s",
@@ -211,7 +211,7 @@
         with self.assertRaises(PlatformError):
             decode_worker("i-1", b"{}")
 
-    def test_a_configuration_is_read_whole_or_not_at_all(self) -> None:
+    def test_configuration_is_decoded_or_refused(self) -> None:
         route = {"name": "q", "host": "h", "pathPrefix": "/p/", "service": "s", "maxAttempts": 3}
         document = {"version": 4, "routes": [route], "services": [{"name": "s"}]}
         configuration = decode_configuration(msgspec.json.encode(document))
@@ -220,7 +220,7 @@
         with self.assertRaises(PlatformError):
             decode_configuration(b'{"routes":[]}')
 
-    def test_names_of_tasks(self) -> None:
+    def test_task_key_round_trip(self) -> None:
         self.assertEqual(TASK, parse_task(encode_task(TASK)))
         with self.assertRaises(PlatformError):
             parse_task("a.b.c")
@@ -231,10 +231,10 @@
 
 
 class AdvisedQueueTest(unittest.TestCase):
-    def test_a_queue_with_advice_is_read(self) -> None:
+    def test_queue_with_advice_is_decoded(self) -> None:
         """
-        The operators give one queue a policy.  A document that no host can read would leave all of
-        them without a configuration, and every caller would be sent away.
+        Operators give a queue an advice policy.  If hosts couldn't decode such a document, none
+        would have a configuration, and they would refuse every caller.
         """
         advice = {"decisionMs": 480.0, "periodMs": 2.0, "validityMs": 3000}
         routes = [
--- a/toucanpin/platform/workers.py
+++ b/toucanpin/platform/workers.py
@@ -43,7 +43,7 @@
 MAX_MEMORY_MB = 1_000_000_000  # 1 PB
 MAX_ACCELERATORS = 10_000
 _INSTANCE_HEADER = "X-Expect-Instance"
-_ENDS = {
+_RUN_ENDS = {
     "done": RunEnd.DONE,
     "failed": RunEnd.FAILED,
     "stopped": RunEnd.STOPPED,
@@ -285,4 +285,4 @@
 
 
 def _to_ended(row: list) -> EndedRun:
-    return EndedRun(row[0], parse_task(row[1]), row[2], _ENDS[row[3]], row[4])
+    return EndedRun(row[0], parse_task(row[1]), row[2], _RUN_ENDS[row[3]], row[4])
