--- a/scenarios/peer.py
+++ b/scenarios/peer.py
@@ -25,7 +25,7 @@
 from toucanpin.bundles.signature import KeyRing
 from toucanpin.bundles.spread import Spread
 from toucanpin.membership.beat import Beat, Record, Timing
-from toucanpin.membership.incarnation import number_life
+from toucanpin.membership.incarnation import make_incarnation
 from toucanpin.membership.member import Member, Standing
 from toucanpin.membership.view import View
 from toucanpin.platform.ports import ListedHost
@@ -62,7 +62,7 @@
         self.site = site
         self.hosts: tuple[ListedHost, ...] = ()
         role = name.partition("/")[2]
-        own = Member(name, self.host, site, role, number_life(life), name, 1)
+        own = Member(name, self.host, site, role, make_incarnation(life), name, 1)
         self.view = View(own, TIMING, self.read_clock())
         self.spread = Spread(name, around.ring, SpreadTiming(), self.read_clock())
         self._sent = 0
--- a/toucanpin/daemon/bundles.py
+++ b/toucanpin/daemon/bundles.py
@@ -33,7 +33,7 @@
 from toucanpin.bundles.spread import Spread
 from toucanpin.daemon.gossip import Gossip
 from toucanpin.daemon.parts import EventSink
-from toucanpin.membership.incarnation import read_life
+from toucanpin.membership.incarnation import get_process_incarnation
 from toucanpin.membership.member import Member, Standing
 from toucanpin.platform.ports import Table
 from toucanpin.timeline.event import Cause
@@ -304,7 +304,9 @@
 
 
 def _to_cause(envelope: Envelope) -> Cause:
-    return Cause(envelope.sender, envelope.event, str(read_life(envelope.incarnation)))
+    return Cause(
+        envelope.sender, envelope.event, str(get_process_incarnation(envelope.incarnation))
+    )
 
 
 def _decode(value: bytes, peer: str) -> BundleRecord | None:
--- a/toucanpin/daemon/root.py
+++ b/toucanpin/daemon/root.py
@@ -36,7 +36,7 @@
 from toucanpin.daemon.web import mount_apps
 from toucanpin.exception import SettingsError
 from toucanpin.membership.beat import Timing
-from toucanpin.membership.incarnation import begin_incarnation, read_life
+from toucanpin.membership.incarnation import begin_incarnation, get_process_incarnation
 from toucanpin.membership.member import Member
 from toucanpin.placement.leases import LeaseTerms
 from toucanpin.platform.http import HttpHostList, HttpObjectStore, HttpTable, HttpWorkers
@@ -99,7 +99,7 @@
         process = settings.process
         self.name = f"{process.host}/{process.role}"
         incarnation = begin_incarnation(time.time())
-        self.life = read_life(incarnation)
+        self.life = get_process_incarnation(incarnation)
         self.metrics = Metrics(process, settings.telemetry)
         self.recorder = Recorder(self.name, str(self.life), time.monotonic, time.time)
         self._connect_platform()
@@ -152,7 +152,7 @@
 
     def _hear(self, envelope: Envelope) -> None:
         """Let what this process records next come after what the sender had recorded."""
-        life = str(read_life(envelope.incarnation))
+        life = str(get_process_incarnation(envelope.incarnation))
         self.recorder.hear(Cause(envelope.sender, envelope.event, life))
 
     def build(self) -> Daemon:
--- a/toucanpin/daemon/standstill.py
+++ b/toucanpin/daemon/standstill.py
@@ -13,7 +13,7 @@
 from expression import Result
 
 from toucanpin.daemon.gossip import Gossip
-from toucanpin.membership.incarnation import read_life
+from toucanpin.membership.incarnation import get_process_incarnation
 from toucanpin.membership.member import Member
 from toucanpin.placement.records import ControllerId
 from toucanpin.wire.client import InnerClient
@@ -58,7 +58,9 @@
             # taker could then start the same task elsewhere.
             if message.seconds > term:
                 return StandstillAnswer(False, f"terms differ: {message.seconds} s, here {term} s")
-            promised = answer(ControllerId(envelope.sender, read_life(envelope.incarnation)))
+            promised = answer(
+                ControllerId(envelope.sender, get_process_incarnation(envelope.incarnation))
+            )
             return StandstillAnswer(promised)
 
         return handle
@@ -73,14 +75,14 @@
             case Result(tag="ok", ok=received):
                 match received.message:
                     case StandstillAnswer(promised=promised):
-                        return promised and read_life(received.envelope.incarnation) == (
-                            peer.incarnation
-                        )
+                        return promised and get_process_incarnation(
+                            received.envelope.incarnation
+                        ) == (peer.incarnation)
         return False
 
     def _find(self, peer: ControllerId) -> Member | None:
         """Find the member that is the peer."""
         for member in self._gossip.members():
-            if member.name == peer.process and member.life == peer.incarnation:
+            if member.name == peer.process and member.process_incarnation == peer.incarnation:
                 return member
         return None
--- a/toucanpin/daemon/tests/test_control.py
+++ b/toucanpin/daemon/tests/test_control.py
@@ -15,7 +15,7 @@
 from toucanpin.bundles.schema import Bundle, StandingTask
 from toucanpin.daemon.control import Control, PollPool
 from toucanpin.daemon.jobs import JobsApp
-from toucanpin.membership.incarnation import number_life
+from toucanpin.membership.incarnation import make_incarnation
 from toucanpin.membership.member import Member
 from toucanpin.placement.actions import WorkerPoll
 from toucanpin.placement.records import AuthorityRow, CellRow, decode
@@ -47,7 +47,7 @@
 
     def members(self):
         """Serve as the membership."""
-        return (Member("e0/control", "e0", "s", "control", number_life(1), "127.0.0.1", 1),)
+        return (Member("e0/control", "e0", "s", "control", make_incarnation(1), "127.0.0.1", 1),)
 
     def current(self):
         """Serve as the bundle in force."""
--- a/toucanpin/membership/member.py
+++ b/toucanpin/membership/member.py
@@ -2,7 +2,7 @@
 Members
 =======
 
-What one process knows of another: where it is, which life of it this is and whether it answers.
+What one process knows of another: its address, its incarnation and whether it answers.
 """
 
 from __future__ import annotations
@@ -10,13 +10,13 @@
 import enum
 from dataclasses import dataclass
 
-from toucanpin.membership.incarnation import read_life
+from toucanpin.membership.incarnation import get_process_incarnation
 
 __all__ = ["Member", "Standing"]
 
 
 class Standing(enum.Enum):
-    """Say what membership believes of a process; a hint, never a proof."""
+    """State of a process as membership sees it; a hint, never a proof."""
 
     ALIVE = "alive"
     SUSPECT = "suspect"
@@ -27,9 +27,9 @@
 @dataclass(frozen=True, slots=True)
 class Member:
     """
-    Describe one process of the system.
+    One process of the system.
 
-    ``name`` is ``<host>/<role>``; ``incarnation`` only grows over the lives of one name;
+    ``name`` is ``<host>/<role>``; ``incarnation`` only grows, also over restarts of a process;
     ``address`` and ``port`` are those of the inner protocol; ``bundle`` is the version in force.
     """
 
@@ -44,6 +44,6 @@
     bundle: int = 0
 
     @property
-    def life(self) -> int:
-        """Return the number of this life, which refuted suspicions do not change."""
-        return read_life(self.incarnation)
+    def process_incarnation(self) -> int:
+        """Return the incarnation of the process, which refuted suspicions do not change."""
+        return get_process_incarnation(self.incarnation)
--- a/toucanpin/placement/state.py
+++ b/toucanpin/placement/state.py
@@ -89,7 +89,7 @@
 
     def _list_controllers(self, standings: tuple[Standing, ...]) -> tuple[ControllerId, ...]:
         chosen = (it for it in self.members if it.role == CONTROL_ROLE and it.standing in standings)
-        return tuple(sorted(ControllerId(it.name, it.life) for it in chosen))
+        return tuple(sorted(ControllerId(it.name, it.process_incarnation) for it in chosen))
 
 
 @dataclass(slots=True)
--- a/toucanpin/placement/tests/world.py
+++ b/toucanpin/placement/tests/world.py
@@ -20,7 +20,7 @@
 from standins.work import Work
 from standins.worker import WorkerCore
 from toucanpin.bundles.schema import Bundle, StandingTask
-from toucanpin.membership.incarnation import number_life
+from toucanpin.membership.incarnation import make_incarnation
 from toucanpin.membership.member import Member
 from toucanpin.placement.actions import (
     Answer,
@@ -172,7 +172,7 @@
                 name,
                 "s",
                 "control",
-                number_life(it.controller_id.incarnation),
+                make_incarnation(it.controller_id.incarnation),
                 "127.0.0.1",
                 1,
             )
