--- a/toucanpin/scheduling/tests/fleet.py
+++ b/toucanpin/scheduling/tests/fleet.py
@@ -44,8 +44,8 @@
 
 __all__ = ["Fleet", "make_job"]
 
-STEP = 0.05  # s of the virtual clock
-BACK = 3.0  # s until a worker that crashed is back with a new life
+TIME_STEP_S = 0.05  # s of the virtual clock
+RESTART_TIME_S = 3.0  # s until a worker that crashed is back with a new life
 
 
 def make_job(identifier: str = "j1", steps: tuple[Step, ...] = (Step(cpu=1_000),), **fields) -> Job:
@@ -65,7 +65,7 @@
         self.jobs: dict[str, Job] = {}
         self.store_up = True
         self.unlisted: set[str] = set()
-        self.double: list[TaskKey] = []
+        self.duplicate_runs: list[TaskKey] = []
         self.crashing: set[TaskKey] = set()  # tasks that crash each worker that starts them
         self.crashes: list[TaskKey] = []
         self._down: list[tuple[float, WorkerEntry]] = []
@@ -85,7 +85,7 @@
 
     def crash(self, name: str) -> None:
         """End a worker's life; its entry stays until another life begins at its address."""
-        self._down.append((self.time + BACK, self.workers.pop(name).entry))
+        self._down.append((self.time + RESTART_TIME_S, self.workers.pop(name).entry))
 
     def now(self) -> Now:
         """Return the virtual clocks."""
@@ -110,7 +110,7 @@
 
     def run(self, seconds: float) -> None:
         """Let time pass."""
-        for _ in range(round(seconds / STEP)):
+        for _ in range(round(seconds / TIME_STEP_S)):
             self._turn()
 
     def state(self, job: str) -> int:
@@ -121,11 +121,11 @@
         return Cell("c", token, self.time + OWNER_AUTHORITY_S * 1.04 + 0.4, self.time)
 
     def _turn(self) -> None:
-        self.time += STEP
-        self._revive()
+        self.time += TIME_STEP_S
+        self._restart_crashed()
         for worker in self.workers.values():
             worker.advance(self.time)
-        self._find_doubles()
+        self._find_duplicate_runs()
         entries = [worker.entry for worker in self.workers.values()]
         entries += [entry for _, entry in self._down]
         listed = [entry for entry in entries if entry.id not in self.unlisted]
@@ -145,26 +145,26 @@
         self._send_starts()
         self._send_orders()
 
-    def _revive(self) -> None:
-        back = [entry for at, entry in self._down if at <= self.time]
+    def _restart_crashed(self) -> None:
+        restarted = [entry for at, entry in self._down if at <= self.time]
         self._down = [(at, entry) for at, entry in self._down if at > self.time]
-        for entry in back:
+        for entry in restarted:
             self.add_worker(f"{entry.id}'", entry.cpu)
 
     def _hold_all(self) -> None:
         for worker in list(self.cell.workers.values()):
-            there = self.workers.get(worker.entry.id)
+            core = self.workers.get(worker.entry.id)
             order = plan_poll(self.cell, worker, self.now())
-            if there is None:
+            if core is None:
                 if worker.entry.address and f"{worker.entry.id}'" in self.workers:
                     remove_replaced_worker(self.cell, worker, self.now())
                 else:
                     mark_silent(worker)
                 continue
-            if there.silent:
+            if core.silent:
                 mark_silent(worker)
                 continue
-            held = there.hold(self.cell.token, order.acknowledged, order.deadline, self.time)
+            held = core.hold(self.cell.token, order.acknowledged, order.deadline, self.time)
             assert isinstance(held, PollAnswer), held
             apply_answer(self.cell, worker, held, self.time, self.now())
 
@@ -178,12 +178,12 @@
             if not deadline:
                 again.append(run)
                 continue
-            there = self.workers.get(run.worker)
-            if there is None or there.silent:
+            core = self.workers.get(run.worker)
+            if core is None or core.silent:
                 following = apply_start_failure(self.cell, worker, run, False, self.now())
-            elif there.deaf:
+            elif core.deaf:
                 order = (self.time + 6.0, run.task, run.attempt, deadline, self.cell.token)
-                there.late.append(order)
+                core.late.append(order)
                 following = apply_start_failure(self.cell, worker, run, False, self.now())
             elif run.task in self.crashing:
                 self.crashes.append(run.task)
@@ -191,7 +191,7 @@
                 following = apply_start_failure(self.cell, worker, run, False, self.now())
             else:
                 token = self.cell.token
-                answer = there.start(run.task, run.attempt, deadline, token, self.time)
+                answer = core.start(run.task, run.attempt, deadline, token, self.time)
                 following = apply_start_answer(self.cell, worker, run, answer, self.now())
             if following is not StartOutcome.SETTLED:
                 again.append(run)
@@ -204,21 +204,21 @@
         self.stops = []
         for order in orders:
             worker = self.cell.workers.get(order.worker)
-            there = self.workers.get(order.worker)
-            if worker is None or there is None:
+            core = self.workers.get(order.worker)
+            if worker is None or core is None:
                 continue
-            if there.silent or there.deaf:
+            if core.silent or core.deaf:
                 self.stops.append(order)
                 continue
-            there.stop(order.task, order.attempt, self.cell.token)
+            core.stop(order.task, order.attempt, self.cell.token)
             run = worker.runs.get(order.task)
             if run is not None and run.attempt == order.attempt:
                 record_stop_acknowledged(worker, run, self.now())
 
-    def _find_doubles(self) -> None:
+    def _find_duplicate_runs(self) -> None:
         seen: set[TaskKey] = set()
         for worker in self.workers.values():
             for task in worker.runs:
                 if task in seen:
-                    self.double.append(task)
+                    self.duplicate_runs.append(task)
                 seen.add(task)
--- a/toucanpin/scheduling/tests/test_evacuating.py
+++ b/toucanpin/scheduling/tests/test_evacuating.py
@@ -47,7 +47,7 @@
         self.fleet.store_up = True
         self.fleet.run(4.0)
         self.assertEqual((0, 8), (len(self.here.starts), len(self.there.starts)))
-        self.assertFalse(self.fleet.double)
+        self.assertFalse(self.fleet.duplicate_runs)
 
     def test_a_start_without_an_answer_is_not_sent_again(self) -> None:
         """Guards against a start that is repeated, and begins, long after the evacuation."""
@@ -59,7 +59,7 @@
         self.here.deaf = False
         self.fleet.run(6.0)
         self.assertEqual((0, 8), (len(self.here.starts), len(self.there.starts)))
-        self.assertFalse(self.fleet.double)
+        self.assertFalse(self.fleet.duplicate_runs)
 
     def test_what_runs_there_goes_on(self) -> None:
         """Guards against work that is thrown away though it would end by itself."""
--- a/toucanpin/scheduling/tests/test_failures.py
+++ b/toucanpin/scheduling/tests/test_failures.py
@@ -36,7 +36,7 @@
             worker.deaf = False
         fleet.run(10.0)
         self.assertEqual(JobState.COMPLETED, fleet.state("j1"))
-        self.assertFalse(fleet.double)
+        self.assertFalse(fleet.duplicate_runs)
         starts = [start for worker in fleet.workers.values() for start in worker.starts]
         self.assertEqual(1, len(starts))
 
@@ -194,7 +194,7 @@
         fleet.run(LEASE_S - 1.0)
         self.assertEqual(1, sum(len(worker.runs) for worker in fleet.workers.values()))
         fleet.run(3.0)
-        self.assertFalse(fleet.double)
+        self.assertFalse(fleet.duplicate_runs)
         others = [worker for worker in fleet.workers.values() if worker is not holder]
         self.assertTrue(any(worker.runs for worker in others))
 
@@ -238,7 +238,7 @@
         fleet.add_worker("w1")
         fleet.run(4.0)
         self.assertEqual(JobState.COMPLETED, fleet.state("j1"))
-        self.assertFalse(fleet.double)
+        self.assertFalse(fleet.duplicate_runs)
 
 
 class ReplacedOwnerTest(unittest.TestCase):
@@ -272,7 +272,7 @@
         self.assertEqual({"j2"}, {task.job for task in other.runs})
         fleet.run(OWNER_AUTHORITY_S + 2.0)
         self.assertEqual({"j1", "j2"}, {task.job for task in other.runs})
-        self.assertFalse(fleet.double)
+        self.assertFalse(fleet.duplicate_runs)
 
     def test_a_worker_that_no_list_names_may_still_run_a_task(self) -> None:
         """
@@ -291,7 +291,7 @@
         fleet.run(LEASE_S - 1.0)
         self.assertEqual(1, sum(len(worker.runs) for worker in fleet.workers.values()))
         fleet.run(OWNER_AUTHORITY_S)
-        self.assertFalse(fleet.double)
+        self.assertFalse(fleet.duplicate_runs)
         self.assertEqual(2, sum(len(worker.starts) for worker in fleet.workers.values()))
 
     def test_an_unwritten_place_is_never_started(self) -> None:
@@ -362,7 +362,7 @@
             fleet.store_up = True
             worker.silent = worker.deaf = worker.failing = False
         fleet.run(30.0)
-        self.assertFalse(fleet.double)
+        self.assertFalse(fleet.duplicate_runs)
         for number in range(3):
             self.assertIn(fleet.state(f"j{number}"), (JobState.COMPLETED, JobState.CANCELLED))
 
--- a/toucanpin/scheduling/tests/test_job_lifecycle.py
+++ b/toucanpin/scheduling/tests/test_job_lifecycle.py
@@ -186,7 +186,7 @@
         fleet.run(0.5)
         self.assertFalse(fleet.workers["w0"].runs)
         self.assertTrue(other.runs)
-        self.assertFalse(fleet.double)
+        self.assertFalse(fleet.duplicate_runs)
 
     def test_jobs_that_wait_are_counted_until_a_task_starts(self) -> None:
         fleet = Fleet(workers=0)
--- a/toucanpin/scheduling/tests/test_moving.py
+++ b/toucanpin/scheduling/tests/test_moving.py
@@ -25,7 +25,7 @@
         fleet.submit(make_job(steps=(Step(count=3, cpu=1_000),)))
         fleet.run(5.0)
         self.assertEqual(JobState.COMPLETED, fleet.state("j1"))
-        self.assertFalse(fleet.double)
+        self.assertFalse(fleet.duplicate_runs)
 
     def test_a_task_stays_on_a_slow_worker_if_no_other_has_room(self) -> None:
         fleet = Fleet(workers=3, cpu=1_000)
@@ -57,7 +57,7 @@
         unheard.phase = Phase.ORDERED
         fleet.run(12.0)
         self.assertEqual(JobState.COMPLETED, fleet.state("j1"))
-        self.assertFalse(fleet.double)
+        self.assertFalse(fleet.duplicate_runs)
 
 
 class LateListTest(unittest.TestCase):
