--- a/toucanpin/scheduling/choosing.py
+++ b/toucanpin/scheduling/choosing.py
@@ -1,8 +1,8 @@
 """
-Choosing a worker
+Choice of workers
 =================
 
-Which workers may run a task of a step, and what each place costs.
+Select the workers that may run a task of a step, and rank them by cost.
 """
 
 from __future__ import annotations
@@ -26,34 +26,34 @@
 from toucanpin.scheduling.worker import Worker, count_fitting_tasks, has_room
 
 __all__ = [
-    "ReserveAccess",
     "CandidateWorkers",
     "PlacementRound",
-    "meets_constraints",
+    "ReserveAccess",
     "list_eligible",
     "may_place_long_running",
+    "meets_constraints",
 ]
 
-CONTACT_TIMEOUT_S = 2.5  # s without an answer after which a worker gets nothing new
-REMOTE_RACK_COST = 4.0  # weight of a place away from a step's data against a wholly idle worker's 1
-SUSPECT_COST = 100.0  # weight that leaves failing workers for the case that no other has room
-SAFE_SHARE = 0.75  # of the utilization that a target allows: below it nothing counts as disturbed
-INTERFERENCE_COST = 6.0  # weight of a whole such utilization more
-MAX_SHARE = 0.97  # of it: a task that fills waits rather than bring a serving one above
-OVERSUBSCRIPTION_COST = (
-    3.0  # weight of cores that are asked for and not there: tasks take that much longer
-)
-MAX_CORE_SHARE = 1.05  # of a worker's cores in use: more tasks that fill would only slow each other
-OTHER_IMAGE_COST = 1.5  # weight of each other image that serves on a worker
-RESERVE_COST = 20.0  # weight of a place that takes reserved cores
-UTILIZATION_MAX_AGE_S = 0.2  # s for which a sum counts; loads are measured as often
-WATCHED_TASK_COST = 1.0  # weight of each other task that is watched, for one that is watched itself
-CRASH_RISK_COST = 10.0  # weight of a whole worker's cores in use for a task that may crash it
-BEST_EFFORT_NEIGHBOUR_COST = 1.0  # weight against serving beside a worker full of what fills
+CONTACT_TIMEOUT_S = 2.5  # without an answer, after which a worker gets no new tasks
+# The costs of candidates are relative to the 1 that the free cores of an idle worker cost.  Shares
+# of utilization refer to the utilization at which a latency-critical task reaches its target.
+REMOTE_RACK_COST = 4.0  # on another rack than the step's data or its other tasks
+SUSPECT_COST = 100.0  # so high that suspect workers are used only if no other has room
+SAFE_SHARE = 0.75  # of utilization, below which no interference is counted
+INTERFERENCE_COST = 6.0  # per unit of the share of utilization above SAFE_SHARE
+MAX_SHARE = 0.97  # of utilization: best-effort tasks wait rather than raise a service above it
+OVERSUBSCRIPTION_COST = 3.0  # per missing share of the cores, by which all tasks take longer
+MAX_CORE_SHARE = 1.05  # of a worker's cores in use: more best-effort tasks only slow each other
+OTHER_IMAGE_COST = 1.5  # per other latency-critical image on the worker
+RESERVE_COST = 20.0  # of taking reserved cores
+UTILIZATION_MAX_AGE_S = 0.2  # loads are measured as often
+SUSPECTED_TASK_COST = 1.0  # per suspected task on the worker, for a task that is suspected itself
+CRASH_RISK_COST = 10.0  # per share of cores in use that a task on its last attempt puts at risk
+BEST_EFFORT_NEIGHBOUR_COST = 1.0  # per share of cores in use by best-effort tasks
 
 
 class ReserveAccess(enum.Enum):
-    """Say how far a task may take cores that are reserved for brief ones."""
+    """Permission of a task to use cores that are reserved for short ones."""
 
     NONE = "none"
     SPARE = "where there are two places"
@@ -63,9 +63,10 @@
 @dataclass(slots=True)
 class PlacementRound:
     """
-    Hold what one round of placing knows.
+    State of one round of placement.
 
-    ``reserved`` holds by claim what found only room that is reserved for brief tasks.
+    ``reserved`` holds, by the access that a task had, the demands that only reserved cores could
+    meet.
     """
 
     model: InterferenceModel
@@ -73,14 +74,14 @@
     reserved: dict[ReserveAccess, Shortage] = field(
         default_factory=lambda: {access: Shortage() for access in ReserveAccess}
     )
-    _brief: Shortage = field(default_factory=Shortage)
-    _lasting: Shortage = field(default_factory=Shortage)
+    _short: Shortage = field(default_factory=Shortage)
+    _long_running: Shortage = field(default_factory=Shortage)
 
     def utilization(self, worker: Worker) -> WorkerUtilization:
         """
-        Return how a worker fares.
+        Return the utilization of a worker, cached for a while.
 
-        Summed up in each round, this took most of a turn on a few hundred workers.
+        Computing it anew in each round would take most of a turn on a few hundred workers.
         """
         now = self.now.steady
         if worker.utilization is None or now > worker.utilization_at + UTILIZATION_MAX_AGE_S:
@@ -89,21 +90,25 @@
         return worker.utilization
 
     def is_saturated(self, worker: Worker, cpu: int) -> bool:
-        """Tell whether a worker's cores are in use, so that what fills would only be slowed."""
+        """Return whether a worker has too few idle cores for a best-effort task."""
         utilization = self.utilization(worker)
         return utilization.used + cpu > MAX_CORE_SHARE * utilization.capacity
 
-    def shortage(self, lasting: bool) -> Shortage:
-        """Return what found no room; brief tasks leave out workers that are kept for large ones."""
-        return self._lasting if lasting else self._brief
+    def shortage(self, long_running: bool) -> Shortage:
+        """
+        Return the unmet demands of long-running or of other tasks.
+
+        They are kept apart since workers reserved for large tasks are excluded for the latter only.
+        """
+        return self._long_running if long_running else self._short
 
 
 class CandidateWorkers:
     """
-    Hold the places that the tasks of a step could take, the cheapest first.
+    Workers that could run a task of a step, in a heap by cost.
 
-    ``doubt`` says how far these tasks are suspected of crashing workers; ``constraint_excluded``
-    says that a constraint of the step excluded a worker that has room.
+    ``suspicion`` says how far these tasks are suspected of crashing workers;
+    ``constraint_excluded`` says that a constraint of the step excluded a worker that has room.
     """
 
     __slots__ = (
@@ -113,7 +118,7 @@
         "_live",
         "_round",
         "_step",
-        "doubt",
+        "suspicion",
         "constraint_excluded",
     )
 
@@ -124,10 +129,10 @@
         group: Group,
         step: Step,
         eligible: Iterable[Worker],
-        doubt: CrashSuspicion = CrashSuspicion.NONE,
+        suspicion: CrashSuspicion = CrashSuspicion.NONE,
     ) -> None:
         self._round = round_
-        self.doubt = doubt
+        self.suspicion = suspicion
         self._live = live
         self._group = group
         self._step = step
@@ -137,31 +142,31 @@
         self.update_all()
 
     def update_all(self) -> None:
-        """Weigh all workers anew."""
-        weighed = (self._make_entry(number) for number in range(len(self._eligible)))
-        self._heap = [place for place in weighed if place is not None]
+        """Compute the costs of all workers anew."""
+        entries = (self._make_entry(number) for number in range(len(self._eligible)))
+        self._heap = [entry for entry in entries if entry is not None]
         heapq.heapify(self._heap)
 
     def best(self) -> Worker | None:
-        """Return the best worker for one more task, None if none may run it."""
+        """Return the cheapest worker for one more task, None if none may run it."""
         return self._heap[0][2] if self._heap else None
 
     def update_best(self) -> None:
-        """Weigh the best worker anew, which has got a task since."""
+        """Compute the cost of the cheapest worker anew, after a task was assigned to it."""
         _, number, _ = heapq.heappop(self._heap)
-        place = self._make_entry(number)
-        if place is not None:
-            heapq.heappush(self._heap, place)
+        entry = self._make_entry(number)
+        if entry is not None:
+            heapq.heappush(self._heap, entry)
 
     def list_by_cost(self) -> list[Worker]:
-        """Return all workers that could take a task, the best first."""
-        return [worker for _, _, worker in sorted(self._heap, key=lambda place: place[:2])]
+        """Return all workers that could take a task, the cheapest first."""
+        return [worker for _, _, worker in sorted(self._heap, key=lambda entry: entry[:2])]
 
     def _make_entry(self, number: int) -> tuple[float, int, Worker] | None:
         worker = self._eligible[number]
         step = self._step
         now = self._round.now
-        # On a full fleet this alone shuts out most workers, so it is looked at first.
+        # This is checked first since it excludes most workers of a full fleet.
         if step.best_effort and self._round.is_saturated(worker, step.cpu):
             return None
         if not has_room(worker, step):
@@ -169,7 +174,7 @@
         if not meets_constraints(worker, self._group, step):
             self.constraint_excluded = True
             return None
-        # Its trial may have got a task earlier in this round.
+        # A worker on trial gets one task at a time, and may have got one in this round.
         if _is_held_for_others(worker, self._live, now) or not is_trusted(worker, now):
             return None
         cost = (
@@ -181,13 +186,13 @@
             return None
         rack = self._live.racks.get(self._group, "")
         cost += _compute_state_cost(worker, step, rack, now)
-        if self.doubt:
-            cost += _compute_crash_cost(worker, step, self.doubt, now)
+        if self.suspicion:
+            cost += _compute_crash_cost(worker, step, self.suspicion, now)
         return cost, number, worker
 
 
 def list_eligible(cell: Cell, now: Now) -> list[Worker]:
-    """Return the workers that may get something new."""
+    """Return the workers that may get new tasks."""
     return [worker for worker in list_not_evacuated(cell) if _is_eligible(worker, now)]
 
 
@@ -195,21 +200,21 @@
     eligible: Iterable[Worker], group: Group, step: Step, access: ReserveAccess
 ) -> bool:
     """
-    Tell whether a lasting task may take a place now.
+    Return whether a long-running task may be placed now.
 
-    Lasting tasks would take the last cores of every worker and keep them, and brief urgent ones
-    would wait for seconds.
+    Without a reserve long-running tasks would occupy the last cores of every worker, and short
+    urgent ones would wait for seconds.
     """
     if access is ReserveAccess.ALL:
         return True
-    places = 0
+    free_places = 0
     for worker in eligible:
         if not _may_run(worker, group, step):
             continue
         if leaves_reserve(worker, step):
             return True
-        places += 1 if step.per_worker else count_fitting_tasks(worker, step)
-    return access is ReserveAccess.SPARE and places > 1
+        free_places += 1 if step.per_worker else count_fitting_tasks(worker, step)
+    return access is ReserveAccess.SPARE and free_places > 1
 
 
 def _is_eligible(worker: Worker, now: Now) -> bool:
@@ -227,7 +232,7 @@
 
 
 def meets_constraints(worker: Worker, group: Group, step: Step) -> bool:
-    """Tell whether a worker may run a task of a step, if it has room."""
+    """Return whether a worker meets a step's constraints, apart from free resources."""
     if step.label and step.label not in worker.entry.labels:
         return False
     return not step.per_worker or _count_group(worker, group) < step.per_worker
@@ -251,7 +256,7 @@
 
 
 def _compute_state_cost(worker: Worker, step: Step, rack: str, now: Now) -> float:
-    """Return what a worker's state and its distance from data and siblings cost."""
+    """Return the cost of a suspect worker and of the distance to data and sibling tasks."""
     cost = 0.0
     if worker.suspect_until > now.steady:
         cost += SUSPECT_COST + len(worker.failed_jobs)
@@ -262,54 +267,56 @@
     return cost
 
 
-def _compute_crash_cost(worker: Worker, step: Step, doubt: CrashSuspicion, now: Now) -> float:
+def _compute_crash_cost(worker: Worker, step: Step, suspicion: CrashSuspicion, now: Now) -> float:
     """
-    Return the cost of a place for a task under which workers were lost.
+    Return the cost of a worker for a task that ran on workers when they were lost.
 
-    Those lost together are kept apart, or all of them would be lost with the one that crashes.
-    Strewn lasting tasks would shut batch work out of many workers for as long as they run.
+    Suspected tasks are kept apart, since those on one worker would all be lost with the one that
+    crashes it.  Long-running tasks are not: spread over many workers they would exclude best-effort
+    tasks from them for as long as they run.
     """
-    cost = 0.0 if step.long_running else WATCHED_TASK_COST * count_suspected(worker, now)
-    if doubt is CrashSuspicion.LAST_ATTEMPT:
+    cost = 0.0 if step.long_running else SUSPECTED_TASK_COST * count_suspected(worker, now)
+    if suspicion is CrashSuspicion.LAST_ATTEMPT:
         cost += CRASH_RISK_COST * (worker.cpu + worker.best_effort_cpu) / max(1, worker.entry.cpu)
     return cost
 
 
 def _compute_packing_cost(worker: Worker, step: Step) -> float:
-    """Return the cost of a place for a task that takes room: the fullest worker comes first."""
-    whole = max(1, worker.entry.cpu)
-    # Wide tasks find whole workers later if narrow ones fill up what is begun.
-    left = 1 - (worker.cpu + step.cpu) / whole
+    """Return the cost of a worker for a task that reserves cores, the lowest for the fullest."""
+    capacity = max(1, worker.entry.cpu)
+    # Packing small tasks leaves whole workers for large ones.
+    free_share = 1 - (worker.cpu + step.cpu) / capacity
     cost = 0.0
     if step.long_running and not leaves_reserve(worker, step):
         cost += RESERVE_COST
     if step.target:
-        beside = BEST_EFFORT_NEIGHBOUR_COST * worker.best_effort_cpu / whole
-        return cost + left + beside + _compute_image_cost(worker, step.image)
-    return cost + left + 0.2 * worker.best_effort_count
+        neighbour_cost = BEST_EFFORT_NEIGHBOUR_COST * worker.best_effort_cpu / capacity
+        return cost + free_share + neighbour_cost + _compute_image_cost(worker, step.image)
+    return cost + free_share + 0.2 * worker.best_effort_count
 
 
 def _compute_best_effort_cost(round_: PlacementRound, worker: Worker, step: Step) -> float | None:
-    """Return the cost of a place for a task that fills, None if it would do harm there."""
+    """Return the cost of a worker for a best-effort task, None if it would interfere too much."""
     model = round_.model
     utilization = round_.utilization(worker)
-    asked = (utilization.used + step.cpu) / utilization.capacity
-    cost = asked if asked <= 1.0 else 1.0 + OVERSUBSCRIPTION_COST * (asked - 1.0)
+    core_share = (utilization.used + step.cpu) / utilization.capacity
+    cost = core_share if core_share <= 1.0 else 1.0 + OVERSUBSCRIPTION_COST * (core_share - 1.0)
     if not utilization.services:
         return cost
-    pressure = predict_share(model, utilization, step.image, step.cpu)
-    if pressure > MAX_SHARE:
+    share = predict_share(model, utilization, step.image, step.cpu)
+    if share > MAX_SHARE:
         return None
     rise = predict_rise(model, utilization, step.image, step.cpu)
-    return cost + INTERFERENCE_COST * max(0.0, pressure + rise - SAFE_SHARE)
+    return cost + INTERFERENCE_COST * max(0.0, share + rise - SAFE_SHARE)
 
 
 def _compute_image_cost(worker: Worker, image: str) -> float:
     """
-    Return the cost of serving beside other images.
+    Return the cost of placing a latency-critical task beside other images.
 
-    What fills beside a serving task must be harmless to its image, or its load low.
+    A best-effort task must be harmless to all latency-critical images on its worker, or their load
+    must be low.
     """
     images = {run.step.image for run in worker.runs.values() if run.step.target}
-    # Where an image serves already, one task more of it shuts out no further image that fills.
+    # One task more of an image that runs there excludes no further best-effort images.
     return 0.0 if image in images else OTHER_IMAGE_COST * len(images)
--- a/toucanpin/scheduling/gangs.py
+++ b/toucanpin/scheduling/gangs.py
@@ -44,9 +44,9 @@
         record_wait(cell, group, WaitReason.CRASHING, round_.now)
         return
     # All members share the failures of their gang, so any speaks for them.
-    doubted = max(members, key=lambda member: find_suspicion(live, member))
-    safe = list_retry_workers(live, doubted, eligible, round_.now)
-    candidates = CandidateWorkers(round_, live, group, step, safe, find_suspicion(live, doubted))
+    suspected = max(members, key=lambda member: find_suspicion(live, member))
+    safe = list_retry_workers(live, suspected, eligible, round_.now)
+    candidates = CandidateWorkers(round_, live, group, step, safe, find_suspicion(live, suspected))
     chosen = _choose_workers(candidates, live, group, step)
     if len(chosen) < step.count:
         live.racks.pop(group, None)
--- a/toucanpin/scheduling/large_tasks.py
+++ b/toucanpin/scheduling/large_tasks.py
@@ -1,8 +1,8 @@
 """
-LargeTaskReservation
-=======
+Reservation for large tasks
+===========================
 
-Keep workers from less urgent steps, for tasks that are too large for what is free.
+Withhold workers from less urgent steps for tasks that don't fit any worker's free resources.
 """
 
 from __future__ import annotations
@@ -17,15 +17,15 @@
 
 __all__ = ["LargeTaskReservation"]
 
-MAX_RESERVED_SHARE = 0.12  # of the workers that are reserved for large tasks at a time
+MAX_RESERVED_SHARE = 0.12  # of all workers
 
 
 class LargeTaskReservation:
     """
-    Hold the workers that less urgent steps may still have in one round of placing.
+    Workers that are left for less urgent steps in one round of placement.
 
-    Small tasks would take each core that becomes free, and a large one would wait for as long as
-    there are some.
+    Without a reservation small tasks would take each core that becomes free, and a large task would
+    wait for as long as small ones do.
     """
 
     __slots__ = ("_cell", "_min_eligible", "_by_free_cores", "eligible")
@@ -37,7 +37,7 @@
         self.eligible = eligible
 
     def reserve_for(self, group: Group, step: Step) -> None:
-        """Keep the roomiest worker that a step may have, if tasks of it still wait."""
+        """Reserve the worker with most free cores for a step, if tasks of it still wait."""
         if not self._cell.waiting[group] or step.best_effort or step.long_running or step.gang:
             return
         if len(self.eligible) <= self._min_eligible:
@@ -48,9 +48,10 @@
 
     def _take_with_most_cores(self, group: Group, step: Step) -> Worker | None:
         """
-        Return the worker with most room that a step may have, the first of equals.
+        Return the worker with most free cores that meets a step's constraints.
 
-        Rooms only shrink within a round, so one whose room is still what the heap says has most.
+        Free cores only shrink within a round, so the top of the heap is the maximum if its entry is
+        still correct.  Of equal workers the first is returned.
         """
         if not self._by_free_cores:
             pairs = enumerate(self.eligible)
@@ -61,13 +62,13 @@
         excluded: list[tuple[int, int, Worker]] = []
         found = None
         while self._by_free_cores and found is None:
-            room, number, worker = heapq.heappop(self._by_free_cores)
-            if room != -_count_free_cores(worker):
+            free_cores, number, worker = heapq.heappop(self._by_free_cores)
+            if free_cores != -_count_free_cores(worker):
                 heapq.heappush(self._by_free_cores, (-_count_free_cores(worker), number, worker))
             elif meets_constraints(worker, group, step):
                 found = worker
             else:
-                excluded.append((room, number, worker))
+                excluded.append((free_cores, number, worker))
         for entry in excluded:
             heapq.heappush(self._by_free_cores, entry)
         return found
--- a/toucanpin/scheduling/placing.py
+++ b/toucanpin/scheduling/placing.py
@@ -1,8 +1,8 @@
 """
-Placing
-=======
+Placement
+=========
 
-Give a worker to each task that waits, the most urgent first.
+Assign waiting tasks to workers, the most urgent first.
 """
 
 from __future__ import annotations
@@ -49,18 +49,19 @@
 
 __all__ = ["place_tasks"]
 
-# A lasting task that ran before and waits for longer takes the room that is kept for brief urgent
-# ones: users of its service miss it.  New ones that all did so would leave no room for brief tasks.
-RESERVE_WAIT_S = 1.0  # s
-NO_LIMIT = 1_000_000  # tasks: more than any cell runs
-MAX_PREEMPTIONS = 16  # tasks of a step that room is made for at a time
+# A long-running task that has run before and waits for longer than this may take cores that are
+# reserved for short urgent tasks, since its service is in use.  New ones may not: together they
+# would leave nothing to short tasks.
+RESERVE_WAIT_S = 1.0
+NO_LIMIT = 1_000_000  # more tasks than any cell runs
+MAX_PREEMPTIONS = 16  # tasks of a step for which others are stopped in one round
 
 
-def place_tasks(cell: Cell, model: InterferenceModel, now: Now, most: int = NO_LIMIT) -> None:
+def place_tasks(cell: Cell, model: InterferenceModel, now: Now, max_tasks: int = NO_LIMIT) -> None:
     """
-    Place what waits, about ``most`` tasks at a time; places count only once they are written.
+    Place about ``max_tasks`` waiting tasks at most, the most urgent first.
 
-    The least urgent wait for another turn.
+    An assignment takes effect only after it is written to the table.
     """
     if not cell.waiting:
         cell.waits.clear()
@@ -72,11 +73,11 @@
     preemption = PreemptionRound()
     least_urgent = _find_least_urgent(cell)
     for group in sorted(cell.waiting, key=lambda group: rank_group(cell, group, now)):
-        if len(cell.placed) >= most:
+        if len(cell.placed) >= max_tasks:
             break
         live = cell.jobs[group.job]
         step = live.job.steps[group.step]
-        # What is kept for large tasks mustn't hold up a task that has to last.
+        # Workers reserved for large tasks are available to long-running ones, which must not wait.
         allowed = all_eligible if step.long_running else reservation.eligible
         if live.job.advised:
             allowed = [w for w in allowed if find_ticket(cell, group, w.entry.id, now)]
@@ -97,9 +98,10 @@
 
 def _order_waiting(cell: Cell, live: LiveJob, group: Group) -> list[int]:
     """
-    Return the tasks of a step that wait.
+    Return the waiting tasks of a step in the order of placement.
 
-    Those come first that ran before, since users miss them, and of these the ones that crash least.
+    Tasks that have run before come first, since their service is in use, and of these the ones with
+    fewer crashes.
     """
     start = live.offsets[group.step]
     records = live.progress.tasks[group.occurrence]
@@ -112,7 +114,7 @@
 
 
 def _may_take_reserve(cell: Cell, live: LiveJob, group: Group, index: int, now: Now) -> bool:
-    """Tell whether a lasting task that ran before has waited for so long that any place will do."""
+    """Return whether a long-running task has run before and has waited for RESERVE_WAIT_S."""
     wait = cell.waits.get(group)
     if wait is None or now.steady <= wait.since + RESERVE_WAIT_S:
         return False
@@ -124,10 +126,10 @@
     cell: Cell, live: LiveJob, group: Group, index: int, now: Now
 ) -> ReserveAccess:
     """
-    Return how far a task may take reserved cores.
+    Return how far a task may use reserved cores.
 
-    The first task of a lasting step may take some: with nothing of it at work its service would
-    serve nobody while there is plenty of room.
+    The first task of a long-running step may use some: while none of its tasks runs, its service is
+    unavailable.
     """
     step = live.job.steps[group.step]
     if not step.long_running or _may_take_reserve(cell, live, group, index, now):
@@ -136,7 +138,7 @@
 
 
 def _find_least_urgent(cell: Cell) -> int:
-    """Return the highest number that stands for the priority of a job which runs."""
+    """Return the highest priority number, that of the least urgent running job."""
     running = (cell.jobs[job].job.priority for job in cell.runs if job in cell.jobs)
     return max(running, default=0)
 
@@ -150,7 +152,7 @@
     preemption: PreemptionRound,
     now: Now,
 ) -> None:
-    """Stop what is less urgent for the tasks of a step that found no place."""
+    """Stop less urgent tasks for the tasks of a step that found no worker."""
     preemptions: dict[bool, PreemptionCandidates] = {}
     for index in _order_waiting(cell, live, group)[:MAX_PREEMPTIONS]:
         task = TaskKey(group.job, group.occurrence, group.step, index)
@@ -161,7 +163,8 @@
             return
         safe = list_retry_workers(live, task, eligible, now)
         if len(safe) < len(eligible):
-            # What has failed is tried in fewer places, which tells nothing of its siblings.
+            # Fewer workers are allowed for a task that has failed, so this result doesn't apply to
+            # the other tasks of the step.
             PreemptionCandidates(
                 cell, group, step, safe, preemption, now, ignore_reserve
             ).preempt_for_one()
@@ -191,18 +194,18 @@
     now = round_.now
     for index in _order_waiting(cell, live, group):
         task = TaskKey(group.job, group.occurrence, group.step, index)
-        pause = _find_block(cell, live, task, now)
-        if pause is not None:
-            record_wait(cell, group, pause, now)
+        block = _find_block(cell, live, task, now)
+        if block is not None:
+            record_wait(cell, group, block, now)
             continue
         access = _find_reserve_access(cell, live, group, index, now)
         known = find_known_reason(round_, live, step, access)
         if known is not None:
             record_wait(cell, group, known, now)
             return
-        doubt = find_suspicion(live, task)
-        if candidates is None or candidates.doubt is not doubt:
-            candidates = CandidateWorkers(round_, live, group, step, eligible, doubt)
+        suspicion = find_suspicion(live, task)
+        if candidates is None or candidates.suspicion is not suspicion:
+            candidates = CandidateWorkers(round_, live, group, step, eligible, suspicion)
         worker = candidates.best()
         if worker is None:
             reason = _find_reason(live, step, eligible)
@@ -211,9 +214,9 @@
             record_shortage(round_, live, step, None, candidates.constraint_excluded)
             return
         chosen = candidates
-        if task in worker.runs or doubt is CrashSuspicion.LAST_ATTEMPT:
+        if task in worker.runs or suspicion is CrashSuspicion.LAST_ATTEMPT:
             safe = list_retry_workers(live, task, eligible, now)
-            chosen = CandidateWorkers(round_, live, group, step, safe, doubt)
+            chosen = CandidateWorkers(round_, live, group, step, safe, suspicion)
             worker = chosen.best()
         if worker is None or wastes_attempt(live, task, worker, eligible, now):
             why = WaitReason.NO_ROOM if worker is None else WaitReason.FAILING_WORKERS
@@ -231,7 +234,7 @@
 
 
 def _find_block(cell: Cell, live: LiveJob, task: TaskKey, now: Now) -> WaitReason | None:
-    """Return why a task may not be placed yet whatever room there is, None if it may."""
+    """Return why a task may not be placed yet on any worker, None if it may."""
     if cell.delayed_until.get(task, 0.0) > now.steady:
         return WaitReason.BACKOFF
     return WaitReason.CRASHING if is_start_blocked(cell, live, task) else None
@@ -239,10 +242,10 @@
 
 def _update_rack(cell: Cell, live: LiveJob, group: Group) -> None:
     """
-    Note the rack on which most tasks of a step run, if any do.
+    Set the rack of a step to the one on which most of its tasks run, if any do.
 
-    Only what runs tells it: a rack that was chosen once may be lost, and a new owner knows no
-    choice.  Four tasks were strewn over two racks in either case, and all of them were slow.
+    The rack chosen at first isn't kept: all its workers may be lost, and a new owner doesn't know
+    it.  In either case four tasks would be spread over two racks, which makes all of them slow.
     """
     racks = Counter(
         worker.rack
--- a/toucanpin/scheduling/preempting.py
+++ b/toucanpin/scheduling/preempting.py
@@ -2,7 +2,7 @@
 Preemption
 ==========
 
-Stop what is less urgent where an urgent task finds no room, with the least work lost.
+Stop less urgent tasks where an urgent one finds no free resources, with the least work lost.
 """
 
 from __future__ import annotations
@@ -20,15 +20,16 @@
 
 __all__ = ["FreedResources", "PreemptionCandidates", "PreemptionRound", "sum_stopping"]
 
-RESUME_LOSS_S = 0.3  # s of work that a task which resumes from its checkpoint loses
-# Stops end one after the other; without this, what waits would take the room of the first.
-HOLD_MARGIN_S = 0.4  # s beyond a stop that room is kept for those for whom it was made
-STOP_LOSS_S = 0.1  # s besides: a stop always costs a little
+RESUME_LOSS_S = 0.3  # of work that a task loses which resumes from its checkpoint
+# Time beyond that of a stop for which the freed resources are held for the urgent task.  Several
+# stops end one after the other, and other waiting tasks would take what the first one frees.
+HOLD_MARGIN_S = 0.4
+STOP_LOSS_S = 0.1  # of work that any stop costs
 
 
 @dataclass(slots=True)
 class FreedResources:
-    """Hold room that stops are about to free on a worker, less what urgent tasks will take."""
+    """Resources that stops will free on a worker, less those that urgent tasks will take."""
 
     cpu: int = 0
     memory: int = 0
@@ -36,7 +37,7 @@
 
 
 def sum_stopping(worker: Worker) -> FreedResources:
-    """Return the room that runs which are being stopped will free on a worker."""
+    """Return the resources that the runs being stopped on a worker will free."""
     freed = FreedResources()
     for run in worker.runs.values():
         if run.phase is Phase.STOPPING:
@@ -45,7 +46,7 @@
 
 
 class PreemptionRound:
-    """Hold what one round of placing knows of the room that stops can make."""
+    """State of preemption in one round of placement."""
 
     __slots__ = ("_freed", "_infeasible")
 
@@ -54,15 +55,15 @@
         self._infeasible = {False: Shortage(), True: Shortage()}
 
     def is_infeasible(self, step: Step, ignore_reserve: bool) -> bool:
-        """Tell whether no room could be made for a task that asks for no more."""
+        """Return whether stops could not free enough for a demand of at most this size."""
         return self._infeasible[step.long_running].covers(_make_demand(step, ignore_reserve))
 
     def mark_infeasible(self, step: Step, ignore_reserve: bool) -> None:
-        """Remember that no stops on any worker make room for a task of a step."""
+        """Remember that stops on no worker free enough for a task of a step."""
         self._infeasible[step.long_running].note(_make_demand(step, ignore_reserve))
 
     def get_freed(self, worker: Worker) -> FreedResources:
-        """Return the room that stops are about to free on a worker."""
+        """Return the resources that stops will free on a worker."""
         known = self._freed.get(worker.entry.id)
         if known is None:
             known = self._freed[worker.entry.id] = sum_stopping(worker)
@@ -70,13 +71,14 @@
 
 
 def _make_demand(step: Step, ignore_reserve: bool) -> Demand:
-    # A lasting task is placed only where this much is left, else its room would go to others.
+    # A long-running task is placed only beside the reserve.  Resources freed for it without the
+    # reserve would go to other tasks.
     return Demand.of(step, step.long_running and not ignore_reserve)
 
 
 class PreemptionCandidates:
     """
-    Hold where stops could make room for the tasks of a step, the least loss first.
+    Workers on which stops could free resources for a step, in a heap by the work lost.
 
     ``constraint_excluded`` says that a constraint of the step excluded a worker that may have room.
     """
@@ -119,10 +121,9 @@
 
     def preempt_for_one(self) -> bool:
         """
-        Make room for one task; return whether there will be some.
+        Stop what has to yield to one task; return whether there will be room for it.
 
-        Without this, batch work that came first would hold up urgent tasks until it ends, for
-        seconds.
+        Urgent tasks would otherwise wait for seconds until tasks that came first end.
         """
         if not self._heap:
             return False
@@ -160,7 +161,7 @@
 def _find_victims(
     cell: Cell, worker: Worker, group: Group, demand: Demand, freed: FreedResources, now: Now
 ) -> list[Run] | None:
-    """Return the runs to stop on a worker, empty if earlier stops suffice, None if none do."""
+    """Return the runs to stop on a worker, empty if earlier stops suffice, None if all don't."""
     entry = worker.entry
     cpu = entry.cpu - worker.cpu + freed.cpu - demand.required_cpu(worker.reserved_cpu)
     memory = entry.memory - worker.memory + freed.memory - demand.memory
--- a/toucanpin/scheduling/reserving.py
+++ b/toucanpin/scheduling/reserving.py
@@ -1,15 +1,15 @@
 """
-Reserve for brief tasks
+Reserve for short tasks
 =======================
 
-Choose the workers on which lasting tasks leave room for brief ones.
+Choose the workers on which long-running tasks leave cores free for short ones.
 
 Notes
 -----
-Lasting jobs that ask for more cores than there are take each place that they may have, and keep it.
-A part of each worker that they leave free is lost to brief tasks which ask for more than that part;
-the same cores on few workers that stay whole serve brief tasks of any size.  Batch work that fills
-disturbs nobody there, since nothing serves beside it.
+Long-running jobs that request more cores than there are occupy all cores that they may use, and
+keep them.  A reserve on every worker would be too small for large short tasks; the same number of
+cores on a few whole workers fits short tasks of any size.  Best-effort tasks may run on reserved
+cores, since there are no latency-critical tasks beside them.
 """
 
 from __future__ import annotations
@@ -25,52 +25,53 @@
 
 MIN_RESERVED_SHARE = 0.05  # of all cores
 MAX_RESERVED_SHARE = 0.1  # of all cores
-PEAK_DECAY_S = 10.0  # s in which what is remembered of a peak falls to a third
-RESERVE_PERIOD_S = 0.25  # s between choices
+PEAK_DECAY_S = 10.0  # in which a recorded peak falls to a third
+RESERVE_PERIOD_S = 0.25
 
 
 def reserve_cores(cell: Cell, eligible: Sequence[Worker], now: Now) -> None:
-    """Reserve cores on the workers that have least lasting work, whole ones if there are any."""
+    """Reserve cores on the workers with the least long-running work, preferably on idle ones."""
     if now.steady < cell.reserved_at + RESERVE_PERIOD_S:
         return
     cell.reserved_at = now.steady
     for worker in cell.workers.values():
         worker.reserved_cpu = 0
-    left = _compute_reserve(cell, eligible)
+    missing = _compute_reserve(cell, eligible)
     for worker in sorted(eligible, key=_rank):
         free = max(0, worker.entry.cpu - worker.cpu)
-        if free >= left:
-            worker.reserved_cpu = left
+        if free >= missing:
+            worker.reserved_cpu = missing
             return
-        # What brief tasks hold now is theirs when they end, or lasting ones would take it then.
+        # Cores that short tasks use now stay reserved when these end, or long-running tasks would
+        # take them.
         worker.reserved_cpu = max(0, worker.entry.cpu - worker.long_running_cpu)
-        left -= free
+        missing -= free
 
 
 def _compute_reserve(cell: Cell, eligible: Sequence[Worker]) -> int:
     """
-    Return the cores to reserve: what brief tasks asked for lately, less what they hold now.
+    Return the cores to reserve: the recent peak demand of short tasks, less what they use now.
 
-    Lasting tasks keep what they once have, so an owner that has seen no load yet reserves most, and
-    gives up what turns out not to be needed.
+    Long-running tasks keep cores once they have them, so a new owner without a recorded peak
+    reserves the maximum and then gives up what isn't needed.
     """
-    whole = sum(worker.entry.cpu for worker in eligible)
+    total = sum(worker.entry.cpu for worker in eligible)
     held = sum(worker.cpu - worker.long_running_cpu for worker in eligible)
     remembered = (
-        cell.short_task_peak if cell.short_task_peak is not None else MAX_RESERVED_SHARE * whole
+        cell.short_task_peak if cell.short_task_peak is not None else MAX_RESERVED_SHARE * total
     )
     cell.short_task_peak = max(
         held + _sum_waiting_cpu(cell), remembered * math.exp(-RESERVE_PERIOD_S / PEAK_DECAY_S)
     )
     return int(
         min(
-            MAX_RESERVED_SHARE * whole, max(MIN_RESERVED_SHARE * whole, cell.short_task_peak - held)
+            MAX_RESERVED_SHARE * total, max(MIN_RESERVED_SHARE * total, cell.short_task_peak - held)
         )
     )
 
 
 def _sum_waiting_cpu(cell: Cell) -> int:
-    """Return the cores that waiting brief tasks ask for."""
+    """Return the cores that waiting short tasks request."""
     cores = 0
     for group, waiting in cell.waiting.items():
         step = cell.jobs[group.job].job.steps[group.step]
@@ -80,11 +81,11 @@
 
 
 def leaves_reserve(worker: Worker, step: Step) -> bool:
-    """Tell whether one more task of a step leaves a worker's reserved cores free."""
+    """Return whether one more task of a step leaves a worker's reserved cores free."""
     return worker.cpu + step.cpu <= worker.entry.cpu - worker.reserved_cpu
 
 
 def _rank(worker: Worker) -> tuple[float, str]:
-    # Equal workers come in one order for all owners, or each new one would choose others and those
-    # chosen before would fill up.
+    # Ties are broken by id, so that a new owner reserves the same workers.  Otherwise long-running
+    # tasks would fill those that the earlier owner had reserved.
     return worker.long_running_cpu / max(1, worker.entry.cpu), worker.entry.id
--- a/toucanpin/scheduling/shortage.py
+++ b/toucanpin/scheduling/shortage.py
@@ -1,8 +1,8 @@
 """
-Shortage
-========
+Unmet demands
+=============
 
-Remember for one round of placing what found no room.
+Remember which demands could not be met in one round of placement.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Demand:
-    """Hold what a task asks for; ``spares_reserve`` says that it leaves reserved cores free."""
+    """Resources that a task requires; with ``spares_reserve``, beside the reserved cores."""
 
     cpu: int
     memory: int
@@ -25,16 +25,16 @@
 
     @classmethod
     def of(cls, step: Step, spares_reserve: bool = False) -> Demand:
-        """Return what a task of a step asks for."""
+        """Return the demand of a task of a step."""
         cpu = 0 if step.best_effort else step.cpu
         return cls(cpu, step.memory, step.accelerators, spares_reserve)
 
     def required_cpu(self, reserved: int) -> int:
-        """Return the cores that have to be free on a worker with so many reserved ones."""
+        """Return the cores that have to be free on a worker with ``reserved`` cores reserved."""
         return self.cpu + reserved if self.spares_reserve else self.cpu
 
     def is_within(self, other: Demand) -> bool:
-        """Tell whether another demand is at least as large in everything."""
+        """Return whether another demand is at least as large in every resource."""
         return (
             self.cpu <= other.cpu
             and self.memory <= other.memory
@@ -46,20 +46,19 @@
 @dataclass(slots=True)
 class Shortage:
     """
-    Hold the demands for which no worker has room.
+    Demands that no worker can meet.
 
-    Steps come by priority, and within a round room is only taken, so what one of them didn't find
-    none finds that comes later and asks for as much.  Without this each step that waits would look
-    at each worker, in each turn.
+    Free resources only shrink within a round, so a demand that one step could not place fails for
+    all later steps too.  This avoids that each waiting step checks each worker in each turn.
     """
 
     _known: list[Demand] = field(default_factory=list)
 
     def covers(self, demand: Demand) -> bool:
-        """Tell whether a demand that is no larger found no room."""
+        """Return whether a demand of at most this size could not be met."""
         return any(known.is_within(demand) for known in self._known)
 
     def note(self, demand: Demand) -> None:
-        """Remember a demand that found no room."""
+        """Add a demand that could not be met."""
         self._known = [known for known in self._known if not demand.is_within(known)]
         self._known.append(demand)
