--- a/toucanpin/scheduling/tests/test_configuration.py
+++ b/toucanpin/scheduling/tests/test_configuration.py
@@ -1,4 +1,4 @@
-"""Which queue a request names."""
+"""Routing of requests to queues."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     def setUp(self) -> None:
         self.index = QueueIndex(QUEUES)
 
-    def test_the_longest_prefix_of_the_host_or_of_any_counts_the_first_of_equals(self) -> None:
+    def test_longest_prefix_wins_then_first_queue(self) -> None:
         for host, path, name in (
             ("a.example", "/jobs/1", "jobs"),
             ("A.Example:80", "/jobs/night/1", "night"),
@@ -32,19 +32,19 @@
             assert queue is not None
             self.assertEqual(name, queue.name, (host, path))
 
-    def test_no_queue_is_found_where_none_fits(self) -> None:
+    def test_no_queue_matches(self) -> None:
         index = QueueIndex(QUEUES[1:4])
         self.assertIsNone(index.find("b.example", "/jobs/1"))
         self.assertIsNone(index.find("a.example", "/"))
 
-    def test_names_are_known(self) -> None:
+    def test_has_finds_queues_by_name(self) -> None:
         self.assertTrue(self.index.has("night"))
         self.assertFalse(self.index.has("day"))
 
-    def test_queues_are_gone_through_once_and_not_by_each_request(self) -> None:
+    def test_requests_do_not_iterate_over_all_queues(self) -> None:
         """
-        The operators add 4,200 queues.  Each request compared its path with all of them, 0.2 ms of
-        processor time, and a count went through them twice.
+        Guards against a linear search per request, which took 0.2 ms of processor time with 4,200
+        queues.
         """
         queues = _Counted(Queue(f"q{n}", "a.example", f"/jobs/{n}/", "c") for n in range(4_200))
         index = QueueIndex(queues)
@@ -58,7 +58,7 @@
 
 
 class _Counted(tuple[Queue, ...]):
-    """Count how often all queues are gone through."""
+    """Counts the iterations over all queues."""
 
     rounds = 0
 
--- a/toucanpin/scheduling/tests/test_crashing.py
+++ b/toucanpin/scheduling/tests/test_crashing.py
@@ -1,4 +1,4 @@
-"""Tasks that crash each worker that starts them, and workers that crash by themselves."""
+"""Tasks that crash every worker that runs them, and workers that crash for other reasons."""
 
 from __future__ import annotations
 
@@ -17,21 +17,21 @@
 from toucanpin.scheduling.tests.fleet import Fleet, make_job
 
 # A task is started at most twice more after three workers have crashed under it.
-MOST_STARTS = 5
+MAX_STARTS = 5
 
 
 class CrashingTaskTest(unittest.TestCase):
-    def test_a_task_that_crashes_each_worker_is_given_up(self) -> None:
-        """Guards against crash loops: a task took one worker after the other for a whole day."""
+    def test_task_that_crashes_every_worker_fails(self) -> None:
+        """Guards against crash loops: a task that crashes its worker right after each start."""
         fleet = Fleet(workers=8)
         fleet.crashing = {TaskKey("bad", 0, 0, 1)}
         fleet.submit(make_job("bad", (Step(count=2, cpu=1_000),), max_failures=2))
         fleet.run(60.0)
-        self.assertLessEqual(len(fleet.crashes), MOST_STARTS)
+        self.assertLessEqual(len(fleet.crashes), MAX_STARTS)
         self.assertEqual(JobState.FAILED, fleet.state("bad"))
 
-    def test_a_task_that_crashes_each_worker_after_a_while_is_given_up(self) -> None:
-        """Guards against crash loops of tasks that are at work before their workers crash."""
+    def test_task_that_crashes_every_worker_later_fails(self) -> None:
+        """Guards against crash loops of tasks that run for a while before their workers crash."""
         fleet = Fleet(workers=8)
         for worker in fleet.workers.values():
             worker.lasts = 4.0
@@ -43,40 +43,44 @@
                 if any(run.started < fleet.time - 2.0 for run in worker.runs.values()):
                     fleet.crash(name)
                     crashes += 1
-        self.assertLessEqual(crashes, MOST_STARTS)
+        self.assertLessEqual(crashes, MAX_STARTS)
         self.assertEqual(JobState.FAILED, fleet.state("bad"))
 
-    def test_a_lasting_task_that_crashes_each_worker_is_given_up(self) -> None:
-        """Guards against crash loops of tasks that are started again however they end."""
+    def test_long_running_task_that_crashes_every_worker_fails(self) -> None:
+        """
+        Guards against crash loops of long-running tasks, which are restarted however they end.
+        """
         fleet = Fleet(workers=8)
         fleet.crashing = {TaskKey("bad", 0, 0, 0)}
         fleet.submit(make_job("bad", (Step(count=2, cpu=1_000, long_running=True),)))
         fleet.run(60.0)
-        self.assertLessEqual(len(fleet.crashes), MOST_STARTS)
+        self.assertLessEqual(len(fleet.crashes), MAX_STARTS)
         self.assertEqual(JobState.FAILED, fleet.state("bad"))
 
-    def test_copies_of_a_task_do_not_crash_a_worker_each(self) -> None:
-        """Guards against copies that are begun before it is known what became of the first."""
+    def test_copies_of_a_task_share_the_crash_limit(self) -> None:
+        """
+        Guards against copies that are started before the loss of the first one's worker is known.
+        """
         fleet = Fleet(workers=12)
         fleet.crashing = {TaskKey("bad", 0, 0, 0)}
         fleet.submit(make_job("bad", (Step(cpu=1_000, speculative=True),), max_failures=2))
         fleet.run(60.0)
-        self.assertLessEqual(Counter(fleet.crashes)[TaskKey("bad", 0, 0, 0)], MOST_STARTS)
+        self.assertLessEqual(Counter(fleet.crashes)[TaskKey("bad", 0, 0, 0)], MAX_STARTS)
         self.assertEqual(JobState.FAILED, fleet.state("bad"))
 
-    def test_a_gang_with_a_task_that_crashes_each_worker_is_given_up(self) -> None:
-        """Guards against gangs of which one member takes a worker at each try."""
+    def test_gang_with_a_crashing_member_fails(self) -> None:
+        """Guards against gangs of which one member crashes a worker at each attempt."""
         fleet = Fleet(workers=8)
         for worker in fleet.workers.values():
             worker.lasts = 100.0
         fleet.crashing = {TaskKey("bad", 0, 0, 2)}
         fleet.submit(make_job("bad", (Step(count=3, cpu=1_000, gang=True),), max_failures=2))
         fleet.run(60.0)
-        self.assertLessEqual(len(fleet.crashes), MOST_STARTS)
+        self.assertLessEqual(len(fleet.crashes), MAX_STARTS)
         self.assertEqual(JobState.FAILED, fleet.state("bad"))
 
-    def test_crashes_are_counted_by_the_next_owner(self) -> None:
-        """Guards against counts that are lost with an owner: each began from nothing."""
+    def test_crash_counts_survive_owner_changes(self) -> None:
+        """Guards against counts that start again from zero with each owner."""
         fleet = Fleet(workers=12)
         fleet.crashing = {TaskKey("bad", 0, 0, 0)}
         fleet.submit(make_job("bad"))
@@ -86,29 +90,31 @@
                 fleet.run(0.1)
             fleet.run(0.3)
             fleet.replace_owner()
-        self.assertLessEqual(len(fleet.crashes), MOST_STARTS)
+        self.assertLessEqual(len(fleet.crashes), MAX_STARTS)
         self.assertEqual(JobState.FAILED, fleet.state("bad"))
 
-    def test_neighbours_of_a_crashing_task_are_not_given_up(self) -> None:
-        """Guards against giving up what is lost with a crashing task again and again."""
-        for lasting in (False, True):
-            with self.subTest(lasting=lasting):
+    def test_neighbours_of_a_crashing_task_do_not_fail(self) -> None:
+        """Guards against failing tasks that are repeatedly lost with a crashing task."""
+        for long_running in (False, True):
+            with self.subTest(long_running=long_running):
                 fleet = Fleet(workers=4, cpu=16_000)
                 for worker in fleet.workers.values():
                     worker.lasts = 4.0
                 fleet.crashing = {TaskKey("bad", 0, 0, 0)}
-                step = Step(cpu=1_000, long_running=lasting)
+                step = Step(cpu=1_000, long_running=long_running)
                 names = [f"good{number}" for number in range(24)]
                 for name in names:
                     fleet.submit(make_job(name, (step,)))
                 fleet.submit(make_job("bad", (step,)))
                 fleet.run(40.0)
                 self.assertEqual(JobState.FAILED, fleet.state("bad"))
-                expected = JobState.ACTIVE if lasting else JobState.COMPLETED
+                expected = JobState.ACTIVE if long_running else JobState.COMPLETED
                 self.assertEqual({expected}, {JobState(fleet.state(name)) for name in names})
 
-    def test_crashes_that_another_task_explains_count_no_more(self) -> None:
-        """Guards against failing what was lost with a crashing task, and once more by chance."""
+    def test_losses_explained_by_another_task_are_discarded(self) -> None:
+        """
+        Guards against failing a task that was lost with a crashing task, and once more by chance.
+        """
         fleet = Fleet(workers=8, cpu=8_000)
         for worker in fleet.workers.values():
             worker.lasts = 100.0
@@ -126,8 +132,8 @@
 
 
 class CrashingWorkerTest(unittest.TestCase):
-    def test_workers_that_crash_by_themselves_fail_no_job(self) -> None:
-        """Guards against blaming tasks for crashes that go through a fleet at random."""
+    def test_random_worker_crashes_fail_no_job(self) -> None:
+        """Guards against blaming tasks for crashes that hit a fleet at random."""
         for seed in range(5):
             with self.subTest(seed=seed):
                 random = Random(seed)
@@ -143,8 +149,10 @@
                 self.assertEqual({JobState.COMPLETED}, {fleet.state(name) for name in names})
                 self.assertEqual(JobState.ACTIVE, fleet.state("lasting"))
 
-    def test_workers_that_crash_again_and_again_fail_no_job(self) -> None:
-        """Guards against trying what was lost on workers that are just back, and about to go."""
+    def test_repeatedly_crashing_workers_fail_no_job(self) -> None:
+        """
+        Guards against retries of lost tasks on workers that have just restarted and crash again.
+        """
         fleet = Fleet(workers=8)
         machines = [f"w{number}" for number in range(4)]
         names = [f"j{number}" for number in range(60)]
@@ -160,8 +168,10 @@
         fleet.run(40.0)
         self.assertEqual({JobState.COMPLETED}, {fleet.state(name) for name in names})
 
-    def test_workers_that_were_cut_off_count_against_no_task(self) -> None:
-        """Guards against taking lost contact for crashes: the task runs to its end elsewhere."""
+    def test_disconnected_workers_count_against_no_task(self) -> None:
+        """
+        Guards against counting a lost connection as a crash: the task runs to its end elsewhere.
+        """
         fleet = Fleet(workers=4)
         for worker in fleet.workers.values():
             worker.lasts = 4.0
@@ -178,8 +188,8 @@
         fleet.run(6.0)
         self.assertEqual(JobState.COMPLETED, fleet.state("j1"))
 
-    def test_an_owner_that_knows_no_worker_yet_gives_nothing_up(self) -> None:
-        """Guards against taking workers for gone that a new owner hasn't heard of so far."""
+    def test_owner_without_worker_list_fails_no_job(self) -> None:
+        """Guards against a new owner that considers workers gone which it hasn't listed yet."""
         fleet = Fleet(workers=4)
         fleet.submit(make_job("j1"))
         fleet.run(0.5)
@@ -191,8 +201,8 @@
         fleet.run(3.0)
         self.assertEqual(JobState.COMPLETED, fleet.state("j1"))
 
-    def test_workers_that_leave_as_announced_count_against_no_task(self) -> None:
-        """Guards against taking planned ends for crashes."""
+    def test_announced_shutdowns_count_against_no_task(self) -> None:
+        """Guards against counting announced shutdowns of workers as crashes."""
         fleet = Fleet(workers=8)
         for worker in fleet.workers.values():
             worker.lasts = 100.0
--- a/toucanpin/scheduling/tests/test_failures.py
+++ b/toucanpin/scheduling/tests/test_failures.py
@@ -21,11 +21,10 @@
 
 
 class LostAnswerTest(unittest.TestCase):
-    def test_a_start_without_an_answer_runs_once(self) -> None:
+    def test_unanswered_start_runs_once(self) -> None:
         """
-        The caller waits for its job.  The worker doesn't answer a start and carries it out 6 s
-        later.  The owner may neither place the task elsewhere nor forget the late order: a stop
-        that the worker acknowledges comes first.
+        A worker doesn't answer a start and carries it out 6 s later. Guards against a second run:
+        the owner may place the task elsewhere only once the worker has acknowledged a stop.
         """
         fleet = Fleet()
         for worker in fleet.workers.values():
@@ -40,10 +39,10 @@
         starts = [start for worker in fleet.workers.values() for start in worker.starts]
         self.assertEqual(1, len(starts))
 
-    def test_a_cancelled_job_is_not_started_by_an_order_that_comes_late(self) -> None:
+    def test_cancelled_job_is_not_started_by_a_late_order(self) -> None:
         """
-        The caller cancels while a start has no answer.  The worker would carry the start out 6 s
-        later, when nobody thinks of the job any more; the stop that it acknowledged prevents it.
+        A job is cancelled while a start has no answer, and the worker would carry the start out 6 s
+        later. The stop that it acknowledged has to prevent that.
         """
         fleet = Fleet(workers=1)
         fleet.workers["w0"].deaf = True
@@ -57,8 +56,8 @@
 
     def test_ends_are_acknowledged_only_once_they_are_written(self) -> None:
         """
-        The table is away as a task ends.  An acknowledged end is forgotten by the worker, so an
-        owner that died before the write would run the task a second time.
+        The table is down as a task ends. The worker forgets an acknowledged end, so an owner that
+        died before the write would run the task a second time.
         """
         fleet = Fleet(workers=1)
         fleet.submit(make_job())
@@ -74,10 +73,10 @@
 
 
 class RefusedStartTest(unittest.TestCase):
-    def test_a_refused_start_leaves_nothing_that_could_be_sent_again(self) -> None:
+    def test_refused_start_is_not_repeated(self) -> None:
         """
-        A worker refuses a start for want of room, and the task is placed elsewhere.  Were the first
-        start repeated it would find room a moment later, and the task would run twice.
+        A worker refuses a start for lack of capacity, and the task is placed elsewhere. A repeated
+        start could succeed a moment later, and the task would run twice.
         """
         fleet = Fleet()
         fleet.run(0.2)
@@ -95,8 +94,8 @@
         (again,) = apply_batch(fleet.cell, take_batch(fleet.cell))
         self.assertNotEqual(run.worker, again.worker)
 
-    def test_a_start_that_no_worker_understands_is_not_repeated_without_a_pause(self) -> None:
-        """Guards against a loop of places, writes and refusals as fast as the store answers."""
+    def test_malformed_start_is_retried_with_a_delay(self) -> None:
+        """Guards against a loop of placements, writes and refusals as fast as the store answers."""
         fleet = Fleet()
         for worker in fleet.workers.values():
             worker.refusing = 1_000
@@ -106,10 +105,11 @@
         (record,) = fleet.cell.jobs["j1"].progress.tasks[0]
         self.assertLessEqual(record.attempt, 5.0 / RETRY_DELAY_S + 1)
 
-    def test_a_stop_that_found_no_worker_is_sent_again(self) -> None:
+    def test_undelivered_stop_is_sent_again(self) -> None:
         """
-        A job is cancelled as its owner is replaced.  The next owner knows the job's runs before it
-        has a connection to any worker, so its first stop can't be sent, and the task ran on.
+        A job is cancelled as its owner is replaced. The next owner knows the job's runs before it
+        is connected to any worker, so its first stop can't be sent. Guards against a task that runs
+        on.
         """
         fleet = Fleet(workers=1)
         fleet.workers["w0"].lasts = 60.0
@@ -123,11 +123,11 @@
 
 
 class SilentWorkerTest(unittest.TestCase):
-    def test_an_end_that_is_heard_after_the_lease_counts_while_the_task_waits(self) -> None:
+    def test_late_end_completes_a_waiting_task(self) -> None:
         """
-        A worker is cut off, and its task is done before the lease ends.  The owner gives the run up
-        with the lease, and the task waits for room elsewhere as the worker is heard again.  The end
-        was acknowledged and left out, so the task ran a second time though it was done.
+        A disconnected worker completes a task before the lease expires, and reports the end once
+        the task waits for another placement. Guards against acknowledging the end without counting
+        it, so that the task runs a second time.
         """
         fleet = Fleet(workers=1)
         fleet.submit(make_job())
@@ -139,10 +139,10 @@
         self.assertEqual(JobState.COMPLETED, fleet.state("j1"))
         self.assertEqual(1, len(fleet.workers["w0"].starts))
 
-    def test_an_end_that_is_heard_late_stops_a_start_that_was_not_sent(self) -> None:
+    def test_late_end_cancels_an_unsent_start(self) -> None:
         """
-        As before, but the task has just got another place, which the table doesn't know yet.
-        Nothing was sent, so the place is given back and the task isn't started again.
+        As above, but the task has a new placement that isn't written yet. Nothing was sent, so the
+        placement is dropped and the task isn't started again.
         """
         fleet = Fleet(workers=1)
         fleet.submit(make_job())
@@ -159,11 +159,10 @@
         self.assertEqual(JobState.COMPLETED, fleet.state("j1"))
         self.assertFalse(fleet.workers["w1"].starts)
 
-    def test_an_end_that_is_heard_late_stops_the_run_that_took_its_place(self) -> None:
+    def test_late_end_stops_the_second_run(self) -> None:
         """
-        As before, but the task runs elsewhere already as the end is heard.  Left out, the end was
-        lost: the second run was preempted again and again, and the task was started five times
-        after it was done.
+        As above, but the task already runs elsewhere. Guards against losing the end: the second run
+        may be preempted repeatedly, and the task was started five times after it was done.
         """
         fleet = Fleet(workers=1)
         fleet.submit(make_job())
@@ -178,15 +177,15 @@
         self.assertEqual(JobState.COMPLETED, fleet.state("j1"))
         self.assertFalse(fleet.workers["w1"].runs)
 
-    def test_a_task_moves_only_after_the_lease_of_a_silent_worker(self) -> None:
+    def test_task_moves_only_after_the_lease_expires(self) -> None:
         """
-        A worker is cut off and works on.  Started elsewhere at once the task would run twice;
-        the owner waits until the lease that it granted has surely ended.
+        A disconnected worker keeps running its task. Guards against a second run elsewhere before
+        the granted lease has certainly expired.
         """
         fleet = Fleet()
         for worker in fleet.workers.values():
             worker.lasts = 30.0
-        fleet.run(OWNER_AUTHORITY_S + 1.0)  # the first owner too waits for leases of one before it
+        fleet.run(OWNER_AUTHORITY_S + 1.0)  # the first owner too waits for an earlier one's leases
         fleet.submit(make_job())
         fleet.run(1.0)
         holder = next(worker for worker in fleet.workers.values() if worker.runs)
@@ -198,11 +197,11 @@
         others = [worker for worker in fleet.workers.values() if worker is not holder]
         self.assertTrue(any(worker.runs for worker in others))
 
-    def test_a_start_that_was_never_sent_goes_elsewhere_at_once(self) -> None:
+    def test_unsent_start_moves_at_once(self) -> None:
         """
-        A caller's task is placed, and its worker falls silent while the place is being written.
-        Nothing was sent, so nothing can run there; yet the task kept that place until the worker's
-        lease had ended, nearly five seconds, with room on the other worker all the while.
+        A worker becomes silent while a placement on it is written. Nothing was sent, so nothing can
+        run there. Guards against a task that waits nearly five seconds for the lease to expire
+        although another worker has free capacity.
         """
         fleet = Fleet()
         fleet.run(OWNER_AUTHORITY_S + 1.0)
@@ -218,7 +217,7 @@
         fleet.run(1.5)
         self.assertEqual(JobState.COMPLETED, fleet.state("j1"))
 
-    def test_a_worker_that_returns_in_time_keeps_its_tasks(self) -> None:
+    def test_worker_that_reconnects_in_time_keeps_its_tasks(self) -> None:
         fleet = Fleet()
         fleet.submit(make_job())
         fleet.run(0.5)
@@ -230,7 +229,7 @@
         self.assertEqual(JobState.COMPLETED, fleet.state("j1"))
         self.assertEqual(1, sum(len(worker.starts) for worker in fleet.workers.values()))
 
-    def test_tasks_on_a_worker_that_stand_still_move(self) -> None:
+    def test_stalled_tasks_move(self) -> None:
         fleet = Fleet(workers=1)
         fleet.workers["w0"].stuck = True
         fleet.submit(make_job())
@@ -242,7 +241,7 @@
 
 
 class ReplacedOwnerTest(unittest.TestCase):
-    def test_what_runs_is_adopted(self) -> None:
+    def test_new_owner_adopts_running_tasks(self) -> None:
         fleet = Fleet()
         for worker in fleet.workers.values():
             worker.lasts = 3.0
@@ -253,10 +252,10 @@
         self.assertEqual(JobState.COMPLETED, fleet.state("j1"))
         self.assertEqual(4, sum(len(worker.starts) for worker in fleet.workers.values()))
 
-    def test_a_silent_worker_delays_only_what_it_may_run(self) -> None:
+    def test_silent_worker_delays_only_its_own_tasks(self) -> None:
         """
-        The owner dies while a worker is cut off.  The next one can't ask that worker, which may
-        hold a lease as long as the old owner's authority; all other tasks start at once.
+        The owner dies while a worker is disconnected. The worker may hold a lease as long as the
+        old owner's authority. Guards against delaying tasks that can't run there.
         """
         fleet = Fleet()
         for worker in fleet.workers.values():
@@ -274,10 +273,10 @@
         self.assertEqual({"j1", "j2"}, {task.job for task in other.runs})
         self.assertFalse(fleet.duplicate_runs)
 
-    def test_a_worker_that_no_list_names_may_still_run_a_task(self) -> None:
+    def test_unlisted_worker_may_still_run_a_task(self) -> None:
         """
-        A worker is cut off for so long that its entry is gone, then the owner dies.  The next one
-        learns of the worker from the job's row alone, and must wait for its lease all the same.
+        A worker is disconnected until its entry is gone, then the owner dies. The next owner knows
+        the worker from the job's row only, and must still wait for its lease to expire.
         """
         fleet = Fleet()
         for worker in fleet.workers.values():
@@ -294,7 +293,7 @@
         self.assertFalse(fleet.duplicate_runs)
         self.assertEqual(2, sum(len(worker.starts) for worker in fleet.workers.values()))
 
-    def test_an_unwritten_place_is_never_started(self) -> None:
+    def test_unwritten_placement_is_never_started(self) -> None:
         fleet = Fleet()
         fleet.run(0.2)
         fleet.store_up = False
@@ -304,10 +303,10 @@
 
 
 class OutageTest(unittest.TestCase):
-    def test_leases_are_renewed_through_an_outage_but_not_for_ever(self) -> None:
+    def test_leases_are_renewed_for_a_limited_time_in_an_outage(self) -> None:
         """
-        The table is away.  Standing tasks must run on through it, yet after the owner's authority
-        another owner could be at work that this one can't hear of, so renewals end.
+        The table is down. Long-running tasks must survive that, but once the owner's authority has
+        ended another owner may exist, so renewals must end.
         """
         fleet = Fleet(workers=1)
         fleet.workers["w0"].lasts = 60.0
@@ -333,11 +332,10 @@
             max_size=6,
         )
     )
-    def test_no_task_runs_twice_whatever_fails(self, faults) -> None:
+    def test_no_task_runs_twice_under_random_faults(self, faults) -> None:
         """
-        Workers fall silent or answer late, owners die and the table goes away, in any order.
-        Callers may wait for long, but no task runs in two places, and in the end all jobs that
-        nobody cancelled are done.
+        Workers become silent or answer late, owners die and the table is down, in any order. No
+        task may run in two places, and all jobs that weren't cancelled must complete in the end.
         """
         fleet = Fleet(workers=3)
         for number in range(3):
--- a/toucanpin/scheduling/tests/test_job_lifecycle.py
+++ b/toucanpin/scheduling/tests/test_job_lifecycle.py
@@ -1,4 +1,4 @@
-"""Jobs from their acceptance to their end, with nothing failing."""
+"""Jobs from submission to their end, without faults."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 from toucanpin.scheduling.tests.fleet import Fleet, make_job
 
 
-class JobLifeTest(unittest.TestCase):
-    def test_a_step_waits_for_all_tasks_of_the_steps_before_it(self) -> None:
+class JobLifecycleTest(unittest.TestCase):
+    def test_step_waits_for_all_tasks_of_earlier_steps(self) -> None:
         fleet = Fleet()
         steps = (Step(count=3, cpu=1_000), Step(count=2, cpu=1_000, after=(0,)))
         fleet.submit(make_job(steps=steps))
@@ -24,7 +24,7 @@
         fleet.run(2.0)
         self.assertEqual(JobState.COMPLETED, fleet.state("j1"))
 
-    def test_no_worker_gets_more_than_it_has(self) -> None:
+    def test_cpu_is_not_overcommitted(self) -> None:
         fleet = Fleet(workers=1, cpu=2_000)
         fleet.submit(make_job(steps=(Step(count=5, cpu=1_000),)))
         for _ in range(40):
@@ -33,10 +33,10 @@
         fleet.run(3.0)
         self.assertEqual(JobState.COMPLETED, fleet.state("j1"))
 
-    def test_no_worker_gets_more_memory_than_it_has(self) -> None:
+    def test_memory_is_not_overcommitted(self) -> None:
         """
-        Processors are left over, memory is not.  A worker that doesn't guard its room starts what
-        it is told to, so only the owner keeps tasks from taking the memory of each other.
+        CPU is free, memory isn't. A worker that doesn't check its capacity starts every task it is
+        given, so only the owner can prevent overcommitted memory.
         """
         fleet = Fleet(workers=1)
         fleet.submit(make_job(steps=(Step(count=5, cpu=100, memory=3_000),)))
@@ -46,18 +46,18 @@
         fleet.run(3.0)
         self.assertEqual(JobState.COMPLETED, fleet.state("j1"))
 
-    def test_what_needs_an_accelerator_does_not_start_without_one(self) -> None:
+    def test_task_with_accelerator_needs_one(self) -> None:
         """
-        No worker has an accelerator.  One that doesn't guard its room would start the task all the
-        same, and the task would fail there until its attempts are used up.
+        A worker that doesn't check its capacity would start the task without an accelerator, and it
+        would fail until its attempts are used up.
         """
         fleet = Fleet()
         fleet.submit(make_job(steps=(Step(cpu=100, accelerators=1),)))
         fleet.run(2.0)
         self.assertFalse([start for worker in fleet.workers.values() for start in worker.starts])
 
-    def test_nothing_starts_on_a_worker_whose_room_has_shrunk(self) -> None:
-        """Guards against starts that were planned before a worker said that it has less room."""
+    def test_nothing_starts_on_a_worker_whose_capacity_shrank(self) -> None:
+        """Guards against starts that were planned before a worker reported less capacity."""
         fleet = Fleet(workers=1)
         worker = fleet.workers["w0"]
         worker.lasts = 3.0
@@ -74,8 +74,8 @@
         fleet.run(1.0)
         self.assertEqual(4, len(worker.runs))
 
-    def test_nothing_starts_where_an_unguarded_worker_was_not_heard_of_lately(self) -> None:
-        """Guards against starts by an old view of a worker that takes whatever it is given."""
+    def test_nothing_starts_on_an_unguarded_worker_with_an_old_entry(self) -> None:
+        """Guards against starts based on an old entry of a worker that accepts any task."""
         for guarded in (False, True):
             with self.subTest(guarded=guarded):
                 fleet = Fleet(workers=1)
@@ -90,7 +90,7 @@
                 fleet.run(0.5)
                 self.assertTrue(fleet.workers["w0"].starts)
 
-    def test_a_job_fails_once_a_task_has_used_its_attempts(self) -> None:
+    def test_job_fails_once_a_task_has_used_its_attempts(self) -> None:
         fleet = Fleet()
         for worker in fleet.workers.values():
             worker.failing = True
@@ -100,21 +100,21 @@
         starts = [start for worker in fleet.workers.values() for start in worker.starts]
         self.assertEqual(2, len(starts))
 
-    def test_attempts_of_a_task_rise_from_one(self) -> None:
+    def test_attempts_are_numbered_from_one(self) -> None:
         fleet = Fleet(workers=1)
         fleet.workers["w0"].failing = True
         fleet.submit(make_job(max_failures=3))
         fleet.run(1.0)
         self.assertEqual([1, 2, 3], [attempt for _, attempt in fleet.workers["w0"].starts])
 
-    def test_a_lasting_task_is_started_again_however_it_ends(self) -> None:
+    def test_long_running_task_is_always_restarted(self) -> None:
         fleet = Fleet(workers=1)
         fleet.submit(make_job(steps=(Step(cpu=1_000, long_running=True),)))
         fleet.run(6.0)
         self.assertGreater(len(fleet.workers["w0"].starts), 3)
         self.assertEqual(JobState.ACTIVE, fleet.state("j1"))
 
-    def test_a_cancelled_job_is_stopped_and_starts_no_more(self) -> None:
+    def test_cancelled_job_is_stopped(self) -> None:
         fleet = Fleet()
         steps = (Step(count=2, cpu=1_000), Step(cpu=1_000, after=(0,)))
         fleet.submit(make_job(steps=steps))
@@ -149,7 +149,7 @@
         self.assertEqual({1}, {attempt for _, attempt in starts})
         self.assertEqual(3, len(starts))
 
-    def test_labels_and_limits_by_worker_hold(self) -> None:
+    def test_labels_and_limits_per_worker_are_respected(self) -> None:
         fleet = Fleet(workers=1)
         fleet.add_worker("ssd", labels=("fast", "r1"))
         fleet.submit(make_job("j1", (Step(cpu=100, label="fast"),)))
@@ -159,23 +159,24 @@
         for worker in fleet.workers.values():
             self.assertEqual(1, sum(task.job == "j2" for task in worker.runs))
 
-    def test_lasting_tasks_leave_room_for_brief_ones(self) -> None:
+    def test_long_running_tasks_leave_capacity_for_short_ones(self) -> None:
         """
-        Operators wait for a verification.  Watches that last had taken the last cores of every
-        worker, and each verification waited until one of them ended.
+        Guards against long-running tasks that take the last cores of every worker, so that each
+        short task waits until one of them ends.
         """
         fleet = Fleet(workers=2, cpu=10_000)
         for worker in fleet.workers.values():
             worker.lasts = 100.0
         fleet.submit(make_job("j1", (Step(count=5, cpu=4_700, long_running=True),)))
         fleet.run(0.5)
-        # Two tasks on each worker would leave a tenth of its cores; the last such place stays.
+        # Two tasks on each worker would leave a tenth of its cores; the last such placement isn't
+        # used.
         self.assertEqual(3, sum(len(worker.runs) for worker in fleet.workers.values()))
         fleet.submit(make_job("j2", (Step(cpu=1_500),)))
         fleet.run(0.5)
         self.assertTrue(any(t.job == "j2" for w in fleet.workers.values() for t in w.runs))
 
-    def test_a_worker_that_drains_gets_nothing_and_loses_lasting_tasks(self) -> None:
+    def test_draining_worker_gets_no_tasks_and_loses_long_running_ones(self) -> None:
         fleet = Fleet(workers=1)
         fleet.submit(make_job(steps=(Step(cpu=1_000, long_running=True),)))
         fleet.workers["w0"].lasts = 100.0
@@ -188,7 +189,7 @@
         self.assertTrue(other.runs)
         self.assertFalse(fleet.duplicate_runs)
 
-    def test_jobs_that_wait_are_counted_until_a_task_starts(self) -> None:
+    def test_jobs_are_pending_until_a_task_starts(self) -> None:
         fleet = Fleet(workers=0)
         fleet.submit(make_job("j1"))
         fleet.submit(make_job("j2"))
@@ -197,7 +198,7 @@
         fleet.run(0.2)
         self.assertEqual({"q": 0}, count_pending(fleet.cell))
 
-    def test_ended_jobs_are_forgotten_when_nobody_may_ask_any_more(self) -> None:
+    def test_ended_jobs_are_forgotten_after_the_retention_period(self) -> None:
         fleet = Fleet()
         fleet.submit(make_job())
         fleet.run(2.0)
@@ -207,7 +208,7 @@
         forget_ended(fleet.cell, fleet.now(), 10.0)
         self.assertEqual(["j1"], fleet.cell.job_rows_to_delete)
 
-    def test_malformed_jobs_are_told_what_is_wrong(self) -> None:
+    def test_malformed_jobs_are_explained(self) -> None:
         cases = (
             (make_job(steps=()), "steps"),
             (make_job(steps=(Step(after=(0,)),)), "earlier"),
--- a/toucanpin/scheduling/tests/test_load_shedding.py
+++ b/toucanpin/scheduling/tests/test_load_shedding.py
@@ -1,4 +1,4 @@
-"""What an owner that can't follow does less of."""
+"""Load shedding by an owner that can't keep up."""
 
 from __future__ import annotations
 
@@ -18,9 +18,9 @@
 from toucanpin.scheduling.tests.fleet import Fleet, make_job
 
 
-class ShareTest(unittest.TestCase):
-    def test_a_decision_rests_for_longer_than_it_took(self) -> None:
-        """Guards against decisions that take all of a slow host's time, one after the other."""
+class TimeShareTest(unittest.TestCase):
+    def test_pause_is_longer_than_the_decision(self) -> None:
+        """Guards against decisions that take all processor time of a slow host."""
         share = TimeShare(0.25)
         self.assertEqual(0.0, share.remaining_pause(10.0))
         share.record(10.0, 10.5)
@@ -28,23 +28,23 @@
         self.assertAlmostEqual(0.5, share.remaining_pause(11.5))
         self.assertEqual(0.0, share.remaining_pause(12.0))
 
-    def test_a_quick_host_hardly_rests(self) -> None:
-        """Guards against rests that hold up a host which has time to spare."""
+    def test_fast_host_hardly_pauses(self) -> None:
+        """Guards against pauses that delay a host with time to spare."""
         share = TimeShare(0.25)
         share.record(10.0, 10.002)
         self.assertLess(share.remaining_pause(10.002), 0.01)
 
 
-class DelayTest(unittest.TestCase):
-    def test_a_process_in_time_asks_at_once(self) -> None:
-        """Guards against ends that are heard late by a host that has time to spare."""
+class ProcessDelayTest(unittest.TestCase):
+    def test_no_pause_without_delay(self) -> None:
+        """Guards against late polls by a host with time to spare."""
         delay = ProcessDelay()
         delay.record(0.005, 10.0)
         self.assertEqual(0.0, delay.plan_pause(10.0))
         self.assertEqual(MAX_PENDING_STARTS, delay.limit_starts(10.0))
 
-    def test_the_later_a_process_is_the_less_it_asks_and_starts(self) -> None:
-        """Guards against questions and starts whose answers can't be read in time."""
+    def test_pauses_and_starts_follow_the_delay(self) -> None:
+        """Guards against polls and starts whose answers can't be read in time."""
         delay = ProcessDelay()
         delay.record(0.2, 10.0)
         self.assertAlmostEqual(0.4, delay.plan_pause(10.0))
@@ -53,8 +53,8 @@
         self.assertEqual(MAX_PAUSE_S, delay.plan_pause(10.0))
         self.assertGreater(delay.limit_starts(10.0), 0)
 
-    def test_a_delay_is_forgotten(self) -> None:
-        """Guards against an owner that stays slow after a single pause."""
+    def test_delay_decays(self) -> None:
+        """Guards against an owner that stays slow after a single delay."""
         delay = ProcessDelay()
         delay.record(1.0, 10.0)
         delay.record(0.0, 11.0)
@@ -62,7 +62,7 @@
         self.assertEqual(0.0, delay.plan_pause(16.0))
 
 
-class MostStartsTest(unittest.TestCase):
+class PendingStartsTest(unittest.TestCase):
     def setUp(self) -> None:
         self.fleet = Fleet(workers=10)
         self.fleet.run(0.3)
@@ -75,72 +75,76 @@
     def _count(self) -> dict[str, int]:
         return {job: len(runs) for job, runs in self.cell.runs.items()}
 
-    def test_the_most_urgent_are_placed_first(self) -> None:
-        """Guards against an owner with too much to start that starts what is least urgent."""
+    def test_most_urgent_tasks_are_placed_first(self) -> None:
+        """Guards against an overloaded owner that starts the least urgent tasks."""
         place_tasks(self.cell, self.fleet.model, self.fleet.now(), 4)
         self.assertEqual({"urgent": 4}, self._count())
 
-    def test_the_others_wait_for_a_later_turn(self) -> None:
-        """Guards against steps that are left out for good."""
+    def test_other_tasks_wait_for_a_later_turn(self) -> None:
+        """Guards against steps that are never placed."""
         place_tasks(self.cell, self.fleet.model, self.fleet.now(), 0)
         self.assertFalse(self._count())
         self.fleet.run(3.0)
         self.assertTrue(all(self.fleet.state(job) == 2 for job in self.fleet.jobs))
 
 
-class FastestTest(unittest.TestCase):
-    def test_slow_workers_do_not_pass_for_a_slow_host(self) -> None:
-        """Guards against an owner that starts less since some of its workers are slow."""
+class MinAnswerTimeTest(unittest.TestCase):
+    def test_slow_workers_do_not_count_as_a_slow_host(self) -> None:
+        """Guards against an owner that limits its starts because some of its workers are slow."""
         fastest = MinAnswerTime()
         found = [fastest.record(0.4 if number % 4 else 0.003) for number in range(40)]
         self.assertLess(max(found), 0.01)
 
-    def test_a_full_link_shows_in_every_answer(self) -> None:
-        """Guards against an owner with time to spare that fills its link with starts."""
+    def test_saturated_link_delays_every_answer(self) -> None:
+        """Guards against an owner with time to spare that saturates its link with starts."""
         fastest = MinAnswerTime()
         found = [fastest.record(0.3 + number % 4 / 10) for number in range(40)]
         self.assertEqual(0.0, found[0])
         self.assertAlmostEqual(0.3, found[-1])
 
 
-class BacklogTest(unittest.TestCase):
+class StartBacklogTest(unittest.TestCase):
     def setUp(self) -> None:
         self.backlog = StartBacklog()
         for turn in range(100):
             self.backlog.record_starts(10, turn * 0.1)
 
-    def test_an_owner_in_time_turns_nothing_away(self) -> None:
-        """Guards against refusals of what waits for room only."""
+    def test_no_estimate_while_the_owner_keeps_up(self) -> None:
+        """Guards against refusing jobs that only wait for free capacity."""
         self.assertEqual({}, self.backlog.estimate_waits({0: 10, 2: 5_000}, 0.02, 10.0))
         self.assertEqual({}, self.backlog.estimate_waits({0: 10, 2: 5_000}, 0.02, 15.0))
 
-    def test_one_that_is_behind_for_long_tells_how_long_each_class_waits(self) -> None:
-        """Guards against an owner that takes in more than it can ever start."""
+    def test_lasting_delay_gives_an_estimate_per_priority(self) -> None:
+        """Guards against an owner that accepts more jobs than it can ever start."""
         waiting = {0: 100, 2: 900}
-        self.assertEqual({}, self.backlog.estimate_waits(waiting, 0.3, 10.0), "it may be a pause")
+        self.assertEqual(
+            {}, self.backlog.estimate_waits(waiting, 0.3, 10.0), "the delay may be short"
+        )
         self.backlog.record_starts(100, 11.0)
         self.backlog.record_starts(100, 12.0)
         found = self.backlog.estimate_waits(waiting, 0.3, 12.0)
         self.assertAlmostEqual(1_000, found[0], delta=200)
         self.assertAlmostEqual(10_000, found[2], delta=2_000)
 
-    def test_it_takes_in_all_again_once_it_is_in_time(self) -> None:
+    def test_estimate_ends_once_the_owner_keeps_up(self) -> None:
         """Guards against refusals that outlast their cause."""
         self.backlog.estimate_waits({2: 900}, 0.3, 10.0)
-        self.assertTrue(self.backlog.estimate_waits({2: 900}, 0.05, 13.0), "delays come and go")
+        self.assertTrue(self.backlog.estimate_waits({2: 900}, 0.05, 13.0), "delays vary")
         self.assertEqual({}, self.backlog.estimate_waits({2: 900}, 0.05, 14.5))
         self.assertEqual({}, self.backlog.estimate_waits({2: 900}, 0.3, 15.0))
 
-    def test_jobs_are_judged_by_their_own_time(self) -> None:
-        """Guards against urgent, lasting and timed jobs that are refused for what others wait."""
+    def test_jobs_are_compared_with_their_own_time_limit(self) -> None:
+        """
+        Guards against refusing urgent, long-running and scheduled jobs for the wait of others.
+        """
         backlog = {0: 500, 2: 9_000}
-        brief = Step(cpu=1_000, estimate=1_000)
-        patient = make_job(steps=(brief,), priority=2, aim=1_000, stretch=2.0)
+        short = Step(cpu=1_000, estimate=1_000)
+        patient = make_job(steps=(short,), priority=2, aim=1_000, stretch=2.0)
         self.assertTrue(would_exceed_time_limit(patient, backlog))
         long = make_job(steps=(Step(cpu=1_000, estimate=5_000),), priority=2, stretch=2.0)
         self.assertFalse(would_exceed_time_limit(long, backlog))
-        self.assertFalse(would_exceed_time_limit(make_job(steps=(brief,)), backlog))
-        lasting = make_job(steps=(Step(cpu=1_000, long_running=True),), priority=2)
-        self.assertFalse(would_exceed_time_limit(lasting, backlog))
-        timed = make_job(steps=(brief,), priority=2, repeats=2)
+        self.assertFalse(would_exceed_time_limit(make_job(steps=(short,)), backlog))
+        long_running = make_job(steps=(Step(cpu=1_000, long_running=True),), priority=2)
+        self.assertFalse(would_exceed_time_limit(long_running, backlog))
+        timed = make_job(steps=(short,), priority=2, repeats=2)
         self.assertFalse(would_exceed_time_limit(timed, backlog))
--- a/toucanpin/scheduling/tests/test_ownership.py
+++ b/toucanpin/scheduling/tests/test_ownership.py
@@ -1,4 +1,4 @@
-"""When a cell may be taken."""
+"""When a cell may be taken over."""
 
 from __future__ import annotations
 
@@ -25,30 +25,30 @@
             record_read(watch, version, record, 0.005, now)
         return watch
 
-    def test_an_owner_that_writes_keeps_its_cell(self) -> None:
+    def test_writing_owner_keeps_its_cell(self) -> None:
         watch = self._watch([(i * 0.4, i) for i in range(20)], OWNER)
         self.assertIsNone(plan_takeover(watch, 0.0))
 
-    def test_an_owner_that_is_unheard_loses_it(self) -> None:
+    def test_silent_owner_loses_its_cell(self) -> None:
         watch = self._watch([(i * 0.4, 1) for i in range(5)], OWNER)
         self.assertEqual(0.0, plan_takeover(watch, 0.0))
 
-    def test_time_without_a_reading_is_not_silence(self) -> None:
+    def test_time_without_reads_does_not_count_as_silence(self) -> None:
         """
-        The table is away for 20 s.  Afterwards its owner has not written yet, and would be replaced
-        at the first reading if the outage counted.
+        The table is down for 20 s. Guards against replacing the owner at the first read afterwards,
+        before it could write again.
         """
         watch = self._watch([(0.0, 1), (0.4, 1), (20.4, 1)], OWNER)
         self.assertIsNone(plan_takeover(watch, 0.0))
         self.assertLess(watch.silent_time, OWNER_TIMEOUT_S)
 
-    def test_a_slow_table_gives_an_owner_more_time(self) -> None:
+    def test_slow_table_extends_the_owner_timeout(self) -> None:
         watch = OwnerWatch()
         for i in range(5):
             record_read(watch, 1, OWNER, 0.3, i * 0.4)
         self.assertIsNone(plan_takeover(watch, 0.0))
 
-    def test_a_free_cell_is_taken_by_rank(self) -> None:
+    def test_cell_without_owner_is_taken_by_rank(self) -> None:
         free = self._watch([(0.0, 0)], None)
         first, second = plan_takeover(free, 0.1), plan_takeover(free, 0.9)
         assert first is not None and second is not None
@@ -56,35 +56,36 @@
         resigned = self._watch([(0.0, 5)], OwnerRecord("", "life", 3, 1))
         self.assertIsNotNone(plan_takeover(resigned, 0.5))
 
-    def test_a_weak_host_leaves_a_cell_to_stronger_ones(self) -> None:
+    def test_weak_host_defers_to_stronger_ones(self) -> None:
         """
-        Half a core is used up by the orders and answers of 176 workers.  Such an owner read no job
-        for four seconds, and tasks of jobs that were cancelled in the meantime were started.
+        Orders and answers of 176 workers take all time of half a core. Guards against such an
+        owner, which read no job for four seconds and started tasks of jobs that were cancelled
+        meanwhile.
         """
         free = self._watch([(0.0, 0)], None)
         weak, strong = plan_takeover(free, 0.0, weak=True), plan_takeover(free, 1.0)
         assert weak is not None and strong is not None
         self.assertLess(strong + 0.4, weak)
-        unheard = self._watch([(i * 0.4, 1) for i in range(5)], OWNER)
-        self.assertIsNone(plan_takeover(unheard, 0.0, weak=True))
-        unheard = self._watch([(i * 0.4, 1) for i in range(8)], OWNER)
-        self.assertEqual(0.0, plan_takeover(unheard, 0.0, weak=True))
+        silent = self._watch([(i * 0.4, 1) for i in range(5)], OWNER)
+        self.assertIsNone(plan_takeover(silent, 0.0, weak=True))
+        silent = self._watch([(i * 0.4, 1) for i in range(8)], OWNER)
+        self.assertEqual(0.0, plan_takeover(silent, 0.0, weak=True))
 
-    def test_a_restarted_owner_takes_its_cell_back_at_once(self) -> None:
+    def test_restarted_owner_retakes_its_cell_at_once(self) -> None:
         """
-        All hosts lose power.  Each of them would wait for the silence of an owner that can't come
-        back, and the leases of all workers would lapse meanwhile; the owner's own host needn't.
+        All hosts lose power. Guards against waiting for the timeout of an owner that can't return,
+        while the leases of all workers expire; the owner's own host needn't wait.
         """
         watch = self._watch([(0.0, 5)], OWNER)
         self.assertEqual(0.0, plan_takeover(watch, 0.5, "h", "another life"))
         self.assertIsNone(plan_takeover(watch, 0.5, "h", "life"))
         self.assertIsNone(plan_takeover(watch, 0.5, "other", "another life"))
 
-    def test_hosts_that_are_not_next_in_line_seldom_look_at_a_sound_owner(self) -> None:
+    def test_distant_successors_read_a_healthy_owners_row_rarely(self) -> None:
         """
-        A hundred hosts looked at each cell's row every 0.4 s, two in three of all calls that the
-        store answered.  Those far behind in the line look seldom while the owner writes, and as
-        often as the others once it is silent, since those in front may be lost too.
+        With a hundred hosts that read each cell's row every 0.4 s, two thirds of the store's load
+        were these reads. Hosts far down the order read rarely while the owner writes, and as often
+        as the others once it is silent, since the first successors may have failed too.
         """
         sound = self._watch([(0.0, 1), (1.2, 4)], OWNER)
         self.assertEqual(0.4, plan_next_read(sound, 0))
@@ -94,11 +95,10 @@
         self.assertEqual(0.4, plan_next_read(self._watch([(0.0, 0)], None), 50))
         self.assertEqual(0.4, plan_next_read(OwnerWatch(), 50))
 
-    def test_an_owner_lost_with_all_who_are_next_in_line_is_replaced(self) -> None:
+    def test_owner_lost_with_all_first_successors_is_replaced(self) -> None:
         """
-        The owner and all hosts that look closely lose power.  The leases of its workers end 4.5 s
-        after its last questions, and all that they run with them, unless one of the others has
-        taken the cell by then.
+        The owner and its first successors lose power. One of the other hosts must take the cell
+        within 4.5 s, before the leases of its workers expire and their tasks are lost.
         """
         watch, now, last_write = OwnerWatch(), 0.0, 2.1
         while plan_takeover(watch, 1.0) is None:
@@ -106,7 +106,7 @@
             now += plan_next_read(watch, 50)
         self.assertLess(now - last_write, 4.5)
 
-    def test_a_record_survives_its_row(self) -> None:
+    def test_record_round_trip(self) -> None:
         self.assertEqual(OWNER, decode_owner(encode_owner(OWNER)))
 
 
--- a/toucanpin/scheduling/tests/test_pending_counts.py
+++ b/toucanpin/scheduling/tests/test_pending_counts.py
@@ -1,4 +1,4 @@
-"""Which jobs are said to wait."""
+"""Which jobs count as pending."""
 
 from __future__ import annotations
 
@@ -9,12 +9,11 @@
 from toucanpin.scheduling.tests.fleet import Fleet, make_job
 
 
-class CountingTest(unittest.TestCase):
-    def test_a_job_whose_start_no_worker_has_answered_still_waits(self) -> None:
+class PendingCountsTest(unittest.TestCase):
+    def test_job_is_pending_until_a_start_is_answered(self) -> None:
         """
-        A worker leaves orders unanswered.  A job has a place on it, written in the table, and none
-        of its tasks runs; counted as begun from its place on, it was missing in what callers were
-        told for as long as the start was repeated.
+        A worker leaves start orders unanswered. Guards against a job that counts as begun from its
+        placement on, and is missing in the counts for as long as the start is repeated.
         """
         fleet = Fleet(workers=1)
         fleet.run(0.2)
@@ -25,7 +24,7 @@
         self.assertEqual({"q": 1}, count_pending(fleet.cell))
         self.assertEqual(JobState.PENDING, fleet.state("j1"))
 
-    def test_a_job_with_a_started_task_does_not_wait(self) -> None:
+    def test_job_with_a_started_task_is_not_pending(self) -> None:
         fleet = Fleet(workers=1)
         fleet.submit(make_job())
         fleet.run(0.2)
--- a/toucanpin/scheduling/tests/test_stale_views.py
+++ b/toucanpin/scheduling/tests/test_stale_views.py
@@ -1,4 +1,4 @@
-"""Decisions beside lists that aren't whole, and beside what was listed long ago."""
+"""Decisions based on incomplete answers and on old ones."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 
 
 class PartialListTest(unittest.TestCase):
-    def test_an_end_that_did_not_fit_the_list_of_ends_is_waited_for(self) -> None:
+    def test_missing_run_is_kept_while_the_list_of_ends_is_full(self) -> None:
         """
-        The caller's task is done twice.  A worker tells at most 500 ends at a time, and many wait
-        to be acknowledged after an outage.  A task whose end comes after these is listed neither as
-        running nor as ended; it was taken for one that was lost, and placed again.
+        A worker reports at most 500 ends at a time, and more may be pending after an outage. Guards
+        against treating a task whose end comes later, and that is listed neither as running nor as
+        ended, as lost, so that it runs twice.
         """
         fleet = Fleet(workers=1)
         fleet.workers["w0"].lasts = 60.0
@@ -42,11 +42,10 @@
 
 
 class WokenOwnerTest(unittest.TestCase):
-    def test_tasks_do_not_stand_still_for_an_owner_that_was_suspended(self) -> None:
+    def test_tasks_are_not_stalled_for_a_resumed_owner(self) -> None:
         """
-        The process of the owner is suspended for two seconds and keeps its cell.  Its newest lists
-        are two seconds old as it wakes, and they show no progress since, so every task seemed to
-        stand still: all of them were stopped, and what can't resume began anew.
+        The owner's process is suspended for two seconds and keeps its cell. Guards against stopping
+        all tasks as stalled because its latest answers, two seconds old, show no progress since.
         """
         fleet = Fleet()
         for worker in fleet.workers.values():
@@ -58,11 +57,11 @@
         move_tasks(fleet.cell, fleet.now())
         self.assertEqual([], fleet.cell.orders)
 
-    def test_what_fills_is_not_cleared_for_a_tail_that_nobody_measured_again(self) -> None:
+    def test_best_effort_tasks_are_not_evicted_on_an_old_measurement(self) -> None:
         """
-        A serving task was over its target in the newest list, and its owner is suspended for two
-        seconds.  As it woke the task seemed to have been over its target all the while, and all
-        batch work beside it was stopped.
+        A serving task exceeded its target in the latest answer before the owner was suspended for
+        two seconds. Guards against treating it as over its target all the time, and stopping the
+        best-effort tasks beside it.
         """
         fleet = Fleet(workers=1)
         fleet.workers["w0"].lasts = 30.0
@@ -83,11 +82,11 @@
         stops = [order.reason for order in fleet.cell.orders if isinstance(order, StopOrder)]
         self.assertNotIn("serving task over its target", stops)
 
-    def test_a_lasting_task_on_a_worker_not_heard_of_counts_as_away(self) -> None:
+    def test_task_on_a_silent_worker_counts_as_unavailable(self) -> None:
         """
-        Users bear one task of their service away.  One stood on a worker that crashed 3 s ago; its
-        newest list shows it at work and its lease still runs, so a second one was stopped for an
-        upkeep while the first was away.
+        One task of a service may be unavailable. A worker crashed 3 s ago; its latest answer shows
+        its task running and its lease hasn't expired. Guards against stopping a second task for
+        upkeep meanwhile.
         """
         fleet = Fleet()
         step = Step(count=2, cpu=1_000, long_running=True, per_worker=1, max_unavailable=1)
--- a/toucanpin/scheduling/tests/test_trust.py
+++ b/toucanpin/scheduling/tests/test_trust.py
@@ -1,4 +1,4 @@
-"""Workers that fail what they start, and jobs that fail wherever they run."""
+"""Workers that fail every task, and jobs that fail on every worker."""
 
 from __future__ import annotations
 
@@ -11,12 +11,11 @@
 
 
 class FailingWorkerTest(unittest.TestCase):
-    def test_jobs_outlast_a_failing_worker_that_has_the_only_room(self) -> None:
+    def test_jobs_survive_a_failing_worker_with_the_only_capacity(self) -> None:
         """
-        Callers' jobs are shown as failed, one after another.  The fleet is full but for one worker,
-        which fails within milliseconds whatever it starts, and so has room again at once.  Each
-        task was tried there three times within a fifth of a second, though the others would soon
-        have had room.
+        The fleet is full except for one worker, which fails every task within milliseconds and so
+        has free capacity again at once. Guards against using up a task's three attempts there
+        within a fifth of a second, although other workers soon have free capacity.
         """
         fleet = Fleet(workers=3, cpu=2_000)
         for worker in fleet.workers.values():
@@ -31,11 +30,11 @@
         self.assertEqual([JobState.COMPLETED] * 4, [fleet.state(name) for name in names])
         self.assertLessEqual(len(fleet.workers["bad"].starts), 6)
 
-    def test_a_gang_is_not_tried_again_where_tasks_fail(self) -> None:
+    def test_gang_is_not_retried_where_tasks_fail(self) -> None:
         """
-        A caller's gang fails on the only worker with room, which fails whatever it starts.  No
-        other job runs there that could show it, so the gang was tried there until its attempts
-        were used up, though sound workers were about to have room.
+        A gang fails on the only worker with free capacity, which fails every task. No other job
+        runs there that could show it. Guards against using up the gang's attempts there although
+        healthy workers soon have free capacity.
         """
         fleet = Fleet(workers=2, cpu=2_000)
         for worker in fleet.workers.values():
@@ -48,10 +47,10 @@
         fleet.run(4.0)
         self.assertEqual(JobState.COMPLETED, fleet.state("gang"))
 
-    def test_a_worker_that_works_again_is_tried_with_one_task(self) -> None:
+    def test_recovered_worker_is_tried_with_one_task(self) -> None:
         """
-        A worker fails the tasks of three jobs and is well again a moment later.  It gets one task
-        first, and its whole room once that is done.
+        A worker fails the tasks of three jobs and recovers a moment later. It must get one task
+        first, and as many as fit once that is done.
         """
         fleet = Fleet(workers=1)
         worker = fleet.workers["w0"]
@@ -68,10 +67,10 @@
         fleet.run(1.0)
         self.assertEqual(4, len(worker.runs))
 
-    def test_tasks_that_began_before_the_failures_prove_nothing(self) -> None:
+    def test_successes_of_earlier_tasks_do_not_restore_trust(self) -> None:
         """
-        A worker turns bad while it runs several tasks.  Those go on and are done one by one; each
-        such end made the worker trusted again, and it failed the next tasks that came.
+        A worker starts to fail while it runs several tasks, which complete one by one. Guards
+        against trusting it after each of them, so that it fails the next tasks.
         """
         fleet = Fleet(workers=1)
         worker = fleet.workers["w0"]
@@ -88,11 +87,11 @@
         self.assertEqual(started, len(worker.starts))
 
 
-class HopelessJobTest(unittest.TestCase):
-    def test_a_job_that_fails_everywhere_shuts_no_worker_to_others(self) -> None:
+class FailingJobTest(unittest.TestCase):
+    def test_job_that_always_fails_blocks_no_worker(self) -> None:
         """
-        A caller's job can't be done: its tasks fail wherever they run.  The workers are sound, so
-        another caller's job must get their room at once.
+        The tasks of a job fail on every worker. Other jobs must be able to use these workers at
+        once.
         """
         fleet = Fleet(workers=2)
         for worker in fleet.workers.values():
@@ -106,11 +105,10 @@
         fleet.run(0.3)
         self.assertEqual(8, sum(len(worker.runs) for worker in fleet.workers.values()))
 
-    def test_two_jobs_that_fail_everywhere_shut_no_worker_to_others(self) -> None:
+    def test_two_jobs_that_always_fail_block_no_worker(self) -> None:
         """
-        Two callers' jobs can't be done, and their tasks fail on each worker.  So each worker counts
-        as one that fails whatever it starts: it gets nothing for 3 s and then a task a second,
-        though all are sound and other callers' jobs wait beside a free fleet.
+        The tasks of two jobs fail on every worker. Guards against distrusting all workers, so that
+        each gets nothing for 3 s and then a task per second while other jobs wait.
         """
         fleet = Fleet(workers=4)
         for worker in fleet.workers.values():
@@ -126,7 +124,7 @@
         fleet.run(1.0)
         self.assertEqual(16, sum(len(worker.runs) for worker in fleet.workers.values()))
 
-    def test_a_lasting_task_that_fails_after_a_while_shuts_no_worker(self) -> None:
+    def test_late_failures_of_long_running_tasks_block_no_worker(self) -> None:
         fleet = Fleet(workers=1)
         worker = fleet.workers["w0"]
         worker.lasts = 60.0
