--- a/toucanpin/entry/cell_workers.py
+++ b/toucanpin/entry/cell_workers.py
@@ -119,7 +119,7 @@
             # Only a second poll shows whether the answer to the first was lost or is late.
             timeout = MAX_LATENESS_S if worker.silent else self._answers.limit(sent_at)
             try:
-                answer = await calls.hold(
+                answer = await calls.poll(
                     self._cell.token, order.acknowledged, order.deadline, order.wait, timeout
                 )
             except WorkerReplacedError:
@@ -176,7 +176,7 @@
             deadline = plan_renewal(self._cell, worker, self._clocks.now())
             pause = RENEWAL_PERIOD_S if deadline else 0.0
             try:
-                answer = await calls.hold(self._cell.token, 0, deadline, 0.0, MAX_LATENESS_S)
+                answer = await calls.poll(self._cell.token, 0, deadline, 0.0, MAX_LATENESS_S)
             except WorkerReplacedError:
                 return
             except (CallError, PlatformError):
--- a/toucanpin/entry/tests/test_cell_workers.py
+++ b/toucanpin/entry/tests/test_cell_workers.py
@@ -97,7 +97,7 @@
     def __init__(self) -> None:
         self.asked = 0
 
-    async def hold(self, *_: object) -> None:
+    async def poll(self, *_: object) -> None:
         self.asked += 1
         raise CallError(Verdict.MAY_HAVE_RUN, "no answer")
 
--- a/toucanpin/platform/tests/test_store_and_workers.py
+++ b/toucanpin/platform/tests/test_store_and_workers.py
@@ -131,7 +131,7 @@
     def _set_answer(self, status: int, **fields) -> None:
         self.answer = Response(status, msgspec.json.encode(fields))
 
-    async def test_hold(self) -> None:
+    async def test_poll(self) -> None:
         name = encode_task(TASK)
         self._set_answer(
             200,
@@ -139,10 +139,10 @@
             running=[[name, 2, "c1", 40, 12.5]],
             finished=[[9, name, 1, "failed", ""]],
         )
-        held = await self.client.hold(3, 8, 100, 0.0, 1.0)
-        assert isinstance(held, PollAnswer)
-        self.assertEqual((TASK, 2, "c1", 40, 12.5), _fields(held.running[0]))
-        self.assertIs(RunEnd.FAILED, held.ended[0].end)
+        answer = await self.client.poll(3, 8, 100, 0.0, 1.0)
+        assert isinstance(answer, PollAnswer)
+        self.assertEqual((TASK, 2, "c1", 40, 12.5), _fields(answer.running[0]))
+        self.assertIs(RunEnd.FAILED, answer.ended[0].end)
         sent = msgspec.json.decode(self.requests[0].body)
         self.assertEqual({"fencingToken": 3, "ackedSeq": 8, "deadlineMs": 100}, sent)
         self.assertEqual("i-1", self.requests[0].headers["x-expect-instance"])
@@ -180,7 +180,7 @@
     async def test_invalid_answer_raises_call_error(self) -> None:
         self.answer = Response(200, b"not json")
         with self.assertRaises(CallError):
-            await self.client.hold(1, 0, 0, 0.0, 1.0)
+            await self.client.poll(1, 0, 0, 0.0, 1.0)
 
     async def test_refused_connection_is_not_run(self) -> None:
         from standins.site.site import free_port
--- a/toucanpin/platform/workers.py
+++ b/toucanpin/platform/workers.py
@@ -177,7 +177,7 @@
         answer = await self._call("/pace", _Pace(encode_task(task), attempt, percent, token))
         return _read_refusal(answer)
 
-    async def hold(
+    async def poll(
         self, token: int, acknowledged: int, deadline: int, wait: float, timeout: float
     ) -> PollAnswer | RefusalReason:
         """
--- a/toucanpin/wire/messages.py
+++ b/toucanpin/wire/messages.py
@@ -36,7 +36,7 @@
     The sender of a message and its state at the time.
 
     ``sequence`` increases within one incarnation of the sender; ``event`` is the sequence number
-    of the latest event on the sender's time line; ``bundle`` is the version in force there.
+    of the latest event on the sender's timeline; ``bundle`` is the version in force there.
     ``audience`` names the only receiver, empty for any; ``nonce`` ties an answer to its request.
     """
 
