--- a/toucanpin/entry/advice_dispatcher.py
+++ b/toucanpin/entry/advice_dispatcher.py
@@ -36,7 +36,7 @@
         self._client = client
         self._peers = peers
         self._busy: set[str] = set()
-        self._avoided: dict[str, float] = {}
+        self._avoided_until: dict[str, float] = {}
 
     def count_free(self) -> int:
         """Return the number of requests that may be sent now."""
@@ -52,7 +52,7 @@
         try:
             return await self._make_calls(name).ask(group, workers)
         except CallError as error:
-            self._avoided[name] = steady_time() + FAILURE_BACKOFF_S
+            self._avoided_until[name] = steady_time() + FAILURE_BACKOFF_S
             _log.warning(
                 "no answer from the advice service",
                 event="advice.missing",
@@ -71,7 +71,7 @@
         return [
             name
             for name in (self._name, *peers)
-            if name not in self._busy and self._avoided.get(name, 0.0) <= now
+            if name not in self._busy and self._avoided_until.get(name, 0.0) <= now
         ]
 
     def _make_calls(self, name: str) -> AdviceClient:
--- a/toucanpin/entry/candidate.py
+++ b/toucanpin/entry/candidate.py
@@ -61,7 +61,7 @@
         peers: Peers,
         incarnation: str,
         cell: str,
-        guarded: Callable[[], bool],
+        workers_enforce_limits: Callable[[], bool],
         evacuated: Callable[[], EvacuationList],
     ) -> None:
         self._store = store
@@ -70,7 +70,7 @@
         self._advice_dispatcher = advice_dispatcher
         self._incarnation = incarnation
         self._cell = cell
-        self._guarded = guarded
+        self._workers_enforce_limits = workers_enforce_limits
         self._evacuated = evacuated
         self._peers = peers
         self._yielded_at = -MIN_HANDOVER_INTERVAL_S
@@ -202,7 +202,7 @@
             sent_at,
             previous is None,
             self._advice_dispatcher,
-            self._guarded,
+            self._workers_enforce_limits,
             self._evacuated,
         )
         yielding = asyncio.ensure_future(self._yield_to_stronger(self._owner))
--- a/toucanpin/entry/cell_rows.py
+++ b/toucanpin/entry/cell_rows.py
@@ -70,7 +70,7 @@
         self,
         store: Store,
         cell: Cell,
-        sharing: InterferenceModel,
+        interference: InterferenceModel,
         record: OwnerRecord,
         version: int,
         written_at: float,
@@ -80,7 +80,7 @@
         self.blocked: set[str] = set()
         self._store = store
         self._cell = cell
-        self._sharing = sharing
+        self._interference = interference
         self.record = record
         self._version = version
         self.written_at = written_at
@@ -96,7 +96,7 @@
         learned = await self._read_part(EFFECTS_TABLE, self._cell.name)
         effects = self._reader.read_one(learned.rows, _decode_learned)
         if effects is not None:
-            self._sharing.restore(effects, now().steady)
+            self._interference.restore(effects, now().steady)
             self._cell.durations.fits = effects.durations
         known = {row.key: it for row, it in self._reader.read(progress.rows, _decode_progress)}
         self.blocked = {row.key for row in progress.rows if row.key not in known}
@@ -112,8 +112,8 @@
         return jobs.version
 
     def _add_jobs(self, rows: Sequence[Row], known: dict[str, Progress], now: Now) -> None:
-        own = [row for row in rows if not split_key(row.key)[1]]
-        for row, job in self._reader.read(own, decode_job_row):
+        job_rows = [row for row in rows if not split_key(row.key)[1]]
+        for row, job in self._reader.read(job_rows, decode_job_row):
             progress = known.get(row.key)
             if progress is not None and not matches_job(progress, job):
                 self.blocked.add(row.key)
@@ -160,7 +160,7 @@
 
         Raises
         ------
-        DeposedError
+        OwnershipLostError
             If another process owns the cell.
         """
         puts = [Put(PROGRESS_TABLE, key, value) for key, value in batch.records.items()]
@@ -177,7 +177,7 @@
 
         Raises
         ------
-        DeposedError
+        OwnershipLostError
             If another process owns the cell.
         """
         await self._commit([], resigning)
@@ -237,7 +237,7 @@
         if steady_time() < self._effects_written_at + EFFECTS_PERIOD_S:
             return []
         self._effects_written_at = steady_time()
-        learned = msgspec.msgpack.encode(self._sharing.export(self._cell.durations))
+        learned = msgspec.msgpack.encode(self._interference.export(self._cell.durations))
         return [Put(EFFECTS_TABLE, OWNER_KEY, learned)]
 
     def _put_counts(self) -> list[Put]:
--- a/toucanpin/entry/cell_workers.py
+++ b/toucanpin/entry/cell_workers.py
@@ -60,23 +60,23 @@
     def __init__(
         self,
         cell: Cell,
-        sharing: InterferenceModel,
+        interference: InterferenceModel,
         clocks: Clocks,
         delay: ProcessDelay,
         spawn: Callable[[Coroutine], None],
         on_change: Callable[[], None],
     ) -> None:
         self._cell = cell
-        self._sharing = sharing
+        self._interference = interference
         self._clocks = clocks
         self._delay = delay
         self._spawn = spawn
         self._on_change = on_change
-        self._calls: dict[str, WorkerClient] = {}
-        self._answers = AnswerTimeout()
-        self._written = asyncio.Event()
+        self._clients: dict[str, WorkerClient] = {}
+        self._answer_timeout = AnswerTimeout()
+        self._write_done = asyncio.Event()
         self._loaded = asyncio.Event()
-        self._fastest = MinAnswerTime()
+        self._min_answer_time = MinAnswerTime()
         self._starts_sent_at: dict[int, float] = {}  # starts that have no answer yet
 
     def count_starting(self) -> int:
@@ -85,41 +85,41 @@
         oldest = now - START_ANSWER_TIME_S - self._delay.read(now)
         return sum(sent_at > oldest for sent_at in self._starts_sent_at.values())
 
-    def note_loaded(self) -> None:
+    def signal_loaded(self) -> None:
         """Signal that the cell's rows are read, so that workers' answers can be interpreted."""
         self._loaded.set()
 
-    def note_written(self) -> None:
+    def signal_written(self) -> None:
         """Wake the polls that wait for ends to be written."""
-        self._written.set()
-        self._written.clear()
+        self._write_done.set()
+        self._write_done.clear()
 
     def close(self) -> None:
         """Close all connections."""
-        for calls in self._calls.values():
-            calls.close()
+        for client in self._clients.values():
+            client.close()
 
-    def take_entries(
+    def update_entries(
         self, entries: Iterable[WorkerEntry], malformed: Collection[str] = frozenset()
     ) -> None:
         """Update the cell's workers from their entries, and start to poll new ones."""
         for worker in update_workers(self._cell, entries, self._clocks.now(), malformed):
             entry = worker.entry
-            self._calls[entry.id] = WorkerClient(entry.id, entry.address)
+            self._clients[entry.id] = WorkerClient(entry.id, entry.address)
             self._spawn(self._poll(worker))
 
     async def _poll(self, worker: Worker) -> None:
         """Poll one worker, to renew its lease and to learn of ended runs, until it is replaced."""
         identifier = worker.entry.id
-        calls = self._calls[identifier]
-        await self._renew_until_loaded(worker, calls)
+        client = self._clients[identifier]
+        await self._renew_until_loaded(worker, client)
         while self._cell.workers.get(identifier) is worker:
             order = plan_poll(self._cell, worker, self._clocks.now())
             sent_at = steady_time()
             # Only a second poll shows whether the answer to the first was lost or is late.
-            timeout = MAX_LATENESS_S if worker.silent else self._answers.limit(sent_at)
+            timeout = MAX_LATENESS_S if worker.silent else self._answer_timeout.limit(sent_at)
             try:
-                answer = await calls.poll(
+                answer = await client.poll(
                     self._cell.token, order.acknowledged, order.deadline, order.wait, timeout
                 )
             except WorkerReplacedError:
@@ -145,11 +145,11 @@
             if isinstance(answer, RefusalReason):
                 raise OwnershipLostError(f"worker {identifier} refused: {answer.value}")
             now = self._clocks.now()
-            self._answers.record(now.steady - sent_at - order.wait, now.steady)
+            self._answer_timeout.record(now.steady - sent_at - order.wait, now.steady)
             _log_ends(worker, answer.ended)
-            was_doubted = is_distrusted(worker)
+            was_distrusted = is_distrusted(worker)
             apply_answer(self._cell, worker, answer, sent_at, now)
-            if is_distrusted(worker) and not was_doubted:
+            if is_distrusted(worker) and not was_distrusted:
                 jobs = sorted(worker.failed_jobs)
                 _log.warning(
                     "tasks of several jobs fail on a worker",
@@ -157,15 +157,15 @@
                     worker=identifier,
                     jobs=jobs,
                 )
-            learn_effects(self._sharing, worker, len(self._cell.workers), now)
+            learn_effects(self._interference, worker, len(self._cell.workers), now)
             self._on_change()
             await self._wait_for_writes(worker)
             await asyncio.sleep(self._delay.plan_pause(steady_time()))
-        calls.close()
-        if self._calls.get(identifier) is calls:
-            del self._calls[identifier]
+        client.close()
+        if self._clients.get(identifier) is client:
+            del self._clients[identifier]
 
-    async def _renew_until_loaded(self, worker: Worker, calls: WorkerClient) -> None:
+    async def _renew_until_loaded(self, worker: Worker, client: WorkerClient) -> None:
         """
         Renew a worker's lease until the cell's rows are read.
 
@@ -176,7 +176,7 @@
             deadline = plan_renewal(self._cell, worker, self._clocks.now())
             pause = RENEWAL_PERIOD_S if deadline else 0.0
             try:
-                answer = await calls.poll(self._cell.token, 0, deadline, 0.0, MAX_LATENESS_S)
+                answer = await client.poll(self._cell.token, 0, deadline, 0.0, MAX_LATENESS_S)
             except WorkerReplacedError:
                 return
             except (CallError, PlatformError):
@@ -202,7 +202,7 @@
         while worker.seen > worker.acknowledged and steady_time() < until:
             try:
                 async with asyncio.timeout(until - steady_time()):
-                    await self._written.wait()
+                    await self._write_done.wait()
             except TimeoutError:
                 return
 
@@ -210,8 +210,8 @@
         """Send a start, and repeat it until its outcome is known."""
         while run.phase is Phase.ORDERED:
             worker = self._cell.workers.get(run.worker)
-            calls = self._calls.get(run.worker)
-            if worker is None or calls is None:
+            client = self._clients.get(run.worker)
+            if worker is None or client is None:
                 return
             deadline = plan_start(self._cell, worker, run, self._clocks.now())
             if not deadline:
@@ -220,7 +220,7 @@
             live = self._cell.jobs[run.task.job]
             self._starts_sent_at[id(run)] = steady_time()
             try:
-                answer = await calls.start(
+                answer = await client.start(
                     run.task,
                     run.attempt,
                     live.job.spec,
@@ -233,13 +233,11 @@
                 return
             except (CallError, PlatformError) as error:
                 certain = isinstance(error, CallError) and error.certain
-                next_step = apply_start_failure(
-                    self._cell, worker, run, certain, self._clocks.now()
-                )
-                if next_step is not StartOutcome.SETTLED:
+                outcome = apply_start_failure(self._cell, worker, run, certain, self._clocks.now())
+                if outcome is not StartOutcome.SETTLED:
                     await asyncio.sleep(START_RETRY_DELAY_S)
             else:
-                self._note_answer(self._starts_sent_at[id(run)])
+                self._record_answer(self._starts_sent_at[id(run)])
                 if answer.refused is not None:
                     REFUSED_STARTS.add(1, {"reason": answer.refused.value})
                     _log.info(
@@ -249,10 +247,10 @@
                         worker=run.worker,
                         reason=answer.refused.value,
                     )
-                next_step = apply_start_answer(self._cell, worker, run, answer, self._clocks.now())
+                outcome = apply_start_answer(self._cell, worker, run, answer, self._clocks.now())
             finally:
                 self._starts_sent_at.pop(id(run), None)
-            match next_step:
+            match outcome:
                 case StartOutcome.FENCED:
                     raise OwnershipLostError(f"worker {run.worker} has another owner")
                 case StartOutcome.SETTLED:
@@ -261,9 +259,9 @@
                     await asyncio.sleep(RETRY_DELAY_S)
         self._on_change()
 
-    def _note_answer(self, sent_at: float) -> None:
+    def _record_answer(self, sent_at: float) -> None:
         now = steady_time()
-        self._delay.record(self._fastest.record(now - sent_at), now)
+        self._delay.record(self._min_answer_time.record(now - sent_at), now)
 
     async def order(self, order: StopOrder | PaceOrder) -> None:
         """Send an order to its worker."""
@@ -285,12 +283,12 @@
         """Send a stop until it is acknowledged or the worker is replaced."""
         while True:
             worker = self._cell.workers.get(order.worker)
-            calls = self._calls.get(order.worker)
-            if worker is None or calls is None:
+            client = self._clients.get(order.worker)
+            if worker is None or client is None:
                 return
             run = worker.runs.get(order.task)
             try:
-                refused = await calls.stop(order.task, order.attempt, self._cell.token)
+                refused = await client.stop(order.task, order.attempt, self._cell.token)
             except WorkerReplacedError:
                 return
             except (CallError, PlatformError):
@@ -306,11 +304,11 @@
             return
 
     async def _pace(self, order: PaceOrder) -> None:
-        calls = self._calls.get(order.worker)
-        if calls is None:
+        client = self._clients.get(order.worker)
+        if client is None:
             return
         try:
-            await calls.pace(order.task, order.attempt, order.percent, self._cell.token)
+            await client.pace(order.task, order.attempt, order.percent, self._cell.token)
         except (CallError, PlatformError):
             worker = self._cell.workers.get(order.worker)
             run = worker.runs.get(order.task) if worker else None
--- a/toucanpin/entry/decision_log.py
+++ b/toucanpin/entry/decision_log.py
@@ -21,9 +21,9 @@
 __all__ = [
     "log_ended",
     "log_evacuations",
-    "log_given_up",
+    "log_failed_tasks",
     "log_losses",
-    "log_place",
+    "log_placement",
     "log_waits",
 ]
 
@@ -33,7 +33,7 @@
 MAX_LOGGED_WAITS = 10  # per call, as thousands of steps may wait in an overload
 
 
-def log_place(cell: Cell, run: Run, now: Now) -> None:
+def log_placement(cell: Cell, run: Run, now: Now) -> None:
     """Log the worker of a task, how long the task waited for it, and why."""
     live = cell.jobs.get(run.task.job)
     age = (now.table - live.job.accepted) / 1_000 if live else 0.0
@@ -75,7 +75,7 @@
         )
 
 
-def log_given_up(cell: Cell, tasks: Iterable[TaskKey]) -> None:
+def log_failed_tasks(cell: Cell, tasks: Iterable[TaskKey]) -> None:
     """Log each task that has crashed too many workers, with those workers."""
     for task in tasks:
         record = find_record(cell.jobs[task.job], task)
--- a/toucanpin/entry/owner.py
+++ b/toucanpin/entry/owner.py
@@ -21,9 +21,9 @@
 from toucanpin.entry.decision_log import (
     log_ended,
     log_evacuations,
-    log_given_up,
+    log_failed_tasks,
     log_losses,
-    log_place,
+    log_placement,
     log_waits,
 )
 from toucanpin.entry.metrics import TURN_TIME
@@ -86,9 +86,9 @@
     Scheduler of one cell, until another process owns the cell or this one resigns.
 
     ``record`` is the owner's row, written at ``version`` by a transaction that was sent at
-    ``confirmed``.  ``first`` is true if no process has owned the cell before.  ``guarded`` returns
-    whether the cell's workers refuse tasks that don't fit, and ``evacuated`` returns the data
-    centres in which no task may start.
+    ``confirmed``.  ``first`` is true if no process has owned the cell before.
+    ``workers_enforce_limits`` returns whether the cell's workers refuse tasks that don't fit, and
+    ``evacuated`` returns the data centres in which no task may start.
     """
 
     def __init__(
@@ -102,23 +102,23 @@
         confirmed: float,
         first: bool,
         advice_dispatcher: AdviceDispatcher,
-        guarded: Callable[[], bool],
+        workers_enforce_limits: Callable[[], bool],
         evacuated: Callable[[], EvacuationList],
     ) -> None:
         self._store = store
         self._clocks = clocks
         self._bounds = settings.bounds
         self._advice_dispatcher = advice_dispatcher
-        self._guarded = guarded
+        self._workers_enforce_limits = workers_enforce_limits
         self._evacuated = evacuated
-        horizon = steady_time() + (0.0 if first else PREVIOUS_LEASE_TIME_S)
-        self._cell = Cell(name, record.token, horizon, confirmed)
+        earlier_leases_end = steady_time() + (0.0 if first else PREVIOUS_LEASE_TIME_S)
+        self._cell = Cell(name, record.token, earlier_leases_end, confirmed)
         self._cell.stop_time = settings.bounds.stop
         self._cell.restore_time = settings.bounds.restore
-        self._sharing = InterferenceModel()
+        self._interference = InterferenceModel()
         self._reader = RowReader()
         self._rows = CellRows(
-            store, self._cell, self._sharing, record, version, confirmed, self._reader
+            store, self._cell, self._interference, record, version, confirmed, self._reader
         )
         self._jobs = CellJobs(
             store,
@@ -131,7 +131,7 @@
         )
         self._delay = ProcessDelay()
         self._workers = CellWorkers(
-            self._cell, self._sharing, clocks, self._delay, self._spawn, self._dispatch_orders
+            self._cell, self._interference, clocks, self._delay, self._spawn, self._dispatch_orders
         )
         self._waves: WaveController | None = None
         if settings.machines:
@@ -139,7 +139,7 @@
             self._waves = WaveController(store, calls, self._cell, clocks, settings.bounds, first)
         self._tasks: set[asyncio.Task] = set()
         self._wake = asyncio.Event()
-        self._placing = TimeShare(MAX_PLACING_SHARE)
+        self._placing_share = TimeShare(MAX_PLACING_SHARE)
         self._backlog = StartBacklog()
         self._failure: asyncio.Future[None] | None = None
         self._resigning = False
@@ -150,7 +150,7 @@
 
         Raises
         ------
-        DeposedError
+        OwnershipLostError
             If another process owns the cell.
         """
         loop = asyncio.get_running_loop()
@@ -158,7 +158,7 @@
         try:
             self._spawn(self._follow_workers())
             self._jobs.followed_version = await self._load()
-            self._workers.note_loaded()
+            self._workers.signal_loaded()
             following = (self._jobs.follow, self._jobs.relist)
             for part in (self._commit, *following, self._tick, self._drop_ended_jobs):
                 self._spawn(part())
@@ -232,7 +232,7 @@
                 try:
                     async with asyncio.timeout(min(due, TICK_PERIOD_S)):
                         await self._wake.wait()
-                        await asyncio.sleep(self._placing.remaining_pause(steady_time()))
+                        await asyncio.sleep(self._placing_share.remaining_pause(steady_time()))
                 except TimeoutError:
                     pass
             self._wake.clear()
@@ -244,10 +244,10 @@
             await self._rows.write(batch, self._resigning)
             self._cell.confirmed_at = self._rows.written_at
             started = apply_batch(self._cell, batch)
-            self._workers.note_written()
+            self._workers.signal_written()
             log_ended(self._cell, batch.records, self._clocks.now())
             for run in started:
-                log_place(self._cell, run, self._clocks.now())
+                log_placement(self._cell, run, self._clocks.now())
                 self._spawn(self._workers.start(run))
             self._raise_if_resigned()
 
@@ -255,15 +255,15 @@
         """Place waiting tasks if its share of the time allows it and the view of jobs is recent."""
         now = self._clocks.now()
         self._update_evacuated()
-        if self._placing.remaining_pause(now.steady):
+        if self._placing_share.remaining_pause(now.steady):
             return
         if self._has_recent_jobs(now) and has_current_evacuations(self._cell, now):
-            most = self._delay.limit_starts(now.steady) - self._workers.count_starting()
+            max_starts = self._delay.limit_starts(now.steady) - self._workers.count_starting()
             before = len(self._cell.placed)
-            place_tasks(self._cell, self._sharing, now, most)
+            place_tasks(self._cell, self._interference, now, max_starts)
             self._backlog.record_starts(len(self._cell.placed) - before, now.steady)
         ended = steady_time()
-        self._placing.record(now.steady, ended)
+        self._placing_share.record(now.steady, ended)
         TURN_TIME.record(ended - now.steady, {"what": "placing"})
 
     def _raise_if_resigned(self) -> None:
@@ -285,34 +285,34 @@
 
     async def _follow_workers(self) -> None:
         """Read the workers' entries periodically."""
-        followed = RowCache(self._store, WORKERS_TABLE)
+        cache = RowCache(self._store, WORKERS_TABLE)
         while True:
             try:
-                await followed.update()
+                await cache.update()
             except (CallError, PlatformError) as error:
                 _log.warning("workers' entries not read", event="workers.unread", reason=error)
                 await asyncio.sleep(RETRY_DELAY_S)
                 continue
-            rows = followed.rows
+            rows = cache.rows
             valid = {
                 row.key: entry for row, entry in self._reader.read(rows.values(), _decode_entry)
             }
             own = [entry for entry in valid.values() if entry.service == self._cell.name]
             malformed = rows.keys() - valid.keys()
-            self._cell.workers_enforce_limits = self._guarded()
-            self._workers.take_entries(own, malformed)
+            self._cell.workers_enforce_limits = self._workers_enforce_limits()
+            self._workers.update_entries(own, malformed)
             await asyncio.sleep(LIST_PERIOD_S)
 
     async def _drop_ended_jobs(self) -> None:
         """Delete the rows of jobs whose retention is over, without delaying commits."""
         while True:
-            forgotten = self._cell.job_rows_to_delete[:MAX_FORGOTTEN]
-            if not forgotten:
+            ended = self._cell.job_rows_to_delete[:MAX_FORGOTTEN]
+            if not ended:
                 await asyncio.sleep(CLEANUP_PERIOD_S)
                 continue
-            await self._rows.drop_jobs(forgotten)
-            del self._cell.job_rows_to_delete[: len(forgotten)]
-            self._cell.progress_rows_to_delete += forgotten
+            await self._rows.drop_jobs(ended)
+            del self._cell.job_rows_to_delete[: len(ended)]
+            self._cell.progress_rows_to_delete += ended
             self._wake.set()
 
     async def _request_advice(self, order: AdviceRequest) -> None:
@@ -324,8 +324,10 @@
         cleaned_at = reported_at = 0.0
         periodic = [
             PeriodicDecision(lambda now: move_tasks(self._cell, now), MOVE_PERIOD_S),
-            PeriodicDecision(lambda now: control_pace(self._cell, self._sharing, now), 0.0),
-            PeriodicDecision(lambda now: consolidate_images(self._cell, self._sharing, now), 0.0),
+            PeriodicDecision(lambda now: control_pace(self._cell, self._interference, now), 0.0),
+            PeriodicDecision(
+                lambda now: consolidate_images(self._cell, self._interference, now), 0.0
+            ),
         ]
         while True:
             due = steady_time() + TICK_PERIOD_S
@@ -335,12 +337,12 @@
             self._update_evacuated()
             for worker in expire_leases(self._cell, now):
                 _log.info("worker's lease expired", event="worker.gone", worker=worker.entry.id)
-            log_given_up(self._cell, fail_crashing_jobs(self._cell, now))
+            log_failed_tasks(self._cell, fail_crashing_jobs(self._cell, now))
             begin_due(self._cell, now)
             for decision in periodic:
                 decision.run_if_due(self._clocks.now())
             free = self._advice_dispatcher.count_free()
-            for order in plan_advice_requests(self._cell, self._sharing, free, now):
+            for order in plan_advice_requests(self._cell, self._interference, free, now):
                 self._spawn(self._request_advice(order))
             if now.steady > reported_at + REPORT_PERIOD_S:
                 reported_at = now.steady
--- a/toucanpin/entry/requests.py
+++ b/toucanpin/entry/requests.py
@@ -140,7 +140,7 @@
         """
         Return whether the configuration is recent enough, after one refresh if needed.
 
-        Only one: with repeated refreshes in an outage, the table was tried so often that writes of
+        Only one: with repeated refreshes in an outage, the table got so many calls that writes of
         other callers were sent to it too, and ended without a definite answer.
         """
         time_limit = min(REFUSE_AFTER_S, deadline - time.monotonic())
--- a/toucanpin/entry/root.py
+++ b/toucanpin/entry/root.py
@@ -203,7 +203,7 @@
                         self._peers,
                         self._incarnation,
                         service,
-                        partial(self._is_guarded, service),
+                        partial(self._enforces_limits, service),
                         lambda: self._configuration.evacuated,
                     )
                     self._candidates[service] = candidate
@@ -219,7 +219,7 @@
         candidate = self._candidates.get(service)
         return candidate.read_backlog() if candidate is not None else {}
 
-    def _is_guarded(self, service: str) -> bool:
+    def _enforces_limits(self, service: str) -> bool:
         """Return whether a service's workers are known to refuse tasks that don't fit."""
         current = self._configuration.current
         known = current.services.get(service) if current is not None else None
--- a/toucanpin/entry/tests/test_cell_workers.py
+++ b/toucanpin/entry/tests/test_cell_workers.py
@@ -38,11 +38,11 @@
         worker.seen = 1
         waiting = asyncio.ensure_future(workers._wait_for_writes(worker))
         await asyncio.sleep(0)
-        workers.note_written()
+        workers.signal_written()
         await asyncio.sleep(0)
         self.assertFalse(waiting.done(), "a write of another worker's ends must not end the wait")
         worker.acknowledged = 1
-        workers.note_written()
+        workers.signal_written()
         await waiting
 
     async def test_ends_during_a_store_outage_are_written_afterwards(self) -> None:
@@ -80,18 +80,18 @@
         )
         worker = Worker(WorkerEntry("w", "c", "127.0.0.1:1", "dc", True, 1, 1, 0))
         cell.workers["w"] = worker
-        calls = _MuteCalls()
-        workers._calls["w"] = calls  # type: ignore[assignment]
-        workers.note_loaded()
+        client = _SilentWorkerClient()
+        workers._clients["w"] = client  # type: ignore[assignment]
+        workers.signal_loaded()
         holding = asyncio.ensure_future(workers._poll(worker))
         for _ in range(10):
             await asyncio.sleep(0)
         holding.cancel()
-        self.assertEqual(2, calls.asked)
+        self.assertEqual(2, client.asked)
         self.assertTrue(worker.silent)
 
 
-class _MuteCalls:
+class _SilentWorkerClient:
     """Worker that never answers."""
 
     def __init__(self) -> None:
--- a/toucanpin/entry/tests/test_configuration.py
+++ b/toucanpin/entry/tests/test_configuration.py
@@ -20,16 +20,16 @@
 from toucanpin.scheduling.configuration import Configuration, Queue
 from toucanpin.verdict import Verdict
 
-BOUND = 20.0  # s after which a test that would hang fails
+TEST_TIMEOUT = 20.0  # s after which a test that would hang fails
 SILENCE = 6.0  # s since the last read of the configuration
-RARELY = 1_000.0  # s; longer than a test takes
+DISABLED_PERIOD = 1_000.0  # s; longer than a test takes
 READS = 6  # of the configuration, of which only the first finds a change
 
 
 class FollowingTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
         # Exclude full reads, which come every 3 s at most.
-        self.enterContext(patch("toucanpin.entry.row_cache.FULL_READ_PERIOD_S", RARELY))
+        self.enterContext(patch("toucanpin.entry.row_cache.FULL_READ_PERIOD_S", DISABLED_PERIOD))
         self.site = Site()
         self.site.configure()
         self.addAsyncCleanup(self.site.close)
@@ -157,7 +157,7 @@
     ) -> Answer:
         self.calls += 1
         self.asked.set()
-        async with asyncio.timeout(BOUND):
+        async with asyncio.timeout(TEST_TIMEOUT):
             await self.failing.wait()
         raise CallError(Verdict.NOT_RUN, "no answer")
 
--- a/toucanpin/entry/tests/test_decision_log.py
+++ b/toucanpin/entry/tests/test_decision_log.py
@@ -10,7 +10,7 @@
     MAX_LOGGED_WAITS,
     log_ended,
     log_losses,
-    log_place,
+    log_placement,
     log_waits,
 )
 from toucanpin.scheduling.cell import Group
@@ -39,8 +39,8 @@
         log_waits(self.fleet.cell, self.fleet.now())
         log_waits(self.fleet.cell, self.fleet.now())
         self.assertEqual(2 * MAX_LOGGED_WAITS, self._events().count("task.waiting"))
-        told = {record.kwargs["job"] for record in self.handler.records}
-        self.assertEqual(2 * MAX_LOGGED_WAITS, len(told))
+        logged = {record.kwargs["job"] for record in self.handler.records}
+        self.assertEqual(2 * MAX_LOGGED_WAITS, len(logged))
         self.assertEqual("no room", self.handler.records[0].kwargs["why"])
 
     def test_a_logged_wait_shows_requested_and_free_cores(self) -> None:
@@ -54,8 +54,8 @@
         self.fleet.submit(make_job("large", (Step(cpu=900),)))
         self.fleet.run(0.8)
         log_waits(self.fleet.cell, self.fleet.now())
-        told = self.handler.records[0].kwargs
-        self.assertEqual((900, 400), (told["cpu"], told["free"]))
+        logged = self.handler.records[0].kwargs
+        self.assertEqual((900, 400), (logged["cpu"], logged["free"]))
 
     def test_a_run_that_is_lost_with_its_worker_is_logged_once(self) -> None:
         """Guards against tasks that are lost repeatedly without a line in the log."""
@@ -66,11 +66,11 @@
         self.fleet.run(0.2)
         log_losses(self.fleet.cell)
         log_losses(self.fleet.cell)
-        told = [r.kwargs for r in self.handler.records if r.kwargs["event"] == "task.lost"]
+        logged = [r.kwargs for r in self.handler.records if r.kwargs["event"] == "task.lost"]
         self.assertEqual(
-            [("j1.0.0.0", 1, "w0")], [(t["task"], t["attempt"], t["worker"]) for t in told]
+            [("j1.0.0.0", 1, "w0")], [(t["task"], t["attempt"], t["worker"]) for t in logged]
         )
-        self.assertEqual("another life answers at its worker's address", told[0]["cause"])
+        self.assertEqual("another life answers at its worker's address", logged[0]["cause"])
 
     def test_a_placement_shows_its_wait_and_an_end_is_logged_once(self) -> None:
         self.fleet.submit(make_job("first", (Step(cpu=900),), accepted=1))
@@ -79,7 +79,7 @@
         cell = self.fleet.cell
         run = next(iter(cell.workers["w0"].runs.values()))
         self.assertNotIn(Group("second", 0, 0), cell.waits)
-        log_place(cell, run, self.fleet.now())
+        log_placement(cell, run, self.fleet.now())
         self.assertGreater(self.handler.records[0].kwargs["waited"], 0.8)
         for _ in range(2):
             log_ended(cell, ["first", "second", "unknown"], self.fleet.now())
--- a/toucanpin/entry/tests/test_logs.py
+++ b/toucanpin/entry/tests/test_logs.py
@@ -59,8 +59,8 @@
         dropped = self.handler.dropped
         self.handler._tokens = RESERVED_LINES + 10.0
         self._log(1)
-        told = self._read()
-        self.assertEqual(("log.dropped", dropped), (told[0]["event"], told[0]["lines"]))
+        lines = self._read()
+        self.assertEqual(("log.dropped", dropped), (lines[0]["event"], lines[0]["lines"]))
 
     def test_a_warning_is_written_while_other_lines_are_dropped(self) -> None:
         """Guards against an overload that leaves no room for the warnings about it."""
--- a/toucanpin/entry/tests/test_peers.py
+++ b/toucanpin/entry/tests/test_peers.py
@@ -13,7 +13,7 @@
 from toucanpin.platform.store import Store
 from toucanpin.scheduling.settings import Bounds, HostSettings
 
-LATER = 10 * ROW_RETENTION_S  # s since the last announcement of stopped hosts
+CLOCK_OFFSET = 10 * ROW_RETENTION_S  # s since the last announcement of stopped hosts
 
 
 class ExpiredHostsTest(unittest.IsolatedAsyncioTestCase):
@@ -21,7 +21,7 @@
         self.site = Site()
         self.site.configure()
         self.addAsyncCleanup(self.site.close)
-        self.site.store.begun -= LATER
+        self.site.store.begun -= CLOCK_OFFSET
 
     def _announce(self, name: str, announced: int) -> None:
         peer = Peer(name, "127.0.0.1", 1, announced, 0)
@@ -37,7 +37,7 @@
         some live hosts weren't known.
         """
         self._announce("gone", 1)
-        now = int(LATER * 1_000)
+        now = int(CLOCK_OFFSET * 1_000)
         self._announce("there", now)
         await self.site.add_host()
         self.assertTrue(await self.site.until(lambda: not self._is_listed("gone")))
@@ -47,7 +47,7 @@
     async def test_hosts_are_known_despite_many_expired_ones(self) -> None:
         for number in range(600):
             self._announce(f"a{number:03}", 1)
-        self._announce("there", int(LATER * 1_000))
+        self._announce("there", int(CLOCK_OFFSET * 1_000))
         host = await self.site.add_host()
         self.assertTrue(await self.site.until(host.has_peers))
 
@@ -56,8 +56,8 @@
     def _count_before(self, name: str, cores: float, hosts: list[Peer]) -> int:
         store = Store(Client("127.0.0.1:1"))
         store.clock = 1_000
-        where = ("127.0.0.1", "dc", "127.0.0.1:1", "127.0.0.1:2", 3, "127.0.0.1:1", "", "")
-        peers = Peers(store, HostSettings(name, *where, 1.0, 65_536, Bounds(), cores))
+        other_settings = ("127.0.0.1", "dc", "127.0.0.1:1", "127.0.0.1:2", 3, "127.0.0.1:1", "", "")
+        peers = Peers(store, HostSettings(name, *other_settings, 1.0, 65_536, Bounds(), cores))
         peers.known = tuple(hosts)
         return peers.count_preferred("c")
 
--- a/toucanpin/entry/tests/test_row_cache.py
+++ b/toucanpin/entry/tests/test_row_cache.py
@@ -35,7 +35,7 @@
     return {"table": "t", "part": "", "key": key, "value": value, "rowVersion": version, **fields}
 
 
-class FollowedRowsTest(unittest.IsolatedAsyncioTestCase):
+class RowCacheTest(unittest.IsolatedAsyncioTestCase):
     async def test_a_row_is_never_replaced_by_an_earlier_version(self) -> None:
         """
         A full read has several pages, each from a later moment, and changes are requested from the
--- a/toucanpin/entry/tests/test_row_reader.py
+++ b/toucanpin/entry/tests/test_row_reader.py
@@ -19,7 +19,7 @@
 from toucanpin.platform.workers import decode_worker
 from toucanpin.scheduling.orders import WorkerEntry
 
-SOUND: dict[str, object] = {
+VALID_ENTRY: dict[str, object] = {
     "service": "s",
     "address": "10.0.0.1:80",
     "zone": "dc",
@@ -28,23 +28,23 @@
     "capacity": {"cpu": 64_000, "memMb": 256_000, "gpu": 0},
     "labels": ["a", "r1-3"],
 }
-FOREIGN: tuple[object, ...] = (
-    {**SOUND, "address": "word"},
-    {**SOUND, "address": ""},
-    {**SOUND, "address": "10.0.0.1:99999"},
-    {**SOUND, "address": "10.0.0.1:-1"},
-    {**SOUND, "address": "10.0.0.1:٣"},
-    {**SOUND, "address": 7},
-    {**SOUND, "state": "resting"},
-    {**SOUND, "state": None},
-    {**SOUND, "service": ""},
-    {**SOUND, "capacity": {"cpu": -1, "memMb": 4_000}},
-    {**SOUND, "capacity": {"cpu": 10**18, "memMb": 4_000}},
-    {**SOUND, "capacity": {"cpu": "64000", "memMb": 4_000}},
-    {**SOUND, "capacity": {}},
-    {**SOUND, "labels": "a"},
-    {**SOUND, "labels": [1]},
-    *({key: value for key, value in SOUND.items() if key != name} for name in SOUND),
+INVALID_ENTRIES: tuple[object, ...] = (
+    {**VALID_ENTRY, "address": "word"},
+    {**VALID_ENTRY, "address": ""},
+    {**VALID_ENTRY, "address": "10.0.0.1:99999"},
+    {**VALID_ENTRY, "address": "10.0.0.1:-1"},
+    {**VALID_ENTRY, "address": "10.0.0.1:٣"},
+    {**VALID_ENTRY, "address": 7},
+    {**VALID_ENTRY, "state": "resting"},
+    {**VALID_ENTRY, "state": None},
+    {**VALID_ENTRY, "service": ""},
+    {**VALID_ENTRY, "capacity": {"cpu": -1, "memMb": 4_000}},
+    {**VALID_ENTRY, "capacity": {"cpu": 10**18, "memMb": 4_000}},
+    {**VALID_ENTRY, "capacity": {"cpu": "64000", "memMb": 4_000}},
+    {**VALID_ENTRY, "capacity": {}},
+    {**VALID_ENTRY, "labels": "a"},
+    {**VALID_ENTRY, "labels": [1]},
+    *({key: value for key, value in VALID_ENTRY.items() if key != name} for name in VALID_ENTRY),
     [],
     None,
     "text",
@@ -83,28 +83,35 @@
     lambda inner: st.lists(inner, max_size=3) | st.dictionaries(st.text(), inner, max_size=3),
     max_leaves=8,
 )
-_changed = st.dictionaries(st.sampled_from([*SOUND, "machine", "remainingMs"]), _values)
+_changed = st.dictionaries(st.sampled_from([*VALID_ENTRY, "machine", "remainingMs"]), _values)
 _foreign = st.one_of(
     _values,  # not base64, or not a string
     st.binary().map(lambda data: base64.b64encode(data).decode()),
     _values.map(_encode),
-    _changed.map(lambda fields: _encode({**SOUND, **fields})),
+    _changed.map(lambda fields: _encode({**VALID_ENTRY, **fields})),
 )
 
 
 class EntriesTest(unittest.TestCase):
     def test_an_invalid_worker_entry_is_rejected(self) -> None:
-        for number, entry in enumerate(FOREIGN):
+        for number, entry in enumerate(INVALID_ENTRIES):
             with self.subTest(number), self.assertRaises(PlatformError):
                 decode_worker("i-1", msgspec.json.encode(entry))
-        self.assertEqual("10.0.0.1:80", decode_worker("i-1", msgspec.json.encode(SOUND)).address)
+        self.assertEqual(
+            "10.0.0.1:80", decode_worker("i-1", msgspec.json.encode(VALID_ENTRY)).address
+        )
 
     def test_a_value_that_is_not_base64_hides_no_other_row(self) -> None:
         """
         Guards against a page that is rejected as a whole for one value that isn't base64: no worker
         was known then, and no job was run.
         """
-        rows = [_row("a", _encode(SOUND)), _row("b", "*"), _row("c", 5), _row("d", _encode(SOUND))]
+        rows = [
+            _row("a", _encode(VALID_ENTRY)),
+            _row("b", "*"),
+            _row("c", 5),
+            _row("d", _encode(VALID_ENTRY)),
+        ]
         self.assertEqual({"a", "d"}, set(_read(rows)))
 
     @settings(derandomize=True, deadline=None, max_examples=300)
@@ -112,8 +119,8 @@
     def test_no_row_changes_how_another_is_decoded(self, foreign: list, place: int) -> None:
         """A valid row is decoded in the same way whatever rows precede or follow it."""
         rows = [_row(f"f{number}", value) for number, value in enumerate(foreign)]
-        rows.insert(min(place, len(rows)), _row("sound", _encode(SOUND)))
-        alone = _read([_row("sound", _encode(SOUND))])
+        rows.insert(min(place, len(rows)), _row("sound", _encode(VALID_ENTRY)))
+        alone = _read([_row("sound", _encode(VALID_ENTRY))])
         self.assertEqual(alone["sound"], _read(rows)["sound"])
 
     def test_a_malformed_row_is_logged_once(self) -> None:
@@ -134,7 +141,7 @@
         site = Site()
         site.configure()
         self.addAsyncCleanup(site.close)
-        for number, entry in enumerate(FOREIGN):
+        for number, entry in enumerate(INVALID_ENTRIES):
             site.store.put("servers", f"i-f{number}", msgspec.json.encode(entry))
         for table in ("hosts", "keys", "effects", "counts", "progress", "jobs"):
             site.store.put(table, "foreign", b"\xff\x00{")
--- a/toucanpin/entry/tests/test_slow_takeover.py
+++ b/toucanpin/entry/tests/test_slow_takeover.py
@@ -18,7 +18,7 @@
 from toucanpin.scheduling.leases import LEASE_S
 from toucanpin.scheduling.ownership import OwnerRecord
 
-LOADING = LEASE_S + 1.0  # s that a new owner takes to read the cell's rows
+LOAD_TIME = LEASE_S + 1.0  # s that a new owner takes to read the cell's rows
 MAX_READ_SHARE = 0.05  # of the time, for periodic full reads
 PAGE_TIME = 0.01  # s per page
 
@@ -40,12 +40,12 @@
         load = CellRows.load
 
         async def load_late(rows: CellRows, now: Callable[[], Now]) -> int:
-            await asyncio.sleep(LOADING)
+            await asyncio.sleep(LOAD_TIME)
             return await load(rows, now)
 
         with patch.object(CellRows, "load", load_late):
             await site.hosts[owner].abort()
-            await asyncio.sleep(LOADING + LEASE_S)
+            await asyncio.sleep(LOAD_TIME + LEASE_S)
         self.assertEqual(3, len(worker.core.runs))
         self.assertEqual(3, len(worker.core.starts))
 
--- a/toucanpin/entry/tests/test_worker_entries.py
+++ b/toucanpin/entry/tests/test_worker_entries.py
@@ -8,14 +8,14 @@
 
 from standins.site.site import Site
 
-RARELY = 1_000.0  # s; longer than a test takes
+DISABLED_PERIOD = 1_000.0  # s; longer than a test takes
 READS = 4
 
 
 class WorkerListTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
         # Exclude full reads, which come every 3 s at most.
-        self.enterContext(patch("toucanpin.entry.row_cache.FULL_READ_PERIOD_S", RARELY))
+        self.enterContext(patch("toucanpin.entry.row_cache.FULL_READ_PERIOD_S", DISABLED_PERIOD))
         self.site = Site()
         self.site.configure()
         self.addAsyncCleanup(self.site.close)
--- a/toucanpin/entry/waves.py
+++ b/toucanpin/entry/waves.py
@@ -63,14 +63,14 @@
     def __init__(
         self,
         store: Store,
-        calls: MachineClient,
+        client: MachineClient,
         cell: Cell,
         clocks: Clocks,
         bounds: Bounds,
         first: bool,
     ) -> None:
         self._store = store
-        self._calls = calls
+        self._client = client
         self._cell = cell
         self._clocks = clocks
         self._bounds = bounds
@@ -98,7 +98,7 @@
         finally:
             for task in self._tasks:
                 task.cancel()
-            self._calls.close()
+            self._client.close()
 
     async def _reconcile(self) -> bool:
         page = await self._store.read(OPERATORS_TABLE, "", WAVE_PREFIX, WAVE_PREFIX + "\x7f")
@@ -110,11 +110,11 @@
         if steady_time() < self._orders_allowed_at:
             return True
         await self._refresh_machines()
-        emptied: list[Worker] = []
+        draining: list[Worker] = []
         for wave in open_waves:
-            emptied += await self._advance(wave)
-            emptied += self._list_ordered_workers(wave)
-        end_drains(self._cell.workers.values(), emptied)
+            draining += await self._advance(wave)
+            draining += self._list_ordered_workers(wave)
+        end_drains(self._cell.workers.values(), draining)
         return True
 
     async def _is_completed(self, wave: Wave) -> bool:
@@ -165,7 +165,7 @@
         if steady_time() < self._listed_at + LIST_PERIOD_S:
             return
         asked_at = steady_time()
-        machines = await self._calls.list()
+        machines = await self._client.list()
         self._machines = {machine.name: machine for machine in machines}
         self._last_seen.update(dict.fromkeys(self._machines, asked_at))
         self._listed_at = asked_at
@@ -195,8 +195,8 @@
             )
             return self._list_closing_workers()
         if is_completed(wave, record):
-            over = WaveRecord(record.begun, {}, record.done, True)
-            await self._write_record(wave, over, version, (_put_status(wave, True),))
+            completed_record = WaveRecord(record.begun, {}, record.done, True)
+            await self._write_record(wave, completed_record, version, (_put_status(wave, True),))
             _log.info("maintenance wave completed", event="wave.completed", wave=wave.number)
             return []
         for name, worker in record.down.items():
@@ -277,7 +277,7 @@
         try:
             if steady_time() > self._cell.confirmed_at + MAX_COMMIT_AGE_S:
                 return
-            answer = await self._calls.begin_upkeep(name, wave.number, self._cell.token)
+            answer = await self._client.begin_upkeep(name, wave.number, self._cell.token)
             _log.info(
                 "maintenance of a machine ordered",
                 event="upkeep.ordered",
