--- a/toucanpin/scheduling/__init__.py
+++ b/toucanpin/scheduling/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions about jobs of several tasks in one cell; nothing here does input or output."""
+"""Scheduling decisions of one cell for jobs of several tasks; nothing here does input or output."""
--- a/toucanpin/scheduling/advising.py
+++ b/toucanpin/scheduling/advising.py
@@ -1,8 +1,8 @@
 """
-Advice
-======
+Placement advice
+================
 
-Which workers a queue's policy allows for a step, and when to ask.
+Request and keep the tickets with which an advice service allows workers to run a step.
 """
 
 from __future__ import annotations
@@ -16,16 +16,14 @@
 
 __all__ = ["Advice", "AdviceRequest", "find_ticket", "plan_advice_requests", "record_advice"]
 
-MAX_WORKERS_PER_REQUEST = (
-    40  # workers of one question; more make the answer late, fewer leave too little choice
-)
-EXPIRY_MARGIN_S = 0.5  # s before a ticket's end from which on it isn't used
-RETRY_DELAY_S = 0.3  # s after a question without an answer
+MAX_WORKERS_PER_REQUEST = 40  # more delay the answer, fewer leave too few candidates
+EXPIRY_MARGIN_S = 0.5  # before a ticket expires, in which it isn't used
+RETRY_DELAY_S = 0.3  # after a request without an answer
 
 
 @dataclass(frozen=True, slots=True)
 class Advice:
-    """Hold the tickets of the workers that may run a step, and for how many seconds they hold."""
+    """Tickets by worker that may run a step, and the time in s for which they are valid."""
 
     tickets: dict[str, str]
     valid: float
@@ -33,14 +31,14 @@
 
 @dataclass(frozen=True, slots=True)
 class AdviceRequest:
-    """Ask about workers for a step."""
+    """Request for tickets of workers for a step."""
 
     group: Group
     workers: tuple[str, ...]
 
 
 def find_ticket(cell: Cell, group: Group, worker: str, now: Now) -> str:
-    """Return the ticket with which a worker may run a step, empty if none is known."""
+    """Return the ticket with which a worker may run a step, empty if there is no valid one."""
     known = cell.step_tickets.get(group)
     if known is None:
         return ""
@@ -52,9 +50,10 @@
     cell: Cell, model: InterferenceModel, free: int, now: Now
 ) -> list[AdviceRequest]:
     """
-    Return at most ``free`` questions that steps need now, the most urgent first.
+    Return at most ``free`` requests for waiting steps, the most urgent first.
 
-    Answers hold for seconds only, so nobody asks about workers that couldn't take a task now.
+    Tickets are valid for seconds only, so they are requested only for workers that could take a
+    task now.
     """
     requests: list[AdviceRequest] = []
     if not free:
@@ -73,7 +72,7 @@
         fitting = CandidateWorkers(round_, live, group, step, eligible).list_by_cost()
         if any(find_ticket(cell, group, worker.entry.id, now) for worker in fitting):
             continue
-        # What was refused stays refused, so the next question goes to other workers.
+        # A refusal is final, so the next request names other workers.
         ids = (worker.entry.id for worker in fitting)
         requested = [worker for worker in ids if worker not in known.refused][
             :MAX_WORKERS_PER_REQUEST
@@ -87,7 +86,7 @@
 
 
 def record_advice(cell: Cell, request: AdviceRequest, advice: Advice | None, now: Now) -> None:
-    """Take note of an answer, or of its lack."""
+    """Record the answer to a request, or that there was none."""
     known = cell.step_tickets.get(request.group)
     if known is None:
         return
--- a/toucanpin/scheduling/assigning.py
+++ b/toucanpin/scheduling/assigning.py
@@ -1,8 +1,8 @@
 """
-Assigning
-=========
+Assignment
+==========
 
-Give a task the place that was chosen for it, or note why it has none.
+Assign a task to the worker chosen for it, or record why it waits.
 """
 
 from __future__ import annotations
@@ -24,11 +24,13 @@
 from toucanpin.scheduling.progress import TaskState
 from toucanpin.scheduling.worker import Phase, Run, Worker
 
-__all__ = ["assign", "record_wait", "update_candidates"]
+__all__ = ["assign_task", "record_wait", "update_candidates"]
 
 
-def assign(cell: Cell, live: LiveJob, task: TaskKey, step: Step, worker: Worker, now: Now) -> None:
-    """Place a task on a worker; nothing is sent before that is written."""
+def assign_task(
+    cell: Cell, live: LiveJob, task: TaskKey, step: Step, worker: Worker, now: Now
+) -> None:
+    """Assign a task to a worker; the start order is sent only after this is written."""
     record = live.progress.tasks[task.occurrence][live.offsets[task.step] + task.index]
     record.state = TaskState.PLACED
     record.attempt += 1
@@ -50,7 +52,7 @@
 
 
 def record_wait(cell: Cell, group: Group, reason: WaitReason, now: Now) -> None:
-    """Note why tasks of a step found no place."""
+    """Record why tasks of a step wait."""
     if reason is WaitReason.NO_ROOM and cell.evacuated:
         reason = WaitReason.EVACUATED
     cell.waits.setdefault(group, Wait(now.steady)).reason = reason
@@ -59,7 +61,7 @@
 def update_candidates(
     candidates: CandidateWorkers, live: LiveJob, group: Group, step: Step, worker: Worker
 ) -> None:
-    """Weigh places anew after one is taken; tasks that want one rack stay with the first."""
+    """Update candidates after an assignment; the first task of a step may determine its rack."""
     candidates.update_best()
     if step.same_rack and group not in live.racks:
         live.racks[group] = worker.rack
--- a/toucanpin/scheduling/consolidating.py
+++ b/toucanpin/scheduling/consolidating.py
@@ -1,14 +1,14 @@
 """
-Gathering of images
-===================
+Consolidation of images
+=======================
 
-Move a lasting task away from a worker where it alone shuts out batch work that waits.
+Move a long-running task off a worker where it is the only reason why best-effort tasks wait.
 
 Notes
 -----
-On a worker that serves several images a filling task has to be harmless to all of them, so each
-image more shuts out a share of those that could fill beside the others.  Lasting tasks come in any
-order and stay for long, so strays of one image end up on workers of another.
+A best-effort task has to be harmless to all latency-critical images on its worker, so each further
+image excludes some of the best-effort images that could run beside the others.  Long-running tasks
+arrive in any order and stay for long, so single tasks of one image end up on workers of another.
 """
 
 from __future__ import annotations
@@ -25,18 +25,16 @@
 
 __all__ = ["consolidate_images"]
 
-MOVE_PERIOD_S = (
-    0.5  # s between moves; one that was stopped runs again elsewhere within about that time
-)
-MIN_WAIT_S = 0.5  # s that batch work has waited before anything is moved for it
-HARMFUL_EFFECT = 2.0  # effect from which an image counts as harmful to another
-MIN_GAIN_CORES = 6.0  # cores that a move has to open for what waits: those of one batch task
-MIN_STAY_S = 20.0  # s for which a task that was moved stays, longer than a batch job takes
+MOVE_PERIOD_S = 0.5  # a moved task runs again elsewhere within about this time
+MIN_WAIT_S = 0.5  # of best-effort tasks, before a task is moved for them
+HARMFUL_EFFECT = 2.0  # from which an image counts as harmful to another
+MIN_GAIN_CORES = 6.0  # cores that a move has to make usable: those of one best-effort task
+MIN_STAY_S = 20.0  # until a task is moved again; longer than a best-effort job takes
 
 
 @dataclass(frozen=True, slots=True)
 class _WorkerImages:
-    """Hold a worker's serving images and the cores that what fills could use."""
+    """Latency-critical images of a worker, one per task, and its cores for best-effort tasks."""
 
     worker: Worker
     images: tuple[str, ...]
@@ -44,7 +42,7 @@
 
 
 def consolidate_images(cell: Cell, model: InterferenceModel, now: Now) -> Run | None:
-    """Stop the lasting task whose move opens most cores to what waits, and return it."""
+    """Stop and return the long-running task whose move makes most cores usable."""
     if now.steady < cell.consolidated_at + MOVE_PERIOD_S:
         return None
     demand = _sum_demand(cell, now)
@@ -65,7 +63,7 @@
 
 
 def _drop_expired_moves(cell: Cell, now: Now) -> None:
-    """Drop moves that hold nothing back any more; a cell lives for months."""
+    """Drop moves that no longer matter; the state of a cell is kept for months."""
     cell.consolidated = {
         task: moved_at
         for task, moved_at in cell.consolidated.items()
@@ -74,7 +72,7 @@
 
 
 def _sum_demand(cell: Cell, now: Now) -> dict[str, float]:
-    """Return by image the cores of filling tasks that wait since they would disturb."""
+    """Return by image the cores of best-effort tasks that wait because of interference."""
     demand: dict[str, float] = {}
     for group, wait in cell.waits.items():
         if wait.reason is not WaitReason.INTERFERENCE or now.steady - wait.since < MIN_WAIT_S:
@@ -98,15 +96,15 @@
     demand: dict[str, float],
     now: Now,
 ) -> Iterable[tuple[float, Run]]:
-    """Yield the cores that each possible move would open, and the task that would move."""
+    """Yield the cores that each possible move would make usable, and the task to move."""
     for candidate in candidates:
         if len(set(candidate.images)) < 2:
             continue
         for run in candidate.worker.runs.values():
             if candidate.images.count(run.step.image) != 1 or not _may_move(cell, run, now):
                 continue
-            left = [image for image in candidate.images if image != run.step.image]
-            gain = _count_usable_cores(model, candidate, left, demand, run.step.cpu / 1_000)
+            remaining = [image for image in candidate.images if image != run.step.image]
+            gain = _count_usable_cores(model, candidate, remaining, demand, run.step.cpu / 1_000)
             gain -= _count_usable_cores(model, candidate, candidate.images, demand)
             if gain < MIN_GAIN_CORES:
                 continue
@@ -130,7 +128,7 @@
     run: Run,
     demand: dict[str, float],
 ) -> float | None:
-    """Return the fewest cores that the task would shut to what waits, None if it has no place."""
+    """Return the fewest usable cores lost on another worker, None if none can take the task."""
     group = Group(run.task.job, run.task.occurrence, run.task.step)
     lowest: float | None = None
     for other in candidates:
@@ -152,13 +150,16 @@
     candidate: _WorkerImages,
     images: Iterable[str],
     demand: dict[str, float],
-    more: float = 0.0,
+    extra: float = 0.0,
 ) -> float:
-    """Return the cores of a worker that what waits could use beside some images."""
-    serving = set(images)
+    """Return the cores of a worker that waiting tasks could use beside the given images."""
+    service_images = set(images)
     wanted = sum(
         cores
         for image, cores in demand.items()
-        if all(model.expected_effect(served, image) < HARMFUL_EFFECT for served in serving)
+        if all(
+            model.expected_effect(service_image, image) < HARMFUL_EFFECT
+            for service_image in service_images
+        )
     )
-    return min(wanted, max(0.0, candidate.free + more))
+    return min(wanted, max(0.0, candidate.free + extra))
--- a/toucanpin/scheduling/evacuating.py
+++ b/toucanpin/scheduling/evacuating.py
@@ -2,12 +2,12 @@
 Evacuation of data centres
 ==========================
 
-Keep new tasks away from workers whose data centre operators are emptying.
+Exclude the workers of data centres that operators evacuate from placement.
 
 Notes
 -----
-What runs there ends by itself or goes on: an evacuation asks only that nothing more is sent.  Room
-there counts nowhere, so what waits is weighed against the room that it may have.
+Tasks that run there go on: an evacuation only requires that no more tasks are sent.  The free
+resources there don't count, so waiting tasks are compared with those that they may use.
 """
 
 from __future__ import annotations
@@ -28,14 +28,14 @@
     "apply_evacuations",
 ]
 
-# Of the time within which an evacuation has to be in force; the rest is for the read that first
-# shows it and for a start on its way.
+# Maximum age of the list as a share of the time within which an evacuation has to be in force.  The
+# rest of that time is for the read that first shows it and for start orders under way.
 MAX_AGE_SHARE = 0.5
 
 
 @dataclass(frozen=True, slots=True)
 class EvacuationList:
-    """Hold the data centres that are evacuated, as read at a local time."""
+    """Data centres that are evacuated, as read at a local time."""
 
     data_centres: frozenset[str]
     read_at: float
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Evacuation:
-    """Tell how far an evacuation is: the workers of a data centre, and what still runs there."""
+    """Progress of an evacuation: the workers of a data centre and the runs left on them."""
 
     data_centre: str
     workers: int
@@ -52,7 +52,7 @@
 
 def apply_evacuations(cell: Cell, evacuated: EvacuationList, bound: float) -> bool:
     """
-    Take up what was read; return whether other data centres are evacuated now.
+    Apply the evacuations that were read; return whether they have changed.
 
     ``bound`` is the time in s within which an evacuation has to be in force.
     """
@@ -64,16 +64,16 @@
 
 def has_current_evacuations(cell: Cell, now: Now) -> bool:
     """
-    Tell whether what is evacuated is known as it was lately.
+    Return whether the known evacuations are recent enough to start tasks.
 
-    An owner that is new, or that the table doesn't answer, would start tasks in a data centre long
-    after its evacuation was accepted.
+    Otherwise an owner that is new, or that the table doesn't answer, would start tasks in a data
+    centre long after its evacuation was accepted.
     """
     return now.steady <= cell.evacuated_until
 
 
 def is_evacuated(cell: Cell, worker: Worker) -> bool:
-    """Tell whether nothing more may be started on a worker."""
+    """Return whether a worker is in an evacuated data centre."""
     return worker.entry.data_centre in cell.evacuated
 
 
@@ -83,7 +83,7 @@
 
 
 def describe_evacuations(cell: Cell) -> tuple[Evacuation, ...]:
-    """Return how far each evacuation is, also of data centres without a worker."""
+    """Return the progress of each evacuation, also of data centres without a worker."""
     workers: Counter[str] = Counter()
     runs: Counter[str] = Counter()
     for worker in cell.workers.values():
--- a/toucanpin/scheduling/gangs.py
+++ b/toucanpin/scheduling/gangs.py
@@ -2,12 +2,12 @@
 Gangs
 =====
 
-Place all tasks of a gang or none.
+Place all tasks of a gang at once or none.
 """
 
 from __future__ import annotations
 
-from toucanpin.scheduling.assigning import assign, record_wait, update_candidates
+from toucanpin.scheduling.assigning import assign_task, record_wait, update_candidates
 from toucanpin.scheduling.cell import Cell, Group, LiveJob, WaitReason
 from toucanpin.scheduling.choosing import CandidateWorkers, PlacementRound
 from toucanpin.scheduling.crashing import find_suspicion, is_start_blocked
@@ -26,7 +26,7 @@
     step: Step,
     eligible: list[Worker],
 ) -> None:
-    """Place all tasks of a gang or none; a part of one would only wait."""
+    """Place all tasks of a gang or none, since an incomplete gang makes no progress."""
     waiting = cell.waiting[group]
     if len(waiting) < step.count:
         return
@@ -43,7 +43,7 @@
     if any(is_start_blocked(cell, live, member) for member in members):
         record_wait(cell, group, WaitReason.CRASHING, round_.now)
         return
-    # All members share the failures of their gang, so any speaks for them.
+    # Members share the failures of their gang, so the most suspected one stands for all.
     suspected = max(members, key=lambda member: find_suspicion(live, member))
     safe = list_retry_workers(live, suspected, eligible, round_.now)
     candidates = CandidateWorkers(round_, live, group, step, safe, find_suspicion(live, suspected))
@@ -55,13 +55,13 @@
     for index, worker in zip(sorted(waiting), chosen, strict=True):
         waiting.discard(index)
         task = TaskKey(group.job, group.occurrence, group.step, index)
-        assign(cell, live, task, step, worker, round_.now)
+        assign_task(cell, live, task, step, worker, round_.now)
 
 
 def _choose_workers(
     candidates: CandidateWorkers, live: LiveJob, group: Group, step: Step
 ) -> list[Worker]:
-    """Return a worker for each task of a gang, fewer if not all find one; nothing is taken yet."""
+    """Return a worker for each task of a gang, fewer if not all find one, without assigning any."""
     chosen: list[Worker] = []
     trial: list[tuple[Worker, Run]] = []
     for index in range(step.count):
--- a/toucanpin/scheduling/interference_model.py
+++ b/toucanpin/scheduling/interference_model.py
@@ -49,8 +49,8 @@
 class Effect(msgspec.Struct, frozen=True, array_like=True):
     """Estimated effect of a best-effort image on a latency-critical one."""
 
-    serving: str
-    filling: str
+    service: str
+    neighbour: str
     mean: float
     deviation: float
 
@@ -113,15 +113,15 @@
         self._cautious_effects: dict[tuple[str, str], float] = {}
         self._idle_tails: dict[tuple[str, int], float] = {}
 
-    def cautious_effect(self, serving: str, filling: str) -> float:
-        """Return an upper estimate of the effect of one image on another."""
+    def cautious_effect(self, service: str, neighbour: str) -> float:
+        """Return an upper estimate of the effect of the image ``neighbour`` on ``service``."""
         return self._cautious_effects.get(
-            (serving, filling), PRIOR_EFFECT + CAUTION_DEVIATIONS * PRIOR_DEVIATION
+            (service, neighbour), PRIOR_EFFECT + CAUTION_DEVIATIONS * PRIOR_DEVIATION
         )
 
-    def expected_effect(self, serving: str, filling: str) -> float:
-        """Return the mean estimate of the effect of one image on another."""
-        known = self._effects.get((serving, filling))
+    def expected_effect(self, service: str, neighbour: str) -> float:
+        """Return the mean estimate of the effect of the image ``neighbour`` on ``service``."""
+        known = self._effects.get((service, neighbour))
         return PRIOR_EFFECT if known is None else min(MAX_EFFECT, max(0.0, known.mean))
 
     def idle_tail(self, image: str, target: int) -> float:
@@ -200,18 +200,18 @@
         return known.trend + weight * ((value - known.value) / passed - known.trend)
 
     def learn(
-        self, now: float, serving: str, factor: float, noise: float, amounts: dict[str, float]
+        self, now: float, service: str, factor: float, noise: float, core_shares: dict[str, float]
     ) -> None:
         """Update effects from a utilization of ``factor`` times the one without neighbours."""
-        model = self._regressions.get(serving)
+        model = self._regressions.get(service)
         if model is None:
-            model = self._regressions[serving] = Regression(EFFECT_MEMORY_S)
-        for image in amounts:
+            model = self._regressions[service] = Regression(EFFECT_MEMORY_S)
+        for image in core_shares:
             if image not in model:
                 model.add(now, image, PRIOR_EFFECT, PRIOR_DEVIATION)
-        model.learn(now, amounts, factor - 1, noise)
-        for image in amounts:
-            self._update_effect(serving, image, model)
+        model.learn(now, core_shares, factor - 1, noise)
+        for image in core_shares:
+            self._update_effect(service, image, model)
 
     def export(self, durations: Durations) -> LearnedModel:
         """Return the learned effects, settled tails and durations for the next owner."""
@@ -225,17 +225,17 @@
         }
         self._idle_tails.clear()
         for effect in learned.effects:
-            model = self._regressions.setdefault(effect.serving, Regression(EFFECT_MEMORY_S))
-            if effect.filling not in model:
+            model = self._regressions.setdefault(effect.service, Regression(EFFECT_MEMORY_S))
+            if effect.neighbour not in model:
                 deviation = max(MIN_RESTORED_DEVIATION, effect.deviation)
-                model.add(now, effect.filling, effect.mean, deviation)
-                self._update_effect(effect.serving, effect.filling, model)
+                model.add(now, effect.neighbour, effect.mean, deviation)
+                self._update_effect(effect.service, effect.neighbour, model)
 
-    def _update_effect(self, serving: str, image: str, model: Regression) -> None:
-        self._store_effect(Effect(serving, image, model.mean(image), model.deviation(image)))
+    def _update_effect(self, service: str, image: str, model: Regression) -> None:
+        self._store_effect(Effect(service, image, model.mean(image), model.deviation(image)))
 
     def _store_effect(self, effect: Effect) -> None:
-        pair = effect.serving, effect.filling
+        pair = effect.service, effect.neighbour
         self._effects[pair] = effect
         self._cautious_effects[pair] = min(
             MAX_EFFECT, max(0.0, effect.mean + CAUTION_DEVIATIONS * effect.deviation)
--- a/toucanpin/scheduling/learning.py
+++ b/toucanpin/scheduling/learning.py
@@ -1,13 +1,13 @@
 """
-Learning what sharing costs
-===========================
+Learning of interference
+========================
 
-Find the load of each serving job, and what the images that fill beside it add to it.
+Estimate the load of each latency-critical job, and the effects of best-effort images on it.
 
 Notes
 -----
-Tasks of one job carry the same load, so those with harmless neighbours show what the job's load is,
-and the others show what their neighbours cost.
+Tasks of one job have the same load, so those with harmless neighbours reveal the job's load, and
+the others the effects of their neighbours.
 """
 
 from __future__ import annotations
@@ -18,22 +18,20 @@
 
 __all__ = ["MAX_SAMPLES_PER_S", "MEASUREMENT_MAX_AGE_S", "learn_effects", "measure_loads"]
 
-WARM_UP_S = 3.0  # s after its start in which a serving task's tail may look lower than any later
-MEASUREMENT_MAX_AGE_S = 1.5  # s for which a measurement counts
-LOAD_MAX_AGE_S = 15.0  # s after which a job's load that nobody measures is forgotten
-MAX_UNDISTURBED_GROWTH = 0.1  # growth by neighbours up to which a task shows its job's load
-TAIL_NOISE = 0.06  # of a tail, a mean of half a second
-MODEL_NOISE = 0.08  # of a factor, that more measurements don't take away
-DISTURBED_NOISE = 0.4  # more of it where all tasks of a job have harmful neighbours
-LEARN_PERIOD_S = (
-    0.4  # s: workers measure over half a second, so earlier answers repeat the last one
-)
-MAX_SAMPLES_PER_S = 250.0  # a second, of all workers: more of them measure the same pairs at once
-MIN_LOAD = 0.05  # below which a factor says nothing
+WARM_UP_S = 3.0  # after a start, in which a task's tail may be lower than later
+MEASUREMENT_MAX_AGE_S = 1.5
+LOAD_MAX_AGE_S = 15.0  # without measurements, after which a job's load is dropped
+MAX_UNDISTURBED_GROWTH = 0.1  # by neighbours, up to which a task reveals its job's load
+TAIL_NOISE = 0.06  # relative deviation of a tail, a mean over half a second
+MODEL_NOISE = 0.08  # relative error of a factor that more measurements don't reduce
+DISTURBED_NOISE = 0.4  # added if all tasks of a job have harmful neighbours
+LEARN_PERIOD_S = 0.4  # workers measure over half a second, so answers in between repeat a value
+MAX_SAMPLES_PER_S = 250.0  # of all workers, many of which measure the same pairs of images
+MIN_LOAD = 0.05  # below which a factor is too inaccurate
 
 
 def measure_loads(cell: Cell, model: InterferenceModel, now: Now) -> None:
-    """Find the load of each serving job from its tasks' tails."""
+    """Estimate the load of each latency-critical job from its tasks' tails."""
     found: dict[str, list[tuple[float, float]]] = {}
     for worker in cell.workers.values():
         if not worker.serving_count or now.steady - worker.answered_at > MEASUREMENT_MAX_AGE_S:
@@ -55,10 +53,11 @@
 
 def learn_effects(model: InterferenceModel, worker: Worker, workers: int, now: Now) -> None:
     """
-    Learn from the newest measurements of one of so many workers.
+    Learn from the newest measurements of one worker; ``workers`` is the number of all workers.
 
-    A sample costs as much as an answer, and on hundreds of workers learning from each of them would
-    be a large part of an owner's work, though a pair of images is measured on many of them.
+    The rate of samples is limited: processing one takes as long as an answer of a worker, and with
+    hundreds of workers it would take a large part of an owner's time, though many of them measure
+    the same pairs of images.
     """
     period = max(LEARN_PERIOD_S, workers / MAX_SAMPLES_PER_S)
     if (
@@ -90,7 +89,7 @@
 
 
 def _compute_core_shares(worker: Worker) -> dict[str, float]:
-    """Return the share of a worker's cores that each filling image uses."""
+    """Return the share of a worker's cores that each best-effort image uses."""
     core_shares: dict[str, float] = {}
     for run in worker.runs.values():
         if run.step.best_effort and run.phase is Phase.RUNNING and run.measure > 0:
@@ -101,17 +100,17 @@
 
 def _sum_growth(model: InterferenceModel, image: str, core_shares: dict[str, float]) -> float:
     return sum(
-        share * model.expected_effect(image, filling) for filling, share in core_shares.items()
+        share * model.expected_effect(image, neighbour) for neighbour, share in core_shares.items()
     )
 
 
 def _estimate_load(values: list[tuple[float, float]]) -> tuple[float, bool]:
     """
-    Return a job's load from pairs of the neighbours' growth and the load without it.
+    Return a job's load, and whether some of its tasks have harmless neighbours.
 
-    The flag says that some of its tasks have harmless neighbours.
-    Where all tasks have harmful neighbours the least is taken: estimates of growth that are too
-    low would otherwise pass for load.
+    ``values`` holds for each task the growth by its neighbours and the load without that growth.
+    If all tasks have harmful neighbours the lowest load is returned, since underestimated growth
+    appears as load.
     """
     undisturbed = [value for growth, value in values if growth <= MAX_UNDISTURBED_GROWTH]
     if undisturbed:
--- a/toucanpin/scheduling/pacing.py
+++ b/toucanpin/scheduling/pacing.py
@@ -117,13 +117,13 @@
 
 
 def _find_most_loaded(model: InterferenceModel, worker: Worker) -> Run | None:
-    serving = (
+    service_runs = (
         run
         for run in worker.runs.values()
         if run.step.target and run.phase is Phase.RUNNING and run.measure > 0
     )
     return max(
-        serving,
+        service_runs,
         key=lambda run: model.utilization(run) / max(0.05, model.limit(run)),
         default=None,
     )
--- a/toucanpin/scheduling/placing.py
+++ b/toucanpin/scheduling/placing.py
@@ -10,7 +10,7 @@
 from collections import Counter
 
 from toucanpin.scheduling.advising import find_ticket
-from toucanpin.scheduling.assigning import assign, record_wait, update_candidates
+from toucanpin.scheduling.assigning import assign_task, record_wait, update_candidates
 from toucanpin.scheduling.cell import (
     Cell,
     Group,
@@ -228,7 +228,7 @@
             return
         cell.delayed_until.pop(task, None)
         waiting.discard(index)
-        assign(cell, live, task, step, worker, now)
+        assign_task(cell, live, task, step, worker, now)
         update_candidates(chosen, live, group, step, worker)
         candidates = candidates if chosen is candidates else None
 
--- a/toucanpin/scheduling/prediction.py
+++ b/toucanpin/scheduling/prediction.py
@@ -80,11 +80,11 @@
 
 
 def predict_rise_for_run(
-    model: InterferenceModel, worker: Worker, serving: Run, image: str, cpu: float
+    model: InterferenceModel, worker: Worker, service: Run, image: str, cpu: float
 ) -> float:
     """Return what ``cpu`` of an image adds to the utilization of one latency-critical task."""
-    effect = model.cautious_effect(serving.step.image, image)
-    return model.planned_load(serving) * effect * cpu / max(1, worker.entry.cpu)
+    effect = model.cautious_effect(service.step.image, image)
+    return model.planned_load(service) * effect * cpu / max(1, worker.entry.cpu)
 
 
 def estimate_used_cpu(run: Run) -> float:
@@ -101,7 +101,7 @@
 ) -> ServiceUtilization:
     image = run.step.image
     growth = sum(
-        share * model.cautious_effect(image, filling) for filling, share in core_shares.items()
+        share * model.cautious_effect(image, neighbour) for neighbour, share in core_shares.items()
     )
     load = model.planned_load(run) if planned else model.load(run)
     return ServiceUtilization(
