--- a/scenarios/peer.py
+++ b/scenarios/peer.py
@@ -79,7 +79,7 @@
 
     def current(self) -> Bundle | None:
         """Return the bundle in force, None while this process must not serve by it."""
-        reached, known = self.view.reach()
+        reached, known = self.view.count_reachable()
         ready = self.spread.readiness(reached, known, self.read_clock()).ready
         return self.spread.bundle if ready else None
 
@@ -134,10 +134,10 @@
 
     def _send_round(self) -> None:
         """Send one round of heartbeats, also to processes never heard of."""
-        names = {member.name for member in self.view.targets()}
+        names = {member.name for member in self.view.list_targets()}
         known = {member.name for member in self.members()}
         names |= self.around.peers.keys() - known
-        beat = self.view.beat(0)
+        beat = self.view.make_beat(0)
         for name in sorted(names):
             self._send(name, beat.records)
 
@@ -158,8 +158,8 @@
         for change in self.view.receive(beat, now):
             self._note(change)
         sender = beat.sender.member
-        if self.view.owes_answer(beat, now):
-            self._send(sender.name, self.view.answers(sender.name))
+        if self.view.needs_answer(beat, now):
+            self._send(sender.name, self.view.list_answers(sender.name))
         if sender.name != self.name:
             self.spread.hear(sender.bundle, age, now)
 
@@ -219,7 +219,7 @@
 
     def _see_bundle(self, source: str) -> None:
         """Stamp heartbeats with the version in force and note when one comes into force."""
-        self.view.carry(self.spread.version)
+        self.view.set_bundle(self.spread.version)
         bundle = self.current()
         version = 0 if bundle is None else bundle.version
         if self.kernel.now - self._seen_at > PAUSED:
--- a/toucanpin/daemon/gossip.py
+++ b/toucanpin/daemon/gossip.py
@@ -103,7 +103,7 @@
     def reach(self) -> tuple[int, int]:
         """Return how many other members are heard, and how many should be."""
         with self._lock:
-            return self._view.reach()
+            return self._view.count_reachable()
 
     def listen(self, listener: BeatListener) -> None:
         """Call ``listener`` on each heartbeat, on the thread of the heartbeats."""
@@ -117,7 +117,7 @@
         """Stamp the version of the bundle in force on every message, and tell it at once."""
         with self._lock:
             changed = bundle != self._view.own.bundle
-            self._view.carry(bundle)
+            self._view.set_bundle(bundle)
         if changed:
             self._send_round()
 
@@ -166,7 +166,7 @@
         listed = self._entry_hosts()
         with self._lock:
             changes = self._view.tick(now)
-            self._view.excuse(listed)
+            self._view.mark_delisted(listed)
         self._report(changes)
         self._send_round()
 
@@ -179,8 +179,8 @@
         now = time.monotonic()
         with self._lock:
             changes = self._view.receive(beat, now)
-            owed = self._view.owes_answer(beat, now)
-            answers = self._view.answers(beat.sender.member.name) if owed else ()
+            owed = self._view.needs_answer(beat, now)
+            answers = self._view.list_answers(beat.sender.member.name) if owed else ()
             digest = self._view.digest()
         self._report(changes)
         self._answer(beat.sender.member, digest, answers)
@@ -199,8 +199,8 @@
 
     def _send_round(self) -> None:
         with self._lock:
-            targets = self._view.targets()
-            beat = self._view.beat(0)
+            targets = self._view.list_targets()
+            beat = self._view.make_beat(0)
             known = self._view.endpoints()
         endpoints = [(member.address, member.port) for member in targets]
         endpoints += [seed for seed in self._seeds if seed not in known]
--- a/toucanpin/membership/tests/mesh.py
+++ b/toucanpin/membership/tests/mesh.py
@@ -62,12 +62,12 @@
         for beat in waiting:
             self._deliver(name, beat)
 
-    def standing(self, viewer: str, name: str) -> Standing | None:
+    def get_standing(self, viewer: str, name: str) -> Standing | None:
         """Return what one process believes of another, None if it doesn't know it."""
         found = [m for m in self.views[viewer].members() if m.name == name]
         return found[0].standing if found else None
 
-    def sees_alive(self, viewer: str) -> set[str]:
+    def list_alive(self, viewer: str) -> set[str]:
         """Return the names that one process believes to be there."""
         members = self.views[viewer].members()
         return {m.name for m in members if m.standing is Standing.ALIVE}
@@ -75,7 +75,7 @@
     def make_beat(self, name: str, records: tuple[Record, ...] | None = None) -> Beat:
         """Return the next heartbeat of a process."""
         self._sequences[name] += 1
-        beat = self.views[name].beat(self._sequences[name])
+        beat = self.views[name].make_beat(self._sequences[name])
         return beat if records is None else Beat(beat.sender, beat.digest, records)
 
     def _round(self, name: str) -> None:
@@ -83,7 +83,7 @@
         self.changes[name] += view.tick(self.now)
         beat = self.make_beat(name)
         known = {(m.address, m.port) for m in view.members()}
-        for target in view.targets():
+        for target in view.list_targets():
             self._send(name, (target.address, target.port), beat)
         for seed in self._seeds - known:
             self._send(name, seed, beat)
@@ -101,10 +101,10 @@
     def _deliver(self, receiver: str, beat: Beat) -> None:
         view = self.views[receiver]
         self.changes[receiver] += view.receive(beat, self.now)
-        if not view.owes_answer(beat, self.now):
+        if not view.needs_answer(beat, self.now):
             return
         sender = beat.sender.member
-        answers = view.answers(sender.name)
+        answers = view.list_answers(sender.name)
         for start in range(0, len(answers), MAX_RECORDS):
             part = self.make_beat(receiver, answers[start : start + MAX_RECORDS])
             self._send(receiver, (sender.address, sender.port), part)
--- a/toucanpin/membership/tests/test_view.py
+++ b/toucanpin/membership/tests/test_view.py
@@ -27,15 +27,15 @@
     def test_all_find_each_other_through_one_seed(self):
         mesh = build_mesh((A, B, C, D))
         for name in (A, B, C, D):
-            self.assertEqual(mesh.sees_alive(name), {A, B, C, D})
+            self.assertEqual(mesh.list_alive(name), {A, B, C, D})
 
     def test_silence_is_suspected_before_it_is_removal(self):
         mesh = build_mesh()
         del mesh.views[C]
         mesh.run(3)
-        self.assertIs(mesh.standing(A, C), Standing.SUSPECT)
+        self.assertIs(mesh.get_standing(A, C), Standing.SUSPECT)
         mesh.run(6)
-        self.assertIs(mesh.standing(A, C), Standing.GONE)
+        self.assertIs(mesh.get_standing(A, C), Standing.GONE)
 
     def test_leaving_is_told_at_once_and_stays(self):
         """
@@ -46,12 +46,12 @@
         late = mesh.make_beat(C)
         mesh.views[C].leave()
         mesh.run(1)
-        self.assertIs(mesh.standing(A, C), Standing.LEAVING)
+        self.assertIs(mesh.get_standing(A, C), Standing.LEAVING)
         mesh.views[A].receive(late, mesh.now)
         again = dataclasses.replace(late.sender, sequence=10_000)
         mesh.views[A].receive(Beat(again, late.digest), mesh.now)
-        self.assertIs(mesh.standing(A, C), Standing.LEAVING)
-        self.assertEqual(mesh.views[A].reach(), (1, 1))
+        self.assertIs(mesh.get_standing(A, C), Standing.LEAVING)
+        self.assertEqual(mesh.views[A].count_reachable(), (1, 1))
 
     def test_a_one_way_cut_does_not_remove(self):
         """
@@ -61,11 +61,11 @@
         mesh = build_mesh()
         mesh.cut = lambda sender, receiver: (sender, receiver) == (B, A)
         mesh.run(60)
-        self.assertIs(mesh.standing(A, B), Standing.SUSPECT)
-        self.assertIs(mesh.standing(C, B), Standing.ALIVE)
+        self.assertIs(mesh.get_standing(A, B), Standing.SUSPECT)
+        self.assertIs(mesh.get_standing(C, B), Standing.ALIVE)
         mesh.cut = lambda sender, receiver: False
         mesh.run(1)
-        self.assertIs(mesh.standing(A, B), Standing.ALIVE)
+        self.assertIs(mesh.get_standing(A, B), Standing.ALIVE)
 
     def test_a_process_frozen_longer_than_every_timeout(self):
         """
@@ -77,12 +77,12 @@
         before = mesh.views[B].own.incarnation
         mesh.freeze(B)
         mesh.run(600)
-        self.assertIs(mesh.standing(A, B), Standing.GONE)
+        self.assertIs(mesh.get_standing(A, B), Standing.GONE)
         mesh.resume(B)
         mesh.run(3)
         self.assertGreater(mesh.views[B].own.incarnation, before)
         for name in (A, B, C):
-            self.assertEqual(mesh.sees_alive(name), {A, B, C})
+            self.assertEqual(mesh.list_alive(name), {A, B, C})
         lost = [c for c in mesh.changes[B] if c.kind in (ChangeKind.GONE, ChangeKind.SUSPECTED)]
         self.assertEqual(lost, [])
 
@@ -97,9 +97,9 @@
         mesh.run(10)
         newer = dataclasses.replace(beat.sender, sequence=beat.sender.sequence + 1_000)
         mesh.views[A].receive(Beat(newer, beat.digest), mesh.now)
-        self.assertIs(mesh.standing(A, B), Standing.GONE)
-        self.assertTrue(mesh.views[A].owes_answer(Beat(newer, beat.digest), mesh.now))
-        told = [r.member.standing for r in mesh.views[A].answers(B) if r.member.name == B]
+        self.assertIs(mesh.get_standing(A, B), Standing.GONE)
+        self.assertTrue(mesh.views[A].needs_answer(Beat(newer, beat.digest), mesh.now))
+        told = [r.member.standing for r in mesh.views[A].list_answers(B) if r.member.name == B]
         self.assertEqual(told, [Standing.GONE])
 
     def test_a_replaced_host_of_the_same_name_and_address(self):
@@ -112,7 +112,7 @@
         mesh.add(make_member(B, 3, 7_001))
         mesh.run(5)
         self.assertGreater(mesh.views[B].own.incarnation, 11)
-        self.assertEqual(mesh.sees_alive(A), {A, B, C})
+        self.assertEqual(mesh.list_alive(A), {A, B, C})
         current = [m for m in mesh.views[A].members() if m.name == B]
         mesh.views[A].receive(old, mesh.now)
         self.assertEqual([m for m in mesh.views[A].members() if m.name == B], current)
@@ -126,9 +126,9 @@
         del mesh.views[B]
         mesh.add(make_member(D, 50, 7_001))
         mesh.run(1)
-        self.assertIs(mesh.standing(A, B), Standing.GONE)
-        self.assertIs(mesh.standing(A, D), Standing.ALIVE)
-        self.assertEqual(mesh.views[A].reach()[1], 2)
+        self.assertIs(mesh.get_standing(A, B), Standing.GONE)
+        self.assertIs(mesh.get_standing(A, D), Standing.ALIVE)
+        self.assertEqual(mesh.views[A].count_reachable()[1], 2)
 
     def test_two_sites_parted_for_minutes_meet_again(self):
         """
@@ -139,12 +139,12 @@
         left = {A, B}
         mesh.cut = lambda sender, receiver: (sender in left) != (receiver in left)
         mesh.run(600)
-        self.assertEqual((mesh.sees_alive(A), mesh.sees_alive(C)), ({A, B}, {C, D}))
-        self.assertEqual(mesh.views[A].reach(), (1, 3))
+        self.assertEqual((mesh.list_alive(A), mesh.list_alive(C)), ({A, B}, {C, D}))
+        self.assertEqual(mesh.views[A].count_reachable(), (1, 3))
         mesh.cut = lambda sender, receiver: False
         mesh.run(8)
         for name in (A, B, C, D):
-            self.assertEqual(mesh.sees_alive(name), {A, B, C, D})
+            self.assertEqual(mesh.list_alive(name), {A, B, C, D})
 
     def test_a_replayed_heartbeat_keeps_nobody_alive(self):
         """
@@ -158,7 +158,7 @@
         for _ in range(40):
             mesh.run(0.5)
             mesh.views[A].receive(captured, mesh.now)
-        self.assertIs(mesh.standing(A, C), Standing.GONE)
+        self.assertIs(mesh.get_standing(A, C), Standing.GONE)
 
     def test_replaced_hosts_do_not_count_as_lost(self):
         """
@@ -170,12 +170,12 @@
         del mesh.views[C], mesh.views[D]
         mesh.run(10)
         view = mesh.views[A]
-        self.assertEqual(view.reach(), (1, 3))
+        self.assertEqual(view.count_reachable(), (1, 3))
         for listed in ({"x"}, {"a", "b", "c", "d"}):
-            view.excuse(frozenset(listed))
-            self.assertEqual(view.reach(), (1, 3))
-        view.excuse(frozenset({"a"}))
-        self.assertEqual(view.reach(), (1, 1))
+            view.mark_delisted(frozenset(listed))
+            self.assertEqual(view.count_reachable(), (1, 3))
+        view.mark_delisted(frozenset({"a"}))
+        self.assertEqual(view.count_reachable(), (1, 1))
 
     def test_answers_are_rationed(self):
         view = View(make_member(A, 1, 7_000), Timing(), 0.0)
@@ -183,7 +183,7 @@
         for index in range(50):
             beat = Beat(Record(make_member(f"x{index}/request", 1, 8_000 + index), 1), index)
             view.receive(beat, 0.1)
-            owed += view.owes_answer(beat, 0.1)
+            owed += view.needs_answer(beat, 0.1)
         self.assertLessEqual(owed, 2)
 
 
--- a/toucanpin/membership/view.py
+++ b/toucanpin/membership/view.py
@@ -30,12 +30,12 @@
 __all__ = ["View"]
 
 MAX_RECORDS = 8
-MAX_ANSWERS = 2
-RELAYS = 3
-PROBE_EVERY = 5
-_DIGEST_LIMIT = 2**63
+MAX_ANSWERS_PER_INTERVAL = 2
+RELAY_ROUNDS = 3
+PROBE_PERIOD_ROUNDS = 5
+_DIGEST_MODULUS = 2**63
 
-_THERE = (Standing.ALIVE, Standing.SUSPECT)
+_PRESENT = (Standing.ALIVE, Standing.SUSPECT)
 
 
 @dataclass(slots=True)
@@ -48,13 +48,13 @@
 
     member: Member
     sequence: int
-    heard: float
-    evidence: float
-    relays: int = RELAYS
-    answered: float = float("-inf")
-    excused: bool = False
+    heard_at: float
+    evidence_at: float
+    relays_left: int = RELAY_ROUNDS
+    answered_at: float = float("-inf")
+    departed: bool = False
 
-    def stand(self, standing: Standing) -> Member:
+    def set_standing(self, standing: Standing) -> Member:
         """Change the standing and return the member as it is now."""
         self.member = dataclasses.replace(self.member, standing=standing)
         return self.member
@@ -67,8 +67,8 @@
         self.own = own
         self._timing = timing
         self._entries: dict[str, _Entry] = {}
-        self._ticked = now
-        self._answers = 0
+        self._last_tick = now
+        self._answers_sent = 0
         self._rounds = 0
         self._digest: int | None = None
 
@@ -79,8 +79,8 @@
     def digest(self) -> int:
         """Summarize the names and incarnations of the members that are there."""
         if self._digest is None:
-            there = (m for m in self.members() if m.standing in _THERE)
-            self._digest = sum(_hash(member) for member in there) % _DIGEST_LIMIT
+            present = (m for m in self.members() if m.standing in _PRESENT)
+            self._digest = sum(_hash(member) for member in present) % _DIGEST_MODULUS
         return self._digest
 
     def leave(self) -> None:
@@ -88,7 +88,7 @@
         self.own = dataclasses.replace(self.own, standing=Standing.LEAVING)
         self._digest = None
 
-    def carry(self, bundle: int) -> None:
+    def set_bundle(self, bundle: int) -> None:
         """Note the version of the bundle in force here."""
         if bundle != self.own.bundle:
             self.own = dataclasses.replace(self.own, bundle=bundle)
@@ -97,14 +97,14 @@
         """Return the endpoints that heartbeats come from or go to, this process's own included."""
         return frozenset((member.address, member.port) for member in self.members())
 
-    def reach(self) -> tuple[int, int]:
+    def count_reachable(self) -> tuple[int, int]:
         """Return how many others are heard, and how many should be: those and the lost ones."""
         entries = tuple(self._entries.values())
         heard = sum(entry.member.standing is Standing.ALIVE for entry in entries)
-        expected = sum(not entry.excused for entry in entries)
+        expected = sum(not entry.departed for entry in entries)
         return heard, expected
 
-    def excuse(self, listed: frozenset[str]) -> None:
+    def mark_delisted(self, listed: frozenset[str]) -> None:
         """
         Take the platform's list of entry hosts: whoever is silent and not on it won't come back.
 
@@ -117,9 +117,9 @@
             return
         for entry in self._entries.values():
             if entry.member.standing is Standing.GONE and entry.member.host not in listed:
-                entry.excused = True
+                entry.departed = True
 
-    def targets(self) -> tuple[Member, ...]:
+    def list_targets(self) -> tuple[Member, ...]:
         """
         Return the members to send this round's heartbeat to.
 
@@ -127,23 +127,23 @@
         the other, and would never meet it again if both only sent to who is there.
         """
         self._rounds += 1
-        probe = self._rounds % PROBE_EVERY == 0
+        probe = self._rounds % PROBE_PERIOD_ROUNDS == 0
         members = (entry.member for entry in self._entries.values())
         return tuple(m for m in members if probe or m.standing is not Standing.GONE)
 
-    def beat(self, sequence: int) -> Beat:
+    def make_beat(self, sequence: int) -> Beat:
         """Return this round's heartbeat, with news and the members that are suspected."""
         records: list[Record] = []
         for entry in self._entries.values():
             if len(records) == MAX_RECORDS:
                 break
-            if entry.relays > 0 or entry.member.standing is Standing.SUSPECT:
-                entry.relays = max(0, entry.relays - 1)
+            if entry.relays_left > 0 or entry.member.standing is Standing.SUSPECT:
+                entry.relays_left = max(0, entry.relays_left - 1)
                 records.append(Record(entry.member, entry.sequence))
         news = tuple(r for r in records if r.member.standing is not Standing.GONE)
         return Beat(Record(self.own, sequence), self.digest(), news)
 
-    def answers(self, name: str) -> tuple[Record, ...]:
+    def list_answers(self, name: str) -> tuple[Record, ...]:
         """Return all that the named member needs to reach the same view, itself included."""
         return tuple(
             Record(entry.member, entry.sequence)
@@ -153,23 +153,23 @@
 
     def tick(self, now: float) -> tuple[Change, ...]:
         """Suspect and remove who was silent for too long; call it every interval."""
-        changes = list(self._resume(now))
-        self._ticked = now
-        self._answers = 0
+        changes = list(self._recover_from_pause(now))
+        self._last_tick = now
+        self._answers_sent = 0
         for entry in tuple(self._entries.values()):
-            changes += self._age(entry, now)
-        return self._publish(changes)
+            changes += self._check_silence(entry, now)
+        return self._finish_changes(changes)
 
     def receive(self, beat: Beat, now: float) -> tuple[Change, ...]:
         """Take one heartbeat in."""
         if beat.sender.member.name == self.own.name:
-            return self._publish(list(self._refute(beat.sender)))
-        changes = list(self._hear(beat.sender, now))
+            return self._finish_changes(list(self._refute(beat.sender)))
+        changes = list(self._apply_sender_record(beat.sender, now))
         for record in beat.records:
-            changes += self._learn(record, now)
-        return self._publish(changes)
+            changes += self._apply_relayed_record(record, now)
+        return self._finish_changes(changes)
 
-    def owes_answer(self, beat: Beat, now: float) -> bool:
+    def needs_answer(self, beat: Beat, now: float) -> bool:
         """
         Say whether the sender of a heartbeat just received must be sent ``answers``.
 
@@ -178,57 +178,57 @@
         everybody sees at once makes a storm.
         """
         entry = self._entries.get(beat.sender.member.name)
-        if entry is None or self._answers >= MAX_ANSWERS:
+        if entry is None or self._answers_sent >= MAX_ANSWERS_PER_INTERVAL:
             return False
-        over = (
+        is_outdated = (
             entry.member.standing is Standing.GONE
             or beat.sender.member.incarnation < entry.member.incarnation
         )
-        due = now - entry.answered >= self._timing.interval
-        if not due or not (over or beat.digest != self.digest()):
+        due = now - entry.answered_at >= self._timing.interval
+        if not due or not (is_outdated or beat.digest != self.digest()):
             return False
-        entry.answered = now
-        self._answers += 1
+        entry.answered_at = now
+        self._answers_sent += 1
         return True
 
-    def _publish(self, changes: list[Change]) -> tuple[Change, ...]:
+    def _finish_changes(self, changes: list[Change]) -> tuple[Change, ...]:
         if changes:
             self._digest = None
         return tuple(changes)
 
-    def _resume(self, now: float) -> Iterator[Change]:
-        pause = now - self._ticked
+    def _recover_from_pause(self, now: float) -> Iterator[Change]:
+        pause = now - self._last_tick
         if pause <= self._timing.suspect_after:
             return
         # This process was frozen.  What it knows is old, and the silence of the others was its own:
         # judging them by it would remove everybody at once.  The others have removed it meanwhile,
         # so it comes back as a new incarnation.
         for entry in self._entries.values():
-            entry.heard += pause
-            entry.evidence += pause
-        yield self._renew(self.own.incarnation + 1)
+            entry.heard_at += pause
+            entry.evidence_at += pause
+        yield self._raise_incarnation(self.own.incarnation + 1)
 
-    def _renew(self, incarnation: int) -> Change:
+    def _raise_incarnation(self, incarnation: int) -> Change:
         self.own = dataclasses.replace(self.own, incarnation=incarnation)
         return Change(ChangeKind.RENEWED, self.own)
 
-    def _age(self, entry: _Entry, now: float) -> Iterator[Change]:
+    def _check_silence(self, entry: _Entry, now: float) -> Iterator[Change]:
         timing = self._timing
-        silent = now - entry.evidence
+        silent = now - entry.evidence_at
         match entry.member.standing:
-            case Standing.ALIVE if now - entry.heard > timing.suspect_after:
-                yield Change(ChangeKind.SUSPECTED, entry.stand(Standing.SUSPECT))
+            case Standing.ALIVE if now - entry.heard_at > timing.suspect_after:
+                yield Change(ChangeKind.SUSPECTED, entry.set_standing(Standing.SUSPECT))
             case Standing.SUSPECT | Standing.LEAVING if silent > timing.gone_after:
-                yield Change(ChangeKind.GONE, entry.stand(Standing.GONE))
+                yield Change(ChangeKind.GONE, entry.set_standing(Standing.GONE))
             case Standing.GONE if silent > timing.gone_after + timing.forget_after:
                 del self._entries[entry.member.name]
 
-    def _hear(self, record: Record, now: float) -> Iterator[Change]:
+    def _apply_sender_record(self, record: Record, now: float) -> Iterator[Change]:
         member = record.member
         entry = self._entries.get(member.name)
         if entry is None or member.incarnation > entry.member.incarnation:
-            yield from self._admit(record, now)
-            yield from self._displace(member)
+            yield from self._add_member(record, now)
+            yield from self._remove_predecessor(member)
             return
         if (member.incarnation, record.sequence) <= (entry.member.incarnation, entry.sequence):
             return  # delayed, replayed, or of an earlier life
@@ -237,31 +237,31 @@
             # The sender is told, and returns as a new incarnation.
             return
         entry.sequence = record.sequence
-        entry.heard = entry.evidence = now
-        yield from self._follow(entry, member)
+        entry.heard_at = entry.evidence_at = now
+        yield from self._update_member(entry, member)
 
-    def _follow(self, entry: _Entry, member: Member) -> Iterator[Change]:
+    def _update_member(self, entry: _Entry, member: Member) -> Iterator[Change]:
         before = entry.member.standing
         standing = Standing.LEAVING if before is Standing.LEAVING else member.standing
         entry.member = dataclasses.replace(member, standing=standing)
-        entry.excused = standing is Standing.LEAVING
+        entry.departed = standing is Standing.LEAVING
         if standing is before:
             return
-        entry.relays = RELAYS
+        entry.relays_left = RELAY_ROUNDS
         kind = ChangeKind.LEAVING if standing is Standing.LEAVING else ChangeKind.REFUTED
         yield Change(kind, entry.member)
 
-    def _admit(self, record: Record, now: float) -> Iterator[Change]:
+    def _add_member(self, record: Record, now: float) -> Iterator[Change]:
         member = record.member
         known = self._entries.get(member.name)
-        if known is None and member.standing not in _THERE:
+        if known is None and member.standing not in _PRESENT:
             return
         if member.standing is Standing.SUSPECT:
             member = dataclasses.replace(member, standing=Standing.ALIVE)
         self._entries[member.name] = _Entry(member, record.sequence, now, now)
         yield Change(ChangeKind.JOINED if known is None else ChangeKind.RETURNED, member)
 
-    def _displace(self, member: Member) -> Iterator[Change]:
+    def _remove_predecessor(self, member: Member) -> Iterator[Change]:
         # A replaced host takes the address of the one before it under another name.  Whoever was
         # there isn't any more, and must not be counted until its timeout.
         for entry in self._entries.values():
@@ -270,10 +270,10 @@
                 continue
             same = (other.address, other.port) == (member.address, member.port)
             if same and other.incarnation < member.incarnation:
-                entry.excused = True
-                yield Change(ChangeKind.GONE, entry.stand(Standing.GONE))
+                entry.departed = True
+                yield Change(ChangeKind.GONE, entry.set_standing(Standing.GONE))
 
-    def _learn(self, record: Record, now: float) -> Iterator[Change]:
+    def _apply_relayed_record(self, record: Record, now: float) -> Iterator[Change]:
         member = record.member
         if member.name == self.own.name:
             yield from self._refute(record)
@@ -281,30 +281,31 @@
         entry = self._entries.get(member.name)
         if entry is None or member.incarnation > entry.member.incarnation:
             if member.standing is not Standing.GONE:
-                yield from self._admit(record, now)
+                yield from self._add_member(record, now)
             return
         if member.incarnation < entry.member.incarnation:
             return
         if entry.member.standing is Standing.GONE:
             return
         if member.standing is Standing.LEAVING:
-            yield from self._follow(entry, member)
+            yield from self._update_member(entry, member)
         elif record.sequence > entry.sequence:
             entry.sequence = record.sequence
-            entry.evidence = now
+            entry.evidence_at = now
             bundle = max(entry.member.bundle, member.bundle)
             entry.member = dataclasses.replace(entry.member, bundle=bundle)
         elif member.standing is Standing.SUSPECT and record.sequence < entry.sequence:
-            entry.relays = max(entry.relays, 1)  # what was heard here refutes the suspicion
+            # The newer sequence number known here refutes the suspicion.
+            entry.relays_left = max(entry.relays_left, 1)
 
     def _refute(self, record: Record) -> Iterator[Change]:
-        told = record.member
-        if told.incarnation < self.own.incarnation or self.own.standing is Standing.LEAVING:
+        reported = record.member
+        if reported.incarnation < self.own.incarnation or self.own.standing is Standing.LEAVING:
             return
-        over = told.standing in (Standing.GONE, Standing.LEAVING)
-        elsewhere = (told.address, told.port) != (self.own.address, self.own.port)
-        if told.incarnation > self.own.incarnation or over or elsewhere:
-            yield self._renew(told.incarnation + 1)
+        removed = reported.standing in (Standing.GONE, Standing.LEAVING)
+        has_other_address = (reported.address, reported.port) != (self.own.address, self.own.port)
+        if reported.incarnation > self.own.incarnation or removed or has_other_address:
+            yield self._raise_incarnation(reported.incarnation + 1)
 
 
 def _hash(member: Member) -> int:
