--- a/tools/soak/weakened.py
+++ b/tools/soak/weakened.py
@@ -46,7 +46,7 @@
     plan = cell_workers.plan_poll
 
     def weakened(cell, worker, now):  # type: ignore[no-untyped-def]
-        worker.acknowledged = worker.seen
+        worker.acknowledged_sequence = worker.listed_sequence
         return plan(cell, worker, now)
 
     cell_workers.plan_poll = weakened
--- a/toucanpin/entry/cell_workers.py
+++ b/toucanpin/entry/cell_workers.py
@@ -199,7 +199,7 @@
         that a slow write doesn't delay the next renewal of the lease.
         """
         until = steady_time() + MAX_WRITE_WAIT_S
-        while worker.seen > worker.acknowledged and steady_time() < until:
+        while worker.listed_sequence > worker.acknowledged_sequence and steady_time() < until:
             try:
                 async with asyncio.timeout(until - steady_time()):
                     await self._write_done.wait()
@@ -319,7 +319,7 @@
 
 def _log_ends(worker: Worker, ends: Iterable[EndedRun]) -> None:
     for ended in ends:
-        if ended.sequence > worker.seen:
+        if ended.sequence > worker.listed_sequence:
             ENDS.add(1, ended.end.value)
             _log.info(
                 "ended",
--- a/toucanpin/entry/tests/test_cell_workers.py
+++ b/toucanpin/entry/tests/test_cell_workers.py
@@ -35,13 +35,13 @@
             _nothing,
         )
         worker = Worker(WorkerEntry("w", "c", "127.0.0.1:1", "dc", True, 1, 1, 0))
-        worker.seen = 1
+        worker.listed_sequence = 1
         waiting = asyncio.ensure_future(workers._wait_for_writes(worker))
         await asyncio.sleep(0)
         workers.signal_written()
         await asyncio.sleep(0)
         self.assertFalse(waiting.done(), "a write of another worker's ends must not end the wait")
-        worker.acknowledged = 1
+        worker.acknowledged_sequence = 1
         workers.signal_written()
         await waiting
 
--- a/toucanpin/scheduling/leases.py
+++ b/toucanpin/scheduling/leases.py
@@ -92,13 +92,13 @@
         # A renewal without an answer may be carried out late. So a silent worker is polled without
         # a renewal; otherwise each retry would postpone the time at which its lease has certainly
         # expired.
-        return PollOrder(worker.acknowledged, 0, 0.0)
+        return PollOrder(worker.acknowledged_sequence, 0, 0.0)
     until = lease_end(cell, now)
     deadline = grant_lease(worker, until) if worker.runs and until > now.steady else 0
-    if worker.seen > worker.acknowledged:
+    if worker.listed_sequence > worker.acknowledged_sequence:
         # Ends that aren't written yet would be listed again at once.
-        return PollOrder(worker.acknowledged, deadline, 0.0)
-    return PollOrder(worker.acknowledged, deadline, _choose_wait(worker))
+        return PollOrder(worker.acknowledged_sequence, deadline, 0.0)
+    return PollOrder(worker.acknowledged_sequence, deadline, _choose_wait(worker))
 
 
 def plan_renewal(cell: Cell, worker: Worker, now: Now) -> int:
@@ -129,9 +129,9 @@
     worker.silent = False
     clear_worker(cell, worker)
     for ended in held.ended:
-        if ended.sequence > worker.seen:
+        if ended.sequence > worker.listed_sequence:
             apply_end(cell, worker, ended, now)
-            worker.seen = ended.sequence
+            worker.listed_sequence = ended.sequence
     listed = {running.task: running for running in held.running}
     worker.unknown_tasks = frozenset(_find_unknown_runs(worker, held.running))
     for running in held.running:
--- a/toucanpin/scheduling/upkeep.py
+++ b/toucanpin/scheduling/upkeep.py
@@ -201,7 +201,7 @@
     for run in list(worker.runs.values()):
         if _may_be_stopped(cell, run, in_grace, now):
             stop_run(cell, run, "upkeep")
-    return not worker.runs and worker.seen == worker.acknowledged
+    return not worker.runs and worker.listed_sequence == worker.acknowledged_sequence
 
 
 def end_drains(workers: Iterable[Worker], chosen: Iterable[Worker]) -> None:
--- a/toucanpin/scheduling/worker.py
+++ b/toucanpin/scheduling/worker.py
@@ -102,8 +102,8 @@
     clock: int = 0
     clock_read_at: float = 0.0
     lease_expires_at: float = 0.0
-    seen: int = 0  # sequence of the newest end that it listed
-    acknowledged: int = 0  # sequence of the newest end that is written
+    listed_sequence: int = 0  # of the newest end that it listed
+    acknowledged_sequence: int = 0  # of the newest end that is written
     suspect_until: float = 0.0
     full_until: float = 0.0  # it had less capacity than its owner assumed
     reserved_until: float = 0.0  # reserved for tasks of ``reserved_priority`` after preemption
--- a/toucanpin/scheduling/write_batches.py
+++ b/toucanpin/scheduling/write_batches.py
@@ -67,7 +67,7 @@
     for identifier, sequence in batch.ends.items():
         worker = cell.workers.get(identifier)
         if worker is not None:
-            worker.acknowledged = max(worker.acknowledged, sequence)
+            worker.acknowledged_sequence = max(worker.acknowledged_sequence, sequence)
     started = []
     for run in batch.placed:
         # A job may have been cancelled while its placements were written.
