--- a/toucanpin/entry/tests/test_backlog.py
+++ b/toucanpin/entry/tests/test_backlog.py
@@ -23,7 +23,7 @@
         self.assertTrue(await self.site.until_ready(0))
         self.assertTrue(await self.site.until_ready(1))
 
-    async def _fall_behind(self) -> None:
+    async def _overload_owner(self) -> None:
         def estimate(owner: Owner, now: object) -> None:
             owner._rows.backlog = {0: HOUR}
 
@@ -37,7 +37,7 @@
 
     async def test_every_host_refuses_jobs_that_cannot_finish_in_time(self) -> None:
         """Guards against accepted jobs that wait until their results are useless."""
-        await self._fall_behind()
+        await self._overload_owner()
         for host in range(2):
             answer = await self.site.submit(host=host)
             self.assertEqual(503, answer.status)
@@ -48,6 +48,6 @@
     async def test_an_accepted_job_is_not_refused_when_submitted_again(self) -> None:
         """Guards against a job that its caller submits elsewhere because a retry was refused."""
         self.assertEqual(200, (await self.site.submit()).status)
-        await self._fall_behind()
+        await self._overload_owner()
         self.assertEqual(200, (await self.site.submit(host=1)).status)
         self.assertTrue(await self.site.until_state("completed"))
--- a/toucanpin/entry/tests/test_cell_loading.py
+++ b/toucanpin/entry/tests/test_cell_loading.py
@@ -73,7 +73,7 @@
         await ending
 
 
-class _Lossy:
+class _LossyStore:
     """Store of which every fifth answer is lost."""
 
     def __init__(self, store: Client) -> None:
@@ -104,7 +104,7 @@
         self.addAsyncCleanup(server.drain, 0.0)
         client = Client(address)
         self.addCleanup(client.close)
-        store = Store(_Lossy(client))
+        store = Store(_LossyStore(client))
         cell = Cell("c", 1, 0.0, 0.0)
         record = OwnerRecord("h", "l", 1, 0)
         rows = CellRows(store, cell, InterferenceModel(), record, 0, 0.0, RowReader())
--- a/toucanpin/entry/tests/test_clocks.py
+++ b/toucanpin/entry/tests/test_clocks.py
@@ -15,11 +15,11 @@
 class ClocksTest(unittest.TestCase):
     def setUp(self) -> None:
         self.store = Store(ScriptedTransport())
-        self._tell(50_000)
+        self._set_table_clock(50_000)
         self.clocks = Clocks(self.store)
 
-    def _tell(self, clock: int) -> None:
-        """Let the table answer at once."""
+    def _set_table_clock(self, clock: int) -> None:
+        """Let the table answer at once, with this clock."""
         now = steady_time()
         self.store.clock_estimate.record(clock, now, now)
 
@@ -52,7 +52,7 @@
         first = self.clocks.now()
         second = self.clocks.now()
         self.assertGreaterEqual(second.table, first.table)
-        self._tell(90_000)
+        self._set_table_clock(90_000)
         self.assertGreaterEqual(self.clocks.now().table, 90_000)
 
     def test_an_announced_offset_does_not_depend_on_the_age_of_the_last_answer(self) -> None:
--- a/toucanpin/entry/tests/test_configuration.py
+++ b/toucanpin/entry/tests/test_configuration.py
@@ -26,7 +26,7 @@
 READS = 6  # of the configuration, of which only the first finds a change
 
 
-class FollowingTest(unittest.IsolatedAsyncioTestCase):
+class UnchangedConfigurationTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
         # Exclude full reads, which come every 3 s at most.
         self.enterContext(patch("toucanpin.entry.row_cache.FULL_READ_PERIOD_S", DISABLED_PERIOD))
@@ -49,7 +49,7 @@
         self.assertEqual(given, store.given["op"])
 
 
-class OldConfigurationTest(unittest.IsolatedAsyncioTestCase):
+class OutdatedConfigurationTest(unittest.IsolatedAsyncioTestCase):
     async def test_no_job_is_accepted_under_an_outdated_configuration(self) -> None:
         """
         Operators remove a queue, and a host with a saturated link can't read the document for six
@@ -71,7 +71,7 @@
         request = Request("POST", f"{PREFIX}{1:016x}", {"host": HOST}, body)
         site.configure(2, "/other/")
         watch.confirmed -= SILENCE
-        with patch.object(RowCache, "update", _fail):
+        with patch.object(RowCache, "update", _fail_update):
             answer = await requests.handle(request)
         assert answer is not None
         self.assertEqual(503, answer.status)
@@ -81,7 +81,7 @@
         self.assertEqual(404, answer.status)
 
 
-class OldCountTest(unittest.IsolatedAsyncioTestCase):
+class OutdatedCountTest(unittest.IsolatedAsyncioTestCase):
     async def test_no_jobs_are_counted_under_an_outdated_configuration(self) -> None:
         """
         Operators remove a queue, and a host can't read the document for six seconds.  It must not
@@ -94,22 +94,22 @@
         self.assertTrue(await site.until_ready())
         watch = site.hosts[0]._configuration
         site.configure(2, "/other/")
-        looked: list[RowCache] = []
+        updated: list[RowCache] = []
 
         async def fail(followed: RowCache) -> None:
-            looked.append(followed)
-            await _fail(followed)
+            updated.append(followed)
+            await _fail_update(followed)
 
         with patch.object(RowCache, "update", fail):
             # A read in progress may still confirm the old version; it has ended once the next
             # starts.
-            self.assertTrue(await site.until(lambda: watch._cache in looked))
+            self.assertTrue(await site.until(lambda: watch._cache in updated))
             watch.confirmed -= SILENCE
             answer = await site.call("GET", PREFIX)
         self.assertEqual(503, answer.status)
 
 
-class SharingTest(unittest.IsolatedAsyncioTestCase):
+class SharedReadTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
         self.caller = _SilentStore()
         self.watch = ConfigurationWatch(Store(self.caller))
@@ -140,7 +140,7 @@
         self.assertFalse(self.caller.failing.is_set())
 
 
-async def _fail(_: RowCache) -> None:
+async def _fail_update(_: RowCache) -> None:
     raise CallError(Verdict.MAY_HAVE_RUN, "no answer")
 
 
--- a/toucanpin/entry/tests/test_crashing.py
+++ b/toucanpin/entry/tests/test_crashing.py
@@ -10,7 +10,7 @@
 
 WORKERS = 3
 MAX_CRASHES = 5  # two more after three workers have crashed
-OTHER = "00000000000000a2"
+OTHER_JOB = "00000000000000a2"
 RESTART_DELAY = 0.3  # s until another worker process answers at the same address
 
 
@@ -25,9 +25,9 @@
         self.addCleanup(lambda: [task.cancel() for task in restarting])
         self.assertTrue(await site.until_ready())
         await site.submit()
-        await site.submit(OTHER)
+        await site.submit(OTHER_JOB)
         self.assertTrue(await site.until_state("failed"))
-        self.assertTrue(await site.until_state("completed", OTHER))
+        self.assertTrue(await site.until_state("completed", OTHER_JOB))
         crashes = sum(worker.crashed.is_set() for worker in site.workers)
         self.assertLessEqual(crashes, MAX_CRASHES)
 
--- a/toucanpin/entry/tests/test_dropping_jobs.py
+++ b/toucanpin/entry/tests/test_dropping_jobs.py
@@ -17,9 +17,9 @@
 TEST_TIMEOUT = 5.0  # s after which a test that would hang fails
 
 
-class ForgettingTest(unittest.IsolatedAsyncioTestCase):
+class DroppingJobsTest(unittest.IsolatedAsyncioTestCase):
     def setUp(self) -> None:
-        self.store = _SlowParts()
+        self.store = _GatedStore()
         record = OwnerRecord("h", "l", 1, 0)
         cell = Cell("c", 1, 0.0, 0.0)
         self.rows = CellRows(self.store, cell, InterferenceModel(), record, 1, 0.0, RowReader())
@@ -42,7 +42,7 @@
         await dropping
 
 
-class _SlowParts(Store):
+class _GatedStore(Store):
     """Store that answers for the owner's part at once, and for others when released."""
 
     def __init__(self) -> None:
--- a/toucanpin/entry/tests/test_job_watch.py
+++ b/toucanpin/entry/tests/test_job_watch.py
@@ -22,7 +22,7 @@
 CANCEL_BOUND = 3.0  # s after a cancel is acknowledged from which on no task may start
 
 
-class _Silent:
+class _SilentStore:
     """Store that never answers, and records the time-outs of calls."""
 
     def __init__(self) -> None:
@@ -41,13 +41,13 @@
         The connection of the watch stops answering without a reset.  Guards against a time-out of
         5 s: no task of a cancelled job may start after 3 s.
         """
-        silent = _Silent()
+        silent = _SilentStore()
         with self.assertRaises(CallError):
             await Store(silent).follow("jobs", 0, FEED_WAIT_S, FEED_MARGIN_S)
         self.assertLess(silent.waited[0] + RETRY_DELAY_S, CANCEL_BOUND)
 
 
-class OldViewTest(unittest.IsolatedAsyncioTestCase):
+class OutdatedViewTest(unittest.IsolatedAsyncioTestCase):
     async def test_nothing_starts_while_cancels_cannot_be_read(self) -> None:
         """
         The store accepts an owner's writes, but its watch and its reads of jobs fail.  A waiting
@@ -78,13 +78,13 @@
         self.assertEqual(1, len(worker.core.starts))
 
 
-class CutPageTest(unittest.IsolatedAsyncioTestCase):
+class FullPageTest(unittest.IsolatedAsyncioTestCase):
     async def test_a_full_page_does_not_make_the_view_more_recent(self) -> None:
         """
         More rows have changed than fit in one answer of the watch.  Guards against taking them for
         all changes: counts without the others were given to callers as current.
         """
-        store = Store(_Silent())
+        store = Store(_SilentStore())
         clocks = Clocks(store)
         cell = Cell("c", 1, 0.0, 0.0)
         entries = RowReader()
@@ -100,7 +100,7 @@
         self.assertEqual(TableView(8, 9_000), rows.view)
 
 
-class RelistTest(unittest.TestCase):
+class FullReadTest(unittest.TestCase):
     def test_full_reads_take_a_small_share_of_the_time(self) -> None:
         """
         A full read of the jobs takes seconds on a slow link, since rows are kept for minutes after
--- a/toucanpin/entry/tests/test_pending_counts.py
+++ b/toucanpin/entry/tests/test_pending_counts.py
@@ -26,7 +26,7 @@
 SILENCE = 7.0  # s for which the owner hasn't written anything
 
 
-class OldCountTest(unittest.IsolatedAsyncioTestCase):
+class OutdatedCountTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
         self.site = Site()
         self.site.configure()
@@ -47,7 +47,7 @@
         while 8 and 14 jobs had waited for 5 to 7 s.
         """
         await self._write_counts()
-        await self._hand_in(3)
+        await self._submit_jobs(3)
         self.site.store.begun -= SILENCE
         self.assertEqual(3, await self._count())
 
@@ -56,8 +56,8 @@
         Jobs are submitted before the cell has its first owner, so there is no row of counts.  The
         count is unknown then, and the answer must not be 0.
         """
-        await self._hand_in(2)
-        self.assertEqual(503, (await self._ask("GET", PREFIX)).status)
+        await self._submit_jobs(2)
+        self.assertEqual(503, (await self._call("GET", PREFIX)).status)
 
     async def test_a_count_is_refused_if_the_history_is_gone(self) -> None:
         """
@@ -65,15 +65,15 @@
         changes.  The jobs submitted since are unknown, and the answer must not be 0.
         """
         await self._write_counts()
-        await self._hand_in(3)
+        await self._submit_jobs(3)
         self.site.store.begun -= SILENCE
         self.site.store.forget_history()
-        self.assertEqual(503, (await self._ask("GET", PREFIX)).status)
+        self.assertEqual(503, (await self._call("GET", PREFIX)).status)
 
     async def test_cancelled_jobs_and_other_queues_are_not_counted(self) -> None:
         await self._write_counts()
-        await self._hand_in(3)
-        self.assertEqual(200, (await self._ask("DELETE", f"{PREFIX}{1:016x}")).status)
+        await self._submit_jobs(3)
+        self.assertEqual(200, (await self._call("DELETE", f"{PREFIX}{1:016x}")).status)
         self.site.store.begun -= SILENCE
         self.assertEqual(2, await self._count())
 
@@ -84,14 +84,14 @@
         answers, the caller got no answer.  Jobs submitted after the request needn't be counted.
         """
         await self._write_counts()
-        await self._hand_in(3)
+        await self._submit_jobs(3)
         self.site.store.begun -= SILENCE
         follow, asked = self.store.follow, self.site.store.asked
 
         async def follow_busy(table: str, after: int, wait: float) -> Page | None:
             self.assertLess(asked["jobs"], 100)
             page = await follow(table, after, wait)
-            await self._hand_in(1, asked["jobs"] + 100)
+            await self._submit_jobs(1, asked["jobs"] + 100)
             return page
 
         with patch.object(Store, "follow", lambda _, *rest: follow_busy(*rest)):
@@ -104,7 +104,7 @@
         count was 0 though three jobs had waited as long.
         """
         await self._write_counts()
-        await self._hand_in(3)
+        await self._submit_jobs(3)
         read = self.store.read
 
         late = 0.0
@@ -143,18 +143,18 @@
         self.assertLess(rows.written_at, steady_time())
         await rows.write(take_batch(cell), False)
 
-    async def _hand_in(self, jobs: int, first: int = 0) -> None:
+    async def _submit_jobs(self, jobs: int, first: int = 0) -> None:
         body = msgspec.json.encode({"spec": "work", "pipeline": [{"cpu": 1_000}]})
         for number in range(first, first + jobs):
-            answer = await self._ask("POST", f"{PREFIX}{number:016x}", body)
+            answer = await self._call("POST", f"{PREFIX}{number:016x}", body)
             self.assertEqual(200, answer.status)
 
     async def _count(self) -> int:
-        answer = await self._ask("GET", PREFIX)
+        answer = await self._call("GET", PREFIX)
         self.assertEqual(200, answer.status)
         return msgspec.json.decode(answer.body)["pendingJobs"]
 
-    async def _ask(self, method: str, path: str, body: bytes = b"") -> Response:
+    async def _call(self, method: str, path: str, body: bytes = b"") -> Response:
         answer = await self.requests.handle(Request(method, path, {"host": HOST}, body))
         assert answer is not None
         return answer
--- a/toucanpin/entry/tests/test_relay.py
+++ b/toucanpin/entry/tests/test_relay.py
@@ -104,7 +104,7 @@
             near.write(await reader.read(65_536))
             answer = await far.read()
             for start in range(0, len(answer), len(answer) // PIECES):
-                await asyncio.sleep(PAUSE)
+                await asyncio.sleep(PIECE_INTERVAL)
                 writer.write(answer[start : start + len(answer) // PIECES])
             near.close()
             writer.close()
@@ -202,7 +202,7 @@
         second and requests the same rows from peers over the same link: 25 of 32 hosts did within
         two seconds after 2,800 queues were written.
         """
-        server = await asyncio.start_server(_trickle, "127.0.0.1", 0)
+        server = await asyncio.start_server(_serve_slowly, "127.0.0.1", 0)
         self.addAsyncCleanup(server.wait_closed)
         self.addCleanup(server.close)
         port = server.sockets[0].getsockname()[1]
@@ -214,10 +214,10 @@
 
 
 PIECES = 6  # of a body
-PAUSE = 0.3  # s between pieces; together they exceed the time-out of an answer
+PIECE_INTERVAL = 0.3  # s between pieces; together they exceed the time-out of an answer
 
 
-async def _trickle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+async def _serve_slowly(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
     """Answer one request with a body that arrives slowly."""
     await reader.readuntil(b"\r\n\r\n")
     await _send_slowly(writer)
@@ -227,7 +227,7 @@
 async def _send_slowly(writer: asyncio.StreamWriter) -> None:
     writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % PIECES)
     for _ in range(PIECES):
-        await asyncio.sleep(PAUSE)
+        await asyncio.sleep(PIECE_INTERVAL)
         writer.write(b"x")
         await writer.drain()
 
--- a/toucanpin/entry/tests/test_row_cache.py
+++ b/toucanpin/entry/tests/test_row_cache.py
@@ -19,7 +19,7 @@
 VERSIONS = 5  # of a row, written between two updates
 
 
-class _Script:
+class _ScriptedStore:
     """Store that gives prepared answers, one per call."""
 
     def __init__(self, *answers: dict[str, object]) -> None:
@@ -44,7 +44,7 @@
         """
         followed = RowCache(
             Store(
-                _Script(
+                _ScriptedStore(
                     {"rows": [_row("a", "YQ==", 3)], "morePages": True, "rowVersion": 5},
                     {"rows": [_row("b", "ZHJhaW5z", 8)], "rowVersion": 9},
                     {"rows": [_row("b", "cmVhZHk=", 6)], "rowVersion": 6},
@@ -61,7 +61,7 @@
         self.assertEqual(["a"], list(followed.rows))
 
 
-class GapTest(unittest.IsolatedAsyncioTestCase):
+class MissedChangesTest(unittest.IsolatedAsyncioTestCase):
     async def test_changes_missing_from_the_feed_are_read_later(self) -> None:
         """
         The feed omits the changes of one second, in which a worker starts to drain and another one
--- a/toucanpin/entry/tests/test_row_reader.py
+++ b/toucanpin/entry/tests/test_row_reader.py
@@ -51,7 +51,7 @@
 )
 
 
-class _Page:
+class _SinglePageStore:
     """Store that answers every read with the same page."""
 
     def __init__(self, rows: list) -> None:
@@ -74,7 +74,7 @@
 
 
 def _read(rows: list) -> dict[str, WorkerEntry]:
-    page = asyncio.run(Store(_Page(rows)).read("servers"))
+    page = asyncio.run(Store(_SinglePageStore(rows)).read("servers"))
     return {row.key: entry for row, entry in RowReader().read(page.rows, _decode)}
 
 
@@ -84,7 +84,7 @@
     max_leaves=8,
 )
 _changed = st.dictionaries(st.sampled_from([*VALID_ENTRY, "machine", "remainingMs"]), _values)
-_foreign = st.one_of(
+_malformed = st.one_of(
     _values,  # not base64, or not a string
     st.binary().map(lambda data: base64.b64encode(data).decode()),
     _values.map(_encode),
@@ -92,7 +92,7 @@
 )
 
 
-class EntriesTest(unittest.TestCase):
+class RowReaderTest(unittest.TestCase):
     def test_an_invalid_worker_entry_is_rejected(self) -> None:
         for number, entry in enumerate(INVALID_ENTRIES):
             with self.subTest(number), self.assertRaises(PlatformError):
@@ -115,10 +115,10 @@
         self.assertEqual({"a", "d"}, set(_read(rows)))
 
     @settings(derandomize=True, deadline=None, max_examples=300)
-    @given(st.lists(_foreign, max_size=6), st.integers(0, 6))
-    def test_no_row_changes_how_another_is_decoded(self, foreign: list, place: int) -> None:
+    @given(st.lists(_malformed, max_size=6), st.integers(0, 6))
+    def test_no_row_changes_how_another_is_decoded(self, malformed: list, place: int) -> None:
         """A valid row is decoded in the same way whatever rows precede or follow it."""
-        rows = [_row(f"f{number}", value) for number, value in enumerate(foreign)]
+        rows = [_row(f"f{number}", value) for number, value in enumerate(malformed)]
         rows.insert(min(place, len(rows)), _row("sound", _encode(VALID_ENTRY)))
         alone = _read([_row("sound", _encode(VALID_ENTRY))])
         self.assertEqual(alone["sound"], _read(rows)["sound"])
@@ -132,7 +132,7 @@
         self.assertEqual(1, len(handler.records))
 
 
-class ForeignEntriesTest(unittest.IsolatedAsyncioTestCase):
+class MalformedRowsTest(unittest.IsolatedAsyncioTestCase):
     async def test_jobs_are_run_despite_malformed_rows_in_all_tables(self) -> None:
         """
         Guards against an owner that fails at the first malformed row.  All hosts took the cell in
--- a/toucanpin/entry/tests/test_site.py
+++ b/toucanpin/entry/tests/test_site.py
@@ -169,7 +169,7 @@
         self.assertEqual([1], [attempt for _, attempt in worker.core.starts])
         self.assertTrue(self.site.hosts[0].owned_cells())
 
-    async def _add_bystander(self) -> int:
+    async def _add_two_hosts(self) -> int:
         """Start two hosts and a worker; return the number of the host without the cell."""
         await self.site.add_host()
         await self.site.add_host()
@@ -186,13 +186,13 @@
         The owner is told to stop during one of its writes.  Guards against stopping after that
         write: its row would still name it, and the cell stay idle until its time-out.
         """
-        bystander = await self._add_bystander()
-        owner = 1 - bystander
+        standby = await self._add_two_hosts()
+        owner = 1 - standby
         self.site.faults[owner].late_by = 0.3
         self.site.faults[owner].late_writes = 1
         self.assertTrue(await self.site.until(lambda: not self.site.faults[owner].late_writes))
         ending = asyncio.ensure_future(self.site.hosts[owner].shut_down())
-        self.assertTrue(await self.site.until(self.site.hosts[bystander].owned_cells))
+        self.assertTrue(await self.site.until(self.site.hosts[standby].owned_cells))
         self.assertIn(("handovers", "c", "owner"), self.site.store.rows)
         await ending
 
@@ -201,7 +201,7 @@
         The store writes the row of a new job a second late, without an answer.  The host repeats
         the write through a peer; the second of the two finds the row and has no effect.
         """
-        host = await self._add_bystander()
+        host = await self._add_two_hosts()
         self.site.faults[host].late_writes = 1
         self.assertEqual(200, (await self.site.submit(host=host)).status)
         self.assertTrue(await self.site.until_state("completed"))
--- a/toucanpin/entry/tests/test_slow_takeover.py
+++ b/toucanpin/entry/tests/test_slow_takeover.py
@@ -50,7 +50,7 @@
         self.assertEqual(3, len(worker.core.starts))
 
 
-class _SlowPages:
+class _EmptyPages:
     """Store that answers each read with an empty page."""
 
     def __init__(self) -> None:
@@ -65,7 +65,7 @@
 class RelistTest(unittest.IsolatedAsyncioTestCase):
     async def test_periodic_reads_of_jobs_are_throttled(self) -> None:
         """Guards against an owner that is replaced because its reads saturate its link."""
-        pages = _SlowPages()
+        pages = _EmptyPages()
         store = Store(None)  # type: ignore[arg-type]
         cell, entries = Cell("c", 1, 0.0, 0.0), RowReader()
         record = OwnerRecord("h", "life", 1, 0)
--- a/toucanpin/entry/tests/test_waves.py
+++ b/toucanpin/entry/tests/test_waves.py
@@ -25,7 +25,7 @@
         self.assertTrue(await self.site.until_ready())
         self.assertTrue(await self.site.until(self.site.hosts[0].owned_cells))
 
-    def _ask(self, *machines: str, cap: int = 1) -> None:
+    def _request_wave(self, *machines: str, cap: int = 1) -> None:
         wave = {"wave": 1, "machines": machines, "durationS": 20, "cap": cap}
         self.site.store.put("op", "wave/1", msgspec.json.encode(wave))
 
@@ -42,7 +42,7 @@
         self.assertTrue(
             await self.site.until(lambda: any(worker.core.runs for worker in self.site.workers))
         )
-        self._ask("m0", "m1", "m2")
+        self._request_wave("m0", "m1", "m2")
         self.assertTrue(await self.site.until(lambda: self._state() == "active"))
         self.assertTrue(await self.site.until(lambda: self._state() == "completed", turns=600))
         self.assertEqual({"m0": 0, "m1": 0, "m2": 0}, self.machines.through)
@@ -53,12 +53,12 @@
 
     async def test_an_order_without_an_answer_is_repeated(self) -> None:
         self.machines.lose_answers = 1
-        self._ask("m1")
+        self._request_wave("m1")
         self.assertTrue(await self.site.until(lambda: self._state() == "completed", turns=600))
         self.assertEqual({"m1": 0}, self.machines.through)
 
     async def test_a_machine_that_no_longer_exists_does_not_block_its_wave(self) -> None:
-        self._ask("m1", "m9")
+        self._request_wave("m1", "m9")
         self.assertTrue(await self.site.until(lambda: self._state() == "completed", turns=600))
         self.assertEqual({"m1": 0}, self.machines.through)
 
@@ -68,7 +68,7 @@
         that gets tasks again once the order is recorded: the order succeeds later and ends them.
         """
         self.machines.refuse_orders = 4
-        self._ask("m1")
+        self._request_wave("m1")
         self.assertTrue(await self.site.until(lambda: self.machines.refused))
         await self.site.submit(count=3, antiAffinity=1)
         self.assertTrue(await self.site.until(lambda: self._state() == "completed", turns=600))
@@ -83,7 +83,7 @@
         self.machines.states["m1"] = "down"
         record = msgspec.msgpack.encode([0, {"m1": "a worker before"}, [], False])
         self.site.store.put("waves", "1", record)
-        self._ask("m1", "m2", cap=2)
+        self._request_wave("m1", "m2", cap=2)
         self.assertTrue(await self.site.until(lambda: "m2" in self.machines.through))
         self.assertEqual({"m2"}, {machine for machine, _, _ in self.machines.holders})
 
@@ -95,7 +95,7 @@
         await self.site.submit(count=3, antiAffinity=1)
         runs = [worker.core.runs for worker in self.site.workers]
         self.assertTrue(await self.site.until(lambda: all(runs)))
-        self._ask("m1")
+        self._request_wave("m1")
         self.assertTrue(await self.site.until(lambda: self._state() == "active"))
         self.site.store.drop("op", "wave/1")
         await self.site.call("DELETE", PREFIX + JOB)
@@ -111,7 +111,7 @@
         wave was reported as completed without any upkeep.
         """
         self.machines.unknown["m1"] = 2
-        self._ask("m1")
+        self._request_wave("m1")
         self.assertTrue(await self.site.until(lambda: self._state() == "completed", turns=600))
         self.assertEqual({"m1": 0}, self.machines.through)
 
@@ -121,11 +121,11 @@
         against the limit of machines that are down at the same time.
         """
         self.machines.unknown = {"m1": 1_000, "m2": 1_000}
-        self._ask("m1", "m2")
+        self._request_wave("m1", "m2")
         self.assertTrue(await self.site.until(lambda: self.machines.holders))
         (other,) = {"m1", "m2"} - {self.machines.holders[0][0]}
         self.machines.unknown[other] = 0
-        self._ask(other)
+        self._request_wave(other)
         self.assertTrue(await self.site.until(lambda: self._state() == "completed", turns=600))
         self.assertIn(other, self.machines.through)
 
@@ -134,9 +134,9 @@
         Operators add a machine to a completed wave.  Guards against a wave that stays completed by
         its record though a machine of it had no upkeep.
         """
-        self._ask("m1")
+        self._request_wave("m1")
         self.assertTrue(await self.site.until(lambda: self._state() == "completed", turns=600))
-        self._ask("m1", "m2")
+        self._request_wave("m1", "m2")
         self.assertTrue(await self.site.until(lambda: self._state() == "active"))
         self.assertTrue(await self.site.until(lambda: self._state() == "completed", turns=600))
         self.assertEqual({"m1": 0, "m2": 0}, self.machines.through)
@@ -148,7 +148,7 @@
         reported as completed though the machine had no upkeep.
         """
         self.machines.missed["m1"] = 1
-        self._ask("m1", "m2")
+        self._request_wave("m1", "m2")
         self.assertTrue(await self.site.until(lambda: self._state() == "completed", turns=600))
         self.assertEqual({"m1": 0, "m2": 0}, self.machines.through)
 
@@ -160,14 +160,14 @@
         """
         record = msgspec.msgpack.encode([0, {"m1": "a worker before"}, [], False])
         self.site.store.put("waves", "1", record)
-        self._ask("m1")
+        self._request_wave("m1")
         self.assertTrue(await self.site.until(lambda: self._state() == "completed", turns=600))
         self.assertEqual({"m1": 0}, self.machines.through)
 
     async def test_a_new_owner_continues_a_wave(self) -> None:
         await self.site.add_host()
         self.assertTrue(await self.site.until_ready(1))
-        self._ask("m0", "m1", "m2")
+        self._request_wave("m0", "m1", "m2")
         self.assertTrue(await self.site.until(lambda: self.machines.through))
         await self.site.hosts[0].abort()
         self.assertTrue(await self.site.until(lambda: self._state() == "completed", turns=900))
