--- a/toucanpin/scheduling/crashing.py
+++ b/toucanpin/scheduling/crashing.py
@@ -22,21 +22,21 @@
 from toucanpin.scheduling.worker import Phase, Run, Worker
 
 __all__ = [
-    "MAX_CRASHES_AT_START",
     "MAX_CRASHES",
+    "MAX_CRASHES_AT_START",
     "NEW_WORKER_PERIOD_S",
+    "assess_suspicion",
+    "clear_survivor",
+    "clear_worker",
     "count_suspected",
+    "fail_crashing_jobs",
     "find_suspicion",
     "forget_crashes",
-    "fail_crashing_jobs",
+    "is_new_worker",
     "is_start_blocked",
-    "runs_last_attempt",
-    "is_new",
-    "assess_suspicion",
-    "clear_worker",
     "record_loss",
-    "clear_survivor",
     "restore_crashes",
+    "runs_last_attempt",
 ]
 
 MAX_CRASHES = 5  # workers lost under a task until it isn't started any more
@@ -97,10 +97,10 @@
     """
     record = _get_record(live, task)
     if not live.job.steps[task.step].speculative or not record.attempt:
-        return _exceed_limit(record.crashed)
+        return _exceeds_limit(record.crashed)
     runs = [run for run in cell.runs.get(task.job, ()) if run.task == task]
     silent = {run.worker: _was_lost_at_start(run) for run in runs if _is_silent(cell, run)}
-    return _exceed_limit(record.crashed | silent)
+    return _exceeds_limit(record.crashed | silent)
 
 
 def assess_suspicion(record: TaskRecord) -> CrashSuspicion:
@@ -108,7 +108,7 @@
     if not record.crashed:
         return CrashSuspicion.NONE
     one_more = record.crashed | {"": True}
-    return CrashSuspicion.LAST_ATTEMPT if _exceed_limit(one_more) else CrashSuspicion.SUSPECTED
+    return CrashSuspicion.LAST_ATTEMPT if _exceeds_limit(one_more) else CrashSuspicion.SUSPECTED
 
 
 def find_suspicion(live: LiveJob, task: TaskKey) -> CrashSuspicion:
@@ -127,7 +127,7 @@
     return any(_is_suspected(run, now) for run in runs)
 
 
-def is_new(worker: Worker, now: Now) -> bool:
+def is_new_worker(worker: Worker, now: Now) -> bool:
     """Return whether a worker is new: it may be one of many that end soon after their start."""
     return now.steady < worker.first_listed_at + NEW_WORKER_PERIOD_S
 
@@ -138,9 +138,9 @@
 
     An owner that hasn't read the list of workers yet can't know whether an incarnation has ended.
     """
-    given_up: list[TaskKey] = []
+    failed: list[TaskKey] = []
     if not any(worker.entry.address for worker in cell.workers.values()):
-        return given_up
+        return failed
     for task in sorted(cell.crashing):
         live = cell.jobs.get(task.job)
         record = find_record(live, task) if live else None
@@ -152,8 +152,8 @@
             # The losses are explained, so they no longer count against other tasks.
             for worker in record.crashed:
                 _discard_losses(cell, worker, task)
-            given_up.append(task)
-    return given_up
+            failed.append(task)
+    return failed
 
 
 def _discard_losses(cell: Cell, worker: str, cause: TaskKey | None = None) -> None:
@@ -170,7 +170,7 @@
 def _may_be_failed(live: LiveJob, record: TaskRecord) -> bool:
     if JobState(live.progress.state).ended or record.state == TaskState.DONE:
         return False
-    return _exceed_limit(record.crashed)
+    return _exceeds_limit(record.crashed)
 
 
 def _may_have_caused_loss(worker: Worker, run: Run) -> bool:
@@ -196,14 +196,14 @@
     return run.last_listed_at < run.ordered_at + START_PERIOD_S
 
 
-def _exceed_limit(losses: Mapping[str, bool]) -> bool:
+def _exceeds_limit(losses: Mapping[str, bool]) -> bool:
     return len(losses) >= MAX_CRASHES or sum(losses.values()) >= MAX_CRASHES_AT_START
 
 
 def _index_losses(cell: Cell, task: TaskKey, record: TaskRecord) -> None:
     for worker in record.crashed:
         cell.suspects.setdefault(worker, set()).add(task)
-    if _exceed_limit(record.crashed):
+    if _exceeds_limit(record.crashed):
         cell.crashing.add(task)
 
 
--- a/toucanpin/scheduling/durations.py
+++ b/toucanpin/scheduling/durations.py
@@ -38,12 +38,12 @@
 
     def add(self, x: float, y: float) -> None:
         """Add a step; earlier ones lose weight."""
-        kept = 1 - 1 / MEMORY_STEPS
-        self.weight = self.weight * kept + 1
-        self.x = self.x * kept + x
-        self.y = self.y * kept + y
-        self.xx = self.xx * kept + x * x
-        self.xy = self.xy * kept + x * y
+        decay = 1 - 1 / MEMORY_STEPS
+        self.weight = self.weight * decay + 1
+        self.x = self.x * decay + x
+        self.y = self.y * decay + y
+        self.xx = self.xx * decay + x * x
+        self.xy = self.xy * decay + x * y
 
     def predict(self, x: float) -> float:
         """
@@ -51,14 +51,14 @@
         """
         if self.weight < 1:
             return x
-        middle = self.x / self.weight
-        spread = max(0.0, self.xx / self.weight - middle * middle)
-        common = self.xy / self.weight - middle * self.y / self.weight
-        slope = (common * self.weight + spread * PRIOR_STEPS) / (
-            spread * (self.weight + PRIOR_STEPS) or math.inf
+        mean = self.x / self.weight
+        variance = max(0.0, self.xx / self.weight - mean * mean)
+        covariance = self.xy / self.weight - mean * self.y / self.weight
+        slope = (covariance * self.weight + variance * PRIOR_STEPS) / (
+            variance * (self.weight + PRIOR_STEPS) or math.inf
         )
         shift = (self.y - self.x) / (self.weight + PRIOR_STEPS)
-        return middle + shift + min(1.0, max(0.0, slope)) * (x - middle)
+        return mean + shift + min(1.0, max(0.0, slope)) * (x - mean)
 
 
 @dataclass(slots=True)
@@ -78,6 +78,6 @@
         fit = self.fits.get(queue)
         if fit is None or estimate < MIN_TIME_MS:
             return estimate
-        found = fit.predict(math.log(estimate))
+        log_time = fit.predict(math.log(estimate))
         # Invalid sums in the row, by whichever writer, must not stop the owner that reads them.
-        return int(math.exp(found)) if abs(found) < MAX_LOG_TIME else estimate
+        return int(math.exp(log_time)) if abs(log_time) < MAX_LOG_TIME else estimate
--- a/toucanpin/scheduling/intake.py
+++ b/toucanpin/scheduling/intake.py
@@ -105,11 +105,11 @@
 
 def _begin_due_occurrences(cell: Cell, live: LiveJob, now: Now) -> None:
     job = live.job
-    over = set(live.progress.ended_occurrences)
+    ended = set(live.progress.ended_occurrences)
     for occurrence in range(job.occurrences):
         if job.repeats and job.start_at + occurrence * job.interval > now.wall:
             break
-        if occurrence not in live.progress.tasks and occurrence not in over:
+        if occurrence not in live.progress.tasks and occurrence not in ended:
             begin_occurrence(cell, live, occurrence)
 
 
--- a/toucanpin/scheduling/leases.py
+++ b/toucanpin/scheduling/leases.py
@@ -18,17 +18,17 @@
 from toucanpin.scheduling.worker import Phase, Run, Worker, grant_lease
 
 __all__ = [
-    "OWNER_AUTHORITY_S",
     "LEASE_S",
-    "update_workers",
+    "OWNER_AUTHORITY_S",
+    "apply_answer",
+    "expire_leases",
     "lease_end",
+    "mark_silent",
     "plan_poll",
     "plan_renewal",
-    "remove_replaced_worker",
-    "apply_answer",
     "record_clock",
-    "mark_silent",
-    "expire_leases",
+    "remove_replaced_worker",
+    "update_workers",
 ]
 
 LEASE_S = 4.5  # outlasts the failover of an owner (2 s); bounds the wait for a lost worker
@@ -107,9 +107,9 @@
     return grant_lease(worker, until) if worker.clock and until > now.steady else 0
 
 
-def record_clock(worker: Worker, held: PollAnswer, now: Now) -> None:
+def record_clock(worker: Worker, answer: PollAnswer, now: Now) -> None:
     """Record a worker's clock before its runs are known."""
-    _update_clock(worker, held.clock, now)
+    _update_clock(worker, answer.clock, now)
 
 
 def _choose_wait(worker: Worker) -> float:
@@ -122,22 +122,22 @@
     )
 
 
-def apply_answer(cell: Cell, worker: Worker, held: PollAnswer, sent_at: float, now: Now) -> None:
+def apply_answer(cell: Cell, worker: Worker, answer: PollAnswer, sent_at: float, now: Now) -> None:
     """Apply the runs and ends that a worker lists; ``sent_at`` is when it was polled."""
-    _update_clock(worker, held.clock, now)
+    _update_clock(worker, answer.clock, now)
     worker.answered_at = now.steady
     worker.silent = False
     clear_worker(cell, worker)
-    for ended in held.ended:
+    for ended in answer.ended:
         if ended.sequence > worker.listed_sequence:
             apply_end(cell, worker, ended, now)
             worker.listed_sequence = ended.sequence
-    listed = {running.task: running for running in held.running}
-    worker.unknown_tasks = frozenset(_find_unknown_runs(worker, held.running))
-    for running in held.running:
+    listed = {running.task: running for running in answer.running}
+    worker.unknown_tasks = frozenset(_find_unknown_runs(worker, answer.running))
+    for running in answer.running:
         _apply_running(cell, worker, running, now)
     # A missing run may have ended after the last end that fitted into the answer.
-    complete = len(held.ended) < MAX_LISTED_ENDS
+    complete = len(answer.ended) < MAX_LISTED_ENDS
     for run in list(worker.runs.values()) if complete else ():
         found = listed.get(run.task)
         if found is None or found.attempt != run.attempt:
--- a/toucanpin/scheduling/load_shedding.py
+++ b/toucanpin/scheduling/load_shedding.py
@@ -28,11 +28,11 @@
 from toucanpin.scheduling.job import Job
 
 __all__ = [
-    "START_ANSWER_TIME_S",
     "MAX_PENDING_STARTS",
-    "StartBacklog",
-    "ProcessDelay",
+    "START_ANSWER_TIME_S",
     "MinAnswerTime",
+    "ProcessDelay",
+    "StartBacklog",
     "TimeShare",
     "would_exceed_time_limit",
 ]
--- a/toucanpin/scheduling/orders.py
+++ b/toucanpin/scheduling/orders.py
@@ -13,15 +13,15 @@
 from toucanpin.scheduling.job import TaskKey
 
 __all__ = [
-    "RunEnd",
     "EndedRun",
+    "PaceOrder",
     "PollAnswer",
     "PollOrder",
-    "PaceOrder",
     "RefusalReason",
+    "RunEnd",
     "RunningTask",
-    "StartOrder",
     "StartAnswer",
+    "StartOrder",
     "StopOrder",
     "WorkerEntry",
 ]
--- a/toucanpin/scheduling/ownership.py
+++ b/toucanpin/scheduling/ownership.py
@@ -12,15 +12,15 @@
 import msgspec
 
 __all__ = [
-    "MIN_TENURE_S",
     "MIN_HANDOVER_INTERVAL_S",
+    "MIN_TENURE_S",
     "OwnerRecord",
     "OwnerWatch",
     "decode_owner",
     "encode_owner",
-    "record_read",
     "plan_next_read",
     "plan_takeover",
+    "record_read",
 ]
 
 OWNER_TIMEOUT_S = 1.3  # without a new write; an owner writes every 0.35 s
--- a/toucanpin/scheduling/remote_clock.py
+++ b/toucanpin/scheduling/remote_clock.py
@@ -20,7 +20,7 @@
 class _Reading:
     """Offset of the remote clock and its error, both in s, and when it was read."""
 
-    ahead: float
+    offset: float
     error: float
     at: float
 
@@ -57,7 +57,7 @@
 
     def read(self, now: float) -> float:
         """Return the remote clock at a local time in ms, 0 if it was never read."""
-        return (now + self._reading.ahead) * 1_000 if self._reading else 0.0
+        return (now + self._reading.offset) * 1_000 if self._reading else 0.0
 
     def error(self, now: float) -> float:
         """Return the bound on the estimate's error in ms."""
--- a/toucanpin/scheduling/retrying.py
+++ b/toucanpin/scheduling/retrying.py
@@ -11,7 +11,7 @@
 
 from toucanpin.scheduling.cell import Group, LiveJob, Now
 from toucanpin.scheduling.choosing import meets_constraints
-from toucanpin.scheduling.crashing import find_suspicion, is_new, runs_last_attempt
+from toucanpin.scheduling.crashing import find_suspicion, is_new_worker, runs_last_attempt
 from toucanpin.scheduling.job import TaskKey
 from toucanpin.scheduling.progress import CrashSuspicion
 from toucanpin.scheduling.trust import is_distrusted
@@ -21,7 +21,7 @@
 
 
 def wastes_attempt(
-    live: LiveJob, task: TaskKey, worker: Worker, able: Iterable[Worker], now: Now
+    live: LiveJob, task: TaskKey, worker: Worker, eligible: Iterable[Worker], now: Now
 ) -> bool:
     """
     Return whether a retry on a worker where tasks fail would waste an attempt.
@@ -43,29 +43,33 @@
         other.retries_blocked_until <= now.steady
         and fits_when_idle(other, step)
         and meets_constraints(other, group, step)
-        for other in able
+        for other in eligible
     )
 
 
-def list_retry_workers(live: LiveJob, task: TaskKey, able: list[Worker], now: Now) -> list[Worker]:
+def list_retry_workers(
+    live: LiveJob, task: TaskKey, eligible: list[Worker], now: Now
+) -> list[Worker]:
     """Return the workers on which a task may run, given its failures and losses."""
     if live.job.steps[task.step].speculative:
         # Runs of a worker are indexed by task: a copy there would hide the original run, whose
         # failure wouldn't be counted and whose resources wouldn't be released.
-        able = [worker for worker in able if task not in worker.runs]
+        eligible = [worker for worker in eligible if task not in worker.runs]
     if find_suspicion(live, task) is CrashSuspicion.LAST_ATTEMPT:
-        able = _list_for_last_attempt(live, task, able, now)
+        eligible = _list_for_last_attempt(live, task, eligible, now)
     if not _count_failures(live, task):
-        return able
-    safe = [worker for worker in able if not wastes_attempt(live, task, worker, able, now)]
+        return eligible
+    suitable = [
+        worker for worker in eligible if not wastes_attempt(live, task, worker, eligible, now)
+    ]
     step = live.job.steps[task.step]
-    if step.gang and sum(count_fitting_when_idle(worker, step) for worker in safe) < step.count:
-        return able
-    return safe
+    if step.gang and sum(count_fitting_when_idle(worker, step) for worker in suitable) < step.count:
+        return eligible
+    return suitable
 
 
 def _list_for_last_attempt(
-    live: LiveJob, task: TaskKey, able: list[Worker], now: Now
+    live: LiveJob, task: TaskKey, eligible: list[Worker], now: Now
 ) -> list[Worker]:
     """
     Return the workers whose loss would be the clearest evidence against a task.
@@ -76,13 +80,13 @@
     """
     step = live.job.steps[task.step]
     group = Group(task.job, task.occurrence, task.step)
-    available = [worker for worker in able if not runs_last_attempt(worker, now)]
-    established = [worker for worker in able if not is_new(worker, now)]
+    available = [worker for worker in eligible if not runs_last_attempt(worker, now)]
+    established = [worker for worker in eligible if not is_new_worker(worker, now)]
     if any(
         fits_when_idle(worker, step) and meets_constraints(worker, group, step)
         for worker in established
     ):
-        return [worker for worker in available if not is_new(worker, now)]
+        return [worker for worker in available if not is_new_worker(worker, now)]
     return available
 
 
--- a/toucanpin/scheduling/settings.py
+++ b/toucanpin/scheduling/settings.py
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """Time bounds of the deployment."""
+    """Time bounds that the deployment guarantees or requires."""
 
     longest_lease: float = 10.0
     stop: float = 0.2
--- a/toucanpin/scheduling/starting.py
+++ b/toucanpin/scheduling/starting.py
@@ -2,7 +2,7 @@
 Starting tasks
 ==============
 
-Start orders: when to send them, and how answers and time-outs are handled.
+Start orders: when to send them, and how answers and timeouts are handled.
 """
 
 from __future__ import annotations
@@ -20,9 +20,9 @@
 __all__ = [
     "MAX_ENTRY_AGE_S",
     "StartOutcome",
-    "plan_start",
-    "apply_start_failure",
     "apply_start_answer",
+    "apply_start_failure",
+    "plan_start",
     "record_stop_acknowledged",
 ]
 
--- a/toucanpin/scheduling/stopping.py
+++ b/toucanpin/scheduling/stopping.py
@@ -12,7 +12,7 @@
 from toucanpin.scheduling.progress import JobState, TaskState
 from toucanpin.scheduling.worker import Phase, Run, mark_stopping
 
-__all__ = ["count_unavailable", "list_gang_runs", "stop_gang", "stop_run", "requeue_task"]
+__all__ = ["count_unavailable", "list_gang_runs", "requeue_task", "stop_gang", "stop_run"]
 
 # Workers are polled every 0.4 to 0.7 s, and answers may be late.
 MAX_LISTING_AGE_S = 2.0  # within which a listed task counts as available
--- a/toucanpin/scheduling/trust.py
+++ b/toucanpin/scheduling/trust.py
@@ -10,7 +10,7 @@
 from toucanpin.scheduling.cell import Now
 from toucanpin.scheduling.worker import Phase, Run, Worker
 
-__all__ = ["EARLY_FAILURE_S", "is_distrusted", "is_trusted", "record_success", "record_failure"]
+__all__ = ["EARLY_FAILURE_S", "is_distrusted", "is_trusted", "record_failure", "record_success"]
 
 AVOIDANCE_PERIOD_S = 3.0  # after a failure
 MIN_FAILED_JOBS = 3  # with failures in a row; fewer jobs may themselves be at fault
@@ -18,9 +18,11 @@
 TRIAL_PERIOD_S = 1.0  # between tasks on a distrusted worker
 
 
-def record_failure(worker: Worker, run: Run, now: Now, avoided: float = AVOIDANCE_PERIOD_S) -> None:
+def record_failure(
+    worker: Worker, run: Run, now: Now, avoidance: float = AVOIDANCE_PERIOD_S
+) -> None:
     """Record that a task failed or made no progress on a worker."""
-    until = now.steady + avoided
+    until = now.steady + avoidance
     worker.suspect_until = max(worker.suspect_until, until)
     # A long-running task may fail at any time; only an early failure says something about its
     # worker.
--- a/toucanpin/scheduling/unplaceable.py
+++ b/toucanpin/scheduling/unplaceable.py
@@ -12,7 +12,7 @@
 from toucanpin.scheduling.job import Step
 from toucanpin.scheduling.shortage import Demand
 
-__all__ = ["is_known_unplaceable", "record_unplaceable", "record_shortage", "find_known_reason"]
+__all__ = ["find_known_reason", "is_known_unplaceable", "record_shortage", "record_unplaceable"]
 
 UNPLACEABLE_PERIOD_S = 0.0012  # per worker, without another try for best-effort tasks
 
--- a/toucanpin/scheduling/upkeep.py
+++ b/toucanpin/scheduling/upkeep.py
@@ -25,11 +25,11 @@
     "Wave",
     "WaveRecord",
     "drain_worker",
+    "end_drains",
     "find_returned",
     "is_completed",
     "list_missing_machines",
     "list_next_workers",
-    "end_drains",
 ]
 
 PLANNED_TIME_SHARE = 0.65  # of a wave's time in which all upkeep should be completed
@@ -103,7 +103,7 @@
     upkeep: float,
 ) -> tuple[list[str], list[str]]:
     """
-    Return the machines that completed their upkeep, and those to begin anew.
+    Return the machines that completed their upkeep, and those to drain again.
 
     ``listed`` is when the list of machines was requested. A machine with a new worker may have
     crashed before its order was carried out, so only an acknowledged order shows that its upkeep
@@ -178,7 +178,7 @@
     left = wave.seconds * PLANNED_TIME_SHARE - (now.table - record.begun) / 1_000
     rounds = max(1.0, left / (upkeep + OVERHEAD_S))
     free = min(wave.cap, math.ceil(len(waiting) / rounds)) - len(record.down)
-    closing = {worker.entry.id for worker in cell.workers.values() if worker.draining_since}
+    draining = {worker.entry.id for worker in cell.workers.values() if worker.draining_since}
     candidates: list[Worker] = []
     chosen: list[Worker] = []
     for name in waiting:
@@ -188,7 +188,7 @@
         worker = cell.workers.get(machine.worker)
         if worker is None or not worker.reached:
             continue
-        (chosen if worker.entry.id in closing else candidates).append(worker)
+        (chosen if worker.entry.id in draining else candidates).append(worker)
     candidates.sort(key=lambda worker: _estimate_loss(worker, now))
     return (chosen + candidates)[: max(0, free)]
 
--- a/toucanpin/scheduling/worker.py
+++ b/toucanpin/scheduling/worker.py
@@ -19,13 +19,13 @@
     "Phase",
     "Run",
     "Worker",
+    "bound_freeable_cpu",
     "count_fitting_tasks",
     "count_fitting_when_idle",
     "fits_when_idle",
     "grant_lease",
     "has_room",
     "is_overcommitted",
-    "bound_freeable_cpu",
     "mark_stopping",
     "release_run",
     "reserve_run",
@@ -97,14 +97,14 @@
     first_listed_at: float = 0.0  # when this incarnation was first listed
     listed_at: float = 0.0
     answered_at: float = 0.0
-    silent: bool = False
+    silent: bool = False  # it did not answer the latest poll
     unsound: bool = False  # its entry can no longer be decoded, though it may still answer
     clock: int = 0
     clock_read_at: float = 0.0
     lease_expires_at: float = 0.0
     listed_sequence: int = 0  # of the newest end that it listed
     acknowledged_sequence: int = 0  # of the newest end that is written
-    suspect_until: float = 0.0
+    suspect_until: float = 0.0  # avoided for new tasks after failures
     full_until: float = 0.0  # it had less capacity than its owner assumed
     reserved_until: float = 0.0  # reserved for tasks of ``reserved_priority`` after preemption
     reserved_priority: int = 0
@@ -215,8 +215,8 @@
     """
     ahead = max(0.0, until - worker.clock_read_at)
     deadline = worker.clock + int(ahead * 1_000)
-    lapse = worker.clock_read_at + ahead / MIN_CLOCK_RATE + LEASE_EXPIRY_MARGIN_S
-    worker.lease_expires_at = max(worker.lease_expires_at, lapse)
+    expires_at = worker.clock_read_at + ahead / MIN_CLOCK_RATE + LEASE_EXPIRY_MARGIN_S
+    worker.lease_expires_at = max(worker.lease_expires_at, expires_at)
     return deadline
 
 
