--- a/toucanpin/scheduling/tests/test_advising.py
+++ b/toucanpin/scheduling/tests/test_advising.py
@@ -30,20 +30,20 @@
             worker.answered_at = self.fleet.time
         return plan_advice_requests(self.fleet.cell, self.fleet.model, free, self.fleet.now())
 
-    def test_nothing_is_placed_without_a_ticket(self) -> None:
+    def test_no_task_is_placed_without_ticket(self) -> None:
         place_tasks(self.fleet.cell, self.fleet.model, self.fleet.now())
         self.assertFalse(self.fleet.cell.placed)
         (order,) = self._ask()
         self.assertEqual(3, len(order.workers))
         self.assertFalse(self._ask(), "one question at a time")
 
-    def test_only_approved_workers_get_the_step_with_their_ticket(self) -> None:
+    def test_only_approved_workers_get_tasks(self) -> None:
         (order,) = self._ask()
         record_advice(self.fleet.cell, order, Advice({"w1": "t1"}, 3.0), self.fleet.now())
         place_tasks(self.fleet.cell, self.fleet.model, self.fleet.now())
         self.assertEqual({("w1", "t1")}, {(r.worker, r.ticket) for r in self.fleet.cell.placed})
 
-    def test_an_old_ticket_is_not_used(self) -> None:
+    def test_expiring_ticket_is_not_used(self) -> None:
         (order,) = self._ask()
         record_advice(self.fleet.cell, order, Advice({"w1": "t1"}, 3.0), self.fleet.now())
         self.fleet.time += 2.8
@@ -51,14 +51,14 @@
         (again,) = self._ask()
         self.assertEqual(("w1",), again.workers)
 
-    def test_a_question_without_an_answer_is_asked_again(self) -> None:
+    def test_unanswered_request_is_repeated(self) -> None:
         (order,) = self._ask()
         record_advice(self.fleet.cell, order, None, self.fleet.now())
         self.assertFalse(self._ask())
         self.fleet.time += 0.5
         self.assertEqual(1, len(self._ask()))
 
-    def test_the_most_urgent_steps_are_asked_about_first(self) -> None:
+    def test_requests_are_ordered_by_urgency(self) -> None:
         """
         The service answers one question after another, half a second each.  Questions of patient
         steps that came first would make urgent ones late.
@@ -69,7 +69,7 @@
         orders = self._ask(free=2)
         self.assertEqual(["j2", "j1"], [order.group.job for order in orders])
 
-    def test_nobody_asks_about_a_worker_that_could_not_take_the_step(self) -> None:
+    def test_no_request_names_a_full_worker(self) -> None:
         self.fleet.cell.workers["w0"].memory = 8_000
         self.fleet.submit(make_job("j0", (Step(cpu=100, memory=10),), advised=True))
         asked = {order.group.job: order.workers for order in self._ask()}
--- a/toucanpin/scheduling/tests/test_consolidating.py
+++ b/toucanpin/scheduling/tests/test_consolidating.py
@@ -15,7 +15,7 @@
 
 WEB = Step(count=4, cpu=12_000, long_running=True, image="web", target=50)
 FEED = Step(count=4, cpu=12_000, long_running=True, image="feed", target=50)
-FILLS = Step(count=6, cpu=7_000, best_effort=True, image="batch", checkpoints=True)
+BEST_EFFORT = Step(count=6, cpu=7_000, best_effort=True, image="batch", checkpoints=True)
 NOW = Now(100.0, 100_000, 100_000)
 
 
@@ -31,12 +31,12 @@
         self._learn("feed", 4.5)
         submit_job(self.cell, make_job("web", (WEB,)), NOW)
         submit_job(self.cell, make_job("feed", (FEED,)), NOW)
-        submit_job(self.cell, make_job("batch", (FILLS,), priority=2), NOW)
+        submit_job(self.cell, make_job("batch", (BEST_EFFORT,), priority=2), NOW)
         self.cell.waits[Group("batch", 0, 0)] = Wait(95.0, WaitReason.INTERFERENCE)
         for index in range(3):
             self._run("w0", "web", WEB, index)
             self._run("w1", "feed", FEED, index)
-        self.stray = self._run("w0", "feed", FEED, 3)
+        self.misplaced = self._run("w0", "feed", FEED, 3)
 
     def _learn(self, image: str, effect: float) -> None:
         self.model._store_effect(Effect(image, "batch", effect, 0.2))
@@ -54,27 +54,27 @@
         add_run(self.cell, self.cell.workers[worker], run)
         return run
 
-    def test_a_stray_that_alone_shuts_out_batch_work_leaves(self) -> None:
+    def test_task_that_blocks_best_effort_work_is_moved(self) -> None:
         """
         Batch work waits for seconds though half of a worker is idle: one task of another image
         serves there, which it would disturb.  That image has workers of its own with room.
         """
-        self.assertIs(self.stray, consolidate_images(self.cell, self.model, NOW))
+        self.assertIs(self.misplaced, consolidate_images(self.cell, self.model, NOW))
         self.assertIsInstance(self.cell.orders[0], StopOrder)
 
-    def test_nothing_moves_while_no_batch_work_waits(self) -> None:
+    def test_no_move_without_waiting_best_effort_work(self) -> None:
         self.cell.waits.clear()
         self.assertIsNone(consolidate_images(self.cell, self.model, NOW))
 
-    def test_nothing_moves_without_a_place_beside_its_own_image(self) -> None:
+    def test_no_move_without_worker_of_same_image(self) -> None:
         self.cell.workers["w1"].unsound = True
         self.assertIsNone(consolidate_images(self.cell, self.model, NOW))
 
-    def test_nothing_moves_where_the_batch_work_is_harmless(self) -> None:
+    def test_no_move_for_harmless_best_effort_work(self) -> None:
         self._learn("feed", 0.3)
         self.assertIsNone(consolidate_images(self.cell, self.model, NOW))
 
-    def test_a_job_has_one_task_away_at_a_time(self) -> None:
+    def test_no_move_while_another_task_is_unavailable(self) -> None:
         """Users of a service would lose it if its tasks were moved while others are away."""
         next(iter(self.cell.workers["w1"].runs.values())).percent = 0
         self.assertIsNone(consolidate_images(self.cell, self.model, NOW))
--- a/toucanpin/scheduling/tests/test_evacuating.py
+++ b/toucanpin/scheduling/tests/test_evacuating.py
@@ -22,8 +22,8 @@
 class EvacuatingTest(unittest.TestCase):
     def setUp(self) -> None:
         self.fleet = Fleet(workers=0)
-        self.here = self.fleet.add_worker("a", data_centre="here")
-        self.there = self.fleet.add_worker("b", data_centre="there")
+        self.evacuated_core = self.fleet.add_worker("a", data_centre="dc-a")
+        self.other_core = self.fleet.add_worker("b", data_centre="dc-b")
         self.fleet.run(0.3)
 
     def _evacuate(self, *data_centres: str) -> bool:
@@ -32,98 +32,98 @@
 
     def test_nothing_starts_in_an_evacuated_data_centre(self) -> None:
         """Guards against tasks that are sent to workers of a data centre that is being emptied."""
-        self.assertTrue(self._evacuate("here"))
+        self.assertTrue(self._evacuate("dc-a"))
         self.fleet.submit(make_job(steps=(Step(count=6, cpu=1_000),)))
         self.fleet.run(4.0)
-        self.assertEqual((0, 6), (len(self.here.starts), len(self.there.starts)))
+        self.assertEqual((0, 6), (len(self.evacuated_core.starts), len(self.other_core.starts)))
 
-    def test_a_place_that_was_written_is_given_up_before_its_start_is_sent(self) -> None:
+    def test_written_assignment_is_dropped_before_start(self) -> None:
         """Guards against starts that were decided before the evacuation and sent after it."""
         self.fleet.store_up = False
         self.fleet.submit(make_job(steps=(Step(count=8, cpu=1_000),)))
         self.fleet.run(0.2)
         self.assertTrue(self.fleet.cell.placed)
-        self._evacuate("here")
+        self._evacuate("dc-a")
         self.fleet.store_up = True
         self.fleet.run(4.0)
-        self.assertEqual((0, 8), (len(self.here.starts), len(self.there.starts)))
+        self.assertEqual((0, 8), (len(self.evacuated_core.starts), len(self.other_core.starts)))
         self.assertFalse(self.fleet.duplicate_runs)
 
     def test_a_start_without_an_answer_is_not_sent_again(self) -> None:
         """Guards against a start that is repeated, and begins, long after the evacuation."""
-        self.here.deaf = True
+        self.evacuated_core.deaf = True
         self.fleet.submit(make_job(steps=(Step(count=8, cpu=1_000),)))
         self.fleet.run(0.3)
-        self._evacuate("here")
-        self.here.late.clear()
-        self.here.deaf = False
+        self._evacuate("dc-a")
+        self.evacuated_core.late.clear()
+        self.evacuated_core.deaf = False
         self.fleet.run(6.0)
-        self.assertEqual((0, 8), (len(self.here.starts), len(self.there.starts)))
+        self.assertEqual((0, 8), (len(self.evacuated_core.starts), len(self.other_core.starts)))
         self.assertFalse(self.fleet.duplicate_runs)
 
-    def test_what_runs_there_goes_on(self) -> None:
+    def test_runs_in_evacuated_data_centre_continue(self) -> None:
         """Guards against work that is thrown away though it would end by itself."""
         self.fleet.submit(make_job(steps=(Step(count=8, cpu=1_000),)))
         self.fleet.run(0.5)
-        self._evacuate("here")
+        self._evacuate("dc-a")
         (evacuation,) = describe_evacuations(self.fleet.cell)
-        self.assertEqual(("here", 1, 4), (evacuation.data_centre, evacuation.workers, 4))
+        self.assertEqual(("dc-a", 1, 4), (evacuation.data_centre, evacuation.workers, 4))
         self.fleet.run(2.0)
-        self.assertEqual((4, 4), (len(self.here.starts), len(self.there.starts)))
+        self.assertEqual((4, 4), (len(self.evacuated_core.starts), len(self.other_core.starts)))
         (evacuation,) = describe_evacuations(self.fleet.cell)
         self.assertEqual(0, evacuation.runs)
 
-    def test_one_that_is_taken_back_gets_tasks_again(self) -> None:
+    def test_revoked_evacuation_allows_starts_again(self) -> None:
         """Guards against workers that stay shut out, and against two evacuations taken for one."""
-        self._evacuate("here", "there")
+        self._evacuate("dc-a", "dc-b")
         self.fleet.submit(make_job(steps=(Step(count=2, cpu=1_000),)))
         self.fleet.run(2.0)
-        self._evacuate("there")
+        self._evacuate("dc-b")
         self.fleet.run(2.0)
-        self.assertEqual((2, 0), (len(self.here.starts), len(self.there.starts)))
+        self.assertEqual((2, 0), (len(self.evacuated_core.starts), len(self.other_core.starts)))
 
-    def test_a_task_that_waits_for_it_says_so(self) -> None:
+    def test_wait_reason_names_evacuation(self) -> None:
         """Guards against a wait that operators can't tell from a full fleet."""
-        self._evacuate("here", "there")
+        self._evacuate("dc-a", "dc-b")
         self.fleet.submit(make_job())
         self.fleet.run(0.5)
         (wait,) = self.fleet.cell.waits.values()
         self.assertIs(WaitReason.EVACUATED, wait.reason)
 
-    def test_an_owner_that_has_read_nothing_lately_sends_no_start(self) -> None:
+    def test_owner_with_outdated_evacuations_sends_no_start(self) -> None:
         """Guards against an owner cut off from the store that goes on with what it once read."""
         cell = self.fleet.cell
         self.fleet.submit(make_job())
         apply_evacuations(cell, EvacuationList(frozenset(), self.fleet.time - BOUND), BOUND)
         self.assertFalse(has_current_evacuations(cell, self.fleet.now()))
         self.fleet.run(1.0)
-        self.assertFalse(self.here.starts + self.there.starts)
+        self.assertFalse(self.evacuated_core.starts + self.other_core.starts)
         self._evacuate()
         self.fleet.run(1.0)
-        self.assertEqual(1, len(self.here.starts + self.there.starts))
+        self.assertEqual(1, len(self.evacuated_core.starts + self.other_core.starts))
 
-    def test_a_member_of_a_gang_that_may_not_start_takes_its_gang_along(self) -> None:
+    def test_gang_with_unstartable_member_is_stopped(self) -> None:
         """Guards against members that wait on their workers for one that never comes."""
         self.fleet.store_up = False
         self.fleet.submit(make_job(steps=(Step(count=4, cpu=1_000, gang=True, per_worker=2),)))
         self.fleet.run(0.2)
-        self._evacuate("here")
+        self._evacuate("dc-a")
         self.fleet.store_up = True
         self.fleet.run(1.0)
         phases = {run.phase for runs in self.fleet.cell.runs.values() for run in runs}
         self.assertFalse(phases - {Phase.STOPPING})
-        self.assertFalse(self.here.starts)
+        self.assertFalse(self.evacuated_core.starts)
 
-    def test_workers_are_still_kept_for_large_tasks(self) -> None:
+    def test_reservation_share_counts_usable_workers_only(self) -> None:
         """Guards against a share of kept workers that counts those which nobody may use."""
         for number in range(20):
-            self.fleet.add_worker(f"c{number}", data_centre="here" if number % 2 else "there")
+            self.fleet.add_worker(f"c{number}", data_centre="dc-a" if number % 2 else "dc-b")
         self.fleet.run(0.3)
-        self._evacuate("here")
+        self._evacuate("dc-a")
         job = make_job(steps=(Step(count=1, cpu=5_000),))
         self.fleet.submit(job)
-        able = [w for w in self.fleet.cell.workers.values() if w.entry.data_centre == "there"]
-        reservation = LargeTaskReservation(self.fleet.cell, able)
+        eligible = [w for w in self.fleet.cell.workers.values() if w.entry.data_centre == "dc-b"]
+        reservation = LargeTaskReservation(self.fleet.cell, eligible)
         (group,) = self.fleet.cell.waiting
         reservation.reserve_for(group, job.steps[0])
-        self.assertEqual(len(able) - 1, len(reservation.eligible))
+        self.assertEqual(len(eligible) - 1, len(reservation.eligible))
--- a/toucanpin/scheduling/tests/test_gangs.py
+++ b/toucanpin/scheduling/tests/test_gangs.py
@@ -29,7 +29,7 @@
     def _count_starts(self) -> int:
         return sum(len(worker.starts) for worker in self.fleet.workers.values())
 
-    def test_the_end_of_one_member_is_the_end_of_all(self) -> None:
+    def test_end_of_one_member_ends_the_gang(self) -> None:
         """
         A gang ends done, and the worker of one member is lost before it lists its end.  The other
         ends stand for it: a second run of that member alone would wait for the others for ever.
@@ -60,7 +60,7 @@
         self.assertEqual(JobState.FAILED, self.fleet.state("j1"))
         self.assertEqual(6, self._count_starts())
 
-    def test_two_members_that_fail_one_run_are_one_failure(self) -> None:
+    def test_two_members_failing_in_one_run_count_once(self) -> None:
         self.fleet.submit(make_job(steps=(GANG,), max_failures=2))
         self.fleet.run(0.5)
         self._end(0, RunEnd.FAILED)
@@ -92,7 +92,7 @@
         self.assertNotEqual(JobState.FAILED, self.fleet.state("j1"))
         self.assertEqual(6, self._count_starts())
 
-    def test_a_gang_of_which_one_start_is_refused_does_not_wait_in_part(self) -> None:
+    def test_gang_with_refused_start_is_restarted(self) -> None:
         """
         A worker refuses one member.  The others would wait for it until they end alone, and hold
         their room for nothing; they are stopped, and all start again together.
@@ -107,7 +107,7 @@
         self.assertEqual(3, len(running))
         self.assertEqual({2}, attempts)
 
-    def test_a_gang_whose_member_does_not_answer_is_stopped(self) -> None:
+    def test_gang_with_unanswered_start_is_stopped(self) -> None:
         """
         A worker doesn't answer the start of one member.  The others wait in vain, so they are
         stopped before their workers end them.
--- a/toucanpin/scheduling/tests/test_interference_model.py
+++ b/toucanpin/scheduling/tests/test_interference_model.py
@@ -22,16 +22,16 @@
 from toucanpin.scheduling.prediction import estimate_utilization, predict_share
 from toucanpin.scheduling.worker import Phase, Run, Worker
 
-SERVES = Step(cpu=10_000, long_running=True, image="web", target=50)
-FILLS = Step(cpu=6_000, best_effort=True, image="batch", checkpoints=True)
-QUIET = 10.0
+LATENCY_CRITICAL = Step(cpu=10_000, long_running=True, image="web", target=50)
+BEST_EFFORT = Step(cpu=6_000, best_effort=True, image="batch", checkpoints=True)
+IDLE_TAIL = 10.0
 
 
 def _tail(utilization: float) -> float:
-    return QUIET / (1 - utilization)
+    return IDLE_TAIL / (1 - utilization)
 
 
-def _swing(steady: float) -> float:
+def _compute_varying_load(steady: float) -> float:
     """Return a load that swings by three fifths each 14 s."""
     return 0.4 * (1 + 0.6 * math.sin(2 * math.pi * steady / 14))
 
@@ -44,8 +44,8 @@
     def setUp(self) -> None:
         self.cell = Cell("c", 1, 0.0, 0.0)
         self.model = InterferenceModel()
-        self.model.record_tail("web", QUIET / 0.775, -100.0)
-        self.model.record_tail("web", QUIET / 0.775, 0.0)
+        self.model.record_tail("web", IDLE_TAIL / 0.775, -100.0)
+        self.model.record_tail("web", IDLE_TAIL / 0.775, 0.0)
         for name in ("w0", "w1"):
             entry = WorkerEntry(name, "c", "a:1", "dc", True, 60_000, 256_000, 0)
             self.cell.workers[name] = Worker(entry, reached=True)
@@ -65,33 +65,33 @@
             learn_effects(self.model, worker, 1, _now(steady))
 
     def test_an_effect_is_learned_from_a_task_of_the_same_job_without_neighbours(self) -> None:
-        self._add("w0", "s", SERVES, 0, _tail(0.3))
-        self._add("w1", "s", SERVES, 1, _tail(0.45))
-        self._add("w1", "b", FILLS, 0, 6_000)
+        self._add("w0", "s", LATENCY_CRITICAL, 0, _tail(0.3))
+        self._add("w1", "s", LATENCY_CRITICAL, 1, _tail(0.45))
+        self._add("w1", "b", BEST_EFFORT, 0, 6_000)
         for turn in range(20):
             self._observe(10.0 + turn)
         # A tenth of the worker raised utilization by half: an effect of five.
         self.assertAlmostEqual(5.0, self.model.cautious_effect("web", "batch"), delta=1.0)
 
-    def test_a_harmless_pair_is_told_from_an_unknown_one(self) -> None:
-        self._add("w0", "s", SERVES, 0, _tail(0.3))
-        self._add("w1", "s", SERVES, 1, _tail(0.3))
-        self._add("w1", "b", FILLS, 0, 6_000)
+    def test_harmless_pair_differs_from_unknown_one(self) -> None:
+        self._add("w0", "s", LATENCY_CRITICAL, 0, _tail(0.3))
+        self._add("w1", "s", LATENCY_CRITICAL, 1, _tail(0.3))
+        self._add("w1", "b", BEST_EFFORT, 0, 6_000)
         for turn in range(20):
             self._observe(10.0 + turn)
         self.assertLess(self.model.cautious_effect("web", "batch"), 1.0)
         unknown = PRIOR_EFFECT + CAUTION_DEVIATIONS * PRIOR_DEVIATION
         self.assertEqual(unknown, self.model.cautious_effect("web", "other"))
 
-    def test_learning_costs_no_more_on_thousands_of_workers(self) -> None:
+    def test_learning_rate_is_bounded_on_thousands_of_workers(self) -> None:
         """
         Each answer of a worker brings measurements, and learning from all of them took an eighth of
         an owner's time on 446 workers; a few hundred samples a second tell as much of each pair.
         """
         worker = self.cell.workers["w1"]
-        self._add("w0", "s", SERVES, 0, _tail(0.3))
-        self._add("w1", "s", SERVES, 1, _tail(0.45))
-        self._add("w1", "b", FILLS, 0, 6_000)
+        self._add("w0", "s", LATENCY_CRITICAL, 0, _tail(0.3))
+        self._add("w1", "s", LATENCY_CRITICAL, 1, _tail(0.45))
+        self._add("w1", "b", BEST_EFFORT, 0, 6_000)
         self._observe(10.0)
         workers = 5_000
         with patch.object(InterferenceModel, "learn", autospec=True) as learned:
@@ -100,28 +100,30 @@
         self.assertLessEqual(learned.call_count * workers / 40.0, 1.1 * MAX_SAMPLES_PER_S)
         self.assertGreater(learned.call_count, 0)
 
-    def test_utilization_grows_beyond_full_with_the_tail(self) -> None:
-        run = self._add("w0", "s", SERVES, 0, 600.0)
+    def test_utilization_exceeds_one_at_high_tails(self) -> None:
+        run = self._add("w0", "s", LATENCY_CRITICAL, 0, 600.0)
         self.assertGreater(self.model.utilization(run), 1.0)
         run.measure = 5.0
         self.assertEqual(0.0, self.model.utilization(run))
 
-    def test_a_trend_says_more_of_a_load_that_swings_than_any_margin(self) -> None:
+    def test_trend_beats_fixed_margin_for_varying_load(self) -> None:
         """Guards against work that fills up to what a load was, and idle cores as it falls."""
-        run = self._add("w0", "s", SERVES)
-        short, idle, rises = [], [], []
+        run = self._add("w0", "s", LATENCY_CRITICAL)
+        shortfalls, excesses, rises = [], [], []
         for number in range(350):
             steady = 10.0 + 0.2 * number
-            self.model.record_load("s", _swing(steady), True, steady)
-            planned, after = self.model.planned_load(run), _swing(steady + LOOKAHEAD_S)
-            short.append(after - planned)
-            idle.append(planned - after)
-            rises.append(after - _swing(steady))
-        margin = max(rises) - max(short)  # that would fall short by no more
-        self.assertLess(sum(idle) / len(idle), 0.8 * margin)
-
-    def test_a_neighbour_raises_what_is_predicted(self) -> None:
-        self._add("w0", "s", SERVES, 0, _tail(0.4))
+            self.model.record_load("s", _compute_varying_load(steady), True, steady)
+            planned, after = self.model.planned_load(run), _compute_varying_load(
+                steady + LOOKAHEAD_S
+            )
+            shortfalls.append(after - planned)
+            excesses.append(planned - after)
+            rises.append(after - _compute_varying_load(steady))
+        margin = max(rises) - max(shortfalls)  # that would fall short by no more
+        self.assertLess(sum(excesses) / len(excesses), 0.8 * margin)
+
+    def test_neighbour_raises_predicted_share(self) -> None:
+        self._add("w0", "s", LATENCY_CRITICAL, 0, _tail(0.4))
         self._observe(10.0)
         worker = self.cell.workers["w0"]
         utilization = estimate_utilization(self.model, worker)
@@ -129,18 +131,18 @@
         beside = predict_share(self.model, utilization, "batch", 6_000)
         self.assertGreater(beside, alone)
 
-    def test_a_harmful_task_that_can_resume_leaves(self) -> None:
-        self._add("w0", "s", SERVES, 0, _tail(0.4))
-        self._add("w1", "s", SERVES, 1, _tail(0.79))
-        self._add("w1", "b", FILLS, 0, 6_000)
+    def test_harmful_resumable_task_is_stopped(self) -> None:
+        self._add("w0", "s", LATENCY_CRITICAL, 0, _tail(0.4))
+        self._add("w1", "s", LATENCY_CRITICAL, 1, _tail(0.79))
+        self._add("w1", "b", BEST_EFFORT, 0, 6_000)
         self._observe(10.0)
         control_pace(self.cell, self.model, _now(10.3))
         self.assertIsInstance(self.cell.orders[0], StopOrder)
 
-    def test_a_harmful_task_that_cannot_resume_is_slowed(self) -> None:
+    def test_harmful_task_that_cannot_resume_is_slowed_down(self) -> None:
         step = Step(cpu=6_000, best_effort=True, image="batch")
-        self._add("w0", "s", SERVES, 0, _tail(0.4))
-        self._add("w1", "s", SERVES, 1, _tail(0.79))
+        self._add("w0", "s", LATENCY_CRITICAL, 0, _tail(0.4))
+        self._add("w1", "s", LATENCY_CRITICAL, 1, _tail(0.79))
         run = self._add("w1", "b", step, 0, 6_000)
         run.percent = 60
         self._observe(10.0)
@@ -148,14 +150,14 @@
         self.assertIsInstance(self.cell.orders[0], PaceOrder)
         self.assertLess(run.pace, 100)
 
-    def test_a_task_does_not_leave_for_a_worker_that_fails_what_it_starts(self) -> None:
+    def test_failing_worker_is_no_destination(self) -> None:
         """
         A batch task harms its neighbour and can't resume.  The only better place is a worker that
         is empty since it fails whatever it starts.  The task was stopped for it, lost its work and
         found no place.
         """
         step = Step(cpu=6_000, best_effort=True, image="batch")
-        self._add("w0", "s", SERVES, 0, _tail(0.79))
+        self._add("w0", "s", LATENCY_CRITICAL, 0, _tail(0.79))
         run = self._add("w0", "b", step, 0, 6_000)
         run.percent = 10
         failing = self.cell.workers["w1"]
@@ -165,14 +167,14 @@
         control_pace(self.cell, self.model, _now(10.3))
         self.assertIsInstance(self.cell.orders[0], PaceOrder)
 
-    def test_what_is_thought_harmless_leaves_too_before_the_limit(self) -> None:
+    def test_all_best_effort_tasks_leave_before_the_limit(self) -> None:
         """
         A user of the service waits.  The estimates say that the neighbours cost nothing, and the
         tail stays over its target.  Four seconds of that are a broken promise, so everything that
         fills leaves before, whatever is believed.
         """
-        self._add("w0", "s", SERVES, 0, _tail(0.9))
-        run = self._add("w0", "b", FILLS, 0, 6_000)
+        self._add("w0", "s", LATENCY_CRITICAL, 0, _tail(0.9))
+        run = self._add("w0", "b", BEST_EFFORT, 0, 6_000)
         self.model._store_effect(Effect("web", "batch", 0.0, 0.1))
         steady = 10.0
         while run.phase is Phase.RUNNING and steady < 15.0:
--- a/toucanpin/scheduling/tests/test_large_tasks.py
+++ b/toucanpin/scheduling/tests/test_large_tasks.py
@@ -9,7 +9,7 @@
 
 
 class LargeTaskTest(unittest.TestCase):
-    def test_a_large_task_is_not_passed_by_small_ones_for_ever(self) -> None:
+    def test_large_task_is_not_starved_by_small_ones(self) -> None:
         """
         A caller's task needs most of a worker, and small tasks keep coming.  Each core that became
         free went to one of them, and the large task waited until they stopped.
--- a/toucanpin/scheduling/tests/test_layers.py
+++ b/toucanpin/scheduling/tests/test_layers.py
@@ -11,19 +11,19 @@
 
 
 class LayersTest(unittest.TestCase):
-    def test_no_module_needs_itself(self) -> None:
+    def test_imports_are_acyclic(self) -> None:
         """Guards against modules that can only be read, tested or changed together."""
         modules = Path(__file__).parent.parent.glob("*.py")
-        needs = {module.stem: _list_needs(module) for module in modules}
+        imports = {module.stem: _list_imports(module) for module in modules}
         try:
-            order = tuple(TopologicalSorter(needs).static_order())
+            order = tuple(TopologicalSorter(imports).static_order())
         except CycleError as error:
             self.fail(f"imports run in a circle: {' -> '.join(error.args[1])}")
         self.assertLess(order.index("cell"), order.index("placing"))
 
 
-def _list_needs(module: Path) -> set[str]:
+def _list_imports(module: Path) -> set[str]:
     """Return the names of the package's modules that one imports, also for types only."""
     nodes = ast.walk(ast.parse(module.read_text()))
-    named = (node.module or "" for node in nodes if isinstance(node, ast.ImportFrom))
-    return {name.removeprefix(PACKAGE) for name in named if name.startswith(PACKAGE)}
+    names = (node.module or "" for node in nodes if isinstance(node, ast.ImportFrom))
+    return {name.removeprefix(PACKAGE) for name in names if name.startswith(PACKAGE)}
--- a/toucanpin/scheduling/tests/test_long_running.py
+++ b/toucanpin/scheduling/tests/test_long_running.py
@@ -8,7 +8,7 @@
 from toucanpin.scheduling.orders import RunEnd
 from toucanpin.scheduling.tests.fleet import Fleet, make_job
 
-LASTS = Step(cpu=1_000, memory=1_000, long_running=True)
+LONG_RUNNING = Step(cpu=1_000, memory=1_000, long_running=True)
 
 
 class LastingTaskTest(unittest.TestCase):
@@ -17,35 +17,35 @@
         for worker in self.fleet.workers.values():
             worker.lasts = 60.0
 
-    _lasts = TaskKey("lasts", 0, 0, 0)
+    _task = TaskKey("lasts", 0, 0, 0)
 
     def _is_running(self, job: str) -> bool:
         return any(t.job == job for w in self.fleet.workers.values() for t in w.runs)
 
-    def _fail_lasting(self) -> None:
-        worker = next(w for w in self.fleet.workers.values() if self._lasts in w.runs)
-        worker.end(self._lasts, RunEnd.FAILED)
+    def _fail_task(self) -> None:
+        worker = next(w for w in self.fleet.workers.values() if self._task in w.runs)
+        worker.end(self._task, RunEnd.FAILED)
 
     def _fill_up(self, step: Step) -> None:
         self.fleet.submit(make_job("full", (step,), priority=0))
         self.fleet.run(1.0)
 
-    def test_the_last_place_is_taken_after_a_second(self) -> None:
+    def test_failed_task_takes_reserved_cores_after_wait(self) -> None:
         """
         A lasting task failed, and one place of its size was left in the whole fleet.  The place
         was kept for brief urgent tasks, of which none came, and the task ran nowhere for 11 s.
         """
-        self.fleet.submit(make_job("lasts", (LASTS,), priority=0))
+        self.fleet.submit(make_job("lasts", (LONG_RUNNING,), priority=0))
         self.fleet.run(1.0)
         self._fill_up(Step(count=6, cpu=1_000))
-        self._fail_lasting()
+        self._fail_task()
         self.fleet.submit(make_job("late", (Step(cpu=1_000),), priority=0))
         self.fleet.run(0.2)
         self.assertFalse(self._is_running("lasts"))
         self.fleet.run(1.5)
         self.assertTrue(self._is_running("lasts"))
 
-    def test_a_task_that_ran_goes_before_its_siblings_that_never_did(self) -> None:
+    def test_task_that_ran_precedes_new_siblings(self) -> None:
         """
         A service asks for more tasks than find room, and one that ran fails.  Siblings that wait
         for the reserve stood before it in the queue, and its users would miss it for as long.
@@ -60,7 +60,7 @@
         placed = {task for task in fleet.workers["w0"].runs if task.job == "lasts"}
         self.assertEqual({TaskKey("lasts", 0, 0, 2)}, placed)
 
-    def test_a_task_that_failed_goes_before_new_jobs(self) -> None:
+    def test_failed_task_precedes_new_jobs(self) -> None:
         """
         A fleet is full and lasting jobs wait.  One that ran fails, and its place goes to a new job
         whose objective is earlier, as does each place after it: the failed task ran nowhere for
@@ -75,33 +75,33 @@
         fleet.run(3.0)
         for number in range(4):
             fleet.submit(make_job(f"new{number}", (step,), accepted=number))
-        worker.end(self._lasts, RunEnd.FAILED)
+        worker.end(self._task, RunEnd.FAILED)
         fleet.run(1.0)
         worker.end(TaskKey("other", 0, 0, 0), RunEnd.FAILED)
         fleet.run(3.0)
         self.assertEqual({"lasts", "other"}, {task.job for task in worker.runs})
 
-    def test_a_new_task_leaves_the_last_place_to_brief_ones(self) -> None:
+    def test_new_task_leaves_reserve_free(self) -> None:
         self._fill_up(Step(count=7, cpu=1_000))
-        self.fleet.submit(make_job("lasts", (LASTS,), priority=0))
+        self.fleet.submit(make_job("lasts", (LONG_RUNNING,), priority=0))
         self.fleet.run(3.0)
         self.assertFalse(self._is_running("lasts"))
 
-    def test_memory_of_what_fills_is_freed_where_the_cores_just_suffice(self) -> None:
+    def test_best_effort_memory_is_freed_without_spare_cores(self) -> None:
         """
         A lasting task failed.  Cores for it are left on each worker, and batch tasks hold all
         memory.  They gave way only where a reserve of cores was left besides, which was nowhere.
         """
         self._fill_up(Step(count=2, cpu=3_000))
-        self.fleet.submit(make_job("lasts", (LASTS,), priority=0))
+        self.fleet.submit(make_job("lasts", (LONG_RUNNING,), priority=0))
         self.fleet.run(1.0)
-        self._fail_lasting()
+        self._fail_task()
         fill = Step(count=2, cpu=1_000, memory=8_000, best_effort=True, checkpoints=True)
         self.fleet.submit(make_job("fill", (fill,), priority=2))
         self.fleet.run(3.0)
         self.assertTrue(self._is_running("lasts"))
 
-    def test_a_worker_that_is_kept_for_a_large_task_takes_a_lasting_one(self) -> None:
+    def test_worker_reserved_for_large_task_takes_long_running_one(self) -> None:
         """
         Large urgent tasks wait for whole workers.  The roomiest worker is kept for them, and it is
         the only one on which a lasting task fits.
@@ -113,7 +113,7 @@
         fleet.run(1.0)
         fleet.submit(make_job("large", (Step(count=3, cpu=3_900),), priority=0))
         fleet.run(0.5)
-        fleet.submit(make_job("lasts", (LASTS,), priority=0))
+        fleet.submit(make_job("lasts", (LONG_RUNNING,), priority=0))
         fleet.run(2.0)
         placed = {task for worker in fleet.workers.values() for task in worker.runs}
         self.assertIn(TaskKey("lasts", 0, 0, 0), placed)
--- a/toucanpin/scheduling/tests/test_moving.py
+++ b/toucanpin/scheduling/tests/test_moving.py
@@ -13,7 +13,7 @@
 
 
 class SlowWorkerTest(unittest.TestCase):
-    def test_a_task_leaves_a_worker_that_is_many_times_slower(self) -> None:
+    def test_task_is_moved_off_slow_worker(self) -> None:
         """
         A caller waits for a job of three equal tasks.  One worker has turned six times slower; its
         siblings' times show it, and the task begins anew elsewhere instead of ending last.
@@ -36,7 +36,7 @@
         fleet.run(1.9)
         self.assertEqual(3, sum(len(worker.starts) for worker in fleet.workers.values()))
 
-    def test_unequal_siblings_stay_where_they_are(self) -> None:
+    def test_moderately_unequal_siblings_stay(self) -> None:
         fleet = Fleet(workers=2, cpu=1_000)
         fleet.workers["w0"].lasts = 3.0
         fleet.workers["w1"].lasts = 1.6
@@ -45,8 +45,8 @@
         self.assertEqual(2, sum(len(worker.starts) for worker in fleet.workers.values()))
 
 
-class LateStartTest(unittest.TestCase):
-    def test_a_task_that_a_list_shows_first_tells_no_time(self) -> None:
+class UnansweredStartTest(unittest.TestCase):
+    def test_run_first_seen_in_a_report_gives_no_duration(self) -> None:
         """Guards against an owner that ends as it divides by the time of a task just heard of."""
         fleet = Fleet(workers=2, cpu=3_000)
         fleet.workers["w0"].lasts = 12.0
@@ -60,8 +60,8 @@
         self.assertFalse(fleet.duplicate_runs)
 
 
-class LateListTest(unittest.TestCase):
-    def test_a_task_whose_worker_was_not_heard_of_does_not_stand_still(self) -> None:
+class MissingReportTest(unittest.TestCase):
+    def test_task_is_not_stalled_without_reports(self) -> None:
         """
         The owner's link is full, and for two seconds no worker's list arrives.  The tasks work on,
         but the owner saw no progress since it saw no list, took them to stand still and stopped
@@ -76,7 +76,7 @@
         move_tasks(fleet.cell, fleet.now())
         self.assertFalse(fleet.cell.orders)
 
-    def test_a_task_that_two_lists_show_unmoved_is_stopped(self) -> None:
+    def test_stalled_task_is_stopped(self) -> None:
         fleet = Fleet()
         for worker in fleet.workers.values():
             worker.stuck = True
@@ -90,7 +90,7 @@
 class CopyTest(unittest.TestCase):
     STEP = Step(cpu=1_000, speculative=True)
 
-    def test_no_copy_begins_beside_the_run_that_it_stands_for(self) -> None:
+    def test_no_copy_on_the_worker_of_the_original(self) -> None:
         """
         A worker is silent for a moment, so a copy of its task is wanted, and no other has room.
         When it answers again, the copy went there, and its run took the place of the first in what
@@ -112,7 +112,7 @@
         self.assertEqual(JobState.COMPLETED, fleet.state("j1"))
         self.assertEqual(0, fleet.cell.workers["w0"].cpu)
 
-    def test_a_copy_begins_before_a_silent_worker_is_given_up(self) -> None:
+    def test_copy_starts_before_lease_of_silent_worker_ends(self) -> None:
         """
         The worker of an urgent task is lost.  Its lease ends in seconds only, but copies of this
         task may run side by side, so another one begins at once and its end counts.
@@ -127,7 +127,7 @@
         fleet.run(2.4)
         self.assertEqual(JobState.COMPLETED, fleet.state("j1"))
 
-    def test_the_first_copy_that_is_done_ends_the_other(self) -> None:
+    def test_first_finished_copy_ends_the_other(self) -> None:
         fleet = Fleet(workers=2, cpu=1_000)
         for worker in fleet.workers.values():
             worker.lasts = 100.0
@@ -142,7 +142,7 @@
         self.assertEqual(JobState.COMPLETED, fleet.state("j1"))
         self.assertFalse(any(worker.runs for worker in fleet.workers.values()))
 
-    def test_a_copy_that_is_not_written_yet_leaves_what_is_done_alone(self) -> None:
+    def test_unwritten_copy_does_not_reset_finished_task(self) -> None:
         """
         A worker is silent for a moment while the table is slow, so copies of its two tasks are
         placed and not written yet.  Then it lists one of them as done.  The copy's end put the task
@@ -167,7 +167,7 @@
         self.assertEqual(1, started.count(TaskKey("j1", 0, 0, 0)))
         self.assertNotIn(TaskKey("j1", 0, 1, 0), started)
 
-    def test_a_copy_that_an_earlier_owner_began_counts_too(self) -> None:
+    def test_success_of_earlier_owners_copy_counts(self) -> None:
         """
         Two copies run and the owner is killed.  The next one knows of the newer copy alone; the
         older one is done first, and nothing of the task may start after that end is acknowledged.
@@ -186,7 +186,7 @@
         self.assertEqual(JobState.COMPLETED, fleet.state("j1"))
         self.assertEqual(2, sum(len(worker.starts) for worker in fleet.workers.values()))
 
-    def test_a_failure_of_a_copy_that_an_earlier_owner_began_counts_too(self) -> None:
+    def test_failure_of_earlier_owners_copy_counts(self) -> None:
         """
         Two copies run, the older one fails, and the owner is killed before it has heard of it.  The
         next one knows of the newer copy alone, so that nobody counts the failure of the older one.
@@ -210,7 +210,7 @@
         self.assertEqual(2, sum(len(worker.starts) for worker in fleet.workers.values()))
         self.assertEqual(JobState.FAILED, fleet.state("j1"))
 
-    def test_a_failure_that_two_owners_hear_of_counts_once(self) -> None:
+    def test_failure_reported_to_two_owners_counts_once(self) -> None:
         """
         A copy fails, its owner writes that down and is killed before it acknowledges the end.  The
         worker lists the end again to the next owner; counted twice, the job would be told as failed
--- a/toucanpin/scheduling/tests/test_overload.py
+++ b/toucanpin/scheduling/tests/test_overload.py
@@ -11,7 +11,7 @@
 
 
 class OverloadTest(unittest.TestCase):
-    def test_jobs_that_can_be_in_time_go_before_those_that_cannot(self) -> None:
+    def test_jobs_on_time_precede_late_ones(self) -> None:
         """
         Twice as many jobs come as can be served.  The oldest went first, each came late, and all
         callers waited in vain; now those that are still in time are served and stay so.
@@ -24,17 +24,17 @@
                 make_job(f"j{number:02}", (step,), accepted=accepted, stretch=2.0, aim=500)
             )
             fleet.run(0.5)
-        in_time = 0
+        on_time = 0
         for identifier in fleet.jobs:
             progress = decode_progress(fleet.rows[identifier]) if identifier in fleet.rows else None
             if progress is not None and progress.state == JobState.COMPLETED:
-                in_time += progress.ended <= fleet.cell.jobs[identifier].objective + 200
-        self.assertGreaterEqual(in_time, 12)
+                on_time += progress.ended <= fleet.cell.jobs[identifier].objective + 200
+        self.assertGreaterEqual(on_time, 12)
 
-    def test_a_worthless_job_comes_last_and_a_higher_priority_first(self) -> None:
+    def test_expired_job_is_last_and_higher_priority_first(self) -> None:
         fleet = Fleet(workers=1, cpu=1_000)
         step = (Step(cpu=1_000, estimate=1_000),)
-        fleet.submit(make_job("worthless", step, accepted=10_000, priority=2))
+        fleet.submit(make_job("expired", step, accepted=10_000, priority=2))
         fleet.submit(make_job("late", step, accepted=97_000, priority=2))
         fleet.submit(make_job("fresh", step, accepted=100_000, priority=2))
         fleet.submit(make_job("urgent", step, accepted=10_000, priority=0))
@@ -43,7 +43,7 @@
             (Group(job, 0, 0) for job in fleet.jobs),
             key=lambda group: rank_group(fleet.cell, group, now),
         )
-        self.assertEqual(["urgent", "fresh", "late", "worthless"], [group.job for group in ranked])
+        self.assertEqual(["urgent", "fresh", "late", "expired"], [group.job for group in ranked])
 
 
 if __name__ == "__main__":
--- a/toucanpin/scheduling/tests/test_preempting.py
+++ b/toucanpin/scheduling/tests/test_preempting.py
@@ -23,7 +23,7 @@
     def _is_running(self, job: str) -> bool:
         return any(t.job == job for w in self.fleet.workers.values() for t in w.runs)
 
-    def test_an_urgent_task_does_not_wait_for_patient_ones(self) -> None:
+    def test_urgent_task_preempts_less_urgent_one(self) -> None:
         """
         Patient tasks fill all workers when a caller hands in an urgent one.  It would wait for a
         minute; instead the patient task that loses least gives way and runs again later.
@@ -39,7 +39,7 @@
         stops = [e for w in self.fleet.workers.values() for e in w.ended + w.forgotten]
         self.assertEqual(1, sum(ended.end is RunEnd.STOPPED for ended in stops))
 
-    def test_room_is_kept_until_a_slow_stop_is_over(self) -> None:
+    def test_freed_resources_are_held_during_slow_stop(self) -> None:
         """Guards against room that others take while the task which makes it is still stopping."""
         self.fleet.cell.stop_time = STOP
         self.fleet.submit(make_job("slow", (Step(count=4, cpu=2_000),), priority=2))
@@ -53,7 +53,7 @@
         self.assertEqual(1, len(keeping))
         self.assertGreater(keeping[0].reserved_until, self.fleet.time)
 
-    def test_a_task_that_may_still_be_stopping_is_not_stopped_again(self) -> None:
+    def test_stop_is_not_repeated_while_task_may_be_stopping(self) -> None:
         """Guards against orders that are sent again and again where stops are slow."""
         self.fleet.cell.stop_time = STOP
         self.fleet.submit(make_job("slow", (Step(count=4, cpu=2_000),), priority=2))
@@ -63,7 +63,7 @@
             self.fleet.run(STOP)
         self.assertEqual(1, stop.call_count)
 
-    def test_what_resumes_gives_way_before_what_would_begin_anew(self) -> None:
+    def test_resumable_tasks_are_preempted_first(self) -> None:
         self.fleet.submit(make_job("plain", (Step(count=2, cpu=2_000),), priority=2))
         self.fleet.submit(
             make_job("saves", (Step(count=2, cpu=2_000, checkpoints=True),), priority=2)
@@ -74,7 +74,7 @@
         running = [t for w in self.fleet.workers.values() for t in w.runs]
         self.assertEqual(2, sum(task.job == "plain" for task in running))
 
-    def test_equals_and_lasting_tasks_are_left_alone(self) -> None:
+    def test_equal_and_long_running_tasks_are_not_preempted(self) -> None:
         self.fleet.submit(make_job("equal", (Step(count=2, cpu=3_000),), priority=0))
         self.fleet.submit(make_job("lasting", (Step(cpu=900, long_running=True),), priority=2))
         self.fleet.run(1.0)
@@ -84,7 +84,7 @@
         self.assertTrue(self._is_running("lasting"))
         self.assertEqual(JobState.PENDING, self.fleet.state("urgent"))
 
-    def test_memory_of_what_fills_is_freed_too(self) -> None:
+    def test_best_effort_memory_is_freed(self) -> None:
         fill = Step(count=2, cpu=1_000, memory=8_000, best_effort=True, checkpoints=True)
         self.fleet.submit(make_job("fill", (fill,), priority=2))
         self.fleet.run(1.0)
@@ -92,7 +92,7 @@
         self.fleet.run(0.5)
         self.assertTrue(any(TaskKey("urgent", 0, 0, 0) in w.runs for w in self._workers()))
 
-    def test_room_is_made_for_a_task_that_failed_where_tasks_do_not_fail(self) -> None:
+    def test_retry_preempts_on_healthy_worker(self) -> None:
         """
         An urgent task has failed on a worker that fails what it starts.  It isn't tried there
         again, and the other worker is full of patient tasks.  The failing worker's room counted as
--- a/toucanpin/scheduling/tests/test_racks.py
+++ b/toucanpin/scheduling/tests/test_racks.py
@@ -43,20 +43,20 @@
             if task.job == job
         ]
 
-    def test_a_task_goes_where_its_data_is(self) -> None:
+    def test_task_is_placed_near_its_data(self) -> None:
         """Away from its data a task takes several times as long, and its caller's job is late."""
         self.fleet.submit(make_job("j", (Step(count=3, cpu=1_000, rack="r2"),)))
         self.fleet.run(0.5)
         self.assertEqual(["r2"] * 3, self._racks("j"))
 
-    def test_a_task_goes_elsewhere_rather_than_wait_for_its_rack(self) -> None:
+    def test_task_is_placed_elsewhere_if_its_rack_is_full(self) -> None:
         self.fleet.submit(make_job("full", (Step(count=2, cpu=4_000, rack="r2"),)))
         self.fleet.run(0.2)
         self.fleet.submit(make_job("j", (Step(cpu=1_000, rack="r2"),)))
         self.fleet.run(0.5)
         self.assertEqual(1, len(self._racks("j")))
 
-    def test_tasks_that_want_one_rack_share_one(self) -> None:
+    def test_same_rack_tasks_share_a_rack(self) -> None:
         """On two racks all of them take several times as long, not only the one that strayed."""
         self.fleet.submit(make_job("full", (Step(cpu=2_000, rack="r0"),)))
         self.fleet.run(0.2)
@@ -65,7 +65,7 @@
         self.assertEqual(1, len(set(self._racks("j"))))
         self.assertEqual(6, len(self._racks("j")))
 
-    def test_tasks_that_want_one_rack_leave_fuller_workers_elsewhere_alone(self) -> None:
+    def test_same_rack_outweighs_fuller_workers(self) -> None:
         """
         One worker of each rack is half full, and a fuller worker is the better place by itself.
         Once the first tasks have filled one of them, the next would go to the half full worker of
@@ -77,7 +77,7 @@
         self.assertEqual(4, len(self._racks("j")))
         self.assertEqual(1, len(set(self._racks("j"))))
 
-    def test_tasks_whose_rack_is_lost_share_another_one(self) -> None:
+    def test_tasks_of_a_lost_rack_share_another(self) -> None:
         """
         All tasks of a step run on one rack, and its workers are lost.  It was still the rack
         that they wanted, so that all others were as far away, and the tasks were strewn over
--- a/toucanpin/scheduling/tests/test_reserving.py
+++ b/toucanpin/scheduling/tests/test_reserving.py
@@ -9,7 +9,7 @@
 
 WORKERS = 40
 CORES = 64_000
-LASTS = Step(count=24, cpu=13_000, long_running=True)
+LONG_RUNNING = Step(count=24, cpu=13_000, long_running=True)
 
 
 class ReservingTest(unittest.TestCase):
@@ -21,13 +21,13 @@
     def _fill_up(self) -> None:
         """Hand in lasting jobs that ask for a quarter more cores than the fleet has."""
         for number in range(10):
-            self.fleet.submit(make_job(f"l{number:02}", (LASTS,)))
+            self.fleet.submit(make_job(f"l{number:02}", (LONG_RUNNING,)))
         self.fleet.run(2.0)
 
     def _running(self, job: str) -> list[TaskKey]:
         return [t for worker in self.fleet.workers.values() for t in worker.runs if t.job == job]
 
-    def test_large_brief_tasks_start_at_once_on_a_fleet_full_of_lasting_ones(self) -> None:
+    def test_large_short_tasks_start_at_once_on_full_fleet(self) -> None:
         """
         Lasting jobs ask for more cores than there are, and a caller's step comes whose tasks ask
         for a third of a worker.  Lasting tasks left a tenth of each worker, too little for any of
@@ -38,7 +38,7 @@
         self.fleet.run(0.3)
         self.assertEqual(9, len(self._running("brief")))
 
-    def test_a_brief_task_of_a_whole_worker_starts_at_once(self) -> None:
+    def test_short_task_of_a_whole_worker_starts_at_once(self) -> None:
         """
         A task asks for all cores of a worker.  On a fleet with a lasting task on each worker there
         is no place for it, however few of its cores are in use.
@@ -48,20 +48,20 @@
         self.fleet.run(0.3)
         self.assertEqual(1, len(self._running("brief")))
 
-    def test_lasting_tasks_fill_the_other_workers(self) -> None:
+    def test_other_workers_are_packed(self) -> None:
         """A reserve in one place costs no more than its share: the other workers are packed."""
         self._fill_up()
         used = sum(13_000 * len(worker.runs) for worker in self.fleet.workers.values())
         packed = CORES // 13_000 * 13_000
         self.assertGreaterEqual(used, 0.9 * WORKERS * packed)
 
-    def test_a_job_of_which_nothing_runs_gets_a_task_into_the_reserve(self) -> None:
+    def test_first_task_of_a_job_may_use_the_reserve(self) -> None:
         """
         Only reserved room is left when another lasting job comes.  Waiting as a whole it would
         serve nobody for minutes, so one of its tasks runs there and the others wait.
         """
         self._fill_up()
-        self.fleet.submit(make_job("new", (LASTS,)))
+        self.fleet.submit(make_job("new", (LONG_RUNNING,)))
         self.fleet.run(3.0)
         self.assertEqual(1, len(self._running("new")))
 
--- a/toucanpin/scheduling/tests/test_scaling.py
+++ b/toucanpin/scheduling/tests/test_scaling.py
@@ -17,12 +17,12 @@
 
 def _draw_jobs(scale: int) -> list[Job]:
     """Draw urgent, patient and lasting jobs, a few more than the workers can bear."""
-    chooser = random.Random(3)
+    rng = random.Random(3)
     jobs = []
     for number in range(JOBS):
-        cpu = scale * chooser.randint(1_000, 4_000)
-        count = chooser.randint(1, 5)
-        match chooser.randrange(4):
+        cpu = scale * rng.randint(1_000, 4_000)
+        count = rng.randint(1, 5)
+        match rng.randrange(4):
             case 0:
                 step, priority = Step(count, cpu, MEMORY, estimate=1_000), 0
             case 1:
@@ -34,7 +34,7 @@
     return jobs
 
 
-def _play(scale: int) -> Starts:
+def _run_fleet(scale: int) -> Starts:
     fleet = Fleet(workers=0)
     for number in range(WORKERS):
         core = fleet.add_worker(f"w{number}", scale * CORES)
@@ -47,8 +47,8 @@
 
 
 class ScalingTest(unittest.TestCase):
-    def test_a_load_at_a_quarter_of_all_sizes_is_decided_alike(self) -> None:
+    def test_decisions_are_independent_of_scale(self) -> None:
         """Guards against decisions that fit the sizes of one workload only."""
-        whole, quarter = _play(4), _play(1)
-        self.assertGreater(sum(map(len, quarter.values())), JOBS)
-        self.assertEqual(whole, quarter)
+        full_size, quarter_size = _run_fleet(4), _run_fleet(1)
+        self.assertGreater(sum(map(len, quarter_size.values())), JOBS)
+        self.assertEqual(full_size, quarter_size)
