--- a/toucanpin/scheduling/tests/fleet.py
+++ b/toucanpin/scheduling/tests/fleet.py
@@ -2,7 +2,7 @@
 Scripted fleet
 ==============
 
-Workers and an owner on a virtual clock, with every order and answer under control of a test.
+Workers and an owner on a virtual clock, with orders and answers under control of a test.
 """
 
 from __future__ import annotations
@@ -44,8 +44,8 @@
 
 __all__ = ["Fleet", "make_job"]
 
-TIME_STEP_S = 0.05  # s of the virtual clock
-RESTART_TIME_S = 3.0  # s until a worker that crashed is back with a new life
+TIME_STEP_S = 0.05  # of the virtual clock
+RESTART_TIME_S = 3.0  # until a crashed worker is back as a new incarnation
 
 
 def make_job(identifier: str = "j1", steps: tuple[Step, ...] = (Step(cpu=1_000),), **fields) -> Job:
@@ -84,7 +84,7 @@
         return self.workers[name]
 
     def crash(self, name: str) -> None:
-        """End a worker's life; its entry stays until another life begins at its address."""
+        """Crash a worker; its entry stays until another incarnation starts at its address."""
         self._down.append((self.time + RESTART_TIME_S, self.workers.pop(name).entry))
 
     def now(self) -> Now:
@@ -92,12 +92,12 @@
         return Now(self.time, int(self.time * 1_000), int(self.time * 1_000))
 
     def submit(self, job: Job) -> None:
-        """Hand a job in."""
+        """Submit a job."""
         self.jobs[job.id] = job
         submit_job(self.cell, job, self.now())
 
     def replace_owner(self) -> None:
-        """Kill the owner; another one starts from the rows."""
+        """Kill the owner and start another one from the rows."""
         self.pending.clear()
         self.stops.clear()
         self.cell = self._make_cell(self.cell.token + 1)
@@ -109,12 +109,12 @@
                 submit_job(self.cell, job, self.now())
 
     def run(self, seconds: float) -> None:
-        """Let time pass."""
+        """Advance the virtual clock."""
         for _ in range(round(seconds / TIME_STEP_S)):
             self._turn()
 
     def state(self, job: str) -> int:
-        """Return a job's state as it is written."""
+        """Return a job's state as written to the table."""
         return decode_progress(self.rows[job]).state if job in self.rows else 0
 
     def _make_cell(self, token: int) -> Cell:
--- a/toucanpin/scheduling/tests/test_advising.py
+++ b/toucanpin/scheduling/tests/test_advising.py
@@ -1,4 +1,4 @@
-"""Steps that only advised workers may run."""
+"""Tests of steps that only workers with a ticket may run."""
 
 from __future__ import annotations
 
@@ -60,8 +60,8 @@
 
     def test_requests_are_ordered_by_urgency(self) -> None:
         """
-        The service answers one question after another, half a second each.  Questions of patient
-        steps that came first would make urgent ones late.
+        Guards against urgent steps that wait behind requests for less urgent ones: the advice
+        service answers one request after another and takes half a second for each.
         """
         step = Step(cpu=1_000)
         self.fleet.submit(make_job("j0", (step,), advised=True, priority=2))
--- a/toucanpin/scheduling/tests/test_consolidating.py
+++ b/toucanpin/scheduling/tests/test_consolidating.py
@@ -1,4 +1,4 @@
-"""Lasting tasks that alone shut out batch work leave to workers of their own image."""
+"""Tests of moving long-running tasks off workers where they block best-effort work."""
 
 from __future__ import annotations
 
@@ -56,8 +56,9 @@
 
     def test_task_that_blocks_best_effort_work_is_moved(self) -> None:
         """
-        Batch work waits for seconds though half of a worker is idle: one task of another image
-        serves there, which it would disturb.  That image has workers of its own with room.
+        Guards against best-effort tasks that wait for seconds beside idle cores, because a single
+        task of another image on the worker would be disturbed, though workers of that image have
+        room for it.
         """
         self.assertIs(self.misplaced, consolidate_images(self.cell, self.model, NOW))
         self.assertIsInstance(self.cell.orders[0], StopOrder)
@@ -75,7 +76,7 @@
         self.assertIsNone(consolidate_images(self.cell, self.model, NOW))
 
     def test_no_move_while_another_task_is_unavailable(self) -> None:
-        """Users of a service would lose it if its tasks were moved while others are away."""
+        """Guards against an outage of a service by moves of several of its tasks at a time."""
         next(iter(self.cell.workers["w1"].runs.values())).percent = 0
         self.assertIsNone(consolidate_images(self.cell, self.model, NOW))
 
--- a/toucanpin/scheduling/tests/test_evacuating.py
+++ b/toucanpin/scheduling/tests/test_evacuating.py
@@ -1,4 +1,4 @@
-"""What an evacuated data centre still gets, on the virtual clock."""
+"""Tests of the evacuation of data centres, on the virtual clock."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
         return apply_evacuations(self.fleet.cell, known, BOUND)
 
     def test_nothing_starts_in_an_evacuated_data_centre(self) -> None:
-        """Guards against tasks that are sent to workers of a data centre that is being emptied."""
+        """Guards against tasks that are sent to workers of an evacuated data centre."""
         self.assertTrue(self._evacuate("dc-a"))
         self.fleet.submit(make_job(steps=(Step(count=6, cpu=1_000),)))
         self.fleet.run(4.0)
@@ -50,7 +50,7 @@
         self.assertFalse(self.fleet.duplicate_runs)
 
     def test_a_start_without_an_answer_is_not_sent_again(self) -> None:
-        """Guards against a start that is repeated, and begins, long after the evacuation."""
+        """Guards against a start that is repeated, and takes effect, long after the evacuation."""
         self.evacuated_core.deaf = True
         self.fleet.submit(make_job(steps=(Step(count=8, cpu=1_000),)))
         self.fleet.run(0.3)
@@ -62,7 +62,7 @@
         self.assertFalse(self.fleet.duplicate_runs)
 
     def test_runs_in_evacuated_data_centre_continue(self) -> None:
-        """Guards against work that is thrown away though it would end by itself."""
+        """Guards against lost work of tasks that would end by themselves."""
         self.fleet.submit(make_job(steps=(Step(count=8, cpu=1_000),)))
         self.fleet.run(0.5)
         self._evacuate("dc-a")
@@ -74,7 +74,7 @@
         self.assertEqual(0, evacuation.runs)
 
     def test_revoked_evacuation_allows_starts_again(self) -> None:
-        """Guards against workers that stay shut out, and against two evacuations taken for one."""
+        """Guards against workers that stay excluded, and against confusion of two evacuations."""
         self._evacuate("dc-a", "dc-b")
         self.fleet.submit(make_job(steps=(Step(count=2, cpu=1_000),)))
         self.fleet.run(2.0)
@@ -83,7 +83,7 @@
         self.assertEqual((2, 0), (len(self.evacuated_core.starts), len(self.other_core.starts)))
 
     def test_wait_reason_names_evacuation(self) -> None:
-        """Guards against a wait that operators can't tell from a full fleet."""
+        """Guards against a wait that operators can't distinguish from a full fleet."""
         self._evacuate("dc-a", "dc-b")
         self.fleet.submit(make_job())
         self.fleet.run(0.5)
@@ -91,7 +91,7 @@
         self.assertIs(WaitReason.EVACUATED, wait.reason)
 
     def test_owner_with_outdated_evacuations_sends_no_start(self) -> None:
-        """Guards against an owner cut off from the store that goes on with what it once read."""
+        """Guards against an owner without access to the store that relies on an outdated list."""
         cell = self.fleet.cell
         self.fleet.submit(make_job())
         apply_evacuations(cell, EvacuationList(frozenset(), self.fleet.time - BOUND), BOUND)
@@ -103,7 +103,7 @@
         self.assertEqual(1, len(self.evacuated_core.starts + self.other_core.starts))
 
     def test_gang_with_unstartable_member_is_stopped(self) -> None:
-        """Guards against members that wait on their workers for one that never comes."""
+        """Guards against members that wait on their workers for one that never starts."""
         self.fleet.store_up = False
         self.fleet.submit(make_job(steps=(Step(count=4, cpu=1_000, gang=True, per_worker=2),)))
         self.fleet.run(0.2)
@@ -115,7 +115,7 @@
         self.assertFalse(self.evacuated_core.starts)
 
     def test_reservation_share_counts_usable_workers_only(self) -> None:
-        """Guards against a share of kept workers that counts those which nobody may use."""
+        """Guards against a share of reserved workers that counts evacuated ones."""
         for number in range(20):
             self.fleet.add_worker(f"c{number}", data_centre="dc-a" if number % 2 else "dc-b")
         self.fleet.run(0.3)
--- a/toucanpin/scheduling/tests/test_gangs.py
+++ b/toucanpin/scheduling/tests/test_gangs.py
@@ -1,4 +1,4 @@
-"""Gangs: tasks that work only together, and fail or end as one."""
+"""Tests of gangs, whose tasks start, fail and end together."""
 
 from __future__ import annotations
 
@@ -31,8 +31,8 @@
 
     def test_end_of_one_member_ends_the_gang(self) -> None:
         """
-        A gang ends done, and the worker of one member is lost before it lists its end.  The other
-        ends stand for it: a second run of that member alone would wait for the others for ever.
+        Guards against a member that runs again alone and waits for the others for ever.  All
+        members are done, but the worker of one is lost before it reports the end.
         """
         self.fleet.submit(make_job(steps=(GANG,)))
         self.fleet.run(0.5)
@@ -46,8 +46,8 @@
 
     def test_failures_of_different_members_count_against_the_gang(self) -> None:
         """
-        One member fails the first run, another one the second.  Counted by member the gang would
-        get a third run, though two are all that its queue allows.
+        Guards against a third run of a gang whose queue allows two: one member fails in the first
+        run and another in the second, and counted by member each has failed once.
         """
         self.fleet.submit(make_job(steps=(GANG,), max_failures=2))
         self.fleet.run(0.5)
@@ -72,8 +72,8 @@
 
     def test_a_new_owner_knows_which_failures_are_counted(self) -> None:
         """
-        Two members fail the same run.  The owner writes down the first failure and is killed; the
-        next one hears of the second.  It mustn't count as another run that failed.
+        Guards against two counted failures for one run.  Two members fail in the same run; the
+        owner records the first failure and is killed, and the next owner gets the second.
         """
         self.fleet.submit(make_job(steps=(GANG,), max_failures=2))
         self.fleet.run(0.5)
@@ -94,8 +94,8 @@
 
     def test_gang_with_refused_start_is_restarted(self) -> None:
         """
-        A worker refuses one member.  The others would wait for it until they end alone, and hold
-        their room for nothing; they are stopped, and all start again together.
+        Guards against an incomplete gang that occupies its workers: one member's start is refused,
+        so the others are stopped and all start again together.
         """
         self.fleet.workers["w0"].refusing = 1
         self.fleet.submit(make_job(steps=(GANG,)))
@@ -109,8 +109,8 @@
 
     def test_gang_with_unanswered_start_is_stopped(self) -> None:
         """
-        A worker doesn't answer the start of one member.  The others wait in vain, so they are
-        stopped before their workers end them.
+        Guards against members that wait until their workers end them, because the start of another
+        member was not answered.
         """
         self.fleet.workers["w0"].deaf = True
         self.fleet.submit(make_job(steps=(GANG,)))
--- a/toucanpin/scheduling/tests/test_interference_model.py
+++ b/toucanpin/scheduling/tests/test_interference_model.py
@@ -1,4 +1,4 @@
-"""What fills beside what serves: what is learned, and what is done about it."""
+"""Tests of the interference model and of the pacing that relies on it."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 def _compute_varying_load(steady: float) -> float:
-    """Return a load that swings by three fifths each 14 s."""
+    """Return a load that varies by three fifths with a period of 14 s."""
     return 0.4 * (1 + 0.6 * math.sin(2 * math.pi * steady / 14))
 
 
@@ -85,8 +85,8 @@
 
     def test_learning_rate_is_bounded_on_thousands_of_workers(self) -> None:
         """
-        Each answer of a worker brings measurements, and learning from all of them took an eighth of
-        an owner's time on 446 workers; a few hundred samples a second tell as much of each pair.
+        Guards against learning from every answer of a worker, which took an eighth of an owner's
+        time with 446 workers.  A few hundred samples per second suffice for each pair of images.
         """
         worker = self.cell.workers["w1"]
         self._add("w0", "s", LATENCY_CRITICAL, 0, _tail(0.3))
@@ -107,7 +107,10 @@
         self.assertEqual(0.0, self.model.utilization(run))
 
     def test_trend_beats_fixed_margin_for_varying_load(self) -> None:
-        """Guards against work that fills up to what a load was, and idle cores as it falls."""
+        """
+        Guards against best-effort work sized for a past load, and against idle cores as the load
+        falls.
+        """
         run = self._add("w0", "s", LATENCY_CRITICAL)
         shortfalls, excesses, rises = [], [], []
         for number in range(350):
@@ -119,7 +122,7 @@
             shortfalls.append(after - planned)
             excesses.append(planned - after)
             rises.append(after - _compute_varying_load(steady))
-        margin = max(rises) - max(shortfalls)  # that would fall short by no more
+        margin = max(rises) - max(shortfalls)  # fixed margin with the same worst shortfall
         self.assertLess(sum(excesses) / len(excesses), 0.8 * margin)
 
     def test_neighbour_raises_predicted_share(self) -> None:
@@ -152,9 +155,8 @@
 
     def test_failing_worker_is_no_destination(self) -> None:
         """
-        A batch task harms its neighbour and can't resume.  The only better place is a worker that
-        is empty since it fails whatever it starts.  The task was stopped for it, lost its work and
-        found no place.
+        Guards against stopping a task that can't resume for a worker on which all tasks fail, which
+        is empty and looks best: the task would lose its work and find no worker.
         """
         step = Step(cpu=6_000, best_effort=True, image="batch")
         self._add("w0", "s", LATENCY_CRITICAL, 0, _tail(0.79))
@@ -169,9 +171,8 @@
 
     def test_all_best_effort_tasks_leave_before_the_limit(self) -> None:
         """
-        A user of the service waits.  The estimates say that the neighbours cost nothing, and the
-        tail stays over its target.  Four seconds of that are a broken promise, so everything that
-        fills leaves before, whatever is believed.
+        Guards against a target that is exceeded for four seconds because the estimates take harmful
+        neighbours for harmless.
         """
         self._add("w0", "s", LATENCY_CRITICAL, 0, _tail(0.9))
         run = self._add("w0", "b", BEST_EFFORT, 0, 6_000)
--- a/toucanpin/scheduling/tests/test_large_tasks.py
+++ b/toucanpin/scheduling/tests/test_large_tasks.py
@@ -1,4 +1,4 @@
-"""Large tasks among many small ones."""
+"""Tests of large tasks among many small ones."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 class LargeTaskTest(unittest.TestCase):
     def test_large_task_is_not_starved_by_small_ones(self) -> None:
         """
-        A caller's task needs most of a worker, and small tasks keep coming.  Each core that became
-        free went to one of them, and the large task waited until they stopped.
+        Guards against a large task that waits for as long as small tasks keep coming and take each
+        core that becomes free.
         """
         fleet = Fleet(workers=10, cpu=4_000)
         for number in range(60):
--- a/toucanpin/scheduling/tests/test_layers.py
+++ b/toucanpin/scheduling/tests/test_layers.py
@@ -1,4 +1,4 @@
-"""Modules of decisions import one way: what a module needs never needs the module."""
+"""Test of the import order of the scheduling modules, which must be acyclic."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def _list_imports(module: Path) -> set[str]:
-    """Return the names of the package's modules that one imports, also for types only."""
+    """Return the names of the package's modules that a module imports, also for types only."""
     nodes = ast.walk(ast.parse(module.read_text()))
     names = (node.module or "" for node in nodes if isinstance(node, ast.ImportFrom))
     return {name.removeprefix(PACKAGE) for name in names if name.startswith(PACKAGE)}
--- a/toucanpin/scheduling/tests/test_long_running.py
+++ b/toucanpin/scheduling/tests/test_long_running.py
@@ -1,4 +1,4 @@
-"""Lasting tasks find room wherever there is some, whatever fills, waits or is kept there."""
+"""Tests of the placement of long-running tasks beside other kinds."""
 
 from __future__ import annotations
 
@@ -32,8 +32,8 @@
 
     def test_failed_task_takes_reserved_cores_after_wait(self) -> None:
         """
-        A lasting task failed, and one place of its size was left in the whole fleet.  The place
-        was kept for brief urgent tasks, of which none came, and the task ran nowhere for 11 s.
+        Guards against a failed long-running task that runs nowhere, for 11 s, because the only
+        worker with room for it is reserved for short tasks, of which none come.
         """
         self.fleet.submit(make_job("lasts", (LONG_RUNNING,), priority=0))
         self.fleet.run(1.0)
@@ -47,8 +47,8 @@
 
     def test_task_that_ran_precedes_new_siblings(self) -> None:
         """
-        A service asks for more tasks than find room, and one that ran fails.  Siblings that wait
-        for the reserve stood before it in the queue, and its users would miss it for as long.
+        Guards against an outage of a service that requests more tasks than there is room for:
+        siblings that never ran would wait in the queue before the one that has failed.
         """
         fleet = Fleet(workers=1, cpu=2_000)
         fleet.workers["w0"].lasts = 60.0
@@ -62,9 +62,8 @@
 
     def test_failed_task_precedes_new_jobs(self) -> None:
         """
-        A fleet is full and lasting jobs wait.  One that ran fails, and its place goes to a new job
-        whose objective is earlier, as does each place after it: the failed task ran nowhere for
-        25 s.
+        Guards against a failed long-running task on a full fleet that runs nowhere, for 25 s,
+        because new jobs with earlier objectives take each freed worker.
         """
         fleet = Fleet(workers=1, cpu=2_000)
         worker = fleet.workers["w0"]
@@ -89,8 +88,9 @@
 
     def test_best_effort_memory_is_freed_without_spare_cores(self) -> None:
         """
-        A lasting task failed.  Cores for it are left on each worker, and batch tasks hold all
-        memory.  They gave way only where a reserve of cores was left besides, which was nowhere.
+        Guards against a failed long-running task that waits while best-effort tasks hold all
+        memory.  They were preempted only where reserved cores were left besides, which no worker
+        had.
         """
         self._fill_up(Step(count=2, cpu=3_000))
         self.fleet.submit(make_job("lasts", (LONG_RUNNING,), priority=0))
@@ -103,8 +103,8 @@
 
     def test_worker_reserved_for_large_task_takes_long_running_one(self) -> None:
         """
-        Large urgent tasks wait for whole workers.  The roomiest worker is kept for them, and it is
-        the only one on which a lasting task fits.
+        Guards against a long-running task that waits because the only worker with room for it is
+        reserved for large urgent tasks.
         """
         fleet = Fleet(workers=10, cpu=4_000)
         for worker in fleet.workers.values():
--- a/toucanpin/scheduling/tests/test_moving.py
+++ b/toucanpin/scheduling/tests/test_moving.py
@@ -1,4 +1,4 @@
-"""Tasks that do better elsewhere, and copies where they are allowed."""
+"""Tests of moved tasks and of copies of speculative ones."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 class SlowWorkerTest(unittest.TestCase):
     def test_task_is_moved_off_slow_worker(self) -> None:
         """
-        A caller waits for a job of three equal tasks.  One worker has turned six times slower; its
-        siblings' times show it, and the task begins anew elsewhere instead of ending last.
+        Guards against a job that ends late because one of its three equal tasks runs on a worker
+        that is six times slower than the others.
         """
         fleet = Fleet(workers=4, cpu=1_000)
         fleet.workers["w0"].lasts = 12.0
@@ -47,7 +47,10 @@
 
 class UnansweredStartTest(unittest.TestCase):
     def test_run_first_seen_in_a_report_gives_no_duration(self) -> None:
-        """Guards against an owner that ends as it divides by the time of a task just heard of."""
+        """
+        Guards against a division by zero in the duration of a task that was started without a known
+        answer and is then reported for the first time.
+        """
         fleet = Fleet(workers=2, cpu=3_000)
         fleet.workers["w0"].lasts = 12.0
         fleet.workers["w1"].lasts = 2.0
@@ -63,9 +66,8 @@
 class MissingReportTest(unittest.TestCase):
     def test_task_is_not_stalled_without_reports(self) -> None:
         """
-        The owner's link is full, and for two seconds no worker's list arrives.  The tasks work on,
-        but the owner saw no progress since it saw no list, took them to stand still and stopped
-        them all.  Progress is missing only if a later list shows none.
+        Guards against stopping all tasks of an owner whose link is congested, so that no worker's
+        report arrives for two seconds.  A task is stalled only if a later report shows no progress.
         """
         fleet = Fleet()
         for worker in fleet.workers.values():
@@ -92,10 +94,9 @@
 
     def test_no_copy_on_the_worker_of_the_original(self) -> None:
         """
-        A worker is silent for a moment, so a copy of its task is wanted, and no other has room.
-        When it answers again, the copy went there, and its run took the place of the first in what
-        the owner follows.  The first run's failure was then counted by nobody, so the task had
-        three starts of two, and the room of that run was never given back.
+        Guards against a copy that replaces the original run in the owner's records.  The only
+        worker is silent for a moment, answers again and gets the copy; the original's failure was
+        not counted, so the task had three starts of two, and its resources were never released.
         """
         fleet = Fleet(workers=1)
         worker = fleet.workers["w0"]
@@ -114,8 +115,8 @@
 
     def test_copy_starts_before_lease_of_silent_worker_ends(self) -> None:
         """
-        The worker of an urgent task is lost.  Its lease ends in seconds only, but copies of this
-        task may run side by side, so another one begins at once and its end counts.
+        Guards against an urgent speculative task that waits for seconds until the lease of its lost
+        worker ends, though a copy may run at the same time.
         """
         fleet = Fleet(workers=2, cpu=1_000)
         for worker in fleet.workers.values():
@@ -144,9 +145,9 @@
 
     def test_unwritten_copy_does_not_reset_finished_task(self) -> None:
         """
-        A worker is silent for a moment while the table is slow, so copies of its two tasks are
-        placed and not written yet.  Then it lists one of them as done.  The copy's end put the task
-        back to wait: it ran again, was counted twice, and the next step began beside the other.
+        Guards against a finished task that runs again and is counted twice, so that the next step
+        starts too early.  A worker is silent for a moment while the table is slow, so copies of its
+        two tasks are assigned but not written when it reports one of them as done.
         """
         fleet = Fleet(workers=2)
         steps = (Step(count=2, cpu=1_000, speculative=True), Step(cpu=1_000, after=(0,)))
@@ -169,8 +170,9 @@
 
     def test_success_of_earlier_owners_copy_counts(self) -> None:
         """
-        Two copies run and the owner is killed.  The next one knows of the newer copy alone; the
-        older one is done first, and nothing of the task may start after that end is acknowledged.
+        Guards against starts after the success of a run that the owner doesn't know: two copies
+        run, the owner is killed, the next one knows only the newer copy, and the older one is done
+        first.
         """
         fleet = Fleet(workers=2, cpu=1_000)
         for worker in fleet.workers.values():
@@ -188,9 +190,9 @@
 
     def test_failure_of_earlier_owners_copy_counts(self) -> None:
         """
-        Two copies run, the older one fails, and the owner is killed before it has heard of it.  The
-        next one knows of the newer copy alone, so that nobody counts the failure of the older one.
-        Then the newer one fails too, and the task, which may fail twice, is started a third time.
+        Guards against a third start of a task that may fail twice.  Two copies run, the older one
+        fails, and the owner is killed before it learns of it; the next one knows only the newer
+        copy, which then fails too.
         """
         fleet = Fleet(workers=2, cpu=1_000)
         for worker in fleet.workers.values():
@@ -212,9 +214,9 @@
 
     def test_failure_reported_to_two_owners_counts_once(self) -> None:
         """
-        A copy fails, its owner writes that down and is killed before it acknowledges the end.  The
-        worker lists the end again to the next owner; counted twice, the job would be told as failed
-        though its task had another try.
+        Guards against a job that is reported as failed though its task has another attempt: the
+        owner records a copy's failure and is killed before it acknowledges the end, which the
+        worker then reports to the next owner.
         """
         fleet = Fleet(workers=2, cpu=1_000)
         for worker in fleet.workers.values():
--- a/toucanpin/scheduling/tests/test_overload.py
+++ b/toucanpin/scheduling/tests/test_overload.py
@@ -1,4 +1,4 @@
-"""Which jobs are served first when there is more than can be served."""
+"""Tests of the order of jobs in an overload."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 class OverloadTest(unittest.TestCase):
     def test_jobs_on_time_precede_late_ones(self) -> None:
         """
-        Twice as many jobs come as can be served.  The oldest went first, each came late, and all
-        callers waited in vain; now those that are still in time are served and stay so.
+        Guards against an overload in which all jobs are late because the oldest ones go first, when
+        there are twice as many jobs as can be processed.
         """
         fleet = Fleet(workers=1, cpu=1_000)
         for number in range(40):
--- a/toucanpin/scheduling/tests/test_preempting.py
+++ b/toucanpin/scheduling/tests/test_preempting.py
@@ -1,4 +1,4 @@
-"""Room that urgent tasks get where less urgent ones have taken it."""
+"""Tests of preemption of less urgent tasks by urgent ones."""
 
 from __future__ import annotations
 
@@ -25,8 +25,8 @@
 
     def test_urgent_task_preempts_less_urgent_one(self) -> None:
         """
-        Patient tasks fill all workers when a caller hands in an urgent one.  It would wait for a
-        minute; instead the patient task that loses least gives way and runs again later.
+        Guards against an urgent task that waits for a minute because less urgent tasks fill all
+        workers.  The task that loses least work is stopped, and runs again later.
         """
         steps = (Step(count=4, cpu=2_000),)
         self.fleet.submit(make_job("slow", steps, priority=2))
@@ -40,7 +40,10 @@
         self.assertEqual(1, sum(ended.end is RunEnd.STOPPED for ended in stops))
 
     def test_freed_resources_are_held_during_slow_stop(self) -> None:
-        """Guards against room that others take while the task which makes it is still stopping."""
+        """
+        Guards against other tasks that take the freed resources while the preempted task is still
+        stopping.
+        """
         self.fleet.cell.stop_time = STOP
         self.fleet.submit(make_job("slow", (Step(count=4, cpu=2_000),), priority=2))
         self.fleet.run(1.0)
@@ -54,7 +57,7 @@
         self.assertGreater(keeping[0].reserved_until, self.fleet.time)
 
     def test_stop_is_not_repeated_while_task_may_be_stopping(self) -> None:
-        """Guards against orders that are sent again and again where stops are slow."""
+        """Guards against stop orders that are sent again and again where stops are slow."""
         self.fleet.cell.stop_time = STOP
         self.fleet.submit(make_job("slow", (Step(count=4, cpu=2_000),), priority=2))
         self.fleet.run(1.0)
@@ -94,9 +97,9 @@
 
     def test_retry_preempts_on_healthy_worker(self) -> None:
         """
-        An urgent task has failed on a worker that fails what it starts.  It isn't tried there
-        again, and the other worker is full of patient tasks.  The failing worker's room counted as
-        room, so nothing gave way and the urgent task waited for seconds.
+        Guards against an urgent task that waits for seconds because the free cores of a worker on
+        which all tasks fail counted as room for it.  It has failed there and isn't tried there
+        again, and less urgent tasks fill the other workers.
         """
         slow = make_job("slow", (Step(count=4, cpu=2_000),), priority=2, max_failures=9)
         self.fleet.submit(slow)
--- a/toucanpin/scheduling/tests/test_racks.py
+++ b/toucanpin/scheduling/tests/test_racks.py
@@ -1,4 +1,4 @@
-"""Tasks that want a rack: that of their data, or one for all of a step."""
+"""Tests of tasks that should run on the rack of their data or on the same rack."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
         ]
 
     def test_task_is_placed_near_its_data(self) -> None:
-        """Away from its data a task takes several times as long, and its caller's job is late."""
+        """Guards against tasks that take several times as long away from their data."""
         self.fleet.submit(make_job("j", (Step(count=3, cpu=1_000, rack="r2"),)))
         self.fleet.run(0.5)
         self.assertEqual(["r2"] * 3, self._racks("j"))
@@ -57,7 +57,9 @@
         self.assertEqual(1, len(self._racks("j")))
 
     def test_same_rack_tasks_share_a_rack(self) -> None:
-        """On two racks all of them take several times as long, not only the one that strayed."""
+        """
+        Guards against a step that is spread over two racks, which slows down all of its tasks.
+        """
         self.fleet.submit(make_job("full", (Step(cpu=2_000, rack="r0"),)))
         self.fleet.run(0.2)
         self.fleet.submit(make_job("j", (Step(count=6, cpu=1_000, same_rack=True),)))
@@ -67,9 +69,8 @@
 
     def test_same_rack_outweighs_fuller_workers(self) -> None:
         """
-        One worker of each rack is half full, and a fuller worker is the better place by itself.
-        Once the first tasks have filled one of them, the next would go to the half full worker of
-        another rack, and then all tasks of the step take several times as long.
+        Guards against a step that is spread over two racks once its first tasks have filled a
+        worker: a half full worker of another rack is the cheaper one by its free cores alone.
         """
         self._fill_halves()
         self.fleet.submit(make_job("j", (Step(count=4, cpu=1_000, same_rack=True),)))
@@ -79,9 +80,8 @@
 
     def test_tasks_of_a_lost_rack_share_another(self) -> None:
         """
-        All tasks of a step run on one rack, and its workers are lost.  It was still the rack
-        that they wanted, so that all others were as far away, and the tasks were strewn over
-        two racks by how full the workers were.  Then all of them take several times as long.
+        Guards against a step that is spread over two racks after all workers of its rack are lost.
+        While the lost rack stayed the step's rack, all other racks were equally remote.
         """
         self._fill_halves()
         self.fleet.submit(make_job("j", (Step(count=4, cpu=1_000, same_rack=True),)))
@@ -96,9 +96,9 @@
 
     def test_a_new_owner_keeps_the_rack_of_a_step(self) -> None:
         """
-        An owner is replaced while a step's tasks run on one rack, then one of its workers is lost.
-        The new owner knew no rack for the step, so that what ran there went to the fuller worker of
-        another rack, away from its siblings.
+        Guards against a task that restarts away from its siblings: a new owner didn't know the rack
+        of a step, so that after the loss of a worker its task went to a fuller worker on another
+        rack.
         """
         self._fill_halves()
         self.fleet.submit(make_job("j", (Step(count=4, cpu=1_000, same_rack=True),)))
--- a/toucanpin/scheduling/tests/test_reserving.py
+++ b/toucanpin/scheduling/tests/test_reserving.py
@@ -1,4 +1,4 @@
-"""Brief tasks find room on a fleet that lasting ones would fill."""
+"""Tests of short tasks on a fleet that long-running ones would fill."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
             worker.lasts = 60.0
 
     def _fill_up(self) -> None:
-        """Hand in lasting jobs that ask for a quarter more cores than the fleet has."""
+        """Submit long-running jobs that request a quarter more cores than the fleet has."""
         for number in range(10):
             self.fleet.submit(make_job(f"l{number:02}", (LONG_RUNNING,)))
         self.fleet.run(2.0)
@@ -29,9 +29,8 @@
 
     def test_large_short_tasks_start_at_once_on_full_fleet(self) -> None:
         """
-        Lasting jobs ask for more cores than there are, and a caller's step comes whose tasks ask
-        for a third of a worker.  Lasting tasks left a tenth of each worker, too little for any of
-        them, and the step waited for as long as the fleet was full.
+        Guards against short tasks of a third of a worker that wait for as long as the fleet is
+        full, because long-running tasks leave only a tenth of each worker free.
         """
         self._fill_up()
         self.fleet.submit(make_job("brief", (Step(count=9, cpu=21_000),)))
@@ -40,8 +39,8 @@
 
     def test_short_task_of_a_whole_worker_starts_at_once(self) -> None:
         """
-        A task asks for all cores of a worker.  On a fleet with a lasting task on each worker there
-        is no place for it, however few of its cores are in use.
+        Guards against a task of a whole worker that finds no room because each worker runs some
+        long-running task.
         """
         self._fill_up()
         self.fleet.submit(make_job("brief", (Step(count=1, cpu=CORES),)))
@@ -49,7 +48,7 @@
         self.assertEqual(1, len(self._running("brief")))
 
     def test_other_workers_are_packed(self) -> None:
-        """A reserve in one place costs no more than its share: the other workers are packed."""
+        """Guards against a reserve that costs more cores than its share."""
         self._fill_up()
         used = sum(13_000 * len(worker.runs) for worker in self.fleet.workers.values())
         packed = CORES // 13_000 * 13_000
@@ -57,8 +56,8 @@
 
     def test_first_task_of_a_job_may_use_the_reserve(self) -> None:
         """
-        Only reserved room is left when another lasting job comes.  Waiting as a whole it would
-        serve nobody for minutes, so one of its tasks runs there and the others wait.
+        Guards against a service that is unavailable for minutes because only reserved cores are
+        left: one of its tasks may use them.
         """
         self._fill_up()
         self.fleet.submit(make_job("new", (LONG_RUNNING,)))
@@ -67,8 +66,8 @@
 
     def test_the_reserve_moves_when_its_workers_are_lost(self) -> None:
         """
-        The workers with reserved room crash.  As lasting tasks end elsewhere, room is reserved
-        there anew; otherwise brief tasks would wait again until those workers are back.
+        Guards against short tasks that wait until the lost workers with reserved cores are back,
+        though long-running tasks end on others.
         """
         self._fill_up()
         for worker in list(self.fleet.workers.values()):
--- a/toucanpin/scheduling/tests/test_scaling.py
+++ b/toucanpin/scheduling/tests/test_scaling.py
@@ -1,4 +1,4 @@
-"""The same load at a quarter of all sizes is decided alike."""
+"""Test that decisions don't depend on the scale of the workload."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def _draw_jobs(scale: int) -> list[Job]:
-    """Draw urgent, patient and lasting jobs, a few more than the workers can bear."""
+    """Draw urgent, best-effort and long-running jobs that request a little more than there is."""
     rng = random.Random(3)
     jobs = []
     for number in range(JOBS):
--- a/toucanpin/scheduling/tests/test_turn_cost.py
+++ b/toucanpin/scheduling/tests/test_turn_cost.py
@@ -1,4 +1,4 @@
-"""How much work one turn of an owner is on a full fleet."""
+"""Tests of the work of one turn of an owner on a full fleet."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 WORKERS = 30
 WAITING = 20  # steps
-RESERVED = 3  # workers on which lasting tasks leave all room to brief ones
+RESERVED = 3  # workers that long-running tasks leave to short ones
 
 
 class FullFleetTest(unittest.TestCase):
@@ -38,7 +38,7 @@
         self.fleet.run(1.0)
 
     def _count(self, name: str) -> int:
-        """Return how often a turn calls one function of preemption."""
+        """Return how often a turn calls a function of the preempting module."""
         place_tasks(self.fleet.cell, self.fleet.model, self.fleet.now())
         self.fleet.time += 0.05
         original = getattr(preempting, name)
@@ -47,7 +47,7 @@
         return counted.call_count
 
     def _count_cost_entries(self) -> int:
-        """Return how many places a turn weighs."""
+        """Return for how many workers a turn computes costs."""
         original = CandidateWorkers._make_entry
         entries = []
 
@@ -61,8 +61,8 @@
 
     def test_steps_without_room_share_one_scan(self) -> None:
         """
-        Urgent steps wait on a fleet without room.  Each weighed each worker in each turn, though
-        a smaller one had just found no place, and on 246 workers half of a turn went there.
+        Guards against waiting steps that each scan all workers in each turn after a smaller step
+        found no room, which took half of a turn with 246 workers.
         """
         for number in range(WAITING):
             self.fleet.submit(make_job(f"u{number:02}", (Step(count=4, cpu=2_000 + number),)))
@@ -70,9 +70,9 @@
 
     def test_steps_with_per_worker_limit_share_one_scan(self) -> None:
         """
-        Lasting steps of which a worker may run one task each wait on a fleet without room.  Room
-        shuts them out everywhere, their limit nowhere; yet since they have one, each weighed each
-        worker in each turn, sixteen such steps a turn on a day with 246 workers.
+        Guards against scans of all workers by each step with a limit per worker, though free
+        resources and not the limit exclude the workers.  Sixteen such steps did so in each turn
+        with 246 workers.
         """
         for number in range(WAITING):
             step = Step(count=4, cpu=2_000, long_running=True, per_worker=1)
@@ -81,8 +81,8 @@
 
     def test_steps_blocked_by_the_reserve_share_one_scan(self) -> None:
         """
-        Lasting steps wait for the one place that is kept for brief tasks.  Each weighed each
-        worker in each turn to learn that it is the last.
+        Guards against long-running steps that each scan all workers in each turn to find that only
+        reserved cores are left.
         """
         first = next(iter(self.fleet.workers.values()))
         first.entry = replace(first.entry, cpu=5_000)
@@ -96,9 +96,9 @@
 
     def test_infeasible_preemption_is_tried_once(self) -> None:
         """
-        Urgent steps wait on a fleet on which no stop would make room for them.  Each step looked
-        at each worker in each turn, 78 ms with 246 workers and 30 such steps, and a turn comes with
-        each answer of a worker: the owner answered late, and jobs expired.
+        Guards against urgent steps that each search all workers in each turn for tasks to stop.  It
+        took 78 ms with 246 workers and 30 such steps, with a turn for each answer of a worker, so
+        the owner answered late and jobs expired.
         """
         for number in range(WAITING):
             step = Step(count=4, cpu=2_000 + number)
@@ -107,8 +107,9 @@
 
     def test_large_task_reservation_does_not_scan_all_workers(self) -> None:
         """
-        Brief steps wait on a full fleet, and a worker is kept for each, up to an eighth of them.
-        Each looked at all workers for the roomiest, so a turn grew with the square of their number.
+        Guards against a turn that grows with the square of the number of workers: up to an eighth
+        of them are reserved for large tasks, and each reservation scanned all workers for the one
+        with most free cores.
         """
         for number in range(WAITING):
             step = Step(count=4, cpu=2_000 + number, per_worker=1)
@@ -119,8 +120,7 @@
 
     def test_reservation_follows_changes_of_free_cores(self) -> None:
         """
-        A worker was the roomiest when the turn began, and an urgent step has filled it since.  Kept
-        in its stead for the large step that follows, it would help nobody.
+        Guards against reserving a worker that an urgent step has filled since the round began.
         """
         cell = Fleet(workers=10, cpu=4_000).cell
         eligible = []
@@ -141,9 +141,9 @@
 
     def test_utilization_is_cached_between_turns(self) -> None:
         """
-        Batch steps come one after the other, some ten a second on a large fleet, each in a turn of
-        its own.  Each turn summed up anew what all workers serve and suffer, though the loads in
-        these sums are measured five times a second, and that was most of a turn's time.
+        Guards against computing the utilization of all workers in each turn, which was most of a
+        turn's time on a large fleet with ten best-effort steps a second.  The loads behind it are
+        measured five times a second.
         """
         self._submit_fill("g0")
         place_tasks(self.fleet.cell, self.fleet.model, self.fleet.now())
@@ -172,9 +172,9 @@
 
     def test_unplaceable_images_are_retried_together(self) -> None:
         """
-        Batch tasks of three images find no place, one after the other, and each image rests before
-        it is weighed again.  Their rests ended at different moments, and each time all workers were
-        summed up anew: a third of the time of placing on a day with 246 workers and nine images.
+        Guards against three images without room that are retried at different times, each of which
+        computed the utilization of all workers anew.  With 246 workers and nine images this was a
+        third of the time of placement.
         """
         period = UNPLACEABLE_PERIOD_S * WORKERS
         for number in range(3):
@@ -192,7 +192,9 @@
         self.assertLessEqual(counted.call_count, (turns / 4 + 1) * WORKERS)
 
     def test_infeasible_preemption_with_per_worker_limit_is_tried_once(self) -> None:
-        """Steps with such a limit looked for what to stop on each worker, each by itself."""
+        """
+        Guards against steps with a limit per worker that each search all workers for tasks to stop.
+        """
         for number in range(WAITING):
             step = Step(count=4, cpu=2_000, long_running=True, per_worker=1)
             self.fleet.submit(make_job(f"l{number:02}", (step,)))
@@ -200,9 +202,9 @@
 
     def test_runs_are_not_checked_if_stops_cannot_suffice(self) -> None:
         """
-        Urgent steps wait on a fleet of lasting tasks and of tasks that fill, whose stops free no
-        cores.  Each turn looked at each run of each worker, half of the time of placing, for what
-        the sums of a worker's runs tell.
+        Guards against checking each run of each worker in each turn, half of the time of placement,
+        where only long-running and best-effort tasks run, whose stops free no cores.  The sums per
+        worker tell as much.
         """
         for number in range(WAITING):
             self.fleet.submit(make_job(f"u{number:02}", (Step(count=4, cpu=2_000 - number),)))
@@ -210,8 +212,8 @@
 
     def test_step_scans_workers_for_preemption_once(self) -> None:
         """
-        An urgent step of sixteen tasks comes while patient work has the room.  Each of its tasks
-        looked at each worker for what to stop, so one wide step held up all answers of its turn.
+        Guards against a scan of all workers for each of the sixteen tasks of an urgent step, which
+        delays all answers of that turn.
         """
         patient = Step(count=WORKERS, cpu=900, checkpoints=True)
         self.fleet.submit(make_job("patient", (patient,), priority=2))
