--- a/toucanpin/scheduling/learning.py
+++ b/toucanpin/scheduling/learning.py
@@ -34,7 +34,10 @@
     """Estimate the load of each latency-critical job from its tasks' tails."""
     found: dict[str, list[tuple[float, float]]] = {}
     for worker in cell.workers.values():
-        if not worker.serving_count or now.steady - worker.answered_at > MEASUREMENT_MAX_AGE_S:
+        if (
+            not worker.latency_critical_count
+            or now.steady - worker.answered_at > MEASUREMENT_MAX_AGE_S
+        ):
             continue
         core_shares = _compute_core_shares(worker)
         for run in worker.runs.values():
@@ -61,7 +64,7 @@
     """
     period = max(LEARN_PERIOD_S, workers / MAX_SAMPLES_PER_S)
     if (
-        not worker.serving_count
+        not worker.latency_critical_count
         or not worker.best_effort_count
         or now.steady < worker.learned_at + period
     ):
--- a/toucanpin/scheduling/leases.py
+++ b/toucanpin/scheduling/leases.py
@@ -117,7 +117,7 @@
         return IDLE_POLL_WAIT_S
     return (
         SHARED_POLL_WAIT_S
-        if worker.serving_count and worker.best_effort_count
+        if worker.latency_critical_count and worker.best_effort_count
         else BUSY_POLL_WAIT_S
     )
 
--- a/toucanpin/scheduling/worker.py
+++ b/toucanpin/scheduling/worker.py
@@ -90,7 +90,7 @@
     accelerators: int = 0
     best_effort_count: int = 0
     best_effort_cpu: int = 0
-    serving_count: int = 0
+    latency_critical_count: int = 0
     long_running_cpu: int = 0
     reserved_cpu: int = 0  # CPU that long-running tasks leave to short ones
     reached: bool = False  # it has answered this owner
@@ -236,4 +236,4 @@
             known = worker.preemptible_cpu.get(run.priority, 0)
             worker.preemptible_cpu[run.priority] = known + sign * step.cpu
     if step.target:
-        worker.serving_count += sign
+        worker.latency_critical_count += sign
