--- a/toucanpin/scheduling/job.py
+++ b/toucanpin/scheduling/job.py
@@ -22,8 +22,8 @@
     ``cpu`` is in thousandths of a core, ``memory`` in MB, ``estimate`` and ``target`` in ms.
     ``after`` lists the numbers of the earlier steps that must be done first; ``rack`` is the rack
     that holds the data; ``per_worker`` limits the tasks on one worker; ``target`` is the tail
-    latency objective of a serving task; ``best_effort`` tasks use cores that others leave idle;
-    ``max_unavailable`` limits how many tasks of a service may be stopped at a time.
+    latency objective of a latency-critical task; ``best_effort`` tasks use cores that others leave
+    idle; ``max_unavailable`` limits how many tasks of a service may be stopped at a time.
     """
 
     count: int = 1
--- a/toucanpin/scheduling/leases.py
+++ b/toucanpin/scheduling/leases.py
@@ -33,7 +33,7 @@
 
 LEASE_S = 4.5  # outlasts the failover of an owner (2 s); bounds the wait for a lost worker
 OWNER_AUTHORITY_S = 8.5  # how long an owner may grant leases after its newest accepted write
-# Where best-effort work disturbs serving tasks, whose tails may grow within a longer wait.
+# Where best-effort tasks run beside latency-critical ones, whose tails may grow in a longer wait.
 SHARED_POLL_WAIT_S = 0.4
 # Ends are answered at once, so other workers are polled only for leases and progress, and polling
 # hundreds of workers takes much of an owner's time.
--- a/toucanpin/scheduling/tests/test_stale_views.py
+++ b/toucanpin/scheduling/tests/test_stale_views.py
@@ -59,16 +59,16 @@
 
     def test_best_effort_tasks_are_not_evicted_on_an_old_measurement(self) -> None:
         """
-        A serving task exceeded its target in the latest answer before the owner was suspended for
-        two seconds. Guards against treating it as over its target all the time, and stopping the
-        best-effort tasks beside it.
+        A latency-critical task exceeded its target in the latest answer before the owner was
+        suspended for two seconds. Guards against treating it as over its target all the time, and
+        stopping the best-effort tasks beside it.
         """
         fleet = Fleet(workers=1)
         fleet.workers["w0"].lasts = 30.0
-        serving = Step(cpu=1_000, long_running=True, target=100, image="serves")
-        filling = Step(cpu=1_000, best_effort=True, checkpoints=True, image="fills")
-        fleet.submit(make_job("s", (serving,)))
-        fleet.submit(make_job("b", (filling,)))
+        critical = Step(cpu=1_000, long_running=True, target=100, image="serves")
+        best_effort = Step(cpu=1_000, best_effort=True, checkpoints=True, image="fills")
+        fleet.submit(make_job("s", (critical,)))
+        fleet.submit(make_job("b", (best_effort,)))
         fleet.run(0.5)
         (served,) = fleet.cell.runs["s"]
         self.assertTrue(fleet.cell.runs["b"])
--- a/toucanpin/scheduling/unplaceable.py
+++ b/toucanpin/scheduling/unplaceable.py
@@ -48,7 +48,7 @@
 
 
 def find_known_reason(
-    round_: PlacementRound, live: LiveJob, step: Step, claim: ReserveAccess
+    round_: PlacementRound, live: LiveJob, step: Step, access: ReserveAccess
 ) -> WaitReason | None:
     """Return why a task can't be placed, if one with no larger demand could not."""
     if step.best_effort or live.job.advised:
@@ -56,7 +56,7 @@
     demand = Demand.of(step)
     if round_.shortage(step.long_running).covers(demand):
         return WaitReason.NO_ROOM
-    if round_.reserved[claim].covers(demand):
+    if round_.reserved[access].covers(demand):
         return WaitReason.RESERVED
     return None
 
@@ -65,15 +65,15 @@
     round_: PlacementRound,
     live: LiveJob,
     step: Step,
-    claim: ReserveAccess | None,
+    access: ReserveAccess | None,
     constraint_excluded: bool,
 ) -> None:
     """
     Record that a task could not be placed, unless its own rules excluded possible workers.
 
-    With a claim, only reserved capacity was left.
+    With ``access``, only reserved capacity was left.
     """
     if step.best_effort or constraint_excluded or live.job.advised:
         return
-    shortage = round_.reserved[claim] if claim else round_.shortage(step.long_running)
+    shortage = round_.reserved[access] if access else round_.shortage(step.long_running)
     shortage.note(Demand.of(step))
--- a/toucanpin/scheduling/worker.py
+++ b/toucanpin/scheduling/worker.py
@@ -62,7 +62,7 @@
     progressed_at: float = 0.0
     checkpoint: str = ""
     ticket: str = ""
-    measure: float = 0.0  # tail latency in ms of a serving task, else the CPU in use
+    measure: float = 0.0  # tail latency in ms of a latency-critical task, else the CPU in use
     pace: int = 100  # percent of full speed
     paced_at: float = 0.0
     over_target_since: float = 0.0
