--- a/scenarios/requesting.py
+++ b/scenarios/requesting.py
@@ -144,10 +144,10 @@
         match action:
             case messages.Claim(request_id, deadline):
                 self._claim(request_id, deadline, reply)
-            case messages.Release(claim):
+            case messages.ReleaseClaim(claim):
                 self._release(claim)
-                self.after(0.0, lambda: reply(messages.Delivered(self.read_clock())))
-            case messages.Wait(ticket, until):
+                self.after(0.0, lambda: reply(messages.ActionDone(self.read_clock())))
+            case messages.WaitForSlot(ticket, until):
                 self._wait(ticket, until, reply)
             case messages.Forward(instance, deadline):
                 self._forward(sent, instance, deadline, reply)
@@ -155,10 +155,10 @@
                 detail = f"{refusal.verdict.value} {refusal.reason.value}"
                 self.recorder.record("request.refused", {"request": sent.request}, detail)
                 answer(refusal)
-                self.after(0.0, lambda: reply(messages.Delivered(self.read_clock())))
+                self.after(0.0, lambda: reply(messages.ActionDone(self.read_clock())))
             case messages.Relay(response):
                 answer(response)
-                self.after(0.0, lambda: reply(messages.Delivered(self.read_clock())))
+                self.after(0.0, lambda: reply(messages.ActionDone(self.read_clock())))
 
     def _wait(self, ticket: Ticket, until: float, reply: Reply) -> None:
         """Wait until a ticket is settled, or long enough."""
@@ -166,7 +166,7 @@
         def wake() -> None:
             """End the wait once."""
             if self._waiters.pop(ticket, None) is not None:
-                reply(messages.Woken(self.read_clock()))
+                reply(messages.WaitEnded(self.read_clock()))
 
         self._waiters[ticket] = wake
         self.after(0.0 if ticket.settled else max(0.0, until - self.read_clock()), wake)
@@ -198,10 +198,10 @@
                     reply(messages.TimedOut(now))
                 case Outcome(request=request):
                     body = request.encode()
-                    reply(messages.Whole(now, messages.Response(200, "OK", (), body)))
+                    reply(messages.Responded(now, messages.Response(200, "OK", (), body)))
                 case _:
                     late = messages.Response(503, "", (), b"", not_run=True)
-                    reply(messages.Whole(now, late))
+                    reply(messages.Responded(now, late))
 
         self.network.ask(self.name, instance, handle, self.guard(hear), timeout=left)
 
--- a/toucanpin/daemon/attempts.py
+++ b/toucanpin/daemon/attempts.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 from toucanpin.daemon.forwarder import Exchange, Forwarder, Outgoing
-from toucanpin.requests.messages import Delivered, Ended, Forward, Hedge, Pending
+from toucanpin.requests.messages import ActionDone, AttemptEnded, AttemptPending, Forward, Hedge
 
 __all__ = ["Attempts"]
 
@@ -37,7 +37,7 @@
         self._running: dict[str, Exchange] = {}
 
     def forward(self, action: Forward) -> Any:
-        """Make the first attempt; return its outcome, or Pending at the instant asked for."""
+        """Make the first attempt; return its outcome, or AttemptPending at the given instant."""
         forwarder = self._find(action.instance)
         # A body that streams can't be sent a second time.
         if action.pending_at is None or self._outgoing.rest is not None:
@@ -47,31 +47,31 @@
             return begun
         self._running[action.instance] = begun
         if self._wait(action.pending_at) is None:
-            return Pending(time.monotonic())
+            return AttemptPending(time.monotonic())
         return self._finish(action.instance)
 
-    def hedge(self, action: Hedge) -> Ended:
+    def hedge(self, action: Hedge) -> AttemptEnded:
         """Begin a second attempt; return the first end of both."""
         forwarder = self._find(action.instance)
         begun = forwarder.begin(self._outgoing, action.deadline, False)
         if not isinstance(begun, Exchange):
-            return Ended(action.instance, begun)
+            return AttemptEnded(action.instance, begun)
         self._running[action.instance] = begun
         return self.wait()
 
-    def wait(self) -> Ended:
+    def wait(self) -> AttemptEnded:
         """Return the next end of an attempt."""
         soonest = min(self._running, key=lambda name: self._running[name].deadline)
         # At its deadline an attempt ends too: reading its answer then times out.
         instance = self._wait(self._running[soonest].deadline) or soonest
-        return Ended(instance, self._finish(instance))
+        return AttemptEnded(instance, self._finish(instance))
 
-    def cancel(self) -> Delivered:
+    def cancel(self) -> ActionDone:
         """Close what goes on."""
         while self._running:
             _, exchange = self._running.popitem()
             exchange.forwarder.cancel(exchange)
-        return Delivered(time.monotonic())
+        return ActionDone(time.monotonic())
 
     def _finish(self, instance: str) -> Any:
         exchange = self._running.pop(instance)
--- a/toucanpin/daemon/caller_answer.py
+++ b/toucanpin/daemon/caller_answer.py
@@ -51,11 +51,11 @@
 
 def write_response(req: Any, response: Response, closing: bool) -> bool:
     """Write an instance's answer; return False if it was cut."""
-    if response.rest is None:
+    if response.remaining_body is None:
         return _write_head(req, _list_head(req, response, False), response.body, closing)
     chunked = not any(name.lower() == "content-length" for name, _ in response.headers)
     if chunked and req.response_protocol != "HTTP/1.1":
-        response.rest.close()
+        response.remaining_body.close()
         return write_refusal(req, TOO_LONG_FOR_OLD_CALLER, closing)
     return _write_stream(req, response, chunked, closing)
 
@@ -92,7 +92,7 @@
         first = _frame(response.body, chunked)
         complete = _write_head(req, head, first, closing) and _write_rest(req, response, chunked)
     finally:
-        response.rest.close()
+        response.remaining_body.close()
         if not complete:
             req.close_connection = True
     return complete
@@ -100,7 +100,7 @@
 
 def _write_rest(req: Any, response: Response, chunked: bool) -> bool:
     try:
-        for piece in response.rest:
+        for piece in response.remaining_body:
             if not _write(req, _frame(piece, chunked)):
                 return False
     except UpstreamCutError:
--- a/toucanpin/daemon/forwarder.py
+++ b/toucanpin/daemon/forwarder.py
@@ -21,7 +21,14 @@
 
 from toucanpin.daemon.timed_socket import TimedSocket, time_socket
 from toucanpin.daemon.upstream_answer import InstanceAnswer
-from toucanpin.requests.messages import Broke, CallerFailed, Refused, Response, TimedOut, Whole
+from toucanpin.requests.messages import (
+    CallerFailed,
+    Interrupted,
+    Refused,
+    Responded,
+    Response,
+    TimedOut,
+)
 from toucanpin.verdict import Refusal
 
 __all__ = ["CallerFaultError", "Exchange", "Forwarder", "Outgoing", "UpstreamCutError"]
@@ -33,7 +40,7 @@
 FRESH_IDLE_SECONDS = 1.0
 MAX_IDLE_SECONDS = 20.0
 LAST_CHUNK = b"0\r\n\r\n"
-ForwardOutcome = Refused | Broke | TimedOut | Whole | CallerFailed
+ForwardOutcome = Refused | Interrupted | TimedOut | Responded | CallerFailed
 
 
 class CallerFaultError(Exception):
@@ -161,7 +168,7 @@
 
     def begin(
         self, outgoing: Outgoing, deadline: float, fresh: bool
-    ) -> Exchange | Refused | Broke | TimedOut | CallerFailed:
+    ) -> Exchange | Refused | Interrupted | TimedOut | CallerFailed:
         """Send the request; the exchange that is returned must be finished or cancelled."""
         try:
             connection = self._checkout(deadline, fresh)
@@ -192,7 +199,7 @@
 
     def _explain(
         self, exchange: Exchange, error: BaseException, started: bool = False
-    ) -> Refused | Broke | TimedOut | CallerFailed:
+    ) -> Refused | Interrupted | TimedOut | CallerFailed:
         """Give up the connection and say how far the attempt came."""
         connection = exchange.connection
         # A late answer dies with its connection: were the connection used again, the next caller
@@ -207,7 +214,7 @@
                 if not connection.written:
                     return Refused(self._clock(), f"nothing was sent: {_name(error)}")
                 stale = exchange.reused and not started
-                return Broke(self._clock(), f"the instance broke off: {_name(error)}", stale)
+                return Interrupted(self._clock(), f"the instance broke off: {_name(error)}", stale)
         raise error
 
     def close_idle(self, everything: bool = False) -> None:
@@ -282,7 +289,7 @@
         if outgoing.chunked:
             connection.send(LAST_CHUNK)
 
-    def _receive(self, connection: _Connection, head: InstanceAnswer) -> Whole:
+    def _receive(self, connection: _Connection, head: InstanceAnswer) -> Responded:
         body = head.read(WHOLE_BYTES)
         whole = head.isclosed() and not head.length
         if not whole and len(body) < WHOLE_BYTES:
@@ -297,7 +304,7 @@
         else:
             rest = self._stream(connection, head)
         response = Response(head.status, head.reason, headers, body, rest, not_run, draining)
-        return Whole(self._clock(), response)
+        return Responded(self._clock(), response)
 
     def _finish(self, connection: _Connection, will_close: bool) -> None:
         if will_close:
--- a/toucanpin/daemon/front.py
+++ b/toucanpin/daemon/front.py
@@ -37,19 +37,19 @@
 from toucanpin.platform.ports import ListedHost, Table
 from toucanpin.requests.admission import Ticket
 from toucanpin.requests.messages import (
+    ActionDone,
     Answer,
-    Await,
+    AwaitAttempt,
     CallerFailed,
     Cancel,
     Claim,
-    Delivered,
     Forward,
     Hedge,
     Relay,
-    Release,
+    ReleaseClaim,
     Response,
-    Wait,
-    Woken,
+    WaitEnded,
+    WaitForSlot,
 )
 from toucanpin.requests.path import serve_request
 from toucanpin.verdict import Reason, Refusal, Verdict
@@ -274,23 +274,23 @@
                         action = path.send(outcome)
                     finally:
                         entry.wake()
-                    if isinstance(action, Wait):
+                    if isinstance(action, WaitForSlot):
                         event = entry.expect(action.ticket)
                 match action:
-                    case Forward() | Hedge() | Await() | Cancel():
+                    case Forward() | Hedge() | AwaitAttempt() | Cancel():
                         outcome = self._attempt(incoming, attempts, action)
                     case Relay(response=response):
                         outcome = self._relay(req, response, request.request_id)
-                    case Wait(ticket=ticket, until=until):
+                    case WaitForSlot(ticket=ticket, until=until):
                         outcome = self._wait(entry, ticket, event, until)
                     case Claim(request_id=request_id, deadline=deadline):
                         outcome = self._claimer.claim(request_id, deadline)
-                    case Release(claim=claim):
+                    case ReleaseClaim(claim=claim):
                         self._claimer.release(claim)
-                        outcome = Delivered(time.monotonic())
+                        outcome = ActionDone(time.monotonic())
                     case Answer(refusal=refusal):
                         self._refuse(req, refusal, request.request_id)
-                        outcome = Delivered(time.monotonic())
+                        outcome = ActionDone(time.monotonic())
         except StopIteration:
             return
         finally:
@@ -300,20 +300,22 @@
                 entry.wake()
 
     @staticmethod
-    def _wait(entry: ServiceEntry, ticket: Ticket, event: threading.Event, until: float) -> Woken:
+    def _wait(
+        entry: ServiceEntry, ticket: Ticket, event: threading.Event, until: float
+    ) -> WaitEnded:
         event.wait(max(0.0, until - time.monotonic()))
         entry.forget(ticket)
-        return Woken(time.monotonic())
+        return WaitEnded(time.monotonic())
 
-    def _relay(self, req: Any, response: Response, request_id: str) -> Delivered:
+    def _relay(self, req: Any, response: Response, request_id: str) -> ActionDone:
         whole = write_response(req, response, self._draining)
         self._count("relayed" if whole else "cut")
         self._note("request.answered", request_id, str(response.status))
-        return Delivered(time.monotonic(), not whole)
+        return ActionDone(time.monotonic(), not whole)
 
     def _attempt(self, incoming: Incoming, attempts: Attempts, action: Any) -> Any:
         match action:
-            case Await():
+            case AwaitAttempt():
                 return attempts.wait()
             case Cancel():
                 return attempts.cancel()
--- a/toucanpin/daemon/tests/test_cuts.py
+++ b/toucanpin/daemon/tests/test_cuts.py
@@ -14,7 +14,7 @@
     make_front,
     reset,
 )
-from toucanpin.requests.messages import Broke, Refused, Whole
+from toucanpin.requests.messages import Interrupted, Refused, Responded
 
 POST = Outgoing("POST", "/", (("Host", "x"), ("Content-Length", "2")), b"hi")
 GET = Outgoing("GET", "/", (("Host", "x"),), b"")
@@ -50,8 +50,8 @@
                 for hard in (False, True):
                     with self.subTest(answer=full[:40], cut=cut, hard=hard):
                         outcome = self.forward(outgoing, self.cutter(full, cut, hard))
-                        self.assertIsInstance(outcome, Broke)
-            self.assertIsInstance(self.forward(outgoing, self.cutter(full, None, False)), Whole)
+                        self.assertIsInstance(outcome, Interrupted)
+            self.assertIsInstance(self.forward(outgoing, self.cutter(full, None, False)), Responded)
 
     @staticmethod
     def cutter(full, cut, hard):
@@ -82,7 +82,7 @@
         for head in heads:
             with self.subTest(head=head):
                 outcome = self.forward(GET, self.cutter(head, None, False))
-                self.assertIsInstance(outcome, Broke)
+                self.assertIsInstance(outcome, Interrupted)
 
     def test_says_not_run_only_before_the_first_byte(self):
         """
@@ -112,7 +112,7 @@
         long = Outgoing("POST", "/", (("Host", "x"), ("Content-Length", "9000000")), b"x" * 9000000)
         port = listener.getsockname()[1]
         outcome = Forwarder("127.0.0.1", port).forward(long, time.monotonic() + 5.0, True)
-        self.assertIsInstance(outcome, Broke)
+        self.assertIsInstance(outcome, Interrupted)
 
 
 class ReusedConnectionTest(unittest.TestCase):
--- a/toucanpin/requests/messages.py
+++ b/toucanpin/requests/messages.py
@@ -1,9 +1,9 @@
 """
-Messages of a request's path
-============================
+Actions and outcomes of a request path
+======================================
 
-The typed actions that a path yields and the typed outcomes that it receives.  Instants are seconds
-of the process's monotonic clock.
+The typed actions that a request path yields and the typed outcomes that it receives.  Instants are
+seconds of the process's monotonic clock.
 """
 
 from __future__ import annotations
@@ -18,36 +18,36 @@
 
 __all__ = [
     "Action",
+    "ActionDone",
     "Answer",
-    "Await",
-    "Broke",
+    "AttemptEnded",
+    "AttemptPending",
+    "AwaitAttempt",
     "CallerFailed",
     "Cancel",
     "Claim",
     "Claimed",
-    "Delivered",
-    "Ended",
     "Forward",
     "Hedge",
     "HeldClaim",
+    "Interrupted",
     "NotClaimed",
     "Outcome",
     "Path",
-    "Pending",
     "Refused",
     "Relay",
-    "Release",
+    "ReleaseClaim",
     "Request",
+    "Responded",
     "Response",
     "TimedOut",
-    "Wait",
-    "Whole",
-    "Woken",
+    "WaitEnded",
+    "WaitForSlot",
 ]
 
 
 class Request(msgspec.Struct, frozen=True):
-    """Describe a caller's request as far as decisions need it; empty ``request_id`` if none."""
+    """A caller's request as far as decisions need it; ``request_id`` is empty if there is none."""
 
     service: str
     caller: str
@@ -59,43 +59,44 @@
 
 class Response(msgspec.Struct, frozen=True):
     """
-    Hold an instance's answer; ``rest`` streams what follows ``body``, None if ``body`` is whole.
+    An instance's answer.
 
-    ``not_run`` is True if the instance itself says that it did not run the request, ``draining``
-    that it takes nothing new.
+    ``remaining_body`` streams what follows ``body``, None if ``body`` is complete.  ``not_run`` is
+    True if the instance itself says that it did not run the request, ``draining`` if it says that
+    it accepts no new requests.
     """
 
     status: int
     reason: str
     headers: tuple[tuple[str, str], ...]
     body: bytes
-    rest: Any = None
+    remaining_body: Any = None
     not_run: bool = False
     draining: bool = False
 
 
 class HeldClaim(msgspec.Struct, frozen=True):
-    """Name the claim row that this request inserted and the version that it received."""
+    """The claim row that this request inserted, and the version that the row received."""
 
     key: str
     version: int
 
 
 class Claim(msgspec.Struct, frozen=True):
-    """Insert a claim row for the request id, by the deadline."""
+    """Insert a claim row for the request id before the deadline."""
 
     request_id: str
     deadline: float
 
 
-class Release(msgspec.Struct, frozen=True):
-    """Delete a claim row, as the request certainly did not run; needs no outcome but an instant."""
+class ReleaseClaim(msgspec.Struct, frozen=True):
+    """Delete a claim row, as the request certainly did not run; the outcome is ``ActionDone``."""
 
     claim: HeldClaim
 
 
-class Wait(msgspec.Struct, frozen=True):
-    """Wait until the ticket is granted or refused, at the longest until the instant given."""
+class WaitForSlot(msgspec.Struct, frozen=True):
+    """Wait until the ticket is granted or refused, at the latest until ``until``."""
 
     ticket: Ticket
     until: float
@@ -103,10 +104,12 @@
 
 class Forward(msgspec.Struct, frozen=True):
     """
-    Send the request to an instance; its whole head and first part must be there by the deadline.
+    Send the request to an instance.
 
-    ``fresh_connection`` forbids connections that were idle for long.  The outcome is ``Pending`` if
-    ``pending_at`` passes before an answer begins and the request can be sent a second time.
+    The head and the first part of the answer must be received by the deadline.
+    ``fresh_connection`` forbids connections that were idle for long.  The outcome is
+    ``AttemptPending`` if ``pending_at`` passes before an answer begins and the request can be sent
+    a second time.
     """
 
     instance: str
@@ -116,62 +119,62 @@
 
 
 class Hedge(msgspec.Struct, frozen=True):
-    """Begin a second attempt beside the pending one; the outcome is the first to have ended."""
+    """Begin a second attempt beside the pending one; the outcome is the first end of the two."""
 
     instance: str
     deadline: float
 
 
-class Await(msgspec.Struct, frozen=True):
-    """Wait for the attempt that goes on; the outcome is its end."""
+class AwaitAttempt(msgspec.Struct, frozen=True):
+    """Wait for the attempt that is still running; the outcome is its end."""
 
 
 class Cancel(msgspec.Struct, frozen=True):
-    """Close the connection of the attempt that goes on; needs no outcome but an instant."""
+    """Close the connection of the running attempt; the outcome is ``ActionDone``."""
 
 
 class Answer(msgspec.Struct, frozen=True):
-    """Answer the caller in place of the instance."""
+    """Answer the caller with a refusal."""
 
     refusal: Refusal
 
 
 class Relay(msgspec.Struct, frozen=True):
-    """Hand the instance's answer to the caller."""
+    """Relay the instance's answer to the caller."""
 
     response: Response
 
 
 class Claimed(msgspec.Struct, frozen=True):
-    """Say that the request id is this request's."""
+    """The request id was claimed for this request."""
 
     at: float
     claim: HeldClaim
 
 
 class NotClaimed(msgspec.Struct, frozen=True):
-    """Say that the request id isn't this request's, and what the caller is told."""
+    """The request id was not claimed; ``refusal`` is the answer to the caller."""
 
     at: float
     refusal: Refusal
 
 
-class Woken(msgspec.Struct, frozen=True):
-    """End a wait: the ticket tells why."""
+class WaitEnded(msgspec.Struct, frozen=True):
+    """A wait for a slot has ended; the ticket says how."""
 
     at: float
 
 
 class Refused(msgspec.Struct, frozen=True):
-    """Say that the attempt failed before its first byte was written to the instance."""
+    """The attempt failed before its first byte was written to the instance."""
 
     at: float
     detail: str
 
 
-class Broke(msgspec.Struct, frozen=True):
+class Interrupted(msgspec.Struct, frozen=True):
     """
-    Say that the attempt failed after its first byte and before a whole answer.
+    The attempt failed after its first byte was written and before its answer was received.
 
     ``stale`` is True if a reused connection ended before the answer's first byte.
     """
@@ -182,57 +185,59 @@
 
 
 class TimedOut(msgspec.Struct, frozen=True):
-    """Say that the attempt's deadline passed after its first byte."""
+    """The attempt's deadline passed after its first byte was written."""
 
     at: float
 
 
-class Whole(msgspec.Struct, frozen=True):
-    """Bring an answer that is whole, or whose rest streams."""
+class Responded(msgspec.Struct, frozen=True):
+    """An answer was received, completely or up to a body that is streamed."""
 
     at: float
     response: Response
 
 
-class Pending(msgspec.Struct, frozen=True):
-    """Say that an attempt goes on and has no answer yet."""
+class AttemptPending(msgspec.Struct, frozen=True):
+    """The attempt is still running and has no answer yet."""
 
     at: float
 
 
 class CallerFailed(msgspec.Struct, frozen=True):
-    """Say that the caller's own body ended early, came late or grew too large."""
+    """The caller's own body ended early, was late or was too large."""
 
     at: float
     refusal: Refusal
 
 
-class Ended(msgspec.Struct, frozen=True):
-    """Say which of the attempts that went on has ended, and how."""
+class AttemptEnded(msgspec.Struct, frozen=True):
+    """One of the running attempts has ended with this outcome."""
 
     instance: str
-    outcome: Refused | Broke | TimedOut | Whole | CallerFailed
+    outcome: Refused | Interrupted | TimedOut | Responded | CallerFailed
 
 
-class Delivered(msgspec.Struct, frozen=True):
-    """Say that the answer has left, or that ``cut`` ended it early."""
+class ActionDone(msgspec.Struct, frozen=True):
+    """The action is done; ``truncated`` is True if the caller did not get the whole answer."""
 
     at: float
-    cut: bool = False
+    truncated: bool = False
 
 
-Action = Claim | Release | Wait | Forward | Hedge | Await | Cancel | Answer | Relay
+Action = (
+    Claim | ReleaseClaim | WaitForSlot | Forward | Hedge | AwaitAttempt | Cancel | Answer | Relay
+)
 Outcome = (
     Claimed
     | NotClaimed
-    | Woken
+    | WaitEnded
     | Refused
-    | Broke
+    | Interrupted
     | TimedOut
-    | Whole
-    | Pending
-    | Ended
+    | Responded
+    | AttemptPending
+    | AttemptEnded
     | CallerFailed
-    | Delivered
+    | ActionDone
 )
 Path = Generator[Action, Any, None]
--- a/toucanpin/requests/path.py
+++ b/toucanpin/requests/path.py
@@ -19,25 +19,25 @@
 
 from toucanpin.requests.messages import (
     Answer,
-    Await,
-    Broke,
+    AttemptPending,
+    AwaitAttempt,
     CallerFailed,
     Cancel,
     Claim,
     Claimed,
     Forward,
     Hedge,
+    Interrupted,
     NotClaimed,
     Path,
-    Pending,
     Refused,
     Relay,
-    Release,
+    ReleaseClaim,
     Request,
+    Responded,
     Response,
     TimedOut,
-    Wait,
-    Whole,
+    WaitForSlot,
 )
 from toucanpin.requests.service import ServiceState
 from toucanpin.verdict import Reason, Refusal, Verdict
@@ -69,7 +69,7 @@
     if claimed is not None and refusal.verdict is Verdict.NOT_RUN:
         # Without this the caller, told that the request did not run, could never run it under
         # the same id.  It is safe because this path was the only holder and ends here.
-        yield Release(claimed.claim)
+        yield ReleaseClaim(claimed.claim)
     yield Answer(refusal)
 
 
@@ -115,7 +115,7 @@
             if isinstance(instance, Refusal):
                 return self._conclude(last or instance)
             instance, outcome = yield from self._forward(instance)
-            if isinstance(outcome, Whole):
+            if isinstance(outcome, Responded):
                 relayed = yield from self._relay(instance, outcome)
                 if relayed:
                     return None
@@ -129,7 +129,7 @@
         ticket = service.request_slot(request.caller, request.deadline, self._tried, self._now)
         try:
             if not ticket.settled:
-                outcome = yield Wait(ticket, request.deadline - service.admission.mean)
+                outcome = yield WaitForSlot(ticket, request.deadline - service.admission.mean)
                 self._now = outcome.at
         except GeneratorExit:
             service.abandon(ticket, self._now)
@@ -148,7 +148,7 @@
                 instance, first.deadline, not self._request.idempotent, self._pick_hedge(first)
             )
             self._now = outcome.at
-            if isinstance(outcome, Pending):
+            if isinstance(outcome, AttemptPending):
                 return (yield from self._hedge(first, running))
             self._end(running, instance, outcome)
             return instance, outcome
@@ -169,7 +169,7 @@
         """Start a second attempt beside the first if one may; the first good answer wins."""
         second = self._service.take_hedge(self._tried | {first.instance}, self._now)
         if second is None:
-            ended = yield Await()
+            ended = yield AwaitAttempt()
         else:
             running[second] = _Attempt(second, self._now, self._limit_attempt())
             ended = yield Hedge(second, running[second].deadline)
@@ -179,12 +179,12 @@
             self._end(running, ended.instance, ended.outcome)
             if not running or _is_good(ended.outcome):
                 break
-            if isinstance(ended.outcome, Whole) and not ended.outcome.response.not_run:
+            if isinstance(ended.outcome, Responded) and not ended.outcome.response.not_run:
                 spare = ended
-            ended = yield Await()
+            ended = yield AwaitAttempt()
         if running:
             yield from self._cancel(first, running)
-        elif spare is not None and not isinstance(ended.outcome, Whole):
+        elif spare is not None and not isinstance(ended.outcome, Responded):
             ended = spare
         return ended.instance, ended.outcome
 
@@ -207,9 +207,9 @@
         attempt = running.pop(instance)
         # After an answer that never came, the instance may still be at work until the caller's
         # deadline; its slot isn't ours to use again before that.
-        lost = isinstance(outcome, Broke | TimedOut)
+        lost = isinstance(outcome, Interrupted | TimedOut)
         held_until = self._request.deadline if lost else None
-        if not (isinstance(outcome, Whole) and outcome.response.rest):
+        if not (isinstance(outcome, Responded) and outcome.response.remaining_body):
             self._service.give_back(instance, self._now, held_until)
         self._book(instance, outcome, attempt.started)
         self._tried |= {instance}
@@ -226,16 +226,16 @@
     def _book(self, instance: str, outcome: Any, started: float) -> None:
         service = self._service
         match outcome:
-            case Whole(response=Response(not_run=True, draining=draining)):
+            case Responded(response=Response(not_run=True, draining=draining)):
                 service.router.avoid(instance, draining, self._now)
-            case Whole(response=Response(status=status)):
+            case Responded(response=Response(status=status)):
                 service.admission.observe(self._now - started)
                 service.patience.observe(self._now - started)
                 if status in BROKEN_STATUSES:
                     service.router.fail(instance, self._now)
                 else:
                     service.router.succeed(instance, self._now)
-            case Broke(stale=stale):
+            case Interrupted(stale=stale):
                 self._may_have_run = True
                 if not stale:
                     service.router.fail(instance, self._now)
@@ -246,14 +246,14 @@
             case Refused():
                 service.router.fail(instance, self._now)
 
-    def _relay(self, instance: str, outcome: Whole) -> _Steps:
+    def _relay(self, instance: str, outcome: Responded) -> _Steps:
         """Relay a true answer; return False if the instance says that it didn't run."""
         if outcome.response.not_run:
             return False
         try:
             yield Relay(outcome.response)
         finally:
-            if outcome.response.rest is not None:
+            if outcome.response.remaining_body is not None:
                 self._service.give_back(instance, self._now)
         return True
 
@@ -267,7 +267,7 @@
         request, service = self._request, self._service
         if isinstance(outcome, CallerFailed):
             return False
-        certain = isinstance(outcome, Refused | Whole)
+        certain = isinstance(outcome, Refused | Responded)
         if not certain and not request.idempotent:
             return False
         if len(self._tried) >= MAX_ATTEMPTS or not service.router.has_other(self._tried):
@@ -282,7 +282,7 @@
         match outcome:
             case Refused(detail=detail):
                 return Refusal(Verdict.NOT_RUN, Reason.UPSTREAM_REFUSED, detail, wait)
-            case Whole():
+            case Responded():
                 detail = "the instance did not run the request"
                 return Refusal(Verdict.NOT_RUN, Reason.UPSTREAM_REFUSED, detail, wait)
             case TimedOut():
@@ -304,7 +304,10 @@
 
 def _is_good(outcome: Any) -> bool:
     """Say whether an answer is worth more than what another attempt may still bring."""
-    if not isinstance(outcome, Whole) or outcome.response.not_run:
+    if not isinstance(outcome, Responded) or outcome.response.not_run:
         return False
     # A large answer can't be put aside while another attempt goes on.
-    return outcome.response.status not in BROKEN_STATUSES or outcome.response.rest is not None
+    return (
+        outcome.response.status not in BROKEN_STATUSES
+        or outcome.response.remaining_body is not None
+    )
--- a/toucanpin/requests/tests/test_hedging.py
+++ b/toucanpin/requests/tests/test_hedging.py
@@ -5,18 +5,18 @@
 
 from toucanpin.bundles.schema import Service
 from toucanpin.requests.messages import (
-    Await,
-    Broke,
+    ActionDone,
+    AttemptEnded,
+    AttemptPending,
+    AwaitAttempt,
     Cancel,
-    Delivered,
-    Ended,
     Forward,
     Hedge,
-    Pending,
+    Interrupted,
     Relay,
     Request,
+    Responded,
     Response,
-    Whole,
 )
 from toucanpin.requests.path import serve_request
 from toucanpin.requests.service import ServiceState
@@ -49,7 +49,7 @@
         path, forward = begin(state)
         self.assertIsInstance(forward, Forward)
         self.assertEqual(forward.pending_at, 0.1)
-        hedge = path.send(Pending(0.1))
+        hedge = path.send(AttemptPending(0.1))
         self.assertIsInstance(hedge, Hedge)
         return path, forward.instance, hedge.instance
 
@@ -59,12 +59,12 @@
                 state = make_state()
                 path, *names = self.hedge(state)
                 response = (FIRST, SECOND)[winner]
-                action = path.send(Ended(names[winner], Whole(0.2, response)))
+                action = path.send(AttemptEnded(names[winner], Responded(0.2, response)))
                 self.assertIsInstance(action, Cancel)
-                action = path.send(Delivered(0.2))
+                action = path.send(ActionDone(0.2))
                 self.assertEqual(action, Relay(response))
                 with self.assertRaises(StopIteration):
-                    path.send(Delivered(0.2))
+                    path.send(ActionDone(0.2))
 
     def test_hedges_at_another_instance_in_a_slot_of_its_own(self):
         state = make_state()
@@ -84,9 +84,9 @@
         """
         state = make_state()
         path, forward = begin(state)
-        hedge = path.send(Pending(0.1))
-        path.send(Ended(hedge.instance, Whole(0.2, SECOND)))
-        path.send(Delivered(0.2))
+        hedge = path.send(AttemptPending(0.1))
+        path.send(AttemptEnded(hedge.instance, Responded(0.2, SECOND)))
+        path.send(ActionDone(0.2))
         self.assertEqual(state.router.count_taken(forward.deadline - 0.01), 1)
         self.assertEqual(state.router.count_taken(forward.deadline), 0)
 
@@ -100,16 +100,16 @@
         hedges = 0
         for number in range(300):
             path, forward = begin(state, at=float(number))
-            action = path.send(Pending(number + 0.1))
+            action = path.send(AttemptPending(number + 0.1))
             hedges += isinstance(action, Hedge)
-            path.send(Ended(forward.instance, Whole(number + 0.1, FIRST)))
+            path.send(AttemptEnded(forward.instance, Responded(number + 0.1, FIRST)))
             path.close()
         self.assertGreater(hedges, 20)
         self.assertLessEqual(hedges, 30)
 
     def test_never_hedges_at_the_same_instance(self):
         path, _ = begin(make_state(instances=1))
-        self.assertIsInstance(path.send(Pending(0.1)), Await)
+        self.assertIsInstance(path.send(AttemptPending(0.1)), AwaitAttempt)
 
     def test_never_hedges_what_is_not_idempotent(self):
         """
@@ -122,20 +122,22 @@
 
     def test_prefers_a_good_answer_that_may_still_come_to_a_failure(self):
         path, first, second = self.hedge(make_state())
-        self.assertIsInstance(path.send(Ended(second, Whole(0.11, FAILED))), Await)
-        self.assertEqual(path.send(Ended(first, Whole(0.2, FIRST))), Relay(FIRST))
+        self.assertIsInstance(
+            path.send(AttemptEnded(second, Responded(0.11, FAILED))), AwaitAttempt
+        )
+        self.assertEqual(path.send(AttemptEnded(first, Responded(0.2, FIRST))), Relay(FIRST))
 
     def test_relays_a_failure_if_nothing_better_comes(self):
         path, first, second = self.hedge(make_state())
-        path.send(Ended(second, Whole(0.11, FAILED)))
-        self.assertEqual(path.send(Ended(first, Broke(0.2, "x"))), Relay(FAILED))
+        path.send(AttemptEnded(second, Responded(0.11, FAILED)))
+        self.assertEqual(path.send(AttemptEnded(first, Interrupted(0.2, "x"))), Relay(FAILED))
 
     def test_leaves_the_slots_to_first_attempts_under_load(self):
         state = make_state(instances=2)
         for _ in range(12):
             state.request_slot("c", 2.0, frozenset(), 0.0)
         path, _ = begin(state)
-        self.assertIsInstance(path.send(Pending(0.1)), Await)
+        self.assertIsInstance(path.send(AttemptPending(0.1)), AwaitAttempt)
 
 
 class HedgingLoadTest(unittest.TestCase):
--- a/toucanpin/requests/tests/test_path.py
+++ b/toucanpin/requests/tests/test_path.py
@@ -7,18 +7,18 @@
 from toucanpin.bundles.schema import Service
 from toucanpin.requests.messages import (
     Answer,
-    Broke,
     Claim,
     Claimed,
     Forward,
     HeldClaim,
+    Interrupted,
     Refused,
     Relay,
-    Release,
+    ReleaseClaim,
     Request,
+    Responded,
     Response,
     TimedOut,
-    Whole,
 )
 from toucanpin.requests.path import serve_request
 from toucanpin.requests.routing import InstanceShare
@@ -55,12 +55,12 @@
 
 class PathTest(unittest.TestCase):
     def test_relays_a_whole_answer(self):
-        actions, busy = walk(False, [Whole(0.1, WELL)])
+        actions, busy = walk(False, [Responded(0.1, WELL)])
         self.assertEqual(kinds(actions), ["Forward", "Relay"])
         self.assertEqual(busy, 0)
 
     def test_retries_a_refused_attempt_at_another_instance(self):
-        actions, _ = walk(False, [Refused(0.1, "x"), Whole(0.2, WELL)])
+        actions, _ = walk(False, [Refused(0.1, "x"), Responded(0.2, WELL)])
         self.assertEqual(kinds(actions), ["Forward", "Forward", "Relay"])
         self.assertNotEqual(actions[0].instance, actions[1].instance)
 
@@ -71,7 +71,7 @@
         The instance broke off, or didn't answer in time, after the first byte was written; a
         second attempt could run the request twice.
         """
-        for outcome in (Broke(0.1, "x"), Broke(0.1, "x", stale=True), TimedOut(2.0)):
+        for outcome in (Interrupted(0.1, "x"), Interrupted(0.1, "x", stale=True), TimedOut(2.0)):
             actions, _ = walk(False, [outcome])
             self.assertEqual(kinds(actions), ["Forward", "Answer"])
             self.assertIs(actions[-1].refusal.verdict, Verdict.MAY_HAVE_RUN)
@@ -82,20 +82,20 @@
 
         The first attempt of an idempotent request broke off after its first byte.
         """
-        not_run = Whole(0.2, Response(503, "", (), b"", None, True))
+        not_run = Responded(0.2, Response(503, "", (), b"", None, True))
         for last in (Refused(0.2, "x"), not_run):
-            actions, _ = walk(True, [Broke(0.1, "x"), last, last])
+            actions, _ = walk(True, [Interrupted(0.1, "x"), last, last])
             self.assertEqual(kinds(actions), ["Forward", "Forward", "Forward", "Answer"])
             self.assertIs(actions[-1].refusal.verdict, Verdict.MAY_HAVE_RUN)
 
     def test_claims_before_forwarding_and_releases_what_did_not_run(self):
         claimed = Claimed(0.1, HeldClaim("k", 7))
-        actions, _ = walk(False, [claimed, Whole(0.2, WELL)], "r1")
+        actions, _ = walk(False, [claimed, Responded(0.2, WELL)], "r1")
         self.assertEqual(kinds(actions), ["Claim", "Forward", "Relay"])
         refused = [claimed] + [Refused(0.2, "x")] * 3
         actions, _ = walk(False, refused, "r1")
-        self.assertEqual(kinds(actions)[-2:], ["Release", "Answer"])
-        actions, _ = walk(False, [claimed, Broke(0.2, "x")], "r1")
+        self.assertEqual(kinds(actions)[-2:], ["ReleaseClaim", "Answer"])
+        actions, _ = walk(False, [claimed, Interrupted(0.2, "x")], "r1")
         self.assertEqual(kinds(actions), ["Claim", "Forward", "Answer"])
 
     def test_refuses_at_once_without_instances(self):
@@ -104,11 +104,11 @@
         self.assertIs(actions[0].refusal.verdict, Verdict.NOT_RUN)
 
     def test_passes_on_the_remaining_time(self):
-        actions, _ = walk(False, [Refused(0.5, "x"), Whole(0.6, WELL)])
+        actions, _ = walk(False, [Refused(0.5, "x"), Responded(0.6, WELL)])
         self.assertEqual([action.deadline for action in actions[:2]], [2.0, 2.0])
 
     def test_uses_every_action(self):
-        self.assertEqual(len({Answer, Claim, Forward, Relay, Release}), 5)
+        self.assertEqual(len({Answer, Claim, Forward, Relay, ReleaseClaim}), 5)
 
 
 class LoadTest(unittest.TestCase):
--- a/toucanpin/requests/tests/virtual.py
+++ b/toucanpin/requests/tests/virtual.py
@@ -12,28 +12,28 @@
 
 from toucanpin.bundles.schema import Service
 from toucanpin.requests.messages import (
+    ActionDone,
     Answer,
-    Await,
-    Broke,
+    AttemptEnded,
+    AttemptPending,
+    AwaitAttempt,
     Cancel,
     Claim,
     Claimed,
-    Delivered,
-    Ended,
     Forward,
     Hedge,
     HeldClaim,
+    Interrupted,
     Path,
-    Pending,
     Refused,
     Relay,
-    Release,
+    ReleaseClaim,
     Request,
+    Responded,
     Response,
     TimedOut,
-    Wait,
-    Whole,
-    Woken,
+    WaitEnded,
+    WaitForSlot,
 )
 from toucanpin.requests.path import serve_request
 from toucanpin.requests.routing import InstanceShare
@@ -118,7 +118,7 @@
         self._behave = behave
         self._waiting: dict[Any, tuple[Path, Record]] = {}
         self._granting = False
-        self._running: dict[Path, list[Ended]] = {}
+        self._running: dict[Path, list[AttemptEnded]] = {}
 
     def update(self, shares: tuple[InstanceShare, ...]) -> None:
         """Take in instances and shares."""
@@ -146,14 +146,14 @@
             match action:
                 case Answer(refusal=result) | Relay(response=result):
                     record.answered, record.outcome = self.clock.now, result
-                    outcome = Delivered(self.clock.now)
+                    outcome = ActionDone(self.clock.now)
                     continue
-                case Release():
-                    outcome = Delivered(self.clock.now)
+                case ReleaseClaim():
+                    outcome = ActionDone(self.clock.now)
                     continue
                 case Cancel():
                     self._running.pop(path).clear()
-                    outcome = Delivered(self.clock.now)
+                    outcome = ActionDone(self.clock.now)
                     continue
                 case Claim(request_id=name):
                     self._later(0.005, path, record, partial(_hold_claim, name))
@@ -161,9 +161,9 @@
                     self._forward(path, record, action)
                 case Hedge():
                     self._hedge(path, record, action)
-                case Await():
+                case AwaitAttempt():
                     self._await(path, record)
-                case Wait(ticket=ticket, until=until):
+                case WaitForSlot(ticket=ticket, until=until):
                     self._wait(path, record, ticket, until)
             self._wake()
             return
@@ -182,7 +182,7 @@
     def _end_wait(self, ticket: Any) -> None:
         waiting = self._waiting.pop(ticket, None)
         if waiting is not None:
-            self._step(*waiting, Woken(self.clock.now))
+            self._step(*waiting, WaitEnded(self.clock.now))
 
     def _wake(self) -> None:
         settled, self.state.settled[:] = list(self.state.settled), []
@@ -207,12 +207,12 @@
         if pending_at is None or ends <= pending_at:
             self._later(ends - self.clock.now, path, record, lambda _: outcome)
             return
-        self._running[path] = [Ended(action.instance, outcome)]
-        self._later(pending_at - self.clock.now, path, record, Pending)
+        self._running[path] = [AttemptEnded(action.instance, outcome)]
+        self._later(pending_at - self.clock.now, path, record, AttemptPending)
 
     def _hedge(self, path: Path, record: Record, action: Hedge) -> None:
         _, outcome = self._begin(action)
-        self._running[path].append(Ended(action.instance, outcome))
+        self._running[path].append(AttemptEnded(action.instance, outcome))
         self._await(path, record)
 
     def _await(self, path: Path, record: Record) -> None:
@@ -249,11 +249,11 @@
         case "refused":
             return Refused(at, "refused")
         case "broke" | "lost":
-            return Broke(at, "broke")
+            return Interrupted(at, "broke")
         case "not run":
-            return Whole(at, Response(503, "", (), b"", None, True))
+            return Responded(at, Response(503, "", (), b"", None, True))
         case _:
-            return Whole(at, Response(attempt.status, "", (), b""))
+            return Responded(at, Response(attempt.status, "", (), b""))
 
 
 def share_evenly(names: list[str], slots: int = 8) -> tuple[InstanceShare, ...]:
