--- a/toucanpin/scheduling/cell.py
+++ b/toucanpin/scheduling/cell.py
@@ -18,7 +18,6 @@
 from toucanpin.scheduling.worker import Phase, Run, Worker, release_run, reserve_run
 
 __all__ = [
-    "StepTickets",
     "Cell",
     "Group",
     "Lateness",
@@ -26,21 +25,22 @@
     "Loss",
     "LossCause",
     "Now",
+    "StepTickets",
     "Wait",
     "WaitReason",
     "add_run",
-    "compute_time_limit",
     "begin_occurrence",
+    "compute_task_offsets",
+    "compute_time_limit",
     "drop_run",
-    "find_record",
     "estimate_lateness",
+    "find_record",
     "list_runs",
     "mark_dirty",
     "mark_started",
     "queue_ready_steps",
     "rank_group",
     "sum_remaining_times",
-    "compute_task_offsets",
 ]
 
 
--- a/toucanpin/scheduling/evacuating.py
+++ b/toucanpin/scheduling/evacuating.py
@@ -19,13 +19,13 @@
 from toucanpin.scheduling.worker import Worker
 
 __all__ = [
-    "EvacuationList",
     "Evacuation",
+    "EvacuationList",
+    "apply_evacuations",
     "describe_evacuations",
-    "is_evacuated",
     "has_current_evacuations",
+    "is_evacuated",
     "list_not_evacuated",
-    "apply_evacuations",
 ]
 
 # Maximum age of the list as a share of the time within which an evacuation has to be in force.  The
--- a/toucanpin/scheduling/interference_model.py
+++ b/toucanpin/scheduling/interference_model.py
@@ -23,7 +23,7 @@
 from toucanpin.scheduling.durations import Durations, Fit
 from toucanpin.scheduling.worker import Run
 
-__all__ = ["LearnedModel", "LoadEstimate", "InterferenceModel"]
+__all__ = ["InterferenceModel", "LearnedModel", "LoadEstimate"]
 
 EFFECT_MEMORY_S = 200.0  # time constant with which old samples lose weight
 PRIOR_EFFECT = 1.0  # of a pair of images without samples
--- a/toucanpin/scheduling/moving.py
+++ b/toucanpin/scheduling/moving.py
@@ -38,7 +38,7 @@
     durations = _list_durations(cell)
     for worker in cell.workers.values():
         if not worker.reached or worker.silent:
-            _copy_silent_runs(cell, worker, now)
+            _queue_copies_of_silent(cell, worker, now)
             continue
         for run in list(worker.runs.values()):
             if run.phase is Phase.RUNNING:
@@ -69,12 +69,12 @@
 def _relocate(cell: Cell, run: Run, reason: str) -> None:
     """Run a task elsewhere: at once if copies are allowed, otherwise after it has stopped."""
     if run.step.speculative:
-        _allow_copy(cell, run)
+        _queue_copy(cell, run)
     else:
         stop_run(cell, run, reason)
 
 
-def _allow_copy(cell: Cell, run: Run) -> None:
+def _queue_copy(cell: Cell, run: Run) -> None:
     """Queue another copy of a task while this run goes on."""
     live = cell.jobs.get(run.task.job)
     record = find_record(live, run.task) if live else None
@@ -88,13 +88,13 @@
     requeue_task(cell, run)
 
 
-def _copy_silent_runs(cell: Cell, worker: Worker, now: Now) -> None:
+def _queue_copies_of_silent(cell: Cell, worker: Worker, now: Now) -> None:
     """Queue copies of a silent worker's speculative tasks before its lease ends."""
     if now.steady - worker.answered_at < COPY_AFTER_S:
         return
     for run in worker.runs.values():
         if run.step.speculative and run.phase in (Phase.RUNNING, Phase.ORDERED, Phase.UNKNOWN):
-            _allow_copy(cell, run)
+            _queue_copy(cell, run)
 
 
 def _is_gang_complete(cell: Cell, run: Run) -> bool:
@@ -152,8 +152,8 @@
             ratios[run.task] = _estimate_duration(run) / typical
     if not ratios:
         return []
-    middle = statistics.median(ratios.values())
-    if middle < (SLOW_RATIO if len(ratios) >= MIN_SLOW_TASKS else SLOW_RATIO_ALONE):
+    median_ratio = statistics.median(ratios.values())
+    if median_ratio < (SLOW_RATIO if len(ratios) >= MIN_SLOW_TASKS else SLOW_RATIO_ALONE):
         return []
     return [
         run
--- a/toucanpin/scheduling/preempting.py
+++ b/toucanpin/scheduling/preempting.py
@@ -161,7 +161,7 @@
 def _find_victims(
     cell: Cell, worker: Worker, group: Group, demand: Demand, freed: FreedResources, now: Now
 ) -> list[Run] | None:
-    """Return the runs to stop on a worker, empty if earlier stops suffice, None if all don't."""
+    """Return the runs to stop on a worker, empty if earlier stops suffice, None if no stops do."""
     entry = worker.entry
     cpu = entry.cpu - worker.cpu + freed.cpu - demand.required_cpu(worker.reserved_cpu)
     memory = entry.memory - worker.memory + freed.memory - demand.memory
