--- a/benchmarks/queue_model.py
+++ b/benchmarks/queue_model.py
@@ -19,7 +19,7 @@
 from toucanpin.bundles.schema import Service
 from toucanpin.requests.patience import Patience
 from toucanpin.requests.routing import InstanceShare
-from toucanpin.requests.shares import share_of
+from toucanpin.requests.shares import compute_share
 from toucanpin.requests.tests.virtual import Attempt, Clock, Load, VirtualFront
 
 __all__ = ["Result", "Shape", "arrivals", "run_central", "run_own", "run_queues"]
@@ -130,7 +130,7 @@
 def run_own(
     shape: Shape,
     lost: tuple[float, float, int] | None = None,
-    share: Callable[[str, int, tuple[str, ...], str], int] = share_of,
+    share: Callable[[str, int, tuple[str, ...], str], int] = compute_share,
     slow: float = 1.0,
     hedged: bool = True,
 ) -> Result:
--- a/benchmarks/requests.py
+++ b/benchmarks/requests.py
@@ -12,7 +12,7 @@
 
 from benchmarks.queue_model import SLOTS, Shape, run_central, run_own, run_queues
 from benchmarks.request_cost import measure_costs
-from toucanpin.requests.shares import ShareBook
+from toucanpin.requests.shares import SlotShares
 
 __all__ = ["main"]
 
@@ -106,7 +106,7 @@
     changed: dict[int, float] = {}
     still: dict[int, float] = {}
     for hosts in (9, 135):
-        book = ShareBook("e0/request", 3.0)
+        book = SlotShares("e0/request", 3.0)
         members = tuple(f"e{number}/request" for number in range(hosts))
         changed[hosts] = _time_shares(book, members, 0.0)
         still[hosts] = _time_shares(book, members, 0.2)
@@ -114,7 +114,7 @@
     print_line("shares_refresh_135_hosts", still[135] * 1_000, "ms", still[9] * 1_000)
 
 
-def _time_shares(book: ShareBook, members: tuple[str, ...], now: float) -> float:
+def _time_shares(book: SlotShares, members: tuple[str, ...], now: float) -> float:
     began = time.process_time()
     book.update(members, now)
     for number in range(Shape(1.0, 1.0, 0).instances):
--- a/scenarios/requesting.py
+++ b/scenarios/requesting.py
@@ -25,12 +25,12 @@
 from toucanpin.platform.ports import ListedHost, Transaction, Write
 from toucanpin.requests import claims, messages
 from toucanpin.requests.admission import Ticket
-from toucanpin.requests.claims import prepare_claim, settle_claims
+from toucanpin.requests.claims import insert_claims, prepare_claim
 from toucanpin.requests.messages import HeldClaim
 from toucanpin.requests.path import serve_request
 from toucanpin.requests.routing import InstanceShare
 from toucanpin.requests.service import ServiceState
-from toucanpin.requests.shares import ShareBook
+from toucanpin.requests.shares import SlotShares
 from toucanpin.verdict import Reason, Refusal, Verdict
 
 __all__ = ["Fronting", "SimulatedInstance"]
@@ -96,7 +96,7 @@
 
     def __init__(self, around: Surroundings, name: str, life: int, site: str) -> None:
         super().__init__(around, name, life, site)
-        self._book = ShareBook(name, SETTLE)
+        self._book = SlotShares(name, SETTLE)
         self._states: dict[str, ServiceState] = {}
         self._waiters: dict[Ticket, Callable[[], None]] = {}
         self._random = Random(around.kernel.random.random())
@@ -232,7 +232,7 @@
                     reply(messages.NotClaimed(now, outcome))
 
         self.after(max(0.0, deadline - self.read_clock()), give_up)
-        self.drive(settle_claims((pending,), self._name_token), self._perform_claim, settle)
+        self.drive(insert_claims((pending,), self._name_token), self._perform_claim, settle)
 
     def _perform_claim(self, action: claims.Commit | claims.ReadRow, reply: Reply) -> None:
         """Carry out an action of a claim."""
--- a/toucanpin/daemon/claimer.py
+++ b/toucanpin/daemon/claimer.py
@@ -23,8 +23,8 @@
     PendingClaim,
     ReadRow,
     gather_batch,
+    insert_claims,
     prepare_claim,
-    settle_claims,
 )
 from toucanpin.requests.messages import Claimed, HeldClaim, NotClaimed
 from toucanpin.verdict import Reason, Refusal, Verdict
@@ -154,7 +154,7 @@
         return [waiter for waiter in waiting if waiter.claim.token in tokens]
 
     def _settle(self, batch: list[_Waiter]) -> None:
-        steps = settle_claims(tuple(waiter.claim for waiter in batch), self._next_token)
+        steps = insert_claims(tuple(waiter.claim for waiter in batch), self._next_token)
         reply: Any = None
         while True:
             try:
--- a/toucanpin/daemon/sweeper.py
+++ b/toucanpin/daemon/sweeper.py
@@ -19,7 +19,13 @@
 from toucanpin.membership.member import Standing
 from toucanpin.platform.ports import Table
 from toucanpin.requests.claims import Commit
-from toucanpin.requests.sweeps import Ages, Scan, choose_pause, list_parts, sweep_part
+from toucanpin.requests.sweeps import (
+    Scan,
+    VersionAges,
+    compute_sweep_interval,
+    list_partitions,
+    sweep_partition,
+)
 
 __all__ = ["Sweeper"]
 
@@ -42,7 +48,7 @@
         self._name = name
         self._members = members
         self._clock = clock
-        self._ages = Ages()
+        self._ages = VersionAges()
         self._stopped = threading.Event()
         self._thread = threading.Thread(target=self._run, name="sweeper", daemon=True)
 
@@ -57,7 +63,7 @@
 
     def sweep(self, prefix: str) -> int:
         """Sweep one part now and return how many rows were deleted."""
-        steps = sweep_part(prefix, self._ages, self._clock, self._make_token)
+        steps = sweep_partition(prefix, self._ages, self._clock, self._make_token)
         reply: Any = None
         while True:
             try:
@@ -75,8 +81,8 @@
 
     def _run(self) -> None:
         while True:
-            prefixes = list_parts(self._list_members(), self._name)
-            pause = choose_pause(len(prefixes))
+            prefixes = list_partitions(self._list_members(), self._name)
+            pause = compute_sweep_interval(len(prefixes))
             for prefix in prefixes or ("",):
                 if self._stopped.wait(pause):
                     return
--- a/toucanpin/daemon/upstreams.py
+++ b/toucanpin/daemon/upstreams.py
@@ -20,7 +20,7 @@
 from toucanpin.requests.admission import Ticket
 from toucanpin.requests.routing import InstanceShare
 from toucanpin.requests.service import ServiceState
-from toucanpin.requests.shares import LONGEST_HOLD, PAUSE, ShareBook
+from toucanpin.requests.shares import MAX_HOLD_S, MAX_UPDATE_GAP_S, SlotShares
 
 __all__ = ["ServiceEntry", "Upstreams"]
 
@@ -81,7 +81,7 @@
         self._hosts = hosts
         self._members = members
         self._rng = rng
-        self._book = ShareBook(name, SPREAD_SECONDS)
+        self._book = SlotShares(name, SPREAD_SECONDS)
         self._settle = settle
         self._entries: dict[str, ServiceEntry] = {}
         self._refreshed = 0.0
@@ -97,7 +97,7 @@
         After a pause it doesn't until the next refresh: the shares that it remembers may be in use
         by others.
         """
-        if now - self._refreshed > PAUSE:
+        if now - self._refreshed > MAX_UPDATE_GAP_S:
             return False
         bundle = self._bundle.current()
         if bundle is None or (bundle.services and not self._entries):
@@ -105,7 +105,7 @@
             # process that had just started would call itself ready and refuse what it is sent.
             return False
         services = (service,) if service else bundle.services
-        return all(self._book.owns(self._hold(each)) for each in services)
+        return all(self._book.owns_any_after(self._hold(each)) for each in services)
 
     def tick(self, now: float) -> None:
         """Grant what time has freed, and refresh when it is time to."""
@@ -196,7 +196,7 @@
     def _hold(self, service: Service) -> float:
         if self._settle is not None:
             return self._settle
-        return min(LONGEST_HOLD, SPREAD_SECONDS + service.deadline_ms / 1_000)
+        return min(MAX_HOLD_S, SPREAD_SECONDS + service.deadline_ms / 1_000)
 
 
 def _close(entry: ServiceEntry) -> None:
--- a/toucanpin/requests/claims.py
+++ b/toucanpin/requests/claims.py
@@ -3,9 +3,9 @@
 =====================
 
 A non-idempotent request with a caller's id runs only after its claim row was inserted, whichever
-entry host it came through.  Many claims share one transaction.  The row's key follows from the id
-alone: keys that held the wall time let two hosts whose clocks were apart insert a row each, and the
-request ran twice.
+entry host it came through.  Many claims share one transaction.  The row's key depends on the id
+alone: with the wall time in the key, two hosts whose clocks differ would each insert a row, and the
+request would run twice.
 """
 
 from __future__ import annotations
@@ -33,28 +33,28 @@
 
 __all__ = [
     "CLAIM_PREFIX",
-    "PART_DIGITS",
+    "PARTITION_DIGITS",
     "ClaimOutcome",
     "Commit",
     "PendingClaim",
     "ReadRow",
     "gather_batch",
     "prepare_claim",
-    "settle_claims",
+    "insert_claims",
 ]
 
 CLAIM_PREFIX = "claim/"
-PART_DIGITS = 2
-MAX_CLAIMS = MAX_TRANSACTION_ROWS
-MAX_ROUNDS = 2
-COME_BACK_SECONDS = 2.0
+PARTITION_DIGITS = 2
+MAX_BATCH_CLAIMS = MAX_TRANSACTION_ROWS
+MAX_UNCERTAIN_WRITES = 2
+RETRY_AFTER_S = 2.0
 
 ClaimOutcome = HeldClaim | Refusal
 
 
 @dataclass(frozen=True, slots=True)
 class PendingClaim:
-    """Hold one claim to be made: its row and its unique token."""
+    """A claim to be inserted: the key of its row and its unique token."""
 
     key: str
     token: bytes
@@ -62,78 +62,79 @@
 
 @dataclass(frozen=True, slots=True)
 class Commit:
-    """Ask for a transaction; the outcome is the table's."""
+    """Request to the table to commit a transaction; the outcome is the table's result."""
 
     transaction: Transaction
 
 
 @dataclass(frozen=True, slots=True)
 class ReadRow:
-    """Ask for a row; the outcome is the table's."""
+    """Request to the table to read a row; the outcome is the table's result."""
 
     key: str
 
 
 def prepare_claim(request_id: str, token: str) -> PendingClaim:
-    """Name the row of one claim; rows stand in parts, so that old ones can be deleted in turns."""
+    """Return the claim of an id; its row is in one of the partitions, which are swept in turn."""
     name = hashlib.blake2b(request_id.encode(), digest_size=16).hexdigest()
-    return PendingClaim(f"{CLAIM_PREFIX}{name[:PART_DIGITS]}/{name}", token.encode())
+    return PendingClaim(f"{CLAIM_PREFIX}{name[:PARTITION_DIGITS]}/{name}", token.encode())
 
 
 def gather_batch(
     waiting: tuple[PendingClaim, ...],
 ) -> tuple[tuple[PendingClaim, ...], tuple[PendingClaim, ...]]:
     """
-    Split the waiting claims into one transaction's worth and the rest.
+    Split the waiting claims into those of one transaction and the remaining ones.
 
-    A second claim of one id waits for the next transaction, which then meets the first one's row.
+    A second claim of one id waits for the next transaction, which then conflicts with the row of
+    the first.
     """
     batch: list[PendingClaim] = []
-    rest: list[PendingClaim] = []
+    remaining: list[PendingClaim] = []
     keys: set[str] = set()
     for claim in waiting:
-        if len(batch) >= MAX_CLAIMS or claim.key in keys:
-            rest.append(claim)
+        if len(batch) >= MAX_BATCH_CLAIMS or claim.key in keys:
+            remaining.append(claim)
             continue
         batch.append(claim)
         keys.add(claim.key)
-    return tuple(batch), tuple(rest)
+    return tuple(batch), tuple(remaining)
 
 
-def settle_claims(
+def insert_claims(
     batch: tuple[PendingClaim, ...], make_token: Callable[[], str]
 ) -> Generator[Commit | ReadRow, Any, dict[bytes, ClaimOutcome]]:
-    """Bring every claim of a batch to its outcome, by token; yields what to ask the table."""
+    """Insert the claims of a batch and return their outcomes by token; yield table requests."""
     pending = list(batch)
     outcomes: dict[bytes, ClaimOutcome] = {}
-    uncertain = 0
+    uncertain_writes = 0
     while pending:
-        result: Result[Committed, Any] = yield Commit(_write(pending, make_token()))
+        result: Result[Committed, Any] = yield Commit(_make_transaction(pending, make_token()))
         if result.is_ok():
             outcomes |= {claim.token: HeldClaim(claim.key, result.ok.version) for claim in pending}
             break
         match result.error:
             case Conflict(rows=rows):
                 found = {row.key: row for row in rows if row.version != ABSENT}
-                settled = {claim.token: _judge(claim, found) for claim in pending}
+                resolved = {claim.token: _resolve(claim, found) for claim in pending}
             case Unknown():
-                # The write may have taken effect, or may still do so.  A row with our own token
-                # is proof that the id is ours; another token is proof that it isn't.
-                uncertain += 1
-                settled = {}
+                # The write may have taken effect, or may still do so.  A row with the claim's own
+                # token proves that the id is claimed; another token proves that it is not.
+                uncertain_writes += 1
+                resolved = {}
                 for claim in pending:
                     row = yield ReadRow(claim.key)
                     known = row.is_ok() and row.ok is not None
-                    settled[claim.token] = _judge(claim, {claim.key: row.ok} if known else {})
+                    resolved[claim.token] = _resolve(claim, {claim.key: row.ok} if known else {})
             case Unavailable(detail=detail):
-                reason = Reason.STORE_UNCERTAIN if uncertain else Reason.STORE_UNAVAILABLE
+                reason = Reason.STORE_UNCERTAIN if uncertain_writes else Reason.STORE_UNAVAILABLE
                 outcomes |= {claim.token: _refuse(reason, detail) for claim in pending}
                 break
-        decided = {token: outcome for token, outcome in settled.items() if outcome is not None}
+        decided = {token: outcome for token, outcome in resolved.items() if outcome is not None}
         outcomes |= decided
         pending = [claim for claim in pending if claim.token not in decided]
         stuck = isinstance(result.error, Conflict) and not decided
-        if pending and (stuck or uncertain >= MAX_ROUNDS):
+        if pending and (stuck or uncertain_writes >= MAX_UNCERTAIN_WRITES):
             detail = "the claim's write has no certain outcome"
             refusal = _refuse(Reason.STORE_UNCERTAIN, detail)
             outcomes |= {claim.token: refusal for claim in pending}
@@ -141,12 +142,12 @@
     return outcomes
 
 
-def _write(pending: list[PendingClaim], token: str) -> Transaction:
+def _make_transaction(pending: list[PendingClaim], token: str) -> Transaction:
     return Transaction(token, tuple(Write(claim.key, ABSENT, claim.token) for claim in pending))
 
 
-def _judge(claim: PendingClaim, found: dict[str, Row]) -> ClaimOutcome | None:
-    """Decide a claim from rows that were found; None if none of them speaks of it."""
+def _resolve(claim: PendingClaim, found: dict[str, Row]) -> ClaimOutcome | None:
+    """Return the outcome of a claim from the rows found, None if its row is not among them."""
     own = found.get(claim.key)
     if own is not None and own.value == claim.token:
         return HeldClaim(claim.key, own.version)
@@ -157,4 +158,4 @@
 
 
 def _refuse(reason: Reason, detail: str) -> Refusal:
-    return Refusal(Verdict.NOT_RUN, reason, detail, COME_BACK_SECONDS)
+    return Refusal(Verdict.NOT_RUN, reason, detail, RETRY_AFTER_S)
--- a/toucanpin/requests/tests/test_claims.py
+++ b/toucanpin/requests/tests/test_claims.py
@@ -19,11 +19,16 @@
     Commit,
     ReadRow,
     gather_batch,
+    insert_claims,
     prepare_claim,
-    settle_claims,
 )
 from toucanpin.requests.messages import HeldClaim
-from toucanpin.requests.sweeps import KEPT_SECONDS, Ages, list_parts, sweep_part
+from toucanpin.requests.sweeps import (
+    CLAIM_RETENTION_S,
+    VersionAges,
+    list_partitions,
+    sweep_partition,
+)
 from toucanpin.verdict import Reason, Verdict
 
 
@@ -87,7 +92,7 @@
 
 def run(table, batch, prefix="t"):
     """Settle one batch alone."""
-    steps = settle_claims(batch, iter([f"{prefix}{n}" for n in range(9)]).__next__)
+    steps = insert_claims(batch, iter([f"{prefix}{n}" for n in range(9)]).__next__)
     action = next(steps)
     while True:
         try:
@@ -119,7 +124,7 @@
     @staticmethod
     def interleave(table, batches, rng):
         steps = [
-            settle_claims(batch, iter([f"{p}.{n}" for n in range(20)]).__next__)
+            insert_claims(batch, iter([f"{p}.{n}" for n in range(20)]).__next__)
             for p, batch in enumerate(batches)
         ]
         actions = {p: next(step) for p, step in enumerate(steps)}
@@ -155,31 +160,33 @@
         Rows whose version was seen ten minutes ago are deleted.
         """
         table = CalmTable(Random(1))
-        ages = Ages()
+        ages = VersionAges()
         for second in range(0, 2_000, 100):
             run(table, tuple(prepare_claim(f"r{second}.{n}", f"{second}.{n}") for n in range(9)))
-            for prefix in list_parts(("a",), "a"):
+            for prefix in list_partitions(("a",), "a"):
                 self.sweep(table, prefix, ages, float(second))
         left = {row.value.decode().split(".")[0] for row in table.rows.values()}
-        kept = {str(second) for second in range(0, 2_000, 100) if 1_900 - second < KEPT_SECONDS}
+        kept = {
+            str(second) for second in range(0, 2_000, 100) if 1_900 - second < CLAIM_RETENTION_S
+        }
         self.assertEqual(left, kept)
 
     def test_a_process_that_just_started_deletes_nothing(self):
         table = CalmTable(Random(1))
         run(table, (prepare_claim("r", "a"),))
-        for prefix in list_parts(("a",), "a"):
-            self.sweep(table, prefix, Ages(), 1e9)
+        for prefix in list_partitions(("a",), "a"):
+            self.sweep(table, prefix, VersionAges(), 1e9)
         self.assertEqual(len(table.rows), 1)
 
     def test_each_part_is_swept_by_one_process(self):
         members = ("a", "b", "c")
-        parts = [set(list_parts(members, me)) for me in members]
+        parts = [set(list_partitions(members, me)) for me in members]
         self.assertEqual(len(set.union(*parts)), sum(len(part) for part in parts))
-        self.assertEqual(set.union(*parts), set(list_parts(("a",), "a")))
+        self.assertEqual(set.union(*parts), set(list_partitions(("a",), "a")))
 
     @staticmethod
     def sweep(table, prefix, ages, now):
-        steps = sweep_part(prefix, ages, lambda: now, lambda: "t")
+        steps = sweep_partition(prefix, ages, lambda: now, lambda: "t")
         next(steps)
         reply = Ok(tuple(row for key, row in table.rows.items() if key.startswith(prefix)))
         with suppress(StopIteration):
--- a/toucanpin/requests/tests/test_shares.py
+++ b/toucanpin/requests/tests/test_shares.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from toucanpin.requests.shares import ShareBook, share_of
+from toucanpin.requests.shares import SlotShares, compute_share
 
 INSTANCES = [f"i{n}" for n in range(35)]
 
@@ -18,7 +18,7 @@
             members = names(count)
             for total in (1, 8, 64):
                 for instance in INSTANCES:
-                    shares = [share_of(instance, total, members, me) for me in members]
+                    shares = [compute_share(instance, total, members, me) for me in members]
                     self.assertEqual(sum(shares), total)
                     self.assertLessEqual(max(shares) - min(shares), 1)
 
@@ -31,7 +31,7 @@
         """
         members = names(7)
         changes = [(2.0, members[:6]), (6.0, members), (10.0, members[1:]), (14.0, members[1:5])]
-        books = {name: ShareBook(name, 2.0) for name in members}
+        books = {name: SlotShares(name, 2.0) for name in members}
         for step in range(200):
             now = step * 0.1
             for number, name in enumerate(members):
@@ -48,7 +48,7 @@
         A second process joins; the first learns of it half a second later and has just begun
         requests on all eight slots, of which it owns four from then on.  They may take two seconds.
         """
-        old, new = (ShareBook(name, 1.0) for name in names(2))
+        old, new = (SlotShares(name, 1.0) for name in names(2))
         hold = 1.0 + 2.0
         for step in range(100):
             old.update(names(1), step * 0.1)
@@ -67,7 +67,7 @@
 
         It wakes with its old view, in which it owns slots that the others use by now.
         """
-        book = ShareBook("e0/request", 2.0)
+        book = SlotShares("e0/request", 2.0)
         for step in range(40):
             book.update(names(2), step * 0.1)
         self.assertEqual(book.share("i0", 8), 4)
