--- a/benchmarks/queue_model.py
+++ b/benchmarks/queue_model.py
@@ -17,7 +17,7 @@
 from random import Random
 
 from toucanpin.bundles.schema import Service
-from toucanpin.requests.patience import Patience
+from toucanpin.requests.attempt_timing import AttemptTiming
 from toucanpin.requests.routing import InstanceShare
 from toucanpin.requests.shares import compute_share
 from toucanpin.requests.tests.virtual import Attempt, Clock, Load, VirtualFront
@@ -162,7 +162,7 @@
         )
         front.update(tuple(shares))
         if not hedged:
-            front.state.patience = _Unhedged()
+            front.state.attempt_timing = _Unhedged()
         fronts.append(front)
     for at, _, host in arrivals(shape):
         clock.at(at, partial(fronts[host].ask, limit=DEADLINE))
@@ -177,9 +177,9 @@
     return result
 
 
-class _Unhedged(Patience):
+class _Unhedged(AttemptTiming):
     """Begin no second attempt beside a first."""
 
-    def hedge_after(self, mean: float) -> float | None:
+    def hedge_delay(self, mean: float) -> float | None:
         """Never hedge."""
         return None
--- a/toucanpin/daemon/tests/test_hedging.py
+++ b/toucanpin/daemon/tests/test_hedging.py
@@ -48,7 +48,7 @@
         for instance in self.held.instances:
             self.addCleanup(instance.close)
         for _ in range(100):
-            self.front._upstreams.find(SERVICE).state.patience.observe(LEARNT_SECONDS)
+            self.front._upstreams.find(SERVICE).state.attempt_timing.observe(LEARNT_SECONDS)
 
     def test_answers_each_caller_once_with_its_own_answer(self):
         """
--- a/toucanpin/requests/path.py
+++ b/toucanpin/requests/path.py
@@ -160,7 +160,7 @@
         """Return the instant at which a second attempt may start, None for never."""
         if not self._request.idempotent or len(self._tried) + 2 > MAX_ATTEMPTS:
             return None
-        after = self._service.patience.hedge_after(self._service.admission.mean)
+        after = self._service.attempt_timing.hedge_delay(self._service.admission.mean)
         if after is None or first.started + after >= first.deadline:
             return None
         return first.started + after
@@ -199,7 +199,7 @@
             # attempt lasts; given back at once, the slot would be used twice.
             service.give_back(loser.instance, self._now, loser.deadline)
         if loser is first:
-            service.patience.observe(self._now - loser.started)
+            service.attempt_timing.observe(self._now - loser.started)
             service.router.fail(loser.instance, self._now, overtaken=True)
 
     def _end(self, running: dict[str, _Attempt], instance: str, outcome: Any) -> None:
@@ -219,9 +219,9 @@
         request, service = self._request, self._service
         if not request.idempotent or not service.router.has_other(self._tried):
             return request.deadline
-        if len(self._tried) + 1 >= MAX_ATTEMPTS or not service.budget.affords:
+        if len(self._tried) + 1 >= MAX_ATTEMPTS or not service.budget.has_token:
             return request.deadline
-        return self._now + service.patience.limit(request.deadline - self._now)
+        return self._now + service.attempt_timing.timeout(request.deadline - self._now)
 
     def _book(self, instance: str, outcome: Any, started: float) -> None:
         service = self._service
@@ -230,7 +230,7 @@
                 service.router.avoid(instance, draining, self._now)
             case Responded(response=Response(status=status)):
                 service.admission.observe(self._now - started)
-                service.patience.observe(self._now - started)
+                service.attempt_timing.observe(self._now - started)
                 if status in BROKEN_STATUSES:
                     service.router.fail(instance, self._now)
                 else:
@@ -241,7 +241,7 @@
                     service.router.fail(instance, self._now)
             case TimedOut():
                 self._may_have_run = True
-                service.patience.observe(self._now - started)
+                service.attempt_timing.observe(self._now - started)
                 service.router.fail(instance, self._now)
             case Refused():
                 service.router.fail(instance, self._now)
--- a/toucanpin/requests/quantile.py
+++ b/toucanpin/requests/quantile.py
@@ -1,45 +1,45 @@
 """
-Quantile of a stream
-====================
+Streaming quantile
+==================
 
-Follows one quantile of a service's answer times with two numbers, however many answers come.
+Estimates one quantile of a service's answer times in constant memory.
 """
 
 from __future__ import annotations
 
 __all__ = ["Quantile"]
 
-STEP_SHARE = 0.05
-FIRST_VALUES = 100
+RELATIVE_STEP = 0.05
+WARM_UP_VALUES = 100
 
 
 class Quantile:
     """
-    Estimate the ``target`` quantile, starting from the longest of the first values.
+    Estimate of the ``target`` quantile, starting from the largest of the first values.
 
-    Attempts that were cut count with the time they had: left out, the estimate would shrink with
-    each cut and cut ever more.
+    Attempts that timed out count with the time they were given: without them the estimate would
+    shrink with each timeout and cause ever more timeouts.
     """
 
-    __slots__ = ("value", "_target", "_seen")
+    __slots__ = ("value", "_target", "_count")
 
     def __init__(self, target: float) -> None:
         self.value = 0.0
         self._target = target
-        self._seen = 0
+        self._count = 0
 
     @property
-    def known(self) -> bool:
-        """Say whether enough values were seen to act on the estimate."""
-        return self._seen >= FIRST_VALUES
+    def is_warm(self) -> bool:
+        """Return whether enough values were observed to rely on the estimate."""
+        return self._count >= WARM_UP_VALUES
 
     def observe(self, value: float) -> None:
-        """Move the estimate a small step towards a value."""
-        self._seen += 1
-        if self._seen <= FIRST_VALUES:
+        """Move the estimate by a small step towards a value."""
+        self._count += 1
+        if self._count <= WARM_UP_VALUES:
             self.value = max(self.value, value)
             return
-        step = self.value * STEP_SHARE
+        step = self.value * RELATIVE_STEP
         if value > self.value:
             self.value += step * self._target
         else:
--- a/toucanpin/requests/service.py
+++ b/toucanpin/requests/service.py
@@ -11,8 +11,8 @@
 
 from toucanpin.bundles.schema import Service
 from toucanpin.requests.admission import Admission, Ticket
-from toucanpin.requests.patience import Patience
-from toucanpin.requests.retries import RetryBudget
+from toucanpin.requests.attempt_timing import AttemptTiming
+from toucanpin.requests.retry_budget import RetryBudget
 from toucanpin.requests.routing import InstanceShare, Router
 from toucanpin.verdict import Reason, Refusal, Verdict
 
@@ -32,7 +32,16 @@
     the process can keep at one time, in flight and queued.
     """
 
-    __slots__ = ("service", "places", "rng", "admission", "router", "budget", "patience", "settled")
+    __slots__ = (
+        "service",
+        "places",
+        "rng",
+        "admission",
+        "router",
+        "budget",
+        "attempt_timing",
+        "settled",
+    )
 
     def __init__(
         self,
@@ -48,7 +57,7 @@
         self.admission = Admission(service.queue, rng)
         self.router = Router(site, rng)
         self.budget = RetryBudget(retry_share)
-        self.patience = Patience()
+        self.attempt_timing = AttemptTiming()
         self.settled: list[Ticket] = []
 
     def configure(self, service: Service) -> None:
@@ -97,7 +106,7 @@
         A hedge pays like a retry.  With few slots free it would only push out first attempts: they
         wait for the slots that it and the attempt it overtakes hold.
         """
-        if len(self.admission) or not self.budget.affords:
+        if len(self.admission) or not self.budget.has_token:
             return None
         if self.router.count_taken(now) > MAX_HEDGING_LOAD * self.router.owned:
             return None
--- a/toucanpin/requests/tests/test_hedging.py
+++ b/toucanpin/requests/tests/test_hedging.py
@@ -32,7 +32,7 @@
     state = ServiceState(SERVICE, 0.1, "casco", Random(1))
     state.update(share_evenly([f"i{n}" for n in range(instances)]), 0.0)
     for _ in range(100):
-        state.patience.observe(0.1)
+        state.attempt_timing.observe(0.1)
         state.admission.observe(0.05)
     return state
 
