--- a/benchmarks/bundles.py
+++ b/benchmarks/bundles.py
@@ -16,7 +16,7 @@
 
 from benchmarks.bundle_processes import measure_processes
 from standins.faults import Effect, Rule
-from toucanpin.bundles.asks import SpreadTiming
+from toucanpin.bundles.actions import ReplicationTiming
 from toucanpin.bundles.tests.cluster import Cluster
 from toucanpin.bundles.tests.fixtures import make_record
 from toucanpin.membership.tests.mesh import Mesh, make_member
@@ -28,7 +28,7 @@
 
 PROCESSES = 9
 CHANGES = 40
-POLL = SpreadTiming().poll
+POLL = ReplicationTiming().poll_period
 INTERVAL = 0.5
 DATAGRAM_OVERHEAD = 28
 FRAME_REPEATS = 2_000
@@ -93,7 +93,7 @@
     The table is out of reach for OUTAGE seconds after each change, where the condition says so.
     """
     names = tuple(f"h{index}/request" for index in range(PROCESSES))
-    timing = SpreadTiming(poll=way.poll)
+    timing = ReplicationTiming(poll_period=way.poll)
     cluster = Cluster(names, timing=timing, stamps=way.stamps, push=way.push, interval=INTERVAL)
     cluster.cut = lambda sender, receiver: cluster.random.random() < LOSS
     cluster.accept(make_record(1), names[0])
--- a/scenarios/peer.py
+++ b/scenarios/peer.py
@@ -19,11 +19,19 @@
 from scenarios.kernel import Kernel, Network, Reply
 from toucanpin.bundles import acceptance
 from toucanpin.bundles.acceptance import Accepted, Submission, accept_bundle
-from toucanpin.bundles.asks import Ask, Peer, PullFrom, PushTo, ReadTable, Source, SpreadTiming
+from toucanpin.bundles.actions import (
+    Peer,
+    PullFrom,
+    PushTo,
+    ReadTable,
+    ReplicationAction,
+    ReplicationTiming,
+    Source,
+)
 from toucanpin.bundles.record import CURRENT_KEY, BundleRecord
+from toucanpin.bundles.replication import BundleReplica
 from toucanpin.bundles.schema import Bundle
 from toucanpin.bundles.signature import KeyRing
-from toucanpin.bundles.spread import Spread
 from toucanpin.membership.beat import Beat, Record, Timing
 from toucanpin.membership.incarnation import make_incarnation
 from toucanpin.membership.member import Member, Standing
@@ -64,7 +72,7 @@
         role = name.partition("/")[2]
         own = Member(name, self.host, site, role, make_incarnation(life), name, 1)
         self.view = View(own, TIMING, self.read_clock())
-        self.spread = Spread(name, around.ring, SpreadTiming(), self.read_clock())
+        self.spread = BundleReplica(name, around.ring, ReplicationTiming(), self.read_clock())
         self._sent = 0
         self._tokens = 0
         self._in_force = 0
@@ -161,7 +169,7 @@
         if self.view.needs_answer(beat, now):
             self._send(sender.name, self.view.list_answers(sender.name))
         if sender.name != self.name:
-            self.spread.hear(sender.bundle, age, now)
+            self.spread.receive_heartbeat(sender.bundle, age, now)
 
     def _note(self, change: Any) -> None:
         """Put a change of the view on the time line."""
@@ -173,12 +181,12 @@
         """Ask for what is in force, again and again."""
         peers = (m for m in self.members()[1:] if m.standing in THERE)
         asked = tuple(Peer(member.name, member.bundle) for member in peers)
-        for ask in self.spread.ask(asked, self.read_clock()):
+        for ask in self.spread.plan_actions(asked, self.read_clock()):
             self._ask(ask)
         self._see_bundle("readiness")
         self.after(ASK_PERIOD, self._spread_on)
 
-    def _ask(self, ask: Ask) -> None:
+    def _ask(self, ask: ReplicationAction) -> None:
         """Carry out what the spread asks for."""
         match ask:
             case ReadTable(after):
@@ -192,9 +200,9 @@
     def _take_rows(self, asked_at: float, found: Result) -> None:
         """Take the table's answer."""
         if found.is_ok():
-            self.spread.take_rows(found.ok, asked_at, self.read_clock())
+            self.spread.receive_rows(found.ok, asked_at, self.read_clock())
         else:
-            self.spread.miss_table(self.read_clock())
+            self.spread.note_failed_read(self.read_clock())
         self._see_bundle("table")
 
     def _give(self, peer: str, above: int) -> BundleRecord | None:
@@ -209,7 +217,7 @@
                 self.spread.offer(outcome, Source.PEER, self.read_clock())
                 self._see_bundle("peer")
             case _:
-                self.spread.miss_peer(self.read_clock())
+                self.spread.note_failed_pull(self.read_clock())
 
     def _hand(self, peer: str, record: BundleRecord) -> None:
         """Let a peer take a bundle."""
--- a/toucanpin/bundles/acceptance.py
+++ b/toucanpin/bundles/acceptance.py
@@ -20,7 +20,7 @@
     BundleRecord,
     decode_record,
     encode_record,
-    name_version_key,
+    make_version_key,
 )
 from toucanpin.bundles.signature import (
     KeyRing,
@@ -58,7 +58,7 @@
 ]
 
 MAX_ATTEMPTS = 6
-PAUSE_SECONDS = 0.5
+RETRY_DELAY_S = 0.5
 
 
 @dataclass(frozen=True, slots=True)
@@ -96,7 +96,7 @@
     signed: SignedBundle
     expected: int
     operator: str
-    at: float
+    submitted_at: float
 
 
 @dataclass(frozen=True, slots=True)
@@ -161,7 +161,7 @@
     if version != submission.expected + 1:
         allowed = submission.expected + 1
         return Refused((f"version is {version}; allowed: {allowed}, one above the expected one",))
-    return (yield from _settle(_Attempt(verified, submission, next_token)))
+    return (yield from _write_until_decided(_Attempt(verified, submission, next_token)))
 
 
 @dataclass(frozen=True, slots=True)
@@ -176,7 +176,7 @@
             self.verified.bundle.version,
             self.verified.digest,
             self.submission.operator,
-            self.submission.at,
+            self.submission.submitted_at,
             self.submission.signed,
         )
 
@@ -184,27 +184,27 @@
         """Return the one write that puts the bundle in force, on top of the row that was read."""
         value = encode_record(self.record())
         expected = ABSENT if row is None else row.version
-        key = name_version_key(self.verified.bundle.version)
+        key = make_version_key(self.verified.bundle.version)
         writes = (Write(CURRENT_KEY, expected, value), Write(key, ABSENT, value))
         return Transaction(self.next_token(), writes)
 
 
-def _settle(attempt: _Attempt) -> Acceptance:
-    doubtful = False
+def _write_until_decided(attempt: _Attempt) -> Acceptance:
+    uncertain = False
     detail = ""
     for _ in range(MAX_ATTEMPTS):
         match (yield Read(CURRENT_KEY)):
             case Result(tag="ok", ok=row):
                 pass
             case Result(error=fault):
-                detail = _say(fault)
-                if not doubtful:
+                detail = _describe_fault(fault)
+                if not uncertain:
                     return NotAccepted(detail)
-                yield Pause(PAUSE_SECONDS)
+                yield Pause(RETRY_DELAY_S)
                 continue
-        verdict = yield from _judge(attempt, row)
-        if verdict is not None:
-            return verdict
+        outcome = yield from _check_current(attempt, row)
+        if outcome is not None:
+            return outcome
         match (yield Commit(attempt.transaction(row))):
             case Result(tag="ok", ok=Committed()):
                 return Accepted(attempt.record())
@@ -212,18 +212,18 @@
                 continue  # the next read shows who was first
             case Result(error=Unavailable() as fault):
                 detail = fault.detail
-                if not doubtful:
+                if not uncertain:
                     return NotAccepted(detail)
             case Result(error=Unknown() as fault):
-                doubtful = True
+                uncertain = True
                 detail = fault.detail
-        yield Pause(PAUSE_SECONDS)
-    if doubtful:
+        yield Pause(RETRY_DELAY_S)
+    if uncertain:
         return Uncertain(detail)
     return NotAccepted(detail or "the row of the bundle kept changing")
 
 
-def _judge(attempt: _Attempt, row: Row | None) -> Generator[Action, Any, Outcome | None]:
+def _check_current(attempt: _Attempt, row: Row | None) -> Generator[Action, Any, Outcome | None]:
     expected = attempt.submission.expected
     if row is None:
         return None if expected == 0 else Conflicted(None, ())
@@ -235,7 +235,7 @@
     if current.digest == attempt.verified.digest:
         return Accepted(current, repeated=True)
     if current.version != expected:
-        return (yield from _lose(attempt, current))
+        return (yield from _resolve_conflict(attempt, current))
     if not extends_rings(current.signed.rings, attempt.submission.signed.rings):
         # A bundle without the newest ring was signed for an older one, perhaps by a key that has
         # been revoked since.
@@ -243,27 +243,29 @@
     return None
 
 
-def _lose(attempt: _Attempt, current: BundleRecord) -> Generator[Action, Any, Outcome | None]:
+def _resolve_conflict(
+    attempt: _Attempt, current: BundleRecord
+) -> Generator[Action, Any, Outcome | None]:
     # The bundle may have been accepted, its answer lost, and a later one accepted on top of it.
     # Its own row tells, where the current row would name a winner that is none.
-    match (yield Read(name_version_key(attempt.verified.bundle.version))):
+    match (yield Read(make_version_key(attempt.verified.bundle.version))):
         case Result(tag="ok", ok=Row(value=value)):
             match decode_record(value):
                 case Result(tag="ok", ok=own) if own.digest == attempt.verified.digest:
                     return Accepted(own, repeated=True)
         case Result(tag="error", error=fault):
-            return Uncertain(f"version {current.version} is in force; {_say(fault)}")
-    return Conflicted(current, _explain(current, attempt.verified))
+            return Uncertain(f"version {current.version} is in force; {_describe_fault(fault)}")
+    return Conflicted(current, _list_differences(current, attempt.verified))
 
 
-def _explain(current: BundleRecord, verified: Verified) -> tuple[str, ...]:
+def _list_differences(current: BundleRecord, verified: Verified) -> tuple[str, ...]:
     match decode_bundle(current.signed.document):
         case Result(tag="ok", ok=bundle):
             return compare_bundles(bundle, verified.bundle)
     return ()
 
 
-def _say(fault: StoreFault | CommitFault) -> str:
+def _describe_fault(fault: StoreFault | CommitFault) -> str:
     match fault:
         case Unavailable(detail) | Unknown(detail):
             return detail
--- a/toucanpin/bundles/asks.py
+++ b/toucanpin/bundles/actions.py
@@ -13,21 +13,21 @@
 from toucanpin.bundles.record import BundleRecord
 
 __all__ = [
-    "Ask",
-    "Offer",
-    "OfferKind",
+    "ReplicationAction",
+    "OfferResult",
+    "OfferStatus",
     "Peer",
     "PullFrom",
     "PushTo",
     "ReadTable",
     "Readiness",
     "Source",
-    "SpreadTiming",
+    "ReplicationTiming",
 ]
 
 
 @dataclass(frozen=True, slots=True)
-class SpreadTiming:
+class ReplicationTiming:
     """
     Time the spread; all in seconds.
 
@@ -40,14 +40,14 @@
     heartbeat.
     """
 
-    poll: float = 2.0
-    retry: float = 0.2
-    settle: float = 3.0
-    catch_up: float = 5.0
-    isolated: float = 30.0
-    outage: float = 2_100.0
-    pause: float = 2.0
-    hop: float = 1.0
+    poll_period: float = 2.0
+    retry_delay: float = 0.2
+    settling_time: float = 3.0
+    catch_up_time: float = 5.0
+    isolation_timeout: float = 30.0
+    outage_timeout: float = 2_100.0
+    freeze_threshold: float = 2.0
+    hop_delay: float = 1.0
 
 
 class Source(enum.Enum):
@@ -58,7 +58,7 @@
     ACCEPTANCE = "acceptance"
 
 
-class OfferKind(enum.Enum):
+class OfferStatus(enum.Enum):
     """Say what became of an offered bundle."""
 
     APPLIED = "applied"
@@ -69,10 +69,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Offer:
+class OfferResult:
     """Report what became of an offered bundle, and why."""
 
-    kind: OfferKind
+    status: OfferStatus
     detail: str = ""
 
 
@@ -107,7 +107,7 @@
     record: BundleRecord
 
 
-Ask = ReadTable | PullFrom | PushTo
+ReplicationAction = ReadTable | PullFrom | PushTo
 
 
 @dataclass(frozen=True, slots=True)
--- a/toucanpin/bundles/document.py
+++ b/toucanpin/bundles/document.py
@@ -24,7 +24,7 @@
 
 __all__ = ["Fault", "check_bundle", "check_name", "parse_bundle", "parse_document"]
 
-MAX_DOCUMENT = 524_288
+MAX_DOCUMENT_BYTES = 524_288
 MAX_NUMBER = 2**53
 
 Document = TypeVar("Document", bound=msgspec.Struct)
@@ -60,15 +60,15 @@
     text: str, kind: type[Document], check: Callable[[Document], Iterable[Fault]], name: str
 ) -> Result[Document, BundleError]:
     """Return the value of a TOML text, or every fault: first those of types, then of ``check``."""
-    if len(text.encode()) > MAX_DOCUMENT:
-        return Error(BundleError((f"{name}: larger than {MAX_DOCUMENT} bytes",)))
+    if len(text.encode()) > MAX_DOCUMENT_BYTES:
+        return Error(BundleError((f"{name}: larger than {MAX_DOCUMENT_BYTES} bytes",)))
     try:
         document = tomllib.loads(text)
     except tomllib.TOMLDecodeError as error:
         return Error(BundleError((f"{name}: not TOML: {error}",)))
     except RecursionError:
         return Error(BundleError((f"{name}: nests too deeply",)))
-    lines = dict(_locate(text))
+    lines = dict(_find_lines(text))
     faults = list(_check_shape(document, inspect.type_info(kind), ""))
     if not faults:
         faults = list(check(msgspec.convert(document, kind)))
@@ -186,7 +186,7 @@
     return text if len(text) <= 60 else f"{text[:57]}..."
 
 
-def _locate(text: str) -> Iterator[tuple[str, int]]:
+def _find_lines(text: str) -> Iterator[tuple[str, int]]:
     prefix = ""
     counts: Counter[str] = Counter()
     for number, line in enumerate(text.splitlines(), 1):
--- a/toucanpin/bundles/record.py
+++ b/toucanpin/bundles/record.py
@@ -20,7 +20,7 @@
     "decode_signed",
     "encode_record",
     "encode_signed",
-    "name_version_key",
+    "make_version_key",
     "verify_record",
 ]
 
@@ -39,7 +39,7 @@
     signed: SignedBundle
 
 
-def name_version_key(version: int) -> str:
+def make_version_key(version: int) -> str:
     """Return the key of the row that keeps one accepted version."""
     return f"{_VERSION_PREFIX}{version:0{_VERSION_DIGITS}d}"
 
--- a/toucanpin/bundles/signature.py
+++ b/toucanpin/bundles/signature.py
@@ -50,7 +50,7 @@
 MAX_SIGNATURES = 64
 MAX_RINGS = 64
 
-_PUBLIC = re.compile(r"[0-9a-f]{64}")
+_PUBLIC_KEY = re.compile(r"[0-9a-f]{64}")
 
 
 class Signer(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -117,7 +117,7 @@
     for index, signer in enumerate(ring.signers):
         path = f"signers[{index}]"
         yield from check_name(f"{path}.id", signer.id)
-        if not _PUBLIC.fullmatch(signer.public):
+        if not _PUBLIC_KEY.fullmatch(signer.public):
             yield Fault(f"{path}.public", signer.public, "64 hexadecimal digits, lower case")
         if signer.id in ids:
             yield Fault(f"{path}.id", signer.id, "an id that no other signer has")
@@ -126,9 +126,9 @@
             yield Fault(f"{path}.public", signer.public, "a key that no other signer has")
         ids.add(signer.id)
         keys.add(signer.public)
-    able = sum(not signer.revoked for signer in ring.signers)
-    if not 1 <= ring.threshold <= able:
-        yield Fault("threshold", ring.threshold, f"1 to {able}, the signers not revoked")
+    active = sum(not signer.revoked for signer in ring.signers)
+    if not 1 <= ring.threshold <= active:
+        yield Fault("threshold", ring.threshold, f"1 to {active}, the signers not revoked")
 
 
 def encode_ring(ring: KeyRing) -> bytes:
@@ -139,13 +139,13 @@
 def sign_bundle(signed: SignedBundle, key_id: str, key: Ed25519PrivateKey) -> SignedBundle:
     """Return the bundle with one more signature, or with that of the key replaced."""
     signature = Signature(key_id, key.sign(BUNDLE_LABEL + signed.document))
-    return msgspec.structs.replace(signed, signatures=_add(signed.signatures, signature))
+    return msgspec.structs.replace(signed, signatures=_put_signature(signed.signatures, signature))
 
 
 def sign_ring(signed: SignedRing, key_id: str, key: Ed25519PrivateKey) -> SignedRing:
     """Return the ring with one more signature, or with that of the key replaced."""
     signature = Signature(key_id, key.sign(RING_LABEL + signed.document))
-    return msgspec.structs.replace(signed, signatures=_add(signed.signatures, signature))
+    return msgspec.structs.replace(signed, signatures=_put_signature(signed.signatures, signature))
 
 
 def extends_rings(older: tuple[SignedRing, ...], newer: tuple[SignedRing, ...]) -> bool:
@@ -158,7 +158,7 @@
     """Check a bundle whole: its rings, signatures, canonical bytes, schema and deployment."""
     if len(signed.signatures) > MAX_SIGNATURES or len(signed.rings) > MAX_RINGS:
         return Error(BundleError(("too many signatures or key rings",)))
-    match _follow(root, signed.rings):
+    match _follow_rings(root, signed.rings):
         case Result(tag="ok", ok=ring):
             return _verify_document(ring, signed)
         case Result(error=error):
@@ -181,29 +181,29 @@
             return Error(error)
 
 
-def _follow(root: KeyRing, rings: tuple[SignedRing, ...]) -> Result[KeyRing, BundleError]:
+def _follow_rings(root: KeyRing, rings: tuple[SignedRing, ...]) -> Result[KeyRing, BundleError]:
     ring = root
     for link in rings:
         match _decode_ring(link.document):
-            case Result(tag="ok", ok=following):
+            case Result(tag="ok", ok=successor):
                 pass
             case Result(error=error):
                 return Error(error)
-        if following.version <= root.version:
+        if successor.version <= root.version:
             continue  # the settings already trust a ring as new as this one
-        faults = _check_link(ring, following, link)
+        faults = _check_link(ring, successor, link)
         if faults:
             return Error(BundleError(faults))
-        ring = following
+        ring = successor
     return Ok(ring)
 
 
-def _check_link(ring: KeyRing, following: KeyRing, link: SignedRing) -> tuple[str, ...]:
-    name = f"key ring {following.version}"
-    if following.version != ring.version + 1:
+def _check_link(ring: KeyRing, successor: KeyRing, link: SignedRing) -> tuple[str, ...]:
+    name = f"key ring {successor.version}"
+    if successor.version != ring.version + 1:
         return (f"{name} doesn't follow on key ring {ring.version}",)
-    if following.deployment != ring.deployment:
-        return (f"{name} is for deployment {following.deployment!r}, not {ring.deployment!r}",)
+    if successor.deployment != ring.deployment:
+        return (f"{name} is for deployment {successor.deployment!r}, not {ring.deployment!r}",)
     return _check_signatures(ring, RING_LABEL + link.document, link.signatures, name)
 
 
@@ -222,7 +222,7 @@
     ring: KeyRing, message: bytes, signatures: tuple[Signature, ...], name: str
 ) -> tuple[str, ...]:
     signers = {signer.id: signer for signer in ring.signers}
-    good: set[str] = set()
+    valid: set[str] = set()
     faults = []
     for signature in signatures:
         signer = signers.get(signature.key)
@@ -230,16 +230,16 @@
             faults.append(f"{name}: key {signature.key!r} isn't in key ring {ring.version}")
         elif signer.revoked:
             faults.append(f"{name}: key {signature.key!r} is revoked")
-        elif not _is_good(signer, message, signature):
+        elif not _is_valid(signer, message, signature):
             faults.append(f"{name}: the signature of {signature.key!r} is wrong")
         else:
-            good.add(signer.id)
-    if len(good) >= ring.threshold:
+            valid.add(signer.id)
+    if len(valid) >= ring.threshold:
         return ()
-    return (f"{name}: {len(good)} of {ring.threshold} required signatures are good", *faults)
+    return (f"{name}: {len(valid)} of {ring.threshold} required signatures are good", *faults)
 
 
-def _is_good(signer: Signer, message: bytes, signature: Signature) -> bool:
+def _is_valid(signer: Signer, message: bytes, signature: Signature) -> bool:
     public = Ed25519PublicKey.from_public_bytes(bytes.fromhex(signer.public))
     try:
         public.verify(signature.signature, message)
@@ -248,6 +248,8 @@
     return True
 
 
-def _add(signatures: tuple[Signature, ...], signature: Signature) -> tuple[Signature, ...]:
+def _put_signature(
+    signatures: tuple[Signature, ...], signature: Signature
+) -> tuple[Signature, ...]:
     others = tuple(other for other in signatures if other.key != signature.key)
     return (*others, signature)
--- a/toucanpin/bundles/tests/cluster.py
+++ b/toucanpin/bundles/tests/cluster.py
@@ -13,16 +13,16 @@
 from standins.faults import FaultPlan
 from standins.memory import Line, MemoryTable
 from standins.table import TableCore
-from toucanpin.bundles.asks import (
+from toucanpin.bundles.actions import (
     Peer,
     PullFrom,
     PushTo,
     ReadTable,
+    ReplicationTiming,
     Source,
-    SpreadTiming,
 )
 from toucanpin.bundles.record import CURRENT_KEY, BundleRecord, encode_record
-from toucanpin.bundles.spread import Spread
+from toucanpin.bundles.replication import BundleReplica
 from toucanpin.bundles.tests.fixtures import ROOT
 from toucanpin.platform.ports import Row, Transaction, Write
 
@@ -36,7 +36,7 @@
     """Keep one process: its spread, what its peers said last, and what came into force when."""
 
     name: str
-    spread: Spread
+    replica: BundleReplica
     table: MemoryTable
     stamps: dict[str, int] = field(default_factory=dict)
     heard: dict[str, float] = field(default_factory=dict)
@@ -54,7 +54,7 @@
         self,
         names: tuple[str, ...],
         seed: int = 1,
-        timing: SpreadTiming | None = None,
+        timing: ReplicationTiming | None = None,
         stamps: bool = True,
         push: bool = True,
         interval: float = 0.5,
@@ -65,7 +65,7 @@
         self.plan = FaultPlan()
         self.line = Line(lambda: self.now, self.plan)
         self.random = random.Random(seed)
-        self.timing = timing or SpreadTiming()
+        self.timing = timing or ReplicationTiming()
         self.stamps = stamps
         self.push = push
         self.interval = interval
@@ -83,7 +83,7 @@
         if name in self.processes:
             self.processes[name].dead = True
         table = MemoryTable(self.core, self.line, name)
-        process = Process(name, Spread(name, ROOT, self.timing, self.now), table)
+        process = Process(name, BundleReplica(name, ROOT, self.timing, self.now), table)
         self.processes[name] = process
         self._later(self.random.random() * TICK, process, lambda: self._tick(process))
         self._later(self.random.random() * self.interval, process, lambda: self._beat(process))
@@ -116,25 +116,25 @@
         self.core.commit(Transaction(f"accept-{record.version}", (write,)))
         if through is not None:
             process = self.processes[through]
-            process.spread.offer(record, Source.ACCEPTANCE, self.now)
+            process.replica.offer(record, Source.ACCEPTANCE, self.now)
             self._note(process)
 
     def hand(self, receiver: str, record: BundleRecord) -> str:
         """Push a record to one process, as a peer would, and return what became of it."""
         process = self.processes[receiver]
-        offer = process.spread.offer(record, Source.PEER, self.now)
+        offer = process.replica.offer(record, Source.PEER, self.now)
         self._note(process)
-        return offer.kind.value
+        return offer.status.value
 
     def version(self, name: str) -> int:
         """Return the version in force in a process."""
-        return self.processes[name].spread.version
+        return self.processes[name].replica.version
 
     def is_ready(self, name: str) -> bool:
         """Say whether a process may serve."""
         process = self.processes[name]
         reached = sum(self.now - at < 2.0 for at in process.heard.values())
-        return process.spread.readiness(reached, len(process.heard), self.now).ready
+        return process.replica.readiness(reached, len(process.heard), self.now).ready
 
     def serve(self, name: str) -> int:
         """Return the version that a process would serve a request by now, 0 for none."""
@@ -150,7 +150,7 @@
         heapq.heappush(self._events, (self.now + delay, next(self._order), strike))
 
     def _tick(self, process: Process) -> None:
-        for ask in process.spread.ask(self._list_peers(process), self.now):
+        for ask in process.replica.plan_actions(self._list_peers(process), self.now):
             match ask:
                 case ReadTable(after):
                     self._read(process, after)
@@ -173,8 +173,8 @@
     def _tell(self, process: Process) -> None:
         if not self.stamps:
             return
-        age = process.spread.confirmed_age(self.now)
-        version = process.spread.version
+        age = process.replica.confirmed_age(self.now)
+        version = process.replica.version
         for other in tuple(self.processes.values()):
             if other is process or self.cut(process.name, other.name):
                 continue
@@ -187,16 +187,16 @@
         def hear() -> None:
             receiver.stamps[sender] = version
             receiver.heard[sender] = self.now
-            seen = receiver.spread.seen
+            seen = receiver.replica.highest_seen
             self._note(receiver)  # a request that comes between the view's change and the stamp
-            receiver.spread.hear(version, age, self.now)
+            receiver.replica.receive_heartbeat(version, age, self.now)
             if version > seen:
                 self._wake(receiver)
 
         return hear
 
     def _wake(self, process: Process) -> None:
-        for ask in process.spread.ask(self._list_peers(process), self.now):
+        for ask in process.replica.plan_actions(self._list_peers(process), self.now):
             match ask:
                 case ReadTable(after):
                     self._read(process, after)
@@ -211,9 +211,9 @@
         def answer() -> None:
             match result:
                 case Result(tag="ok", ok=rows):
-                    process.spread.take_rows(rows, asked_at, self.now)
+                    process.replica.receive_rows(rows, asked_at, self.now)
                 case _:
-                    process.spread.miss_table(self.now)
+                    process.replica.note_failed_read(self.now)
             self._note(process)
 
         self._later(5 * self.delay, process, answer)
@@ -221,7 +221,7 @@
     def read_stale(self, name: str, rows: tuple[Row, ...]) -> None:
         """Give a process an old answer of the table."""
         process = self.processes[name]
-        process.spread.take_rows(rows, self.now, self.now)
+        process.replica.receive_rows(rows, self.now, self.now)
         self._note(process)
 
     def _pull(self, process: Process, peer: str, above: int) -> None:
@@ -231,11 +231,11 @@
         self.messages += 2
 
         def answer() -> None:
-            record = other.spread.record if other is not None and able and not broken else None
+            record = other.replica.record if other is not None and able and not broken else None
             if record is None or record.version <= above:
-                process.spread.miss_peer(self.now)
+                process.replica.note_failed_pull(self.now)
             else:
-                process.spread.offer(record, Source.PEER, self.now)
+                process.replica.offer(record, Source.PEER, self.now)
             self._note(process)
 
         self._later(4 * self.delay, process, answer)
@@ -247,11 +247,11 @@
             self._later(2 * self.delay, process, lambda: self._take(process, record))
 
     def _take(self, process: Process, record: BundleRecord) -> None:
-        process.spread.offer(record, Source.PEER, self.now)
+        process.replica.offer(record, Source.PEER, self.now)
         self._note(process)
 
     def _note(self, process: Process) -> None:
-        version = process.spread.version
+        version = process.replica.version
         if self.processes.get(process.name) is process:
             process.served.append((self.now, self.serve(process.name)))
         last = process.history[-1][1] if process.history else 0
--- a/toucanpin/bundles/tests/test_acceptance.py
+++ b/toucanpin/bundles/tests/test_acceptance.py
@@ -23,7 +23,7 @@
     Uncertain,
     accept_bundle,
 )
-from toucanpin.bundles.record import CURRENT_KEY, decode_record, name_version_key
+from toucanpin.bundles.record import CURRENT_KEY, decode_record, make_version_key
 from toucanpin.bundles.signature import KeyRing, SignedBundle
 from toucanpin.bundles.tests.fixtures import ROOT, make_ring, make_signed, next_ring
 
@@ -87,7 +87,7 @@
             outcome = self.desk.submit(make_signed(version), version - 1)
             self.assertIsInstance(outcome, Accepted)
         self.assertEqual(self.desk.current().version, 3)
-        self.assertIsNotNone(self.desk.core.read(name_version_key(2)))
+        self.assertIsNotNone(self.desk.core.read(make_version_key(2)))
 
     def test_a_version_that_does_not_follow_is_refused(self):
         self.desk.submit(make_signed(1), 0)
--- a/toucanpin/bundles/tests/test_rollback.py
+++ b/toucanpin/bundles/tests/test_rollback.py
@@ -7,9 +7,9 @@
 from hypothesis import strategies as st
 
 from standins.faults import Effect, Rule
-from toucanpin.bundles.asks import OfferKind, Source, SpreadTiming
+from toucanpin.bundles.actions import OfferStatus, ReplicationTiming, Source
 from toucanpin.bundles.record import CURRENT_KEY, encode_record
-from toucanpin.bundles.spread import Spread
+from toucanpin.bundles.replication import BundleReplica
 from toucanpin.bundles.tests.cluster import Cluster
 from toucanpin.bundles.tests.fixtures import ROOT, make_record, make_ring, next_ring
 from toucanpin.platform.ports import Row
@@ -88,7 +88,7 @@
         self.cluster.run(3)
         self.take_down()
         fresh = self.cluster.start(SECOND)
-        self.assertEqual(self.cluster.hand(SECOND, make_record(1)), OfferKind.KEPT.value)
+        self.assertEqual(self.cluster.hand(SECOND, make_record(1)), OfferStatus.KEPT.value)
         self.cluster.run(0.3)
         self.assertFalse(self.cluster.is_ready(SECOND))
         self.cluster.run(4)
@@ -110,10 +110,10 @@
         """
         self.cluster.accept(make_record(2), FIRST)
         self.cluster.run(2)
-        self.assertEqual(self.cluster.hand(SECOND, make_record(1)), OfferKind.LOWER.value)
-        fresh = Spread("fresh/request", ROOT, SpreadTiming(), 0.0)
-        fresh.hear(2, 0.1, 0.1)
-        self.assertIs(fresh.offer(make_record(1), Source.PEER, 0.2).kind, OfferKind.LOWER)
+        self.assertEqual(self.cluster.hand(SECOND, make_record(1)), OfferStatus.LOWER.value)
+        fresh = BundleReplica("fresh/request", ROOT, ReplicationTiming(), 0.0)
+        fresh.receive_heartbeat(2, 0.1, 0.1)
+        self.assertIs(fresh.offer(make_record(1), Source.PEER, 0.2).status, OfferStatus.LOWER)
         self.assertEqual(fresh.version, 0)
 
     def test_a_stale_read_takes_nobody_back(self):
@@ -126,12 +126,12 @@
         stale = (row_of(make_record(1), 1),)
         self.cluster.read_stale(SECOND, stale)
         self.assertEqual(self.cluster.version(SECOND), 2)
-        fresh = Spread("fresh/request", ROOT, SpreadTiming(), 0.0)
-        fresh.hear(2, 0.1, 0.1)
-        fresh.take_rows(stale, 0.1, 0.2)
+        fresh = BundleReplica("fresh/request", ROOT, ReplicationTiming(), 0.0)
+        fresh.receive_heartbeat(2, 0.1, 0.1)
+        fresh.receive_rows(stale, 0.1, 0.2)
         self.assertEqual(fresh.version, 0)
         self.assertFalse(fresh.readiness(5, 5, 0.3).ready)
-        fresh.take_rows((row_of(make_record(2), 2),), 0.4, 0.5)
+        fresh.receive_rows((row_of(make_record(2), 2),), 0.4, 0.5)
         self.assertTrue(fresh.readiness(5, 5, 0.6).ready)
 
     def test_a_stale_read_confirms_nothing(self):
@@ -139,11 +139,11 @@
         A process got version 2 from a peer; an old copy of the table says that nothing changed
         since version 1.  Counting that as a confirmation would let it serve on while it is cut off.
         """
-        spread = Spread("a/request", ROOT, SpreadTiming(), 0.0)
-        spread.take_rows((row_of(make_record(1), 1),), 0.0, 0.1)
-        spread.offer(make_record(2), Source.PEER, 0.2)
-        spread.take_rows((), 40.0, 40.0)
-        self.assertEqual(spread.confirmed_age(40.0), 40.0)
+        replica = BundleReplica("a/request", ROOT, ReplicationTiming(), 0.0)
+        replica.receive_rows((row_of(make_record(1), 1),), 0.0, 0.1)
+        replica.offer(make_record(2), Source.PEER, 0.2)
+        replica.receive_rows((), 40.0, 40.0)
+        self.assertEqual(replica.confirmed_age(40.0), 40.0)
 
     def test_a_site_that_was_parted_comes_back_up_not_down(self):
         """
@@ -173,7 +173,7 @@
         A process is frozen past every bound and misses version 2.  It wakes with old heartbeats in
         its socket that call version 1 fresh.  It must not serve by version 1 on their word.
         """
-        self.cluster = Cluster(NAMES, timing=SpreadTiming(outage=100.0))
+        self.cluster = Cluster(NAMES, timing=ReplicationTiming(outage_timeout=100.0))
         self.cluster.accept(make_record(1), FIRST)
         self.cluster.run(5)
         self.cluster.freeze(SECOND)
@@ -212,11 +212,11 @@
         good as the winner's; the one that is here stays, and the table's word corrects.
         """
         self.assertEqual(self.cluster.hand(SECOND, make_record(1, "loser")), "refused")
-        spread = Spread("a/request", ROOT, SpreadTiming(), 0.0)
-        spread.offer(make_record(1, "loser"), Source.PEER, 0.1)
-        spread.take_rows((row_of(make_record(1), 1),), 0.1, 0.2)
-        assert spread.bundle is not None
-        self.assertEqual(spread.bundle.services[0].name, "changeover")
+        replica = BundleReplica("a/request", ROOT, ReplicationTiming(), 0.0)
+        replica.offer(make_record(1, "loser"), Source.PEER, 0.1)
+        replica.receive_rows((row_of(make_record(1), 1),), 0.1, 0.2)
+        assert replica.bundle is not None
+        self.assertEqual(replica.bundle.services[0].name, "changeover")
 
     def test_a_ring_that_was_seen_stays(self):
         """
@@ -285,8 +285,8 @@
 
 class ReadinessTest(unittest.TestCase):
     def setUp(self):
-        self.spread = Spread("a/request", ROOT, SpreadTiming(), 0.0)
-        self.spread.take_rows((row_of(make_record(1), 1),), 0.0, 0.1)
+        self.replica = BundleReplica("a/request", ROOT, ReplicationTiming(), 0.0)
+        self.replica.receive_rows((row_of(make_record(1), 1),), 0.0, 0.1)
 
         self.now = 0.1
 
@@ -294,9 +294,9 @@
         """Let a process that is never frozen run until ``now`` and say whether it is ready."""
         while self.now < now - 1.0:
             self.now += 1.0
-            self.spread.readiness(reached, 5, self.now)
+            self.replica.readiness(reached, 5, self.now)
         self.now = now
-        return self.spread.readiness(reached, 5, now).ready
+        return self.replica.readiness(reached, 5, now).ready
 
     def test_alone_it_stops_soon_together_it_serves_on_through_an_outage(self):
         """
@@ -316,7 +316,7 @@
         The process waits until the stamps of the rest would have come, too.
         """
         self.is_ready(1, 60.0)
-        self.spread.miss_table(60.0)
+        self.replica.note_failed_read(60.0)
         self.assertFalse(self.is_ready(4, 60.5))
         self.assertTrue(self.is_ready(4, 64.0))
 
@@ -326,22 +326,22 @@
         before the freeze call version 1 fresh; their ages are of a time long ago.
         """
         self.is_ready(1, 10.0)
-        self.assertFalse(self.spread.readiness(1, 5, 25.0).ready)
+        self.assertFalse(self.replica.readiness(1, 5, 25.0).ready)
         self.now = 25.0
         self.is_ready(1, 26.5)
-        self.spread.hear(1, 0.1, 26.5)
+        self.replica.receive_heartbeat(1, 0.1, 26.5)
         self.assertFalse(self.is_ready(1, 27.0))
 
     def test_a_higher_stamp_ends_the_patience_of_an_outage(self):
         """After minutes without the table, the stamp of a peer shows that bundles come again."""
         self.assertTrue(self.is_ready(3, 600.0))
-        self.spread.hear(2, None, 600.0)
+        self.replica.receive_heartbeat(2, None, 600.0)
         self.assertFalse(self.is_ready(3, 600.1))
 
     def test_a_peers_confirmation_counts_with_its_age(self):
         self.is_ready(1, 30.0)
-        self.spread.hear(1, 0.5, 30.0)
-        self.assertEqual(self.spread.confirmed_age(30.0), 1.5)
+        self.replica.receive_heartbeat(1, 0.5, 30.0)
+        self.assertEqual(self.replica.confirmed_age(30.0), 1.5)
         self.assertTrue(self.is_ready(1, 50.0))
 
     def test_two_that_are_cut_off_do_not_keep_each_other_fresh(self):
@@ -350,28 +350,28 @@
         the delay of every heartbeat would make the confirmation younger, and they would serve an
         old bundle for ever.
         """
-        other = Spread("b/request", ROOT, SpreadTiming(), 0.0)
-        other.take_rows((row_of(make_record(1), 1),), 0.0, 0.1)
+        other = BundleReplica("b/request", ROOT, ReplicationTiming(), 0.0)
+        other.receive_rows((row_of(make_record(1), 1),), 0.0, 0.1)
         now = 0.1
         while now < 60:
             self.is_ready(1, now)
-            for sender, receiver in ((self.spread, other), (other, self.spread)):
+            for sender, receiver in ((self.replica, other), (other, self.replica)):
                 age = sender.confirmed_age(now)
                 now += 0.5
-                receiver.hear(1, age, now)
+                receiver.receive_heartbeat(1, age, now)
         self.assertFalse(self.is_ready(1, now + 0.5))
 
     def test_behind_it_stops_after_the_time_to_catch_up(self):
-        self.spread.hear(2, None, 1.0)
+        self.replica.receive_heartbeat(2, None, 1.0)
         self.assertTrue(self.is_ready(5, 2.0))
         self.assertFalse(self.is_ready(5, 7.0))
-        self.spread.offer(make_record(2), Source.PEER, 7.5)
+        self.replica.offer(make_record(2), Source.PEER, 7.5)
         self.assertTrue(self.is_ready(5, 7.6))
 
     def test_without_any_bundle(self):
-        fresh = Spread("a/request", ROOT, SpreadTiming(), 0.0)
+        fresh = BundleReplica("a/request", ROOT, ReplicationTiming(), 0.0)
         self.assertIn("isn't known", fresh.readiness(5, 5, 0.1).reason)
-        fresh.take_rows((), 0.1, 0.2)
+        fresh.receive_rows((), 0.1, 0.2)
         self.assertIn("no bundle", fresh.readiness(5, 5, 0.3).reason)
 
 
--- a/toucanpin/daemon/bundles.py
+++ b/toucanpin/daemon/bundles.py
@@ -15,22 +15,22 @@
 import msgspec
 from expression import Result
 
-from toucanpin.bundles.asks import (
-    Ask,
-    Offer,
-    OfferKind,
+from toucanpin.bundles.actions import (
+    OfferResult,
+    OfferStatus,
     Peer,
     PullFrom,
     PushTo,
     Readiness,
     ReadTable,
+    ReplicationAction,
+    ReplicationTiming,
     Source,
-    SpreadTiming,
 )
 from toucanpin.bundles.record import CURRENT_KEY, BundleRecord, decode_record, encode_record
+from toucanpin.bundles.replication import BundleReplica
 from toucanpin.bundles.schema import Bundle
 from toucanpin.bundles.signature import KeyRing
-from toucanpin.bundles.spread import Spread
 from toucanpin.daemon.gossip import Gossip
 from toucanpin.daemon.parts import EventSink
 from toucanpin.membership.incarnation import get_process_incarnation
@@ -83,13 +83,15 @@
         client: InnerClient,
         root: KeyRing,
         events: EventSink | None = None,
-        timing: SpreadTiming | None = None,
+        timing: ReplicationTiming | None = None,
     ) -> None:
         self._gossip = gossip
         self._table = table
         self._client = client
         self._events = events
-        self._spread = Spread(gossip.own.name, root, timing or SpreadTiming(), now=time.monotonic())
+        self._spread = BundleReplica(
+            gossip.own.name, root, timing or ReplicationTiming(), now=time.monotonic()
+        )
         self._lock = threading.Lock()
         self._wake = threading.Event()
         self._stopping = threading.Event()
@@ -132,7 +134,7 @@
                 readiness.ready,
                 readiness.reason,
                 self._spread.version,
-                self._spread.seen,
+                self._spread.highest_seen,
                 "" if record is None else record.digest,
                 age,
                 record,
@@ -175,7 +177,7 @@
     def _ask_round(self) -> None:
         peers = tuple(_to_peer(m) for m in self._others())
         with self._lock:
-            asks = self._spread.ask(peers, time.monotonic())
+            asks = self._spread.plan_actions(peers, time.monotonic())
             # Also asked here, so that a time alone is noticed while no request comes in.
             self._is_ready()
             version = self._spread.version
@@ -187,7 +189,7 @@
     def _others(self) -> tuple[Member, ...]:
         return tuple(m for m in self._gossip.members()[1:] if m.standing in _REACHED)
 
-    def _perform(self, ask: Ask) -> None:
+    def _perform(self, ask: ReplicationAction) -> None:
         try:
             match ask:
                 case ReadTable(after):
@@ -207,12 +209,12 @@
         match result:
             case Result(tag="ok", ok=rows):
                 with self._lock:
-                    offer = self._spread.take_rows(rows, asked_at, now)
+                    offer = self._spread.receive_rows(rows, asked_at, now)
                 self._report(offer, Source.TABLE)
             case Result(error=fault):
                 _log.warning("bundle not read from the table: {}", fault)
                 with self._lock:
-                    self._spread.miss_table(now)
+                    self._spread.note_failed_read(now)
 
     def _pull(self, peer: str, above: int) -> None:
         received = self._fetch(peer, above)
@@ -223,7 +225,7 @@
                     self._offer(record, Source.PEER, (_to_cause(received.envelope),))
                     return
         with self._lock:
-            self._spread.miss_peer(time.monotonic())
+            self._spread.note_failed_pull(time.monotonic())
 
     def _fetch(self, peer: str, above: int) -> Received | None:
         member = self._find(peer)
@@ -254,7 +256,7 @@
             return PushAnswer(self._spread.version, False, "not a record of a bundle")
         offer = self._offer(record, Source.PEER, (_to_cause(envelope),))
         self._wake.set()
-        return PushAnswer(self._spread.version, offer.kind is OfferKind.APPLIED, offer.detail)
+        return PushAnswer(self._spread.version, offer.status is OfferStatus.APPLIED, offer.detail)
 
     def _give(self, envelope: Envelope, message: PullBundle) -> PullAnswer:
         record = self.record()
@@ -265,12 +267,14 @@
     def _hear(self, member: Member, confirmed_age: int) -> None:
         age = None if confirmed_age == UNCONFIRMED else confirmed_age / 1_000
         with self._lock:
-            seen = self._spread.seen
-            self._spread.hear(member.bundle, age, time.monotonic())
+            seen = self._spread.highest_seen
+            self._spread.receive_heartbeat(member.bundle, age, time.monotonic())
         if member.bundle > seen:
             self._wake.set()
 
-    def _offer(self, record: BundleRecord, source: Source, causes: tuple[Cause, ...] = ()) -> Offer:
+    def _offer(
+        self, record: BundleRecord, source: Source, causes: tuple[Cause, ...] = ()
+    ) -> OfferResult:
         with self._lock:
             offer = self._spread.offer(record, source, time.monotonic())
             version = self._spread.version
@@ -278,11 +282,11 @@
         self._report(offer, source, causes)
         return offer
 
-    def _report(self, offer: Offer, source: Source, causes: tuple[Cause, ...] = ()) -> None:
-        match offer.kind:
-            case OfferKind.REFUSED | OfferKind.LOWER:
-                _log.error("bundle from {} {}: {}", source.value, offer.kind.value, offer.detail)
-            case OfferKind.APPLIED:
+    def _report(self, offer: OfferResult, source: Source, causes: tuple[Cause, ...] = ()) -> None:
+        match offer.status:
+            case OfferStatus.REFUSED | OfferStatus.LOWER:
+                _log.error("bundle from {} {}: {}", source.value, offer.status.value, offer.detail)
+            case OfferStatus.APPLIED:
                 version = str(self._spread.version)
                 _log.notice("bundle {} is in force, from {}", version, source.value)
                 if self._events is not None:
--- a/toucanpin/daemon/submission.py
+++ b/toucanpin/daemon/submission.py
@@ -31,7 +31,7 @@
     Uncertain,
     accept_bundle,
 )
-from toucanpin.bundles.record import BundleRecord, decode_record, name_version_key
+from toucanpin.bundles.record import BundleRecord, decode_record, make_version_key
 from toucanpin.bundles.signature import KeyRing, SignedBundle
 from toucanpin.daemon.bundles import Bundles
 from toucanpin.daemon.gossip import Gossip
@@ -180,7 +180,7 @@
     def _list_versions(self, limit: int) -> Iterable[VersionEntry]:
         newest = self._gossip.own.bundle
         for version in range(newest, max(0, newest - limit), -1):
-            match self._table.read(name_version_key(version)):
+            match self._table.read(make_version_key(version)):
                 case Result(tag="ok", ok=Row(value=value)):
                     yield from _to_entry(value)
 
