--- a/toucanpin/entry/frames.py
+++ b/toucanpin/entry/frames.py
@@ -19,12 +19,12 @@
     from toucanpin.wire.messages import Message, Received
 
 __all__ = [
-    "MAX_TRANSFER_TIME_S",
     "MAX_FRAME_BYTES",
+    "MAX_TRANSFER_TIME_S",
     "decode_frame",
     "encode_frame",
-    "read_payload",
     "read_frame",
+    "read_payload",
     "read_size",
 ]
 
--- a/toucanpin/entry/metrics.py
+++ b/toucanpin/entry/metrics.py
@@ -24,6 +24,7 @@
     "ENDS",
     "LOOP_LAG",
     "LOST_RUNS",
+    "MALFORMED_ROWS",
     "REFUSED_STARTS",
     "REQUESTS",
     "REQUEST_TIME",
@@ -33,9 +34,8 @@
     "STORE_CALLS",
     "TAKEOVERS",
     "TURN_TIME",
-    "MALFORMED_ROWS",
-    "MetricsServer",
     "BatchedCounter",
+    "MetricsServer",
     "register_gauge",
 ]
 
--- a/toucanpin/entry/owner.py
+++ b/toucanpin/entry/owner.py
@@ -135,8 +135,8 @@
         )
         self._waves: WaveController | None = None
         if settings.machines:
-            calls = MachineClient(settings.machines, settings.name)
-            self._waves = WaveController(store, calls, self._cell, clocks, settings.bounds, first)
+            client = MachineClient(settings.machines, settings.name)
+            self._waves = WaveController(store, client, self._cell, clocks, settings.bounds, first)
         self._tasks: set[asyncio.Task] = set()
         self._wake = asyncio.Event()
         self._placing_share = TimeShare(MAX_PLACING_SHARE)
--- a/toucanpin/entry/tables.py
+++ b/toucanpin/entry/tables.py
@@ -8,17 +8,17 @@
 import xxhash
 
 __all__ = [
-    "COUNTS_TABLE",
     "COUNTS_KEY",
+    "COUNTS_TABLE",
     "EFFECTS_TABLE",
     "HANDOVERS_TABLE",
     "HOSTS_TABLE",
     "JOBS_TABLE",
     "KEYS_TABLE",
-    "SHARED_KEY",
     "OWNERS_TABLE",
     "OWNER_KEY",
     "PROGRESS_TABLE",
+    "SHARED_KEY",
     "WAVES_TABLE",
     "cancel_key",
     "job_part",
