--- a/benchmarks/choosers.py
+++ b/benchmarks/choosers.py
@@ -128,7 +128,7 @@
         self,
         table: PairTable,
         weights: Weights,
-        settle: float = Tuning().settle,
+        settle: float = Tuning().settling_time,
         knows: bool = False,
     ) -> None:
         self._table = table
@@ -136,7 +136,7 @@
         self._usage = KindUsage()
         self._summaries: dict[str, Summary] = {}
         self._summed_at = -1
-        tuning = Tuning(settle=settle)
+        tuning = Tuning(settling_time=settle)
         self.policy = InterferencePolicy(
             weights, TrueEffects(table) if knows else None, Budget(), tuning
         )
@@ -199,11 +199,11 @@
 
     table: PairTable
 
-    def rise(self, service: str, kind: str, load: float) -> float:
+    def latency_rise(self, service: str, kind: str, load: float) -> float:
         """Return the true rise."""
         return self.table.true_rise(service, kind, load)
 
-    def quiet(self, service: str, load: float) -> float | None:
+    def baseline_latency(self, service: str, load: float) -> float | None:
         """Return the true quiet p99."""
         return self.table.quiet[service] * quiet_factor(load)
 
--- a/benchmarks/policy_cost.py
+++ b/benchmarks/policy_cost.py
@@ -68,7 +68,7 @@
         "learn": learnt,
         "summarize": measure(lambda n: policy.summarize(fresh)),
         "score": measure(lambda n: policy.score_summary(summary, task)),
-        "decide": measure(lambda n: list(policy._change_shares(policy._price(fresh), fresh))),
+        "decide": measure(lambda n: list(policy._change_shares(policy._host_cost(fresh), fresh))),
     }
 
 
--- a/toucanpin/interference/budget.py
+++ b/toucanpin/interference/budget.py
@@ -19,7 +19,7 @@
 
     per_minute: int = 6
     per_job: int = 2
-    job_span: float = 1_800.0
+    job_window: float = 1_800.0
 
 
 class EvictionBudget:
@@ -38,7 +38,7 @@
         own = self._jobs.get(job)
         if own is None:
             return True
-        drop_before(own, now - self._budget.job_span)
+        drop_before(own, now - self._budget.job_window)
         return len(own) < self._budget.per_job
 
     def spend(self, now: float, job: str) -> None:
@@ -49,12 +49,12 @@
 
     def _drop_old_jobs(self, now: float) -> None:
         """Forget the jobs whose evictions are all too old to count."""
-        edge = now - self._budget.job_span
-        for job in [job for job, instants in self._jobs.items() if instants[-1] <= edge]:
+        cutoff = now - self._budget.job_window
+        for job in [job for job, instants in self._jobs.items() if instants[-1] <= cutoff]:
             del self._jobs[job]
 
 
-def drop_before(instants: deque[float], edge: float) -> None:
+def drop_before(instants: deque[float], cutoff: float) -> None:
     """Drop the instants up to an edge."""
-    while instants and instants[0] <= edge:
+    while instants and instants[0] <= cutoff:
         instants.popleft()
--- a/toucanpin/interference/cost.py
+++ b/toucanpin/interference/cost.py
@@ -40,18 +40,18 @@
     def __init__(self, effects: Effects, weights: Weights, view: HostView) -> None:
         self._weights = weights
         self._view = view
-        self._rises = [rate(effects, view, it) for it in view.residents]
+        self._rises = [list_latency_rises(effects, view, it) for it in view.residents]
         self._work = [it.processors / view.processors if it.batch else 0.0 for it in view.residents]
 
-    def price(self, shares: Sequence[float]) -> float:
+    def total_cost(self, shares: Sequence[float]) -> float:
         """Return the cost of the host if the residents had these shares."""
-        return self.price_latency(shares) - self.value_work(shares)
+        return self.latency_cost(shares) - self.work_value(shares)
 
-    def price_latency(self, shares: Sequence[float]) -> float:
+    def latency_cost(self, shares: Sequence[float]) -> float:
         """Return the cost of the services' tails alone."""
-        return self._weights.latency * self._weigh_rises(self.sum_rises(shares))
+        return self._weights.latency * self._sum_weighted_squares(self.sum_rises(shares))
 
-    def value_work(self, shares: Sequence[float]) -> float:
+    def work_value(self, shares: Sequence[float]) -> float:
         """Return the value of the batch work alone."""
         work = sum(share * work for share, work in zip(shares, self._work, strict=True))
         return self._weights.throughput * work
@@ -64,10 +64,12 @@
                 totals[service] += share * rise
         return totals
 
-    def is_worth(self, current: Sequence[float], chosen: Sequence[float], margin: float) -> bool:
+    def is_worthwhile(
+        self, current: Sequence[float], chosen: Sequence[float], margin: float
+    ) -> bool:
         """Tell whether a change gains more than a part, the margin, of what it trades."""
-        latency = self.price_latency(current) - self.price_latency(chosen)
-        work = self.value_work(chosen) - self.value_work(current)
+        latency = self.latency_cost(current) - self.latency_cost(chosen)
+        work = self.work_value(chosen) - self.work_value(current)
         # Relative to what is traded: a fixed margin would leave small tasks throttled for good.
         return latency + work > margin * (abs(latency) + abs(work))
 
@@ -111,7 +113,7 @@
             totals[service] += (chosen - share) * rise
         return chosen
 
-    def _weigh_rises(self, rises: Sequence[float]) -> float:
+    def _sum_weighted_squares(self, rises: Sequence[float]) -> float:
         """Return the load-weighted sum of squares."""
         services = self._view.services
         return sum(it.load * rise * rise for it, rise in zip(services, rises, strict=True))
@@ -122,12 +124,14 @@
     amount = task.processors / summary.processors
     latency = 0.0
     for it, rise in zip(summary.services, summary.rises, strict=True):
-        added = amount * effects.rise(it.service, task.kind, it.load)
+        added = amount * effects.latency_rise(it.service, task.kind, it.load)
         latency += it.load * added * (2.0 * rise + added)
     return weights.latency * latency - weights.throughput * amount
 
 
-def rate(effects: Effects, view: HostView, resident: Resident) -> list[float]:
+def list_latency_rises(effects: Effects, view: HostView, resident: Resident) -> list[float]:
     """Return the rise that a resident at full share causes to each service of its host."""
     amount = resident.processors / view.processors
-    return [amount * effects.rise(it.service, resident.kind, it.load) for it in view.services]
+    return [
+        amount * effects.latency_rise(it.service, resident.kind, it.load) for it in view.services
+    ]
--- a/toucanpin/interference/estimator.py
+++ b/toucanpin/interference/estimator.py
@@ -16,22 +16,22 @@
 from toucanpin.interference.regression import Regression
 from toucanpin.interference.view import Resident
 
-__all__ = ["Effects", "PairEstimator", "Prior", "measure_amounts"]
+__all__ = ["Effects", "PairEstimator", "Prior", "sum_amounts"]
 
-QUIET = "quiet"
-LOAD = "load"
-KIND = "kind/"
-MIN_QUIET = 0.05
+BASELINE_FEATURE = "quiet"
+LOAD_FEATURE = "load"
+KIND_PREFIX = "kind/"
+MIN_BASELINE = 0.05
 
 
 class Effects(Protocol):
     """Say what kinds of tasks cost a service."""
 
-    def rise(self, service: str, kind: str, load: float) -> float:
+    def latency_rise(self, service: str, kind: str, load: float) -> float:
         """Return the rise of the p99, relative to the quiet one, beside a host full of a kind."""
         ...
 
-    def quiet(self, service: str, load: float) -> float | None:
+    def baseline_latency(self, service: str, load: float) -> float | None:
         """Return the p99 without neighbours in milliseconds, None if it isn't known."""
         ...
 
@@ -45,14 +45,14 @@
     ``noise`` is relative to the sample; ``memory`` is in seconds.
     """
 
-    rise: float = 1.0
+    latency_rise: float = 1.0
     rise_deviation: float = 1.5
     load_rise: float = 0.5
     load_deviation: float = 0.5
-    quiet_deviation: float = 0.3
-    noise: float = 0.2
-    memory: float = 2_400.0
-    weight: float = 2.0
+    baseline_deviation: float = 0.3
+    relative_noise: float = 0.2
+    time_constant: float = 2_400.0
+    pseudo_count: float = 2.0
 
 
 class PairEstimator:
@@ -82,61 +82,61 @@
             return
         model = self._models.get(service) or self._add_service(now, service, latency, load)
         for kind in amounts:
-            if KIND + kind not in model:
+            if KIND_PREFIX + kind not in model:
                 rise = self._guess_rise(model)
-                model.add(now, KIND + kind, rise, self._prior.rise_deviation)
+                model.add(now, KIND_PREFIX + kind, rise, self._prior.rise_deviation)
         features = make_features(load, amounts)
         value = latency / self._scales[service]
         # The noise grows with the sample itself, so that one wild measurement can't undo what many
         # have shown.
         scale = max(value, model.predict(features))
-        model.learn(now, features, value, self._prior.noise * scale)
+        model.learn(now, features, value, self._prior.relative_noise * scale)
 
-    def rise(self, service: str, kind: str, load: float) -> float:
+    def latency_rise(self, service: str, kind: str, load: float) -> float:
         """Return the rise of the p99, relative to the quiet one, beside a host full of a kind."""
         model = self._models.get(service)
         if model is None:
-            return self._prior.rise * load
-        name = KIND + kind
+            return self._prior.latency_rise * load
+        name = KIND_PREFIX + kind
         effect = model.mean(name) if name in model else self._guess_rise(model)
-        return max(0.0, effect) * load / self._predict_quiet(model, load)
+        return max(0.0, effect) * load / self._predict_baseline(model, load)
 
-    def quiet(self, service: str, load: float) -> float | None:
+    def baseline_latency(self, service: str, load: float) -> float | None:
         """Return the p99 without neighbours in milliseconds, None if it isn't known."""
         model = self._models.get(service)
         if model is None:
             return None
-        return self._predict_quiet(model, load) * self._scales[service]
+        return self._predict_baseline(model, load) * self._scales[service]
 
     def _add_service(self, now: float, service: str, latency: float, load: float) -> Regression:
         """Start the model of a service with its first sample as the unit of latency."""
         prior = self._prior
-        model = Regression(prior.memory)
+        model = Regression(prior.time_constant)
         self._scales[service] = latency / (1.0 + prior.load_rise * load)
-        model.add(now, QUIET, 1.0, prior.quiet_deviation)
-        model.add(now, LOAD, prior.load_rise, prior.load_deviation)
+        model.add(now, BASELINE_FEATURE, 1.0, prior.baseline_deviation)
+        model.add(now, LOAD_FEATURE, prior.load_rise, prior.load_deviation)
         self._models[service] = model
         return model
 
     def _guess_rise(self, model: Regression) -> float:
         """Guess the effect of an unknown kind from the known ones and the prior."""
-        known = model.means(KIND)
-        total = self._prior.rise * self._prior.weight + sum(known)
-        return total / (self._prior.weight + len(known))
+        known = model.means(KIND_PREFIX)
+        total = self._prior.latency_rise * self._prior.pseudo_count + sum(known)
+        return total / (self._prior.pseudo_count + len(known))
 
-    def _predict_quiet(self, model: Regression, load: float) -> float:
+    def _predict_baseline(self, model: Regression, load: float) -> float:
         """Predict the p99 without neighbours in units of the model."""
-        return max(MIN_QUIET, model.predict(make_features(load, {})))
+        return max(MIN_BASELINE, model.predict(make_features(load, {})))
 
 
 def make_features(load: float, amounts: Mapping[str, float]) -> dict[str, float]:
     """Return the features of a sample."""
-    features = {QUIET: 1.0, LOAD: load}
-    features.update((KIND + kind, load * amount) for kind, amount in amounts.items())
+    features = {BASELINE_FEATURE: 1.0, LOAD_FEATURE: load}
+    features.update((KIND_PREFIX + kind, load * amount) for kind, amount in amounts.items())
     return features
 
 
-def measure_amounts(residents: Iterable[Resident], processors: int) -> dict[str, float]:
+def sum_amounts(residents: Iterable[Resident], processors: int) -> dict[str, float]:
     """Return the share of a host's processors that each kind uses."""
     amounts: defaultdict[str, float] = defaultdict(float)
     for it in residents:
--- a/toucanpin/interference/history.py
+++ b/toucanpin/interference/history.py
@@ -11,15 +11,15 @@
 
 from toucanpin.interference.view import Resident
 
-__all__ = ["DEFAULT_SPAN", "CoResidents"]
+__all__ = ["DEFAULT_SPAN_S", "CoResidents"]
 
-DEFAULT_SPAN = 120.0
+DEFAULT_SPAN_S = 120.0
 
 
 class CoResidents:
     """Remember the residents of one host for ``span`` seconds."""
 
-    def __init__(self, span: float = DEFAULT_SPAN) -> None:
+    def __init__(self, span: float = DEFAULT_SPAN_S) -> None:
         self._span = span
         self._entries: deque[tuple[float, tuple[Resident, ...]]] = deque()
 
--- a/toucanpin/interference/policy.py
+++ b/toucanpin/interference/policy.py
@@ -14,7 +14,7 @@
 from toucanpin.bundles.schema import Weights
 from toucanpin.interference.budget import Budget, EvictionBudget
 from toucanpin.interference.cost import SHARES, HostCost, Summary, score
-from toucanpin.interference.estimator import Effects, PairEstimator, measure_amounts
+from toucanpin.interference.estimator import Effects, PairEstimator, sum_amounts
 from toucanpin.interference.history import CoResidents
 from toucanpin.interference.view import Candidate, HostView, Resident
 
@@ -72,11 +72,11 @@
 
     lower_margin: float = 0.6
     raise_margin: float = 0.2
-    settle: float = 2.0
+    settling_time: float = 2.0
     evict_share: float = 0.25
-    patience: float = 60.0
-    horizon: float = 5.0
-    elsewhere: float = 0.7
+    eviction_delay: float = 60.0
+    horizon_minutes: float = 5.0
+    expected_share: float = 0.7
     max_wait: float = 300.0
 
 
@@ -85,8 +85,8 @@
     """Remember of one host who was there, what was measured and what was done."""
 
     history: CoResidents = field(default_factory=CoResidents)
-    newest: float = float("-inf")
-    sampled: dict[str, float] = field(default_factory=dict)
+    newest_sample_at: float = float("-inf")
+    last_sampled: dict[str, float] = field(default_factory=dict)
     acted_at: float = float("-inf")
     low_since: dict[str, float] = field(default_factory=dict)
 
@@ -120,13 +120,13 @@
         """Learn from samples of a host; one that came before, or too late, is left out."""
         state = self._hosts.setdefault(view.host, HostState())
         for sample in samples:
-            if sample.sampled_at <= state.sampled.get(sample.service, float("-inf")):
+            if sample.sampled_at <= state.last_sampled.get(sample.service, float("-inf")):
                 continue
-            state.sampled[sample.service] = sample.sampled_at
-            state.newest = max(state.newest, sample.sampled_at)
+            state.last_sampled[sample.service] = sample.sampled_at
+            state.newest_sample_at = max(state.newest_sample_at, sample.sampled_at)
             residents = state.history.find(sample.sampled_at)
             if residents is not None:
-                amounts = measure_amounts(residents, view.processors)
+                amounts = sum_amounts(residents, view.processors)
                 self.estimator.learn(now, sample.service, sample.latency, sample.load, amounts)
 
     def score(self, view: HostView, task: Candidate) -> float:
@@ -140,7 +140,7 @@
     def summarize(self, view: HostView) -> Summary:
         """Sum up a host once for the scores of many tasks."""
         shares = [it.share for it in view.residents]
-        rises = self._price(view).sum_rises(shares)
+        rises = self._host_cost(view).sum_rises(shares)
         return Summary(view.processors, view.services, tuple(rises))
 
     def score_summary(self, summary: Summary, task: Candidate) -> float:
@@ -157,17 +157,17 @@
         state = self._hosts.setdefault(view.host, HostState())
         # The samples at hand are older than the last action.  Acting on them again would answer the
         # same rise twice, then its absence twice: shares swing and tasks are evicted for nothing.
-        if state.newest < state.acted_at + self._tuning.settle:
+        if state.newest_sample_at < state.acted_at + self._tuning.settling_time:
             return
-        cost = self._price(view)
+        cost = self._host_cost(view)
         changes = list(self._change_shares(cost, view))
         if changes:
             state.acted_at = now
-            if any(is_lower(change, view) for change in changes):
-                yield Avoid(view.host, now + self._tuning.patience)
+            if any(lowers_share(change, view) for change in changes):
+                yield Avoid(view.host, now + self._tuning.eviction_delay)
             yield from changes
             return
-        evicted = self._choose_evicted(now, cost, view, state)
+        evicted = self._choose_eviction(now, cost, view, state)
         if evicted is not None:
             state.acted_at = now
             self._budget.spend(now, evicted.job)
@@ -177,7 +177,7 @@
         """Forget a host that is gone or has another owner."""
         self._hosts.pop(host, None)
 
-    def _price(self, view: HostView) -> HostCost:
+    def _host_cost(self, view: HostView) -> HostCost:
         """Price a host with what is known of it."""
         return HostCost(self._effects, self.weights, view)
 
@@ -185,15 +185,15 @@
         """Yield the changes of shares that are worth it; a rise goes one step at a time."""
         current = [it.share for it in view.residents]
         lower = cost.lower_shares()
-        if cost.is_worth(current, lower, self._tuning.lower_margin):
-            yield from name_changes(view, lower)
+        if cost.is_worthwhile(current, lower, self._tuning.lower_margin):
+            yield from list_share_changes(view, lower)
             return
         higher = cost.raise_shares()
-        if cost.is_worth(current, higher, self._tuning.raise_margin):
-            steps = [find_step(now, then) for now, then in zip(current, higher, strict=True)]
-            yield from name_changes(view, steps)
+        if cost.is_worthwhile(current, higher, self._tuning.raise_margin):
+            steps = [next_step(now, then) for now, then in zip(current, higher, strict=True)]
+            yield from list_share_changes(view, steps)
 
-    def _choose_evicted(
+    def _choose_eviction(
         self, now: float, cost: HostCost, view: HostView, state: HostState
     ) -> Resident | None:
         """Choose the task whose move gains most, None if no move is worth its cost."""
@@ -201,35 +201,35 @@
         best_gain = 0.0
         for index, it in enumerate(view.residents):
             since = state.low_since.get(it.task, now)
-            if not it.batch or now - since < self._tuning.patience:
+            if not it.batch or now - since < self._tuning.eviction_delay:
                 continue
-            gain = self._gain_by_move(cost, view, index)
+            gain = self._move_gain(cost, view, index)
             if gain > best_gain and self._budget.allows(now, it.job):
                 best, best_gain = it, gain
         return best
 
-    def _gain_by_move(self, cost: HostCost, view: HostView, index: int) -> float:
+    def _move_gain(self, cost: HostCost, view: HostView, index: int) -> float:
         """Return what the move of one task gains over the horizon, less its cost."""
         it = view.residents[index]
         shares = [other.share for other in view.residents]
         without = [*shares[:index], 0.0, *shares[index + 1 :]]
-        here = cost.price(shares) - cost.price(without)
-        work = self._tuning.elsewhere * it.processors / view.processors
-        gain = (here + self.weights.throughput * work) * self._tuning.horizon
+        own_cost = cost.total_cost(shares) - cost.total_cost(without)
+        work = self._tuning.expected_share * it.processors / view.processors
+        gain = (own_cost + self.weights.throughput * work) * self._tuning.horizon_minutes
         return gain - self.weights.evictions * (1.0 + it.unsaved / 60.0)
 
 
-def is_lower(change: SetShare, view: HostView) -> bool:
+def lowers_share(change: SetShare, view: HostView) -> bool:
     """Tell whether a change takes share from a task."""
     return any(it.task == change.task and change.share < it.share for it in view.residents)
 
 
-def find_step(present: float, chosen: float) -> float:
+def next_step(present: float, chosen: float) -> float:
     """Return the next step from a share towards a higher one."""
     return present if chosen == present else next(step for step in SHARES if step > present)
 
 
-def name_changes(view: HostView, shares: Iterable[float]) -> Iterator[SetShare]:
+def list_share_changes(view: HostView, shares: Iterable[float]) -> Iterator[SetShare]:
     """Yield the shares that differ from the present ones."""
     for it, share in zip(view.residents, shares, strict=True):
         if share != it.share:
--- a/toucanpin/interference/regression.py
+++ b/toucanpin/interference/regression.py
@@ -36,8 +36,8 @@
         Seconds after which a deviation from the prior has lost 63% of its weight.
     """
 
-    def __init__(self, memory: float) -> None:
-        self._memory = memory
+    def __init__(self, time_constant: float) -> None:
+        self._time_constant = time_constant
         self._names: dict[str, int] = {}
         self._coefficients: list[Coefficient] = []
         self._covariance: list[list[float]] = []
@@ -79,30 +79,32 @@
     def learn(self, now: float, features: Mapping[str, float], value: float, noise: float) -> None:
         """Take a sample with noise of this standard deviation."""
         for name in features:
-            self._forget(self._names[name], now)
+            self._decay(self._names[name], now)
         present = [(self._names[name], x) for name, x in features.items() if x]
         gains = [sum(row[index] * x for index, x in present) for row in self._covariance]
-        spread = noise * noise + sum(gains[index] * x for index, x in present)
+        innovation_variance = noise * noise + sum(gains[index] * x for index, x in present)
         error = value - self.predict(features)
         for index, gain in enumerate(gains):
             if gain:
-                self._coefficients[index].mean += gain / spread * error
+                self._coefficients[index].mean += gain / innovation_variance * error
                 row = self._covariance[index]
                 pairs = zip(row, gains, strict=True)
-                self._covariance[index] = [old - gain * other / spread for old, other in pairs]
+                self._covariance[index] = [
+                    old - gain * other / innovation_variance for old, other in pairs
+                ]
 
-    def _forget(self, index: int, now: float) -> None:
+    def _decay(self, index: int, now: float) -> None:
         """Let a coefficient drift back to its prior for the time since its last sample."""
         it = self._coefficients[index]
         elapsed = now - it.updated_at
         if elapsed <= 0:
             return
-        kept = math.exp(-elapsed / self._memory)
+        factor = math.exp(-elapsed / self._time_constant)
         it.updated_at = now
-        it.mean = it.prior + (it.mean - it.prior) * kept
+        it.mean = it.prior + (it.mean - it.prior) * factor
         row = self._covariance[index]
         for other in range(len(row)):
             if other != index:
-                row[other] *= kept
+                row[other] *= factor
                 self._covariance[other][index] = row[other]
-        row[index] = it.variance + (row[index] - it.variance) * kept * kept
+        row[index] = it.variance + (row[index] - it.variance) * factor * factor
--- a/toucanpin/interference/tests/test_estimator.py
+++ b/toucanpin/interference/tests/test_estimator.py
@@ -3,17 +3,17 @@
 import random
 import unittest
 
-from toucanpin.interference.estimator import PairEstimator, Prior, measure_amounts
+from toucanpin.interference.estimator import PairEstimator, Prior, sum_amounts
 from toucanpin.interference.usage import KindUsage
 from toucanpin.interference.view import Resident
 
 EFFECTS = {"noisy": 4.0, "mild": 0.2}
-QUIET = 20.0
+BASELINE_MS = 20.0
 
 
 def true_latency(load, amounts, effects=EFFECTS):
     rise = sum(effects[kind] * amount for kind, amount in amounts.items())
-    return QUIET * (1 + 0.5 * load + load * rise)
+    return BASELINE_MS * (1 + 0.5 * load + load * rise)
 
 
 class PairEstimatorTest(unittest.TestCase):
@@ -29,15 +29,15 @@
             self.estimator.learn(start + 5.0 * step, "s", latency, load, amounts)
 
     def rise(self, kind, load=0.5):
-        return self.estimator.rise("s", kind, load)
+        return self.estimator.latency_rise("s", kind, load)
 
     def test_finds_pairs_and_the_quiet_tail(self):
         self.teach(0, 200)
         self.assertAlmostEqual(self.rise("noisy"), 4.0 * 0.5 / 1.25, delta=0.25)
         self.assertAlmostEqual(self.rise("mild"), 0.2 * 0.5 / 1.25, delta=0.25)
-        quiet = self.estimator.quiet("s", 0.5)
+        quiet = self.estimator.baseline_latency("s", 0.5)
         assert quiet is not None
-        self.assertAlmostEqual(quiet, QUIET * 1.25, delta=2.0)
+        self.assertAlmostEqual(quiet, BASELINE_MS * 1.25, delta=2.0)
 
     def test_load_is_a_factor(self):
         self.teach(0, 200)
@@ -52,7 +52,7 @@
         self.assertLess(moved, 0.5 * abs(self.rise("noisy") - before))
 
     def test_unknown_service_and_kind_get_a_guess(self):
-        self.assertEqual(self.rise("new"), Prior().rise * 0.5)
+        self.assertEqual(self.rise("new"), Prior().latency_rise * 0.5)
         self.teach(0, 50)
         self.assertTrue(self.rise("mild") < self.rise("new") < self.rise("noisy"))
 
@@ -75,7 +75,7 @@
     def test_one_wild_sample_moves_little(self):
         self.teach(0, 100)
         before = self.rise("mild")
-        self.estimator.learn(600, "s", 50 * QUIET, 0.5, {"mild": 0.3})
+        self.estimator.learn(600, "s", 50 * BASELINE_MS, 0.5, {"mild": 0.3})
         self.assertLess(self.rise("mild") - before, 0.6)
         self.estimator.learn(601, "s", 0.0, 0.5, {"mild": 0.3})
 
@@ -85,7 +85,7 @@
             Resident("b", "b", "k", 4.0),
             Resident("c", "c", "m", 16.0),
         )
-        self.assertEqual(measure_amounts(residents, 64), {"k": 0.125, "m": 0.25})
+        self.assertEqual(sum_amounts(residents, 64), {"k": 0.125, "m": 0.25})
 
 
 class KindUsageTest(unittest.TestCase):
--- a/toucanpin/interference/tests/test_policy.py
+++ b/toucanpin/interference/tests/test_policy.py
@@ -33,10 +33,10 @@
     def __init__(self, **rises):
         self.rises = rises
 
-    def rise(self, service, kind, load):
+    def latency_rise(self, service, kind, load):
         return self.rises.get(kind, 0.0) * load
 
-    def quiet(self, service, load):
+    def baseline_latency(self, service, load):
         return 20.0
 
 
@@ -131,8 +131,8 @@
             seen += [(now, type(it)) for it in actions]
         kinds = [kind for _, kind in seen]
         self.assertEqual(kinds, [Avoid, SetShare, Evict])
-        patience = Tuning().patience
-        self.assertGreaterEqual(seen[2][0] - seen[1][0], patience)
+        eviction_delay = Tuning().eviction_delay
+        self.assertGreaterEqual(seen[2][0] - seen[1][0], eviction_delay)
 
     def test_costly_eviction_is_not_made(self):
         """Stillwater's weights and much unsaved work make a move dearer than its gain."""
@@ -188,7 +188,7 @@
             late = [sample(now + 5, 60.0), sample(now + 15, 20.0)]
             self.policy.measure(now + 25, make_view(MILD), late)
             now += 30
-        rise = self.policy.estimator.rise
+        rise = self.policy.estimator.latency_rise
         self.assertGreater(rise("s", "noisy", 0.8), rise("s", "mild", 0.8) + 2.0)
 
     def test_samples_that_come_twice_or_too_late_count_once(self):
@@ -197,9 +197,9 @@
         view = make_view(NOISY)
         self.policy.observe(100, view)
         self.policy.measure(110, view, [sample(105, 60.0)])
-        learnt = self.policy.estimator.rise("s", "noisy", 0.8)
+        learnt = self.policy.estimator.latency_rise("s", "noisy", 0.8)
         self.policy.measure(111, view, [sample(105, 60.0), sample(104, 90.0), sample(50, 90.0)])
-        self.assertEqual(self.policy.estimator.rise("s", "noisy", 0.8), learnt)
+        self.assertEqual(self.policy.estimator.latency_rise("s", "noisy", 0.8), learnt)
 
     def test_budget_holds_over_hosts(self):
         """
@@ -223,7 +223,7 @@
 
 class BudgetTest(unittest.TestCase):
     def test_one_job_is_not_evicted_again_and_again(self):
-        budget = EvictionBudget(Budget(per_minute=5, per_job=2, job_span=600.0))
+        budget = EvictionBudget(Budget(per_minute=5, per_job=2, job_window=600.0))
         for now in (0.0, 100.0):
             self.assertTrue(budget.allows(now, "j"))
             budget.spend(now, "j")
--- a/toucanpin/placement/tests/test_interference_aware.py
+++ b/toucanpin/placement/tests/test_interference_aware.py
@@ -34,7 +34,7 @@
 
 def advise(process, budget: Budget | None = None) -> None:
     """Set the interference-aware policy of a process."""
-    policy = InterferenceAwarePolicy(budget, Tuning(patience=PATIENCE_S))
+    policy = InterferenceAwarePolicy(budget, Tuning(eviction_delay=PATIENCE_S))
     process.state.policy = GuardedPolicy(policy)
 
 
@@ -254,7 +254,7 @@
         """
         policy = InterferenceAwarePolicy()
         self.learn(policy)
-        rise = policy._learner.estimator.rise
+        rise = policy._learner.estimator.latency_rise
         self.assertGreater(rise("verify", "noisy", 0.8), 1.5 * rise("verify", "quiet", 0.8))
 
     def test_repeated_sample_is_learned_once(self):
@@ -303,12 +303,12 @@
         self.learn(policy)
         record = self.record("noisy")
         cell = CellRow(1, None, {}, {})
-        before = policy._learner.estimator.rise("verify", "noisy", 0.8)
+        before = policy._learner.estimator.latency_rise("verify", "noisy", 0.8)
         policy.prepare(600.0, Bundle("test", 2, weights=Weights(20.0, 0.1, 0.2)), {"w"})
         self.assertIsNone(policy.choose(record, ["w"], cell, 0.0))
         policy.prepare(601.0, Bundle("test", 3, weights=Weights(0.01, 5.0, 0.2)), {"w"})
         self.assertEqual(policy.choose(record, ["w"], cell, 0.0), "w")
-        self.assertEqual(policy._learner.estimator.rise("verify", "noisy", 0.8), before)
+        self.assertEqual(policy._learner.estimator.latency_rise("verify", "noisy", 0.8), before)
 
     def test_host_of_another_owner_is_forgotten(self):
         """
