--- a/benchmarks/bundle_processes.py
+++ b/benchmarks/bundle_processes.py
@@ -33,7 +33,7 @@
 from toucanpin.bundles.schema import Bundle, Service
 from toucanpin.bundles.signature import SignedBundle, sign_bundle
 from toucanpin.cli.keys import PrivateKey, load_key
-from toucanpin.daemon.submission import SubmitRequest
+from toucanpin.daemon.bundle_apps import SubmitRequest
 
 __all__ = ["measure_processes"]
 
--- a/toucanpin/cli/bundle.py
+++ b/toucanpin/cli/bundle.py
@@ -29,8 +29,8 @@
 from toucanpin.cli.http import ask, fail, read
 from toucanpin.cli.output import Form, output_option, show
 from toucanpin.cli.signing import keys, sign
+from toucanpin.daemon.bundle_apps import Force, History, SubmitAnswer, SubmitRequest
 from toucanpin.daemon.bundles import BundleStatus
-from toucanpin.daemon.submission import Force, History, SubmitAnswer, SubmitRequest
 
 __all__ = ["bundle"]
 
--- a/toucanpin/daemon/root.py
+++ b/toucanpin/daemon/root.py
@@ -16,6 +16,7 @@
 from toucanpin import __version__
 from toucanpin.bundles.signature import KeyRing, parse_ring
 from toucanpin.daemon.access import guard_app, read_operators
+from toucanpin.daemon.bundle_apps import make_bundle_apps
 from toucanpin.daemon.bundles import Bundles
 from toucanpin.daemon.control import Control
 from toucanpin.daemon.drains import DRAIN_PATH, DrainedHosts, make_drain_app
@@ -23,14 +24,13 @@
 from toucanpin.daemon.front import Front, FrontSettings
 from toucanpin.daemon.gossip import Gossip
 from toucanpin.daemon.hosts import Hosts
-from toucanpin.daemon.jobs import JobsApp
+from toucanpin.daemon.jobs_app import JobsApp
 from toucanpin.daemon.metrics import Metrics
 from toucanpin.daemon.operators import Operators, ProcessState, make_probe_apps
 from toucanpin.daemon.page import Page, make_page_app, show_cells
 from toucanpin.daemon.parts import Part, WsgiApp
 from toucanpin.daemon.settings import Settings, Tls
 from toucanpin.daemon.standstill import StandstillCalls
-from toucanpin.daemon.submission import make_bundle_apps
 from toucanpin.daemon.timeline import TimelineStreamer, timeline_app
 from toucanpin.daemon.views import make_view_apps
 from toucanpin.daemon.web import mount_apps
--- a/toucanpin/daemon/tests/bundle_parts.py
+++ b/toucanpin/daemon/tests/bundle_parts.py
@@ -16,9 +16,9 @@
 from standins.memory import Line, MemoryTable
 from standins.table import TableCore
 from toucanpin.bundles.tests.fixtures import ROOT
+from toucanpin.daemon.bundle_apps import make_bundle_apps
 from toucanpin.daemon.bundles import Bundles
 from toucanpin.daemon.gossip import Gossip
-from toucanpin.daemon.submission import make_bundle_apps
 from toucanpin.daemon.web import mount_apps
 from toucanpin.membership.member import Member
 from toucanpin.wire.client import InnerClient
--- a/toucanpin/daemon/tests/test_control.py
+++ b/toucanpin/daemon/tests/test_control.py
@@ -14,7 +14,7 @@
 from standins.worker import WorkerCore
 from toucanpin.bundles.schema import Bundle, StandingTask
 from toucanpin.daemon.control import Control, PollPool
-from toucanpin.daemon.jobs import JobsApp
+from toucanpin.daemon.jobs_app import JobsApp
 from toucanpin.membership.incarnation import make_incarnation
 from toucanpin.membership.member import Member
 from toucanpin.placement.actions import WorkerPoll
