--- a/benchmarks/request_cost.py
+++ b/benchmarks/request_cost.py
@@ -134,7 +134,7 @@
         ListedHost(f"i{n}", HostRole.INSTANCE, "casco", "r", "127.0.0.1", port, False, SERVICE)
         for n in range(35)
     )
-    settings = FrontSettings("e0/request", "1", "casco", "127.0.0.1", 0, threads=16, settle=0.0)
+    settings = FrontSettings("e0/request", "1", "casco", "127.0.0.1", 0, threads=16, share_hold=0.0)
     front = Front(settings, view, lambda: hosts, view, None, view, {}, Random(1))  # type: ignore[arg-type]
     front.start()
     pipe.send(front.port)
--- a/toucanpin/daemon/front.py
+++ b/toucanpin/daemon/front.py
@@ -82,7 +82,7 @@
 
     ``name`` is this process's name among the members (``<host>/request``), ``incarnation`` this
     life of it; times are in seconds, sizes in bytes.  ``linger`` is how long a draining front
-    still takes what the balancer sends, ``settle`` how long shares of slots wait for others; None
+    still takes what the balancer sends, ``share_hold`` how long shares of slots wait for others; None
     for the time in which members learn of each other plus each service's deadline.
     """
 
@@ -92,7 +92,7 @@
     address: str
     port: int
     threads: int = 128
-    settle: float | None = None
+    share_hold: float | None = None
     linger: float = 2.0
     max_header: int = 16_384
     max_body: int = 16_777_216
@@ -133,7 +133,7 @@
         self._upstreams = Upstreams(
             settings.name,
             settings.site,
-            settings.settle,
+            settings.share_hold,
             bundle,
             hosts,
             members,
--- a/toucanpin/daemon/tests/front_harness.py
+++ b/toucanpin/daemon/tests/front_harness.py
@@ -195,7 +195,7 @@
         for site, group in (("casco", ports), ("kennebec", far))
         for port in group
     )
-    options = {"settle": 0.0, "threads": 12, "linger": 0.0} | settings
+    options = {"share_hold": 0.0, "threads": 12, "linger": 0.0} | settings
     front = Front(
         FrontSettings(names[0], "1", "casco", "127.0.0.1", 0, **options),
         view,
--- a/toucanpin/daemon/upstreams.py
+++ b/toucanpin/daemon/upstreams.py
@@ -68,7 +68,7 @@
         self,
         name: str,
         site: str,
-        settle: float | None,
+        share_hold: float | None,
         bundle: BundleView,
         hosts: Callable[[], tuple[ListedHost, ...]],
         members: MembershipView,
@@ -82,7 +82,7 @@
         self._members = members
         self._rng = rng
         self._book = SlotShares(name, SPREAD_SECONDS)
-        self._settle = settle
+        self._share_hold = share_hold
         self._entries: dict[str, ServiceEntry] = {}
         self._refreshed = 0.0
 
@@ -194,8 +194,8 @@
         forwarder.limit = self._book.share(host.name, total, self._hold(service))
 
     def _hold(self, service: Service) -> float:
-        if self._settle is not None:
-            return self._settle
+        if self._share_hold is not None:
+            return self._share_hold
         return min(MAX_HOLD_S, SPREAD_SECONDS + service.deadline_ms / 1_000)
 
 
