--- a/toucanpin/daemon/access.py
+++ b/toucanpin/daemon/access.py
@@ -25,9 +25,9 @@
 
 __all__ = ["Operator", "OperatorRole", "guard_app", "read_operators"]
 
-OPEN_PATHS = ("/livez", "/readyz", "/metrics")
+PUBLIC_PATHS = ("/livez", "/readyz", "/metrics")
 READ_METHODS = ("GET", "HEAD")
-BEARER = "Bearer "
+BEARER_PREFIX = "Bearer "
 
 
 class OperatorRole(enum.Enum):
@@ -69,9 +69,9 @@
         raise SettingsError((f"{path}: {error}",)) from error
     for key in ("name", "token_sha256"):
         values = [getattr(operator, key) for operator in operators]
-        twice = sorted({value for value in values if values.count(value) > 1})
-        if twice:
-            raise SettingsError((f"{path}: {key} {twice[0]!r} stands twice",))
+        duplicates = sorted({value for value in values if values.count(value) > 1})
+        if duplicates:
+            raise SettingsError((f"{path}: {key} {duplicates[0]!r} stands twice",))
     return operators
 
 
@@ -80,13 +80,13 @@
 
     def check(environ: dict[str, Any], start: StartResponse) -> Iterable[bytes]:
         """Check one request."""
-        if environ["PATH_INFO"] in OPEN_PATHS:
+        if environ["PATH_INFO"] in PUBLIC_PATHS:
             return app(environ, start)
         operator = _find_operator(environ.get("HTTP_AUTHORIZATION", ""), operators)
         if operator is None:
             detail = "no token of a known operator; send Authorization: Bearer TOKEN"
             return answer_refusal(start, _refuse(Reason.UNAUTHORIZED, detail))
-        role = _choose_role(environ["REQUEST_METHOD"], environ["PATH_INFO"])
+        role = _find_required_role(environ["REQUEST_METHOD"], environ["PATH_INFO"])
         allowed = role in operator.roles
         _record_change(environ, operator, allowed, events)
         if not allowed:
@@ -100,15 +100,17 @@
 
 def _find_operator(header: str, operators: tuple[Operator, ...]) -> Operator | None:
     """Find the operator whose token a header carries."""
-    if not header.startswith(BEARER):
+    if not header.startswith(BEARER_PREFIX):
         return None
-    digest = hashlib.sha256(header.removeprefix(BEARER).strip().encode()).hexdigest()
+    digest = hashlib.sha256(header.removeprefix(BEARER_PREFIX).strip().encode()).hexdigest()
     # Every digest is compared in constant time, so the answer's delay tells nothing of a token.
-    matches = [one for one in operators if hmac.compare_digest(one.token_sha256, digest)]
+    matches = [
+        operator for operator in operators if hmac.compare_digest(operator.token_sha256, digest)
+    ]
     return matches[0] if matches else None
 
 
-def _choose_role(method: str, path: str) -> OperatorRole:
+def _find_required_role(method: str, path: str) -> OperatorRole:
     """Say which role a request needs."""
     if method in READ_METHODS:
         return OperatorRole.READ
--- a/toucanpin/daemon/attempts.py
+++ b/toucanpin/daemon/attempts.py
@@ -13,7 +13,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from toucanpin.daemon.forwarder import Exchange, Forwarder, Outgoing
+from toucanpin.daemon.forwarder import Exchange, Forwarder, OutgoingRequest
 from toucanpin.requests.messages import ActionDone, AttemptEnded, AttemptPending, Forward, Hedge
 
 __all__ = ["Attempts"]
@@ -31,7 +31,7 @@
 
     __slots__ = ("_outgoing", "_find", "_running")
 
-    def __init__(self, outgoing: Outgoing, find: Callable[[str], Forwarder]) -> None:
+    def __init__(self, outgoing: OutgoingRequest, find: Callable[[str], Forwarder]) -> None:
         self._outgoing = outgoing
         self._find = find
         self._running: dict[str, Exchange] = {}
@@ -40,7 +40,7 @@
         """Make the first attempt; return its outcome, or AttemptPending at the given instant."""
         forwarder = self._find(action.instance)
         # A body that streams can't be sent a second time.
-        if action.pending_at is None or self._outgoing.rest is not None:
+        if action.pending_at is None or self._outgoing.remaining_body is not None:
             return forwarder.forward(self._outgoing, action.deadline, action.fresh_connection)
         begun = forwarder.begin(self._outgoing, action.deadline, action.fresh_connection)
         if not isinstance(begun, Exchange):
--- a/toucanpin/daemon/bundle_apps.py
+++ b/toucanpin/daemon/bundle_apps.py
@@ -51,10 +51,10 @@
     "make_bundle_apps",
 ]
 
-MAX_BODY = 1_048_576
-MAX_HISTORY = 100
-DEFAULT_HISTORY = 20
-RETRY_SECONDS = 5.0
+MAX_BODY_BYTES = 1_048_576
+MAX_HISTORY_VERSIONS = 100
+DEFAULT_HISTORY_VERSIONS = 20
+RETRY_AFTER_S = 5.0
 
 _log = logbook.Logger("submission")
 
@@ -124,15 +124,15 @@
     events: EventSink | None = None,
 ) -> dict[str, WsgiApp]:
     """Build the applications by path."""
-    desk = _Desk(bundles, gossip, table, root, events)
+    apps = _BundleApps(bundles, gossip, table, root, events)
     return {
-        "/v1/bundle": desk.serve_bundle,
-        "/v1/bundle/history": desk.serve_history,
-        "/v1/bundle/force": desk.serve_force,
+        "/v1/bundle": apps.serve_bundle,
+        "/v1/bundle/history": apps.serve_history,
+        "/v1/bundle/force": apps.serve_force,
     }
 
 
-class _Desk:
+class _BundleApps:
     """Serve operators' requests on bundles."""
 
     def __init__(
@@ -161,9 +161,9 @@
     def serve_history(self, environ: dict[str, Any], start: StartResponse) -> Iterable[bytes]:
         """List the newest accepted versions."""
         query = urllib.parse.parse_qs(environ.get("QUERY_STRING", ""))
-        text = query.get("limit", [str(DEFAULT_HISTORY)])[0]
-        if not text.isdecimal() or not 1 <= int(text) <= MAX_HISTORY:
-            return _refuse(start, f"limit is {text!r}; allowed: 1 to {MAX_HISTORY}")
+        text = query.get("limit", [str(DEFAULT_HISTORY_VERSIONS)])[0]
+        if not text.isdecimal() or not 1 <= int(text) <= MAX_HISTORY_VERSIONS:
+            return _refuse(start, f"limit is {text!r}; allowed: 1 to {MAX_HISTORY_VERSIONS}")
         return answer_json(start, History(tuple(self._list_versions(int(text)))))
 
     def serve_force(self, environ: dict[str, Any], start: StartResponse) -> Iterable[bytes]:
@@ -182,20 +182,22 @@
         for version in range(newest, max(0, newest - limit), -1):
             match self._table.read(make_version_key(version)):
                 case Result(tag="ok", ok=Row(value=value)):
-                    yield from _to_entry(value)
+                    yield from _decode_entry(value)
 
     def _submit(self, environ: dict[str, Any], start: StartResponse) -> Iterable[bytes]:
         length = environ.get("CONTENT_LENGTH") or ""
-        if not length.isdecimal() or int(length) > MAX_BODY:
-            return _refuse(start, f"a body of 1 to {MAX_BODY} bytes with its length is needed")
+        if not length.isdecimal() or int(length) > MAX_BODY_BYTES:
+            return _refuse(
+                start, f"a body of 1 to {MAX_BODY_BYTES} bytes with its length is needed"
+            )
         try:
             body = environ["wsgi.input"].read(int(length))
             request = msgspec.json.decode(body, type=SubmitRequest)
         except (msgspec.MsgspecError, UnicodeDecodeError) as error:
             return _refuse(start, f"not a submission: {error}")
-        operator = _name_operator(environ, request.signed)
+        operator = _identify_operator(environ, request.signed)
         outcome = self._accept(request, operator)
-        self._note(outcome, operator)
+        self._record_outcome(outcome, operator)
         return _answer(start, outcome)
 
     def _accept(self, request: SubmitRequest, operator: str) -> Outcome:
@@ -216,7 +218,7 @@
                 case Pause(seconds):
                     answer = threading.Event().wait(seconds)
 
-    def _note(self, outcome: Outcome, operator: str) -> None:
+    def _record_outcome(self, outcome: Outcome, operator: str) -> None:
         kind = type(outcome).__name__.lower()
         _log.notice("bundle submitted by {}: {}", operator, kind)
         match outcome:
@@ -253,12 +255,12 @@
             answer = _answer_conflict(winner, difference)
         case NotAccepted(detail):
             status = 503
-            headers["Retry-After"] = str(int(RETRY_SECONDS))
+            headers["Retry-After"] = str(int(RETRY_AFTER_S))
             reason = Reason.STORE_UNAVAILABLE.value
             answer = SubmitAnswer("unavailable", not_run, reason, detail=(detail,))
         case Uncertain(detail):
             status = 503
-            headers["Retry-After"] = str(int(RETRY_SECONDS))
+            headers["Retry-After"] = str(int(RETRY_AFTER_S))
             reason = Reason.STORE_UNCERTAIN.value
             answer = SubmitAnswer("uncertain", may_have_run, reason, detail=(detail,))
     headers |= {"Toucanpin-Verdict": answer.verdict}
@@ -282,12 +284,12 @@
     )
 
 
-def _name_operator(environ: dict[str, Any], signed: SignedBundle) -> str:
+def _identify_operator(environ: dict[str, Any], signed: SignedBundle) -> str:
     identity = environ.get("toucanpin.operator") or ""
     return identity or " and ".join(signature.key for signature in signed.signatures)
 
 
-def _to_entry(value: bytes) -> Iterable[VersionEntry]:
+def _decode_entry(value: bytes) -> Iterable[VersionEntry]:
     match decode_record(value):
         case Result(tag="ok", ok=record):
             yield VersionEntry(record.version, record.digest, record.operator, record.accepted_at)
--- a/toucanpin/daemon/caller_answer.py
+++ b/toucanpin/daemon/caller_answer.py
@@ -21,13 +21,13 @@
 
 __all__ = ["write_refusal", "write_response"]
 
-WRITE_SECONDS = 10.0
+WRITE_TIMEOUT_S = 10.0
 NO_BODY_STATUSES = frozenset({204, 304})
 STATUS_LINES = {
     reason: f"{status} {http.HTTPStatus(status).phrase}"
     for reason, status in STATUS_OF_REASON.items()
 }
-TOO_LONG_FOR_OLD_CALLER = Refusal(
+UNKNOWN_LENGTH = Refusal(
     Verdict.MAY_HAVE_RUN,
     Reason.UPSTREAM_BROKE,
     "the answer's length is not known beforehand, which HTTP/1.0 can't carry safely",
@@ -52,15 +52,15 @@
 def write_response(req: Any, response: Response, closing: bool) -> bool:
     """Write an instance's answer; return False if it was cut."""
     if response.remaining_body is None:
-        return _write_head(req, _list_head(req, response, False), response.body, closing)
+        return _write_head(req, _make_head(req, response, False), response.body, closing)
     chunked = not any(name.lower() == "content-length" for name, _ in response.headers)
     if chunked and req.response_protocol != "HTTP/1.1":
         response.remaining_body.close()
-        return write_refusal(req, TOO_LONG_FOR_OLD_CALLER, closing)
+        return write_refusal(req, UNKNOWN_LENGTH, closing)
     return _write_stream(req, response, chunked, closing)
 
 
-def _list_head(req: Any, response: Response, streamed: bool) -> list[str]:
+def _make_head(req: Any, response: Response, streamed: bool) -> list[str]:
     head = [f"HTTP/1.1 {response.status} {response.reason}"]
     bodiless = req.method == b"HEAD" or response.status in NO_BODY_STATUSES
     own_length = not streamed and not bodiless
@@ -84,13 +84,15 @@
 
 
 def _write_stream(req: Any, response: Response, chunked: bool, closing: bool) -> bool:
-    head = _list_head(req, response, True)
+    head = _make_head(req, response, True)
     if chunked:
         head.append("Transfer-Encoding: chunked")
     complete = False
     try:
         first = _frame(response.body, chunked)
-        complete = _write_head(req, head, first, closing) and _write_rest(req, response, chunked)
+        complete = _write_head(req, head, first, closing) and _write_remaining_body(
+            req, response, chunked
+        )
     finally:
         response.remaining_body.close()
         if not complete:
@@ -98,7 +100,7 @@
     return complete
 
 
-def _write_rest(req: Any, response: Response, chunked: bool) -> bool:
+def _write_remaining_body(req: Any, response: Response, chunked: bool) -> bool:
     try:
         for piece in response.remaining_body:
             if not _write(req, _frame(piece, chunked)):
@@ -114,7 +116,7 @@
 
 
 def _write(req: Any, data: bytes) -> bool:
-    req.conn.socket.deadline = time.monotonic() + WRITE_SECONDS
+    req.conn.socket.deadline = time.monotonic() + WRITE_TIMEOUT_S
     try:
         req.conn.wfile.write(data)
     except OSError:
--- a/toucanpin/daemon/caller_input.py
+++ b/toucanpin/daemon/caller_input.py
@@ -12,15 +12,15 @@
 import re
 from typing import Any
 
-__all__ = ["BodyTooLargeError", "CallerGoneError", "ChunkedBody", "read_headers"]
+__all__ = ["BodyTooLargeError", "InvalidBodyError", "ChunkedBody", "read_headers"]
 
 MAX_HEADERS = 100
-MAX_CHUNK_LINE = 32
-NAME = re.compile(rb"[!#$%&'*+.^`|~0-9A-Za-z-]+")
-VALUE = re.compile(rb"[\t\x20-\x7e\x80-\xff]*")
-DIGITS = re.compile(rb"[0-9]{1,15}")
-CHUNK_SIZE = re.compile(rb"[0-9A-Fa-f]{1,8}")
-SINGLE = frozenset(
+MAX_CHUNK_LINE_BYTES = 32
+HEADER_NAME_PATTERN = re.compile(rb"[!#$%&'*+.^`|~0-9A-Za-z-]+")
+HEADER_VALUE_PATTERN = re.compile(rb"[\t\x20-\x7e\x80-\xff]*")
+LENGTH_PATTERN = re.compile(rb"[0-9]{1,15}")
+CHUNK_SIZE_PATTERN = re.compile(rb"[0-9A-Fa-f]{1,8}")
+SINGLE_HEADERS = frozenset(
     {
         b"Authorization",
         b"Content-Length",
@@ -30,14 +30,14 @@
         b"Transfer-Encoding",
     }
 )
-OWN_PREFIX = b"Toucanpin-"
+OWN_HEADER_PREFIX = b"Toucanpin-"
 
 
 class BodyTooLargeError(Exception):
     """Report a body above its limit."""
 
 
-class CallerGoneError(Exception):
+class InvalidBodyError(Exception):
     """Report a caller that closed or broke the framing in the middle of its body."""
 
 
@@ -50,13 +50,13 @@
         if count > MAX_HEADERS:
             raise ValueError(f"more than {MAX_HEADERS} header lines")
         name, value = _split_line(line)
-        known = headers.get(name)
-        if known is None:
+        previous = headers.get(name)
+        if previous is None:
             headers[name] = value
-        elif name in SINGLE or name.startswith(OWN_PREFIX):
+        elif name in SINGLE_HEADERS or name.startswith(OWN_HEADER_PREFIX):
             raise ValueError(f"{name.decode()} is given twice")
         else:
-            headers[name] = known + (b"; " if name == b"Cookie" else b", ") + value
+            headers[name] = previous + (b"; " if name == b"Cookie" else b", ") + value
     _check_framing(headers, protocol, method)
     return headers
 
@@ -67,10 +67,10 @@
     if line[:1] in (b" ", b"\t"):
         raise ValueError("folded header lines are not accepted")
     name, colon, value = line[:-2].partition(b":")
-    if not colon or NAME.fullmatch(name) is None:
+    if not colon or HEADER_NAME_PATTERN.fullmatch(name) is None:
         raise ValueError("a header name has characters that are not accepted")
     value = value.strip(b" \t")
-    if VALUE.fullmatch(value) is None:
+    if HEADER_VALUE_PATTERN.fullmatch(value) is None:
         raise ValueError("a header value has control characters")
     return name.title(), value
 
@@ -81,7 +81,7 @@
     modern = protocol == b"HTTP/1.1"
     if modern and b"Host" not in headers:
         raise ValueError("Host is missing")
-    if length is not None and DIGITS.fullmatch(length) is None:
+    if length is not None and LENGTH_PATTERN.fullmatch(length) is None:
         raise ValueError("Content-Length is not a plain number")
     if coding is None:
         return
@@ -99,8 +99,8 @@
     def __init__(self, rfile: Any, limit: int) -> None:
         self._rfile = rfile
         self._limit = limit
-        self._left = 0
-        self._taken = 0
+        self._chunk_left = 0
+        self._total = 0
         self.closed = False
 
     def read(self, size: int | None = None) -> bytes:
@@ -108,16 +108,16 @@
         parts: list[bytes] = []
         wanted = self._limit + 1 if size is None or size < 0 else size
         while wanted > 0 and not self.closed:
-            if self._left == 0 and not self._open_chunk():
+            if self._chunk_left == 0 and not self._read_chunk_size():
                 break
-            data = self._rfile.read(min(wanted, self._left))
+            data = self._rfile.read(min(wanted, self._chunk_left))
             if not data:
-                raise CallerGoneError("the body ended in the middle of a chunk")
+                raise InvalidBodyError("the body ended in the middle of a chunk")
             parts.append(data)
             wanted -= len(data)
-            self._left -= len(data)
-            if self._left == 0:
-                self._expect_line_end()
+            self._chunk_left -= len(data)
+            if self._chunk_left == 0:
+                self._read_line_end()
         return b"".join(parts)
 
     def readline(self, size: int | None = None) -> bytes:
@@ -130,22 +130,22 @@
             line += byte
         return bytes(line)
 
-    def _open_chunk(self) -> bool:
-        line = self._rfile.readline(MAX_CHUNK_LINE)
-        if not line.endswith(b"\r\n") or CHUNK_SIZE.fullmatch(line[:-2]) is None:
-            raise CallerGoneError("a chunk's size line is not a plain number")
-        self._left = int(line, 16)
-        self._taken += self._left
-        if self._taken > self._limit:
+    def _read_chunk_size(self) -> bool:
+        line = self._rfile.readline(MAX_CHUNK_LINE_BYTES)
+        if not line.endswith(b"\r\n") or CHUNK_SIZE_PATTERN.fullmatch(line[:-2]) is None:
+            raise InvalidBodyError("a chunk's size line is not a plain number")
+        self._chunk_left = int(line, 16)
+        self._total += self._chunk_left
+        if self._total > self._limit:
             raise BodyTooLargeError(f"the body is larger than {self._limit} bytes")
-        if self._left == 0:
-            self._expect_line_end()
+        if self._chunk_left == 0:
+            self._read_line_end()
             self.closed = True
             return False
         return True
 
-    def _expect_line_end(self) -> None:
+    def _read_line_end(self) -> None:
         # Trailers are refused with this as well: left unread, they would be taken for the next
         # request of the connection.
         if self._rfile.read(2) != b"\r\n":
-            raise CallerGoneError("a chunk does not end where its size says")
+            raise InvalidBodyError("a chunk does not end where its size says")
--- a/toucanpin/daemon/caller_reader.py
+++ b/toucanpin/daemon/caller_reader.py
@@ -8,12 +8,12 @@
 
 from __future__ import annotations
 
-from toucanpin.daemon.timed_socket import TimedSocket
+from toucanpin.daemon.deadline_socket import DeadlineSocket
 
 __all__ = ["CallerReader"]
 
 HEAD_END = b"\r\n\r\n"
-PIECE = 16_384
+RECEIVE_BYTES = 16_384
 
 
 class CallerReader:
@@ -21,7 +21,7 @@
 
     __slots__ = ("_sock", "_buffer", "_start", "ended", "closed", "bytes_read")
 
-    def __init__(self, sock: TimedSocket) -> None:
+    def __init__(self, sock: DeadlineSocket) -> None:
         self._sock = sock
         self._buffer = b""
         self._start = 0
@@ -33,13 +33,13 @@
         """Say whether anything is buffered."""
         return self._start < len(self._buffer)
 
-    def collect_head(self, limit: int) -> bool:
+    def receive_head(self, limit: int) -> bool:
         """Take in what has arrived; say whether a whole head, too much or the end is there."""
         if self._has_head(limit):
             return True
         try:
             self._sock.settimeout(0)
-            piece = self._sock.recv(PIECE)
+            piece = self._sock.recv(RECEIVE_BYTES)
         except BlockingIOError:
             return False
         except OSError:
@@ -86,13 +86,13 @@
         self._buffer, self._start = b"", 0
 
     def _has_head(self, limit: int) -> bool:
-        waiting = len(self._buffer) - self._start
-        return waiting > limit or (waiting > 0 and self._buffer.find(HEAD_END, self._start) >= 0)
+        buffered = len(self._buffer) - self._start
+        return buffered > limit or (buffered > 0 and self._buffer.find(HEAD_END, self._start) >= 0)
 
     def _fill(self) -> bool:
         if self.ended:
             return False
-        self._append(self._sock.receive(PIECE))
+        self._append(self._sock.receive(RECEIVE_BYTES))
         return not self.ended
 
     def _append(self, piece: bytes) -> None:
--- a/toucanpin/daemon/caller_request.py
+++ b/toucanpin/daemon/caller_request.py
@@ -15,37 +15,45 @@
 import msgspec
 
 from toucanpin.bundles.schema import Service
-from toucanpin.daemon.caller_input import BodyTooLargeError, CallerGoneError
+from toucanpin.daemon.caller_input import BodyTooLargeError, InvalidBodyError
 from toucanpin.daemon.forwarder import (
-    PIECE_BYTES,
-    WHOLE_BYTES,
+    MAX_BUFFERED_BYTES,
+    READ_SIZE_BYTES,
     CallerFaultError,
-    Outgoing,
+    OutgoingRequest,
 )
 from toucanpin.daemon.upstream_answer import HOP_BY_HOP
 from toucanpin.requests.messages import Request
 from toucanpin.verdict import Reason, Refusal, Verdict
 
-__all__ = ["SERVICES_PREFIX", "Incoming", "refuse", "split_target", "take_request"]
+__all__ = [
+    "SERVICES_PREFIX",
+    "IncomingRequest",
+    "make_caller_fault",
+    "read_request",
+    "split_target",
+]
 
 SERVICES_PREFIX = b"/v1/services/"
 IDEMPOTENT_METHODS = frozenset({b"GET", b"HEAD", b"PUT", b"DELETE", b"OPTIONS"})
-METHOD = re.compile(rb"[A-Z]{1,20}")
-REQUEST_ID = re.compile(rb"[!-~]{1,128}")
-MILLISECONDS = re.compile(rb"[0-9]{1,9}")
-OWN_HEADERS = frozenset({b"Toucanpin-Deadline-Ms", b"Content-Length", b"Expect"})
-DROPPED = frozenset(name.title().encode() for name in HOP_BY_HOP) | OWN_HEADERS
+METHOD_PATTERN = re.compile(rb"[A-Z]{1,20}")
+REQUEST_ID_PATTERN = re.compile(rb"[!-~]{1,128}")
+MILLISECONDS_PATTERN = re.compile(rb"[0-9]{1,9}")
+REPLACED_HEADERS = frozenset({b"Toucanpin-Deadline-Ms", b"Content-Length", b"Expect"})
+DROPPED_HEADERS = frozenset(name.title().encode() for name in HOP_BY_HOP) | REPLACED_HEADERS
 
 
-class Incoming(msgspec.Struct):
+class IncomingRequest(msgspec.Struct):
     """Hold one request for a service; ``rest_begun`` once its body can't be sent again."""
 
     request: Request
-    outgoing: Outgoing
-    rest_begun: bool = False
+    outgoing: OutgoingRequest
+    body_consumed: bool = False
 
 
-def refuse(reason: Reason, detail: str, verdict: Verdict = Verdict.NOT_RUN) -> CallerFaultError:
+def make_caller_fault(
+    reason: Reason, detail: str, verdict: Verdict = Verdict.NOT_RUN
+) -> CallerFaultError:
     """Make the error of a request that is at fault itself."""
     return CallerFaultError(Refusal(verdict, reason, detail))
 
@@ -59,44 +67,48 @@
     return name.decode("ascii"), "/" + path.decode("ascii")
 
 
-def take_request(req: Any, service: Service, target: str, arrived: float) -> Incoming:
+def read_request(req: Any, service: Service, target: str, arrived: float) -> IncomingRequest:
     """Read the head and the first part of the body; raise CallerFaultError if at fault."""
     headers: dict[bytes, bytes] = req.inheaders
-    if METHOD.fullmatch(req.method) is None:
-        raise refuse(Reason.BAD_REQUEST, "the method is not accepted")
+    if METHOD_PATTERN.fullmatch(req.method) is None:
+        raise make_caller_fault(Reason.BAD_REQUEST, "the method is not accepted")
     request = Request(
         service.name,
-        _name_caller(req, headers),
+        _identify_caller(req, headers),
         _read_request_id(headers),
         _is_idempotent(req.method, headers),
         arrived,
-        arrived + _read_limit(headers, service) / 1_000,
+        arrived + _read_time_limit_ms(headers, service) / 1_000,
     )
     length = int(headers.get(b"Content-Length", 0))
     if length > service.max_body:
-        raise refuse(Reason.TOO_LARGE, f"the body is larger than {service.max_body} bytes")
+        raise make_caller_fault(
+            Reason.TOO_LARGE, f"the body is larger than {service.max_body} bytes"
+        )
     body = b""
     ended = True
     if length or req.chunked_read:
         req.conn.socket.deadline = request.deadline
-        body, ended = _read_first(req, length, service.max_body)
-    framing = _frame_headers(headers, body, ended, length)
-    outgoing = Outgoing(
+        body, ended = _read_first_part(req, length, service.max_body)
+    framing = _make_framing_headers(headers, body, ended, length)
+    outgoing = OutgoingRequest(
         req.method.decode("ascii"),
         target,
-        _take_headers(headers) + framing,
+        _select_headers(headers) + framing,
         body,
         None,
         not ended and not length,
     )
-    incoming = Incoming(request, outgoing)
+    incoming = IncomingRequest(request, outgoing)
     if not ended:
-        rest = _Rest(req, incoming, length - len(body), service.max_body - len(body))
-        incoming.outgoing = msgspec.structs.replace(outgoing, rest=rest)
+        remaining_body = _RemainingBody(
+            req, incoming, length - len(body), service.max_body - len(body)
+        )
+        incoming.outgoing = msgspec.structs.replace(outgoing, remaining_body=remaining_body)
     return incoming
 
 
-def _name_caller(req: Any, headers: dict[bytes, bytes]) -> str:
+def _identify_caller(req: Any, headers: dict[bytes, bytes]) -> str:
     named = headers.get(b"Toucanpin-Caller") or headers.get(b"X-Forwarded-For")
     return named.decode("latin-1") if named else str(req.conn.remote_addr)
 
@@ -105,8 +117,8 @@
     value = headers.get(b"Toucanpin-Request-Id")
     if value is None:
         return ""
-    if REQUEST_ID.fullmatch(value) is None:
-        raise refuse(
+    if REQUEST_ID_PATTERN.fullmatch(value) is None:
+        raise make_caller_fault(
             Reason.BAD_REQUEST, "Toucanpin-Request-Id must be 1 to 128 visible ASCII characters"
         )
     return value.decode("ascii")
@@ -117,41 +129,43 @@
     if mark is None:
         return method in IDEMPOTENT_METHODS
     if mark not in (b"true", b"false"):
-        raise refuse(Reason.BAD_REQUEST, "Toucanpin-Idempotent must be true or false")
+        raise make_caller_fault(Reason.BAD_REQUEST, "Toucanpin-Idempotent must be true or false")
     return mark == b"true"
 
 
-def _read_limit(headers: dict[bytes, bytes], service: Service) -> int:
+def _read_time_limit_ms(headers: dict[bytes, bytes], service: Service) -> int:
     value = headers.get(b"Toucanpin-Deadline-Ms")
     if value is None:
         return service.deadline_ms
-    if MILLISECONDS.fullmatch(value) is None:
-        raise refuse(
+    if MILLISECONDS_PATTERN.fullmatch(value) is None:
+        raise make_caller_fault(
             Reason.BAD_REQUEST, "Toucanpin-Deadline-Ms must be a whole number of milliseconds"
         )
     return min(int(value), service.deadline_ms)
 
 
-def _read_first(req: Any, length: int, limit: int) -> tuple[bytes, bool]:
+def _read_first_part(req: Any, length: int, limit: int) -> tuple[bytes, bool]:
     """Read the first part of a body; return it and whether it is the whole body."""
     try:
-        body = req.rfile.read(WHOLE_BYTES if not length else min(length, WHOLE_BYTES))
+        body = req.rfile.read(MAX_BUFFERED_BYTES if not length else min(length, MAX_BUFFERED_BYTES))
     except BodyTooLargeError as error:
-        raise refuse(Reason.TOO_LARGE, str(error)) from error
-    except CallerGoneError as error:
-        raise refuse(Reason.BAD_REQUEST, str(error)) from error
+        raise make_caller_fault(Reason.TOO_LARGE, str(error)) from error
+    except InvalidBodyError as error:
+        raise make_caller_fault(Reason.BAD_REQUEST, str(error)) from error
     except TimeoutError as error:
-        raise refuse(Reason.BAD_REQUEST, "the body did not arrive in time") from error
+        raise make_caller_fault(Reason.BAD_REQUEST, "the body did not arrive in time") from error
     if len(body) > limit:
-        raise refuse(Reason.TOO_LARGE, f"the body is larger than {limit} bytes")
+        raise make_caller_fault(Reason.TOO_LARGE, f"the body is larger than {limit} bytes")
     if length:
-        if len(body) < min(length, WHOLE_BYTES):
-            raise refuse(Reason.BAD_REQUEST, "the body is shorter than its Content-Length")
+        if len(body) < min(length, MAX_BUFFERED_BYTES):
+            raise make_caller_fault(
+                Reason.BAD_REQUEST, "the body is shorter than its Content-Length"
+            )
         return body, len(body) == length
     return body, bool(req.rfile.closed)
 
 
-def _frame_headers(
+def _make_framing_headers(
     headers: dict[bytes, bytes], body: bytes, ended: bool, length: int
 ) -> tuple[tuple[str, str], ...]:
     if not ended and not length:
@@ -161,11 +175,11 @@
     return ()
 
 
-def _take_headers(headers: dict[bytes, bytes]) -> tuple[tuple[str, str], ...]:
+def _select_headers(headers: dict[bytes, bytes]) -> tuple[tuple[str, str], ...]:
     connection = headers.get(b"Connection")
-    dropped = DROPPED
+    dropped = DROPPED_HEADERS
     if connection is not None:
-        dropped = DROPPED | {name.strip().title() for name in connection.split(b",")}
+        dropped = DROPPED_HEADERS | {name.strip().title() for name in connection.split(b",")}
     return tuple(
         (name.decode("ascii"), value.decode("latin-1"))
         for name, value in headers.items()
@@ -173,45 +187,47 @@
     )
 
 
-class _Rest:
+class _RemainingBody:
     """Read the part of a body that follows its first, once."""
 
-    __slots__ = ("_req", "_incoming", "_left", "_allowed")
+    __slots__ = ("_req", "_incoming", "_left", "_bytes_allowed")
 
-    def __init__(self, req: Any, incoming: Incoming, left: int, allowed: int) -> None:
+    def __init__(self, req: Any, incoming: IncomingRequest, left: int, bytes_allowed: int) -> None:
         self._req = req
         self._incoming = incoming
         self._left = left
-        self._allowed = allowed
+        self._bytes_allowed = bytes_allowed
 
     def __call__(self) -> Iterator[bytes]:
         """Yield the pieces; raise CallerFaultError if the caller breaks off."""
-        self._incoming.rest_begun = True
+        self._incoming.body_consumed = True
         known = self._left > 0
         while not known or self._left > 0:
             piece = self._read(known)
             if not piece:
                 break
             self._left -= len(piece)
-            self._allowed -= len(piece)
-            if self._allowed < 0:
-                raise self._blame(Reason.TOO_LARGE, "the body is too large")
+            self._bytes_allowed -= len(piece)
+            if self._bytes_allowed < 0:
+                raise self._make_fault(Reason.TOO_LARGE, "the body is too large")
             yield piece
         if known and self._left > 0:
-            raise self._blame(Reason.BAD_REQUEST, "the body is shorter than its Content-Length")
+            raise self._make_fault(
+                Reason.BAD_REQUEST, "the body is shorter than its Content-Length"
+            )
 
     def _read(self, known: bool) -> bytes:
         self._req.conn.socket.deadline = self._incoming.request.deadline
-        size = min(self._left, PIECE_BYTES) if known else PIECE_BYTES
+        size = min(self._left, READ_SIZE_BYTES) if known else READ_SIZE_BYTES
         try:
             return self._req.rfile.read(size)
         except BodyTooLargeError as error:
-            raise self._blame(Reason.TOO_LARGE, str(error)) from error
+            raise self._make_fault(Reason.TOO_LARGE, str(error)) from error
         except TimeoutError as error:
-            raise self._blame(Reason.BAD_REQUEST, "the body did not arrive in time") from error
-        except (CallerGoneError, OSError) as error:
-            raise self._blame(Reason.BAD_REQUEST, str(error)) from error
+            raise self._make_fault(Reason.BAD_REQUEST, "the body did not arrive in time") from error
+        except (InvalidBodyError, OSError) as error:
+            raise self._make_fault(Reason.BAD_REQUEST, str(error)) from error
 
     @staticmethod
-    def _blame(reason: Reason, detail: str) -> CallerFaultError:
-        return refuse(reason, detail, Verdict.MAY_HAVE_RUN)
+    def _make_fault(reason: Reason, detail: str) -> CallerFaultError:
+        return make_caller_fault(reason, detail, Verdict.MAY_HAVE_RUN)
--- a/toucanpin/daemon/caller_server.py
+++ b/toucanpin/daemon/caller_server.py
@@ -25,21 +25,21 @@
 
 from toucanpin.daemon.caller_input import ChunkedBody, read_headers
 from toucanpin.daemon.caller_reader import CallerReader
-from toucanpin.daemon.timed_socket import time_socket
+from toucanpin.daemon.deadline_socket import wrap_socket
 from toucanpin.verdict import Reason, Refusal, Verdict
 
 __all__ = ["CallerRequest", "CallerServer", "encode_refusal"]
 
-HEAD_SECONDS = 5.0
-BODY_SECONDS = 30.0
-IDLE_SECONDS = 30
-PARK_INTERVAL = 0.02
-EXPIRY_SECONDS = 0.1
-MAX_PARKED = 2_000
-MAX_IDLE_CALLERS = 2_000
-LEFTOVER_BYTES = 1 << 16
-TARGET = re.compile(rb"[!-~]+")
-REASONS = {
+HEAD_TIMEOUT_S = 5.0
+BODY_TIMEOUT_S = 30.0
+IDLE_TIMEOUT_S = 30
+PARKED_CHECK_PERIOD_S = 0.02
+EXPIRATION_PERIOD_S = 0.1
+MAX_PARKED_CONNECTIONS = 2_000
+MAX_IDLE_CONNECTIONS = 2_000
+MAX_UNREAD_BYTES = 1 << 16
+TARGET_PATTERN = re.compile(rb"[!-~]+")
+REASON_OF_STATUS = {
     400: Reason.BAD_REQUEST,
     408: Reason.DEADLINE,
     413: Reason.TOO_LARGE,
@@ -72,7 +72,7 @@
 
     def read_request_headers(self) -> bool:
         """Read the header block, refuse what is ambiguous, then let cheroot apply it."""
-        if TARGET.fullmatch(self.uri) is None:
+        if TARGET_PATTERN.fullmatch(self.uri) is None:
             self.simple_response("400 Bad Request", "the target has characters not accepted")
             return False
         self.header_reader = self._read_strictly
@@ -84,9 +84,9 @@
 
     def parse_request(self) -> None:
         """Parse within the time for a head, then allow the time for a body."""
-        self.conn.socket.deadline = time.monotonic() + HEAD_SECONDS
+        self.conn.socket.deadline = time.monotonic() + HEAD_TIMEOUT_S
         super().parse_request()
-        self.conn.socket.deadline = time.monotonic() + BODY_SECONDS
+        self.conn.socket.deadline = time.monotonic() + BODY_TIMEOUT_S
 
     def respond(self) -> None:
         """Call the gateway; close the connection unless the whole body was read."""
@@ -115,7 +115,7 @@
         """Refuse a malformed request as not run and close its connection."""
         self.close_connection = True
         code = int(str(status)[:3])
-        reason = REASONS.get(code, Reason.BAD_REQUEST)
+        reason = REASON_OF_STATUS.get(code, Reason.BAD_REQUEST)
         detail = msg or str(status)[4:]
         verdict = Verdict.MAY_HAVE_RUN if code >= 500 else Verdict.NOT_RUN
         body = encode_refusal(Refusal(verdict, reason, detail))
@@ -136,15 +136,15 @@
     rfile: Any
 
     def __init__(self, owner: Any, sock: socket.socket, makefile: Any = MakeFile) -> None:
-        timed = time_socket(sock, time.monotonic() + HEAD_SECONDS)
+        timed = wrap_socket(sock, time.monotonic() + HEAD_TIMEOUT_S)
         super().__init__(owner, timed, makefile)
         self.rfile = CallerReader(timed)
         self.parked_since: float | None = None
-        self.touched = False
+        self.deferred = False
 
-    def head_is_there(self, limit: int) -> bool:
+    def has_head(self, limit: int) -> bool:
         """Say whether a thread can read a whole head, or its failure, without waiting."""
-        return self.rfile.collect_head(limit)
+        return self.rfile.receive_head(limit)
 
     def close(self) -> None:
         """Close, after reading what the caller sent meanwhile."""
@@ -153,7 +153,7 @@
         with contextlib.suppress(OSError):
             self.socket.shutdown(socket.SHUT_WR)
             self.socket.settimeout(0)
-            self.socket.recv(LEFTOVER_BYTES)
+            self.socket.recv(MAX_UNREAD_BYTES)
         super().close()
 
 
@@ -176,75 +176,77 @@
             wsgi_app=None,
             numthreads=threads,
             request_queue_size=1024,
-            timeout=IDLE_SECONDS,
+            timeout=IDLE_TIMEOUT_S,
             shutdown_timeout=math.ceil(grace),
         )
         self.gateway = gateway
-        self.expiration_interval = EXPIRY_SECONDS
+        self.expiration_interval = EXPIRATION_PERIOD_S
         self.max_request_header_size = max_header
         self.max_request_body_size = max_body
-        self.keep_alive_conn_limit = MAX_IDLE_CALLERS
+        self.keep_alive_conn_limit = MAX_IDLE_CONNECTIONS
         self._parked: collections.deque[CallerConnection] = collections.deque()
-        self._parker = threading.Thread(target=self._check_parked, name="parked", daemon=True)
+        self._parked_thread = threading.Thread(
+            target=self._check_parked, name="parked", daemon=True
+        )
         self._closing = threading.Event()
-        self._occupied = threading.Event()
+        self._has_parked = threading.Event()
 
     def prepare(self) -> None:
         """Bind, listen and start the threads."""
         super().prepare()
-        self._parker.start()
+        self._parked_thread.start()
 
     def stop(self) -> None:
         """Stop accepting, finish what is in flight and close."""
         self._closing.set()
-        self._occupied.set()
+        self._has_parked.set()
         super().stop()
         while self._parked:
             self._parked.popleft().close()
 
     def process_conn(self, conn: Any) -> None:
         """Queue a connection for a thread, or park it until its head is whole."""
-        if conn.head_is_there(self.max_request_header_size):
+        if conn.has_head(self.max_request_header_size):
             super().process_conn(conn)
             return
-        if not conn.touched:
-            conn.touched = True
+        if not conn.deferred:
+            conn.deferred = True
             self.put_conn(conn)
             return
         conn.parked_since = time.monotonic()
         self._parked.append(conn)
-        self._occupied.set()
-        if len(self._parked) > MAX_PARKED:
-            self._refuse_slow(self._parked.popleft())
+        self._has_parked.set()
+        if len(self._parked) > MAX_PARKED_CONNECTIONS:
+            self._refuse_timed_out(self._parked.popleft())
 
     def _check_parked(self) -> None:
         # A thread that read a trickling head itself would be lost to other callers for as long;
         # a few hundred such callers would take them all.
-        while not self._closing.wait(PARK_INTERVAL):
+        while not self._closing.wait(PARKED_CHECK_PERIOD_S):
             if not self._parked:
-                self._rest()
+                self._wait_for_parked()
             for _ in range(len(self._parked)):
                 try:
                     conn = self._parked.popleft()
                 except IndexError:
                     break
-                if conn.head_is_there(self.max_request_header_size):
+                if conn.has_head(self.max_request_header_size):
                     super().process_conn(conn)
-                elif time.monotonic() - (conn.parked_since or 0.0) > HEAD_SECONDS:
-                    self._refuse_slow(conn)
+                elif time.monotonic() - (conn.parked_since or 0.0) > HEAD_TIMEOUT_S:
+                    self._refuse_timed_out(conn)
                 else:
                     self._parked.append(conn)
 
-    def _rest(self) -> None:
+    def _wait_for_parked(self) -> None:
         """Wait until a connection is parked."""
-        self._occupied.clear()
+        self._has_parked.clear()
         # One that was parked just before the flag was cleared is seen here, later ones set it.
         if not self._parked and not self._closing.is_set():
-            self._occupied.wait()
+            self._has_parked.wait()
 
-    def _refuse_slow(self, conn: CallerConnection) -> None:
+    def _refuse_timed_out(self, conn: CallerConnection) -> None:
         request = CallerRequest(self, conn)
-        conn.socket.deadline = time.monotonic() + PARK_INTERVAL
+        conn.socket.deadline = time.monotonic() + PARKED_CHECK_PERIOD_S
         request.simple_response("408 Request Timeout", "the request's head took too long")
         conn.close()
 
--- a/toucanpin/daemon/claimer.py
+++ b/toucanpin/daemon/claimer.py
@@ -31,9 +31,9 @@
 
 __all__ = ["Claimer"]
 
-COME_BACK_SECONDS = 2.0
-JOIN_SECONDS = 2.0
-MAX_RELEASES = 64
+RETRY_AFTER_S = 2.0
+JOIN_TIMEOUT_S = 2.0
+MAX_BATCH_RELEASES = 64
 
 log = logbook.Logger("toucanpin.claims")
 
@@ -41,13 +41,13 @@
 class _Waiter:
     """Let one request wait for its claim."""
 
-    __slots__ = ("claim", "done", "outcome", "given_up")
+    __slots__ = ("claim", "done", "outcome", "timed_out")
 
     def __init__(self, claim: PendingClaim) -> None:
         self.claim = claim
         self.done = threading.Event()
         self.outcome: ClaimOutcome | None = None
-        self.given_up = False
+        self.timed_out = False
 
 
 class Claimer:
@@ -70,7 +70,7 @@
         self._table = table
         # Equal tokens would let two processes both believe that a row is theirs; a random part
         # keeps them apart even if names and incarnations are set up wrongly.
-        self._process = f"{process}:{secrets.token_hex(8)}"
+        self._token_prefix = f"{process}:{secrets.token_hex(8)}"
         self._clock = clock
         self._changed = threading.Condition()
         self._waiters: collections.deque[_Waiter] = collections.deque()
@@ -88,7 +88,7 @@
         with self._changed:
             self._stopping = True
             self._changed.notify()
-        self._thread.join(JOIN_SECONDS)
+        self._thread.join(JOIN_TIMEOUT_S)
 
     def claim(self, request_id: str, deadline: float) -> Claimed | NotClaimed:
         """Insert the claim of a request id, waiting until the deadline at the longest."""
@@ -99,7 +99,7 @@
             self._changed.notify()
         waiter.done.wait(max(0.0, deadline - self._clock()))
         with self._changed:
-            waiter.given_up = waiter.outcome is None
+            waiter.timed_out = waiter.outcome is None
         now = self._clock()
         match waiter.outcome:
             case HeldClaim() as held:
@@ -108,7 +108,7 @@
                 return NotClaimed(now, refusal)
         detail = "the store did not answer in time"
         refusal = Refusal(
-            Verdict.NOT_RUN, Reason.STORE_UNCERTAIN, detail, retry_after=COME_BACK_SECONDS
+            Verdict.NOT_RUN, Reason.STORE_UNCERTAIN, detail, retry_after=RETRY_AFTER_S
         )
         return NotClaimed(now, refusal)
 
@@ -120,7 +120,7 @@
 
     def _make_token(self) -> str:
         self._count += 1
-        return f"{self._process}:{self._count}"
+        return f"{self._token_prefix}:{self._count}"
 
     def _next_token(self) -> str:
         with self._changed:
@@ -135,11 +135,12 @@
                     return
                 batch = self._take_batch()
                 releases = [
-                    self._releases.popleft() for _ in range(min(MAX_RELEASES, len(self._releases)))
+                    self._releases.popleft()
+                    for _ in range(min(MAX_BATCH_RELEASES, len(self._releases)))
                 ]
             try:
                 if batch:
-                    self._settle(batch)
+                    self._insert(batch)
                 if releases:
                     self._delete(releases)
             except Exception:
@@ -147,20 +148,20 @@
                 self._fail(batch)
 
     def _take_batch(self) -> list[_Waiter]:
-        waiting = [waiter for waiter in self._waiters if not waiter.given_up]
+        waiting = [waiter for waiter in self._waiters if not waiter.timed_out]
         chosen, _ = gather_batch(tuple(waiter.claim for waiter in waiting))
         tokens = {claim.token for claim in chosen}
         self._waiters = collections.deque(w for w in waiting if w.claim.token not in tokens)
         return [waiter for waiter in waiting if waiter.claim.token in tokens]
 
-    def _settle(self, batch: list[_Waiter]) -> None:
+    def _insert(self, batch: list[_Waiter]) -> None:
         steps = insert_claims(tuple(waiter.claim for waiter in batch), self._next_token)
         reply: Any = None
         while True:
             try:
                 action = steps.send(reply)
             except StopIteration as end:
-                self._tell(batch, end.value)
+                self._notify(batch, end.value)
                 return
             match action:
                 case Commit(transaction=transaction):
@@ -168,19 +169,19 @@
                 case ReadRow(key=key):
                     reply = self._table.read(key)
 
-    def _tell(self, batch: list[_Waiter], outcomes: dict[bytes, ClaimOutcome]) -> None:
+    def _notify(self, batch: list[_Waiter], outcomes: dict[bytes, ClaimOutcome]) -> None:
         with self._changed:
             for waiter in batch:
                 outcome = outcomes[waiter.claim.token]
                 waiter.outcome = outcome
-                if waiter.given_up and isinstance(outcome, HeldClaim):
+                if waiter.timed_out and isinstance(outcome, HeldClaim):
                     # Its request was answered as not run; the caller may come back with the id.
                     self._releases.append(outcome)
                 waiter.done.set()
 
     def _fail(self, batch: list[_Waiter]) -> None:
         detail = "the claim failed inside this process"
-        refusal = Refusal(Verdict.NOT_RUN, Reason.STORE_UNCERTAIN, detail, COME_BACK_SECONDS)
+        refusal = Refusal(Verdict.NOT_RUN, Reason.STORE_UNCERTAIN, detail, RETRY_AFTER_S)
         with self._changed:
             for waiter in batch:
                 waiter.outcome = waiter.outcome or refusal
--- a/toucanpin/daemon/timed_socket.py
+++ b/toucanpin/daemon/deadline_socket.py
@@ -11,12 +11,12 @@
 import time
 from typing import Any
 
-__all__ = ["TimedSocket", "time_socket"]
+__all__ = ["DeadlineSocket", "wrap_socket"]
 
-FOREVER = float("inf")
+NO_DEADLINE = float("inf")
 
 
-class TimedSocket(socket.socket):
+class DeadlineSocket(socket.socket):
     """
     Limit the sum of all waits by ``deadline`` (monotonic seconds) in place of each wait.
 
@@ -28,8 +28,8 @@
 
     deadline: float
 
-    def _arm(self) -> None:
-        if self.deadline == FOREVER:
+    def _set_timeout(self) -> None:
+        if self.deadline == NO_DEADLINE:
             self.settimeout(None)
             return
         remaining = self.deadline - time.monotonic()
@@ -39,27 +39,27 @@
 
     def recv_into(self, *args: Any, **kwargs: Any) -> int:
         """Receive by the deadline."""
-        self._arm()
+        self._set_timeout()
         return super().recv_into(*args, **kwargs)
 
     def receive(self, size: int) -> bytes:
         """Receive up to ``size`` bytes by the deadline."""
-        self._arm()
+        self._set_timeout()
         return super().recv(size)
 
     def send(self, *args: Any, **kwargs: Any) -> int:
         """Send what fits by the deadline."""
-        self._arm()
+        self._set_timeout()
         return super().send(*args, **kwargs)
 
     def sendall(self, *args: Any, **kwargs: Any) -> None:
         """Send all by the deadline."""
-        self._arm()
+        self._set_timeout()
         super().sendall(*args, **kwargs)
 
 
-def time_socket(sock: socket.socket, deadline: float) -> TimedSocket:
+def wrap_socket(sock: socket.socket, deadline: float) -> DeadlineSocket:
     """Turn a plain socket into one with a deadline; the plain one is used up."""
-    timed = TimedSocket(sock.family, sock.type, sock.proto, fileno=sock.detach())
+    timed = DeadlineSocket(sock.family, sock.type, sock.proto, fileno=sock.detach())
     timed.deadline = deadline
     return timed
--- a/toucanpin/daemon/forwarder.py
+++ b/toucanpin/daemon/forwarder.py
@@ -19,7 +19,7 @@
 from urllib3.connection import HTTPConnection
 from urllib3.exceptions import HTTPError
 
-from toucanpin.daemon.timed_socket import TimedSocket, time_socket
+from toucanpin.daemon.deadline_socket import DeadlineSocket, wrap_socket
 from toucanpin.daemon.upstream_answer import InstanceAnswer
 from toucanpin.requests.messages import (
     CallerFailed,
@@ -31,14 +31,14 @@
 )
 from toucanpin.verdict import Refusal
 
-__all__ = ["CallerFaultError", "Exchange", "Forwarder", "Outgoing", "UpstreamCutError"]
+__all__ = ["CallerFaultError", "Exchange", "Forwarder", "OutgoingRequest", "UpstreamCutError"]
 
-CONNECT_SECONDS = 0.5
-WHOLE_BYTES = 65_536
-PIECE_BYTES = 65_536
-STREAM_IDLE_SECONDS = 10.0
-FRESH_IDLE_SECONDS = 1.0
-MAX_IDLE_SECONDS = 20.0
+CONNECT_TIMEOUT_S = 0.5
+MAX_BUFFERED_BYTES = 65_536
+READ_SIZE_BYTES = 65_536
+STREAM_READ_TIMEOUT_S = 10.0
+MAX_FRESH_IDLE_S = 1.0
+MAX_IDLE_S = 20.0
 LAST_CHUNK = b"0\r\n\r\n"
 ForwardOutcome = Refused | Interrupted | TimedOut | Responded | CallerFailed
 
@@ -55,7 +55,7 @@
     """Report that a streamed answer ended early."""
 
 
-class Outgoing(msgspec.Struct, frozen=True):
+class OutgoingRequest(msgspec.Struct, frozen=True):
     """
     Hold what is sent to an instance.
 
@@ -67,7 +67,7 @@
     target: str
     headers: tuple[tuple[str, str], ...]
     body: bytes
-    rest: Callable[[], Iterator[bytes]] | None = None
+    remaining_body: Callable[[], Iterator[bytes]] | None = None
     chunked: bool = False
 
 
@@ -79,35 +79,35 @@
     used = False
     idle_since = 0.0
     deadline = 0.0
-    wire: TimedSocket
-    head: list[bytes] | None = None
+    deadline_sock: DeadlineSocket
+    buffered_head: list[bytes] | None = None
 
     def _new_conn(self) -> socket.socket:
-        self.wire = time_socket(super()._new_conn(), self.deadline)
-        return self.wire
+        self.deadline_sock = wrap_socket(super()._new_conn(), self.deadline)
+        return self.deadline_sock
 
-    def exchange(self, deadline: float) -> None:
+    def begin_exchange(self, deadline: float) -> None:
         """Begin an exchange that ends by the deadline."""
         self.written = False
-        self.head = []
+        self.buffered_head = []
         self.deadline = deadline
         if self.sock is not None:
-            self.wire.deadline = deadline
+            self.deadline_sock.deadline = deadline
 
     def send(self, data: Any) -> None:
         """Write to the instance; from the first call on the request may run."""
         if self.sock is None:
             # The library would open another connection here, in the middle of a request.
             raise http.client.NotConnected()
-        if self.head is not None:
-            self.head.append(data)
+        if self.buffered_head is not None:
+            self.buffered_head.append(data)
             return
         self.written = True
-        self.wire.sendall(data)
+        self.deadline_sock.sendall(data)
 
     def flush_head(self, body: bytes) -> None:
         """Write the gathered head and the first part of the body together."""
-        head, self.head = self.head or [], None
+        head, self.buffered_head = self.buffered_head or [], None
         self.send(b"".join((*head, body)))
 
     def read_head(self) -> InstanceAnswer:
@@ -127,7 +127,7 @@
     @property
     def socket(self) -> socket.socket:
         """Return the socket that becomes readable when the answer begins, or breaks off."""
-        return self.connection.wire
+        return self.connection.deadline_sock
 
     @property
     def deadline(self) -> float:
@@ -161,26 +161,26 @@
         """Count the connections to the instance, in use and idle."""
         return self._open
 
-    def forward(self, outgoing: Outgoing, deadline: float, fresh: bool) -> ForwardOutcome:
+    def forward(self, outgoing: OutgoingRequest, deadline: float, fresh: bool) -> ForwardOutcome:
         """Make one attempt."""
         begun = self.begin(outgoing, deadline, fresh)
         return self.finish(begun) if isinstance(begun, Exchange) else begun
 
     def begin(
-        self, outgoing: Outgoing, deadline: float, fresh: bool
+        self, outgoing: OutgoingRequest, deadline: float, fresh: bool
     ) -> Exchange | Refused | Interrupted | TimedOut | CallerFailed:
         """Send the request; the exchange that is returned must be finished or cancelled."""
         try:
             connection = self._checkout(deadline, fresh)
         except (OSError, HTTPError) as error:
-            return Refused(self._clock(), f"no connection to the instance: {_name(error)}")
+            return Refused(self._clock(), f"no connection to the instance: {_describe(error)}")
         if connection is None:
             return Refused(self._clock(), "every connection allowed to the instance is in use")
         exchange = Exchange(self, connection, connection.used)
         try:
             self._send(connection, outgoing, deadline)
         except BaseException as error:
-            return self._explain(exchange, error)
+            return self._classify_failure(exchange, error)
         return exchange
 
     def finish(self, exchange: Exchange) -> ForwardOutcome:
@@ -191,13 +191,13 @@
             started = True
             return self._receive(exchange.connection, head)
         except BaseException as error:
-            return self._explain(exchange, error, started)
+            return self._classify_failure(exchange, error, started)
 
     def cancel(self, exchange: Exchange) -> None:
         """Close the connection; the answer that may still come dies with it."""
         self._discard(exchange.connection)
 
-    def _explain(
+    def _classify_failure(
         self, exchange: Exchange, error: BaseException, started: bool = False
     ) -> Refused | Interrupted | TimedOut | CallerFailed:
         """Give up the connection and say how far the attempt came."""
@@ -212,32 +212,34 @@
                 return TimedOut(self._clock())
             case OSError() | HTTPError() | http.client.HTTPException() | ValueError():
                 if not connection.written:
-                    return Refused(self._clock(), f"nothing was sent: {_name(error)}")
+                    return Refused(self._clock(), f"nothing was sent: {_describe(error)}")
                 stale = exchange.reused and not started
-                return Interrupted(self._clock(), f"the instance broke off: {_name(error)}", stale)
+                return Interrupted(
+                    self._clock(), f"the instance broke off: {_describe(error)}", stale
+                )
         raise error
 
-    def close_idle(self, everything: bool = False) -> None:
+    def close_idle(self, include_recent: bool = False) -> None:
         """Close connections that were idle for long or exceed the limit."""
         now = self._clock()
         with self._lock:
-            old = [c for c in self._idle if everything or c.idle_since + MAX_IDLE_SECONDS < now]
+            old = [c for c in self._idle if include_recent or c.idle_since + MAX_IDLE_S < now]
             excess = max(0, self._open - len(old) - self.limit)
-            young = [connection for connection in self._idle if connection not in old]
-            old += young[:excess]
-            self._idle = young[excess:]
+            recent = [connection for connection in self._idle if connection not in old]
+            old += recent[:excess]
+            self._idle = recent[excess:]
             self._open -= len(old)
         for connection in old:
             connection.close()
 
     def _checkout(self, deadline: float, fresh: bool) -> _Connection | None:
         now = self._clock()
-        oldest = now - (FRESH_IDLE_SECONDS if fresh else MAX_IDLE_SECONDS)
+        oldest = now - (MAX_FRESH_IDLE_S if fresh else MAX_IDLE_S)
         while (connection := self._pop_idle()) is not None:
             # A readable idle connection was closed by its peer, or holds an answer that nobody
             # asked for; neither may carry a request.
             if connection.idle_since >= oldest and connection.is_connected:
-                connection.exchange(deadline)
+                connection.begin_exchange(deadline)
                 return connection
             self._discard(connection)
         with self._lock:
@@ -245,9 +247,9 @@
                 return None
             self._open += 1
         connection = _Connection(
-            self.address, self.port, timeout=max(0.001, min(CONNECT_SECONDS, deadline - now))
+            self.address, self.port, timeout=max(0.001, min(CONNECT_TIMEOUT_S, deadline - now))
         )
-        connection.exchange(deadline)
+        connection.begin_exchange(deadline)
         try:
             connection.connect()
         except BaseException:
@@ -264,7 +266,7 @@
             self._open -= 1
         connection.close()
 
-    def _keep(self, connection: _Connection) -> None:
+    def _checkin(self, connection: _Connection) -> None:
         connection.used = True
         connection.idle_since = self._clock()
         with self._lock:
@@ -273,7 +275,7 @@
                 return
         self._discard(connection)
 
-    def _send(self, connection: _Connection, outgoing: Outgoing, deadline: float) -> None:
+    def _send(self, connection: _Connection, outgoing: OutgoingRequest, deadline: float) -> None:
         remaining = max(1, int((deadline - self._clock()) * 1_000))
         connection.putrequest(
             outgoing.method, outgoing.target, skip_host=True, skip_accept_encoding=True
@@ -283,42 +285,44 @@
         connection.putheader("Toucanpin-Deadline-Ms", str(remaining))
         connection.endheaders()
         connection.flush_head(_frame(outgoing.body) if outgoing.chunked else outgoing.body)
-        if outgoing.rest is not None:
-            for piece in outgoing.rest():
+        if outgoing.remaining_body is not None:
+            for piece in outgoing.remaining_body():
                 connection.send(_frame(piece) if outgoing.chunked else piece)
         if outgoing.chunked:
             connection.send(LAST_CHUNK)
 
     def _receive(self, connection: _Connection, head: InstanceAnswer) -> Responded:
-        body = head.read(WHOLE_BYTES)
+        body = head.read(MAX_BUFFERED_BYTES)
         whole = head.isclosed() and not head.length
-        if not whole and len(body) < WHOLE_BYTES:
+        if not whole and len(body) < MAX_BUFFERED_BYTES:
             raise http.client.IncompleteRead(body)
-        headers = head.take_headers()
-        verdict = head.named.get("toucanpin-verdict", "")
+        headers = head.select_headers()
+        verdict = head.headers_by_name.get("toucanpin-verdict", "")
         not_run = whole and head.status == 503 and verdict == "not-run"
-        draining = not_run and head.named.get("toucanpin-reason", "") == "draining"
-        rest = None
+        draining = not_run and head.headers_by_name.get("toucanpin-reason", "") == "draining"
+        remaining_body = None
         if whole:
-            self._finish(connection, head.will_close)
+            self._release(connection, head.will_close)
         else:
-            rest = self._stream(connection, head)
-        response = Response(head.status, head.reason, headers, body, rest, not_run, draining)
+            remaining_body = self._stream(connection, head)
+        response = Response(
+            head.status, head.reason, headers, body, remaining_body, not_run, draining
+        )
         return Responded(self._clock(), response)
 
-    def _finish(self, connection: _Connection, will_close: bool) -> None:
+    def _release(self, connection: _Connection, will_close: bool) -> None:
         if will_close:
             self._discard(connection)
         else:
-            self._keep(connection)
+            self._checkin(connection)
 
     def _stream(self, connection: _Connection, head: InstanceAnswer) -> Iterator[bytes]:
         """Yield the rest of a large answer; raise UpstreamCutError if it ends early."""
         finished = False
         try:
             while not head.isclosed():
-                connection.wire.deadline = time.monotonic() + STREAM_IDLE_SECONDS
-                piece = head.read1(PIECE_BYTES)
+                connection.deadline_sock.deadline = time.monotonic() + STREAM_READ_TIMEOUT_S
+                piece = head.read1(READ_SIZE_BYTES)
                 if not piece:
                     break
                 yield piece
@@ -326,11 +330,11 @@
                 raise UpstreamCutError("the answer is shorter than its Content-Length")
             finished = True
         except (OSError, http.client.HTTPException, ValueError) as error:
-            raise UpstreamCutError(f"the instance broke off: {_name(error)}") from error
+            raise UpstreamCutError(f"the instance broke off: {_describe(error)}") from error
         finally:
             head.close()
             if finished:
-                self._finish(connection, head.will_close)
+                self._release(connection, head.will_close)
             else:
                 self._discard(connection)
 
@@ -339,5 +343,5 @@
     return b"%x\r\n%b\r\n" % (len(piece), piece) if piece else b""
 
 
-def _name(error: BaseException) -> str:
+def _describe(error: BaseException) -> str:
     return f"{type(error).__name__}: {error}"
--- a/toucanpin/daemon/front.py
+++ b/toucanpin/daemon/front.py
@@ -22,10 +22,10 @@
 from toucanpin.daemon.caller_answer import write_refusal, write_response
 from toucanpin.daemon.caller_request import (
     SERVICES_PREFIX,
-    Incoming,
-    refuse,
+    IncomingRequest,
+    make_caller_fault,
+    read_request,
     split_target,
-    take_request,
 )
 from toucanpin.daemon.caller_server import CallerServer
 from toucanpin.daemon.claimer import Claimer
@@ -56,21 +56,21 @@
 
 __all__ = ["Front", "FrontSettings"]
 
-TICK_SECONDS = 0.05
-DRAIN_POLL_SECONDS = 0.02
-QUIET_SECONDS = 0.3
-SPARE_THREADS = 8
-FORWARDED, HEDGED = "request.forwarded", "request.hedged"
-NOT_READY = Refusal(
+TICK_PERIOD_S = 0.05
+DRAIN_POLL_PERIOD_S = 0.02
+DRAIN_IDLE_S = 0.3
+RESERVED_THREADS = 8
+FORWARDED_EVENT, HEDGED_EVENT = "request.forwarded", "request.hedged"
+NO_BUNDLE = Refusal(
     Verdict.NOT_RUN, Reason.NOT_READY, "this process does not know the bundle in force yet", 1.0
 )
-NOT_SETTLED = Refusal(
+SHARE_UNKNOWN = Refusal(
     Verdict.NOT_RUN, Reason.NOT_READY, "this process does not know its share of slots yet", 1.0
 )
-BODY_AGAIN = Refusal(
+BODY_CONSUMED = Refusal(
     Verdict.NOT_RUN, Reason.UPSTREAM_BROKE, "the streamed body can't be sent a second time"
 )
-INTERNAL = Refusal(Verdict.MAY_HAVE_RUN, Reason.INTERNAL, "this process failed")
+INTERNAL_FAILURE = Refusal(Verdict.MAY_HAVE_RUN, Reason.INTERNAL, "this process failed")
 
 log = logbook.Logger("toucanpin.front")
 
@@ -82,7 +82,7 @@
 
     ``name`` is this process's name among the members (``<host>/request``), ``incarnation`` this
     life of it; times are in seconds, sizes in bytes.  ``linger`` is how long a draining front
-    still takes what the balancer sends, ``share_hold`` how long shares of slots wait for others; None
+    still takes what the balancer sends, ``settle`` how long shares of slots wait for others; None
     for the time in which members learn of each other plus each service's deadline.
     """
 
@@ -138,7 +138,7 @@
             hosts,
             members,
             rng or Random(),
-            max(1, settings.threads - SPARE_THREADS),
+            max(1, settings.threads - RESERVED_THREADS),
         )
         self._server = CallerServer(
             (settings.address, settings.port),
@@ -151,9 +151,9 @@
         self._server.wsgi_app = mount_apps(mounts)
         self._draining = False
         self._stopped = threading.Event()
-        self._busy = 0
+        self._in_flight = 0
         self._last_request = 0.0
-        self._busy_lock = threading.Lock()
+        self._count_lock = threading.Lock()
         self.counts: Counter[str] = Counter()
         self._threads = [
             threading.Thread(target=self._server.serve, name="front", daemon=True),
@@ -168,9 +168,9 @@
     @property
     def ready(self) -> bool:
         """Say whether a balancer should send callers here."""
-        known = self._bundle.current() is not None
-        settled = self._upstreams.knows_shares(time.monotonic())
-        return known and settled and not self._draining
+        bundle_known = self._bundle.current() is not None
+        shares_known = self._upstreams.knows_shares(time.monotonic())
+        return bundle_known and shares_known and not self._draining
 
     def start(self) -> None:
         """Bind and start serving."""
@@ -189,11 +189,11 @@
         then ends its connection.
         """
         self._draining = True
-        began = time.monotonic()
+        started_at = time.monotonic()
         linger = min(self._settings.linger, grace / 2)
-        while not self._is_quiet(began, linger, grace):
-            time.sleep(DRAIN_POLL_SECONDS)
-        self._server.shutdown_timeout = max(0.1, began + grace - time.monotonic())
+        while not self._is_drained(started_at, linger, grace):
+            time.sleep(DRAIN_POLL_PERIOD_S)
+        self._server.shutdown_timeout = max(0.1, started_at + grace - time.monotonic())
         self._server.stop()
         self._stopped.set()
         self._claimer.stop()
@@ -202,15 +202,15 @@
         for thread in self._threads:
             thread.join(1.0)
 
-    def _is_quiet(self, began: float, linger: float, grace: float) -> bool:
+    def _is_drained(self, started_at: float, linger: float, grace: float) -> bool:
         now = time.monotonic()
-        if now >= began + grace:
+        if now >= started_at + grace:
             return True
-        quiet = now - max(began, self._last_request) >= QUIET_SECONDS
-        return self._busy == 0 and now >= began + linger and quiet
+        idle = now - max(started_at, self._last_request) >= DRAIN_IDLE_S
+        return self._in_flight == 0 and now >= started_at + linger and idle
 
     def _tick(self) -> None:
-        while not self._stopped.wait(TICK_SECONDS):
+        while not self._stopped.wait(TICK_PERIOD_S):
             try:
                 self._upstreams.tick(time.monotonic())
                 for service, instance in self._upstreams.take_ejected():
@@ -225,8 +225,8 @@
 
     def serve(self, req: Any) -> None:
         """Answer one request for a service."""
-        with self._busy_lock:
-            self._busy += 1
+        with self._count_lock:
+            self._in_flight += 1
             self._last_request = time.monotonic()
         try:
             self._serve(req)
@@ -237,31 +237,33 @@
             if req.sent_headers:
                 req.close_connection = True
             else:
-                self._refuse(req, INTERNAL, "")
+                self._refuse(req, INTERNAL_FAILURE, "")
         finally:
-            with self._busy_lock:
-                self._busy -= 1
+            with self._count_lock:
+                self._in_flight -= 1
 
     def _serve(self, req: Any) -> None:
         arrived = time.monotonic()
         name, target = split_target(req.uri)
         bundle = self._bundle.current()
         if bundle is None:
-            self._refuse(req, NOT_READY, "")
+            self._refuse(req, NO_BUNDLE, "")
             return
         entry = self._upstreams.find(name)
         if entry is None and any(service.name == name for service in bundle.services):
-            self._refuse(req, NOT_SETTLED, "")
+            self._refuse(req, SHARE_UNKNOWN, "")
             return
         if entry is None:
-            raise refuse(Reason.UNKNOWN_SERVICE, "the bundle in force has no such service")
-        incoming = take_request(req, entry.state.service, target, arrived)
+            raise make_caller_fault(
+                Reason.UNKNOWN_SERVICE, "the bundle in force has no such service"
+            )
+        incoming = read_request(req, entry.state.service, target, arrived)
         if not self._upstreams.knows_shares(arrived, entry.state.service):
-            self._refuse(req, NOT_SETTLED, incoming.request.request_id)
+            self._refuse(req, SHARE_UNKNOWN, incoming.request.request_id)
             return
-        self._drive(req, incoming, entry)
+        self._run_path(req, incoming, entry)
 
-    def _drive(self, req: Any, incoming: Incoming, entry: ServiceEntry) -> None:
+    def _run_path(self, req: Any, incoming: IncomingRequest, entry: ServiceEntry) -> None:
         """Take the steps of a path: decisions under the service's lock, the rest outside it."""
         request = incoming.request
         path = serve_request(request, entry.state)
@@ -275,7 +277,7 @@
                     finally:
                         entry.wake()
                     if isinstance(action, WaitForSlot):
-                        event = entry.expect(action.ticket)
+                        event = entry.add_waiter(action.ticket)
                 match action:
                     case Forward() | Hedge() | AwaitAttempt() | Cancel():
                         outcome = self._attempt(incoming, attempts, action)
@@ -304,33 +306,37 @@
         entry: ServiceEntry, ticket: Ticket, event: threading.Event, until: float
     ) -> WaitEnded:
         event.wait(max(0.0, until - time.monotonic()))
-        entry.forget(ticket)
+        entry.remove_waiter(ticket)
         return WaitEnded(time.monotonic())
 
     def _relay(self, req: Any, response: Response, request_id: str) -> ActionDone:
         whole = write_response(req, response, self._draining)
         self._count("relayed" if whole else "cut")
-        self._note("request.answered", request_id, str(response.status))
+        self._record_event("request.answered", request_id, str(response.status))
         return ActionDone(time.monotonic(), not whole)
 
-    def _attempt(self, incoming: Incoming, attempts: Attempts, action: Any) -> Any:
+    def _attempt(self, incoming: IncomingRequest, attempts: Attempts, action: Any) -> Any:
         match action:
             case AwaitAttempt():
                 return attempts.wait()
             case Cancel():
                 return attempts.cancel()
-        if incoming.rest_begun:
-            return CallerFailed(time.monotonic(), BODY_AGAIN)
+        if incoming.body_consumed:
+            return CallerFailed(time.monotonic(), BODY_CONSUMED)
         hedged = isinstance(action, Hedge)
         self._count("hedges" if hedged else "attempts")
-        self._note(HEDGED if hedged else FORWARDED, incoming.request.request_id, action.instance)
+        self._record_event(
+            HEDGED_EVENT if hedged else FORWARDED_EVENT,
+            incoming.request.request_id,
+            action.instance,
+        )
         return attempts.hedge(action) if hedged else attempts.forward(action)
 
     def _count(self, name: str) -> None:
-        with self._busy_lock:
+        with self._count_lock:
             self.counts[name] += 1
 
-    def _note(self, kind: str, request_id: str, detail: str) -> None:
+    def _record_event(self, kind: str, request_id: str, detail: str) -> None:
         """Record a step of a request that its caller has named."""
         if request_id:
             self._events.record(kind, {"request": request_id}, detail)
--- a/toucanpin/daemon/jobs_app.py
+++ b/toucanpin/daemon/jobs_app.py
@@ -36,8 +36,8 @@
 
 __all__ = ["JobsApp"]
 
-MAX_BODY_BESIDE_PAYLOAD = 16_384
-MAX_LISTED = 10_000
+MAX_BODY_OVERHEAD_BYTES = 16_384
+MAX_LISTED_JOBS = 10_000
 
 
 @dataclass(frozen=True, slots=True)
@@ -46,7 +46,7 @@
 
     status: HTTPStatus
     body: bytes
-    kind: str = "application/json"
+    content_type: str = "application/json"
     headers: tuple[tuple[str, str], ...] = ()
 
 
@@ -83,7 +83,7 @@
         except RefusedError as refused:
             return answer_refusal(start_response, refused.refusal)
         headers = [
-            ("Content-Type", reply.kind),
+            ("Content-Type", reply.content_type),
             ("Content-Length", str(len(reply.body))),
             *reply.headers,
         ]
@@ -92,20 +92,20 @@
 
     def _route(self, environ: dict[str, Any]) -> Reply:
         method = environ["REQUEST_METHOD"]
-        parts = [it for it in environ.get("PATH_INFO", "").split("/") if it]
+        parts = [part for part in environ.get("PATH_INFO", "").split("/") if part]
         match (method, *parts):
             case ("POST", "v1", "jobs"):
                 return self._submit(environ)
             case ("GET", "v1", "jobs"):
                 return self._list(environ)
             case ("GET", "v1", "jobs", job):
-                return show(self._run(read_status(job)))
+                return make_reply(self._run(read_status(job)))
             case ("DELETE", "v1", "jobs", job):
                 return self._cancel(job)
             case ("GET", "v1", "jobs", job, "result"):
                 return self._read_result(job)
             case ("GET", "v1", "standing"):
-                return show(self._run(list_standing()))
+                return make_reply(self._run(list_standing()))
             case ("GET", "v1", "standing", name):
                 return self._show_standing(name)
         detail = f"{method} isn't offered here"
@@ -121,7 +121,7 @@
     def _submit(self, environ: dict[str, Any]) -> Reply:
         bundle = self._bundle.current()
         payload = bundle.limits.max_job_payload if bundle else 0
-        body = read_body(environ, 2 * payload + MAX_BODY_BESIDE_PAYLOAD)
+        body = read_body(environ, 2 * payload + MAX_BODY_OVERHEAD_BYTES)
         try:
             request = msgspec.json.decode(body, type=Submission)
         except msgspec.MsgspecError as error:
@@ -137,10 +137,10 @@
         query = parse_qs(environ.get("QUERY_STRING", ""))
         texts = {name: query[name][-1] for name in ("team", "kind", "state") if name in query}
         limit = query.get("limit", ["1000"])[-1]
-        if not limit.isdecimal() or not 1 <= int(limit) <= MAX_LISTED:
-            detail = f"limit must be between 1 and {MAX_LISTED}"
+        if not limit.isdecimal() or not 1 <= int(limit) <= MAX_LISTED_JOBS:
+            detail = f"limit must be between 1 and {MAX_LISTED_JOBS}"
             raise RefusedError(Refusal(Verdict.NOT_RUN, Reason.BAD_REQUEST, detail))
-        return show(self._run(list_jobs(JobFilter(**texts, limit=int(limit)))))
+        return make_reply(self._run(list_jobs(JobFilter(**texts, limit=int(limit)))))
 
     def _cancel(self, job: str) -> Reply:
         """Cancel a job; one that ended first is shown with its end and a conflict."""
@@ -164,12 +164,12 @@
     def _show_standing(self, name: str) -> Reply:
         for status in self._run(list_standing()):
             if status.task == name:
-                return show(status)
+                return make_reply(status)
         detail = f"no standing task {name!r} is wanted"
         raise RefusedError(Refusal(Verdict.NOT_RUN, Reason.NOT_FOUND, detail))
 
 
-def show(value: Any) -> Reply:
+def make_reply(value: Any) -> Reply:
     """Answer with a value in JSON."""
     return Reply(HTTPStatus.OK, msgspec.json.encode(value))
 
--- a/toucanpin/daemon/sweeper.py
+++ b/toucanpin/daemon/sweeper.py
@@ -29,7 +29,7 @@
 
 __all__ = ["Sweeper"]
 
-JOIN_SECONDS = 2.0
+JOIN_TIMEOUT_S = 2.0
 
 log = logbook.Logger("toucanpin.claims")
 
@@ -59,7 +59,7 @@
     def stop(self) -> None:
         """End the thread."""
         self._stopped.set()
-        self._thread.join(JOIN_SECONDS)
+        self._thread.join(JOIN_TIMEOUT_S)
 
     def sweep(self, prefix: str) -> int:
         """Sweep one part now and return how many rows were deleted."""
@@ -86,9 +86,9 @@
             for prefix in prefixes or ("",):
                 if self._stopped.wait(pause):
                     return
-                self._try(prefix)
+                self._sweep_or_log(prefix)
 
-    def _try(self, prefix: str) -> None:
+    def _sweep_or_log(self, prefix: str) -> None:
         """Sweep one part, if any; a fault leaves it for the next time."""
         try:
             if prefix:
--- a/toucanpin/daemon/tests/entry_hosts.py
+++ b/toucanpin/daemon/tests/entry_hosts.py
@@ -30,43 +30,43 @@
     write_settings,
 )
 
-__all__ = ["Answered", "Balancer", "EntryHosts", "Load", "ask", "wait_until"]
+__all__ = ["CallResult", "Balancer", "EntryHosts", "Load", "call", "wait_until"]
 
 ROLE = "request"
-BOUND_SECONDS = 30.0
-POLL_SECONDS = 0.05
-PROBE_SECONDS = 0.5
+TEST_TIMEOUT_S = 30.0
+POLL_PERIOD_S = 0.05
+PROBE_TIMEOUT_S = 0.5
 BUNDLE = (
     f'deployment = "{DEPLOYMENT}"\nversion = 1\n'
     f'[[services]]\nname = "{SERVICE}"\ndeadline_ms = 1000\n'
 )
-_POLL = threading.Event()
+_NEVER_SET = threading.Event()
 
 
-def wait_until(condition: Callable[[], bool], what: str) -> None:
+def wait_until(condition: Callable[[], bool], description: str) -> None:
     """Wait for a condition; fail if it doesn't hold within a generous bound."""
-    bound = time.monotonic() + BOUND_SECONDS
+    deadline = time.monotonic() + TEST_TIMEOUT_S
     while not condition():
-        if time.monotonic() > bound:
-            raise AssertionError(f"never happened: {what}")
-        _POLL.wait(POLL_SECONDS)
+        if time.monotonic() > deadline:
+            raise AssertionError(f"never happened: {description}")
+        _NEVER_SET.wait(POLL_PERIOD_S)
 
 
 @dataclass(frozen=True, slots=True)
-class Answered:
+class CallResult:
     """Hold what a caller saw; ``status`` is 0 if its connection broke, ``whole`` a right answer."""
 
     number: int
     entry: str
     status: int
     verdict: str
-    whole: bool
+    correct: bool
     detail: str = ""
 
 
-def ask(entry: Entry, question) -> Answered:
+def call(entry: Entry, question) -> CallResult:
     """Ask one entry host once, on a connection of its own."""
-    connection = http.client.HTTPConnection(entry.address, CALLERS_PORT, timeout=BOUND_SECONDS)
+    connection = http.client.HTTPConnection(entry.address, CALLERS_PORT, timeout=TEST_TIMEOUT_S)
     headers = {"Toucanpin-Request-Id": f"request-{question.number}", "Connection": "close"}
     target = f"/v1/services/{SERVICE}{question.path}"
     try:
@@ -74,15 +74,15 @@
         answer = connection.getresponse()
         body = answer.read()
     except ConnectionRefusedError:
-        return Answered(question.number, entry.name, 0, "not-run", False)
+        return CallResult(question.number, entry.name, 0, "not-run", False)
     except (OSError, http.client.HTTPException):
-        return Answered(question.number, entry.name, 0, "", False)
+        return CallResult(question.number, entry.name, 0, "", False)
     finally:
         connection.close()
-    whole = answer.status == 200 and question.is_answered_by(body)
+    correct = answer.status == 200 and question.is_answered_by(body)
     verdict = answer.getheader("Toucanpin-Verdict", "")
-    detail = "" if whole else body.decode(errors="replace")
-    return Answered(question.number, entry.name, answer.status, verdict, whole, detail)
+    detail = "" if correct else body.decode(errors="replace")
+    return CallResult(question.number, entry.name, answer.status, verdict, correct, detail)
 
 
 class EntryHosts:
@@ -118,10 +118,10 @@
     def replace(self, entry: Entry) -> int:
         """End an entry host gracefully and start it again; return the exit code of the old."""
         code = self.launcher.end(f"{entry.name}-{ROLE}")
-        self.start_again(entry)
+        self.restart(entry)
         return code
 
-    def start_again(self, entry: Entry) -> None:
+    def restart(self, entry: Entry) -> None:
         """Start an entry host's process and wait until it takes callers."""
         path = settings_path(self.folder, entry, ROLE)
         self.launcher.start(
@@ -137,12 +137,12 @@
         """Send a signal to an entry host's process."""
         self.launcher.send_signal(f"{entry.name}-{ROLE}", number)
 
-    def find_gone(self, observer: Entry) -> set[str]:
+    def list_gone_hosts(self, observer: Entry) -> set[str]:
         """Return the entry hosts that one doesn't count among the members any more."""
         answer = urllib3.request("GET", f"{observer.operators(ROLE)}/v1/members", timeout=5.0)
         members = msgspec.json.decode(answer.data)
-        there = {member["host"] for member in members if member["standing"] != "gone"}
-        return {entry.name for entry in self.topology.entries} - there
+        present = {member["host"] for member in members if member["standing"] != "gone"}
+        return {entry.name for entry in self.topology.entries} - present
 
     def count_executions(self) -> Counter[str]:
         """Return how often each request ran, over all instances."""
@@ -179,7 +179,7 @@
         for thread in self._threads:
             thread.join()
 
-    def take(self) -> Entry | None:
+    def acquire(self) -> Entry | None:
         """Choose a host, None if none is ready."""
         with self._lock:
             ready = [entry for entry, is_ready in self._ready.items() if is_ready]
@@ -189,17 +189,17 @@
             self._busy[chosen] += 1
             return chosen
 
-    def give_back(self, entry: Entry) -> None:
+    def release(self, entry: Entry) -> None:
         """Count a caller as gone."""
         with self._lock:
             self._busy[entry] -= 1
 
     def _probe(self, entry: Entry) -> None:
-        while not self._stopped.wait(POLL_SECONDS):
+        while not self._stopped.wait(POLL_PERIOD_S):
             status = 0
             with suppress(urllib3.exceptions.HTTPError):
                 url = f"{entry.operators(ROLE)}/readyz"
-                status = urllib3.request("GET", url, timeout=PROBE_SECONDS, retries=False).status
+                status = urllib3.request("GET", url, timeout=PROBE_TIMEOUT_S, retries=False).status
             self._ready[entry] = status == 200
 
 
@@ -207,14 +207,14 @@
     """Keep callers asking, one request after another each, until stopped."""
 
     def __init__(
-        self, balancer: Balancer, numbers: itertools.count, make: Callable, callers: int
+        self, balancer: Balancer, numbers: itertools.count, make_question: Callable, callers: int
     ) -> None:
-        self.answered: list[Answered] = []
+        self.results: list[CallResult] = []
         self._balancer = balancer
         self._numbers = numbers
-        self._make = make
+        self._make_question = make_question
         self._stopped = threading.Event()
-        self._threads = [threading.Thread(target=self._ask_on) for _ in range(callers)]
+        self._threads = [threading.Thread(target=self._call_until_stopped) for _ in range(callers)]
         for thread in self._threads:
             thread.start()
 
@@ -225,24 +225,24 @@
 
     def _count_right(self, entry: Entry | None) -> int:
         return sum(
-            seen.whole and (entry is None or seen.entry == entry.name)
-            for seen in list(self.answered)
+            result.correct and (entry is None or result.entry == entry.name)
+            for result in list(self.results)
         )
 
-    def stop(self) -> list[Answered]:
+    def stop(self) -> list[CallResult]:
         """Stop after the requests in flight and return what callers saw."""
         self._stopped.set()
         for thread in self._threads:
             thread.join()
-        return self.answered
+        return self.results
 
-    def _ask_on(self) -> None:
+    def _call_until_stopped(self) -> None:
         while not self._stopped.is_set():
-            entry = self._balancer.take()
+            entry = self._balancer.acquire()
             if entry is None:
-                self._stopped.wait(POLL_SECONDS)
+                self._stopped.wait(POLL_PERIOD_S)
                 continue
             try:
-                self.answered.append(ask(entry, self._make(next(self._numbers))))
+                self.results.append(call(entry, self._make_question(next(self._numbers))))
             finally:
-                self._balancer.give_back(entry)
+                self._balancer.release(entry)
--- a/toucanpin/daemon/tests/front_harness.py
+++ b/toucanpin/daemon/tests/front_harness.py
@@ -27,7 +27,7 @@
 from toucanpin.timeline.event import Event
 
 SERVICE = "verify"
-WAIT = 10.0
+TEST_TIMEOUT_S = 10.0
 
 
 class ScriptedInstance:
@@ -48,7 +48,7 @@
                 sock, _ = self._listener.accept()
             except OSError:
                 return
-            sock.settimeout(WAIT)
+            sock.settimeout(TEST_TIMEOUT_S)
             self.connections += 1
             threading.Thread(target=self._serve, args=(sock,), daemon=True).start()
 
@@ -140,13 +140,13 @@
             return Error(Unknown("lost")) if fault == "lost after" else result
 
     def _apply(self, transaction) -> Result:
-        wrong = [
+        conflicting = [
             self.rows.get(write.key, Row(write.key, 0, b""))
             for write in transaction.writes
             if self._version_of(write.key) != write.expected
         ]
-        if wrong:
-            return Error(Conflict(tuple(wrong)))
+        if conflicting:
+            return Error(Conflict(tuple(conflicting)))
         self._version += 1
         for write in transaction.writes:
             if write.check_only:
@@ -185,14 +185,14 @@
         return event
 
 
-def make_front(ports, table=None, service=None, mounts=None, far=(), **settings):
+def make_front(ports, table=None, service=None, mounts=None, remote=(), **settings):
     """Start a front before instances on the given ports, those of ``far`` at another site."""
     names = ("e1/request",)
     service = service or Service(SERVICE, deadline_ms=5_000)
     view = FakeView(Bundle("test", 1, (service,)), names)
     hosts = tuple(
         ListedHost(f"i{port}", HostRole.INSTANCE, site, "r1", "127.0.0.1", port, False, SERVICE)
-        for site, group in (("casco", ports), ("kennebec", far))
+        for site, group in (("casco", ports), ("kennebec", remote))
         for port in group
     )
     options = {"share_hold": 0.0, "threads": 12, "linger": 0.0} | settings
@@ -266,7 +266,7 @@
 
 def send_raw(front: Front, data: bytes, half_close: bool = False) -> bytes:
     """Send bytes on a new connection and read to its end."""
-    with socket.create_connection(("127.0.0.1", front.port), WAIT) as sock:
+    with socket.create_connection(("127.0.0.1", front.port), TEST_TIMEOUT_S) as sock:
         sock.sendall(data)
         if half_close:
             sock.shutdown(socket.SHUT_WR)
--- a/toucanpin/daemon/tests/test_cuts.py
+++ b/toucanpin/daemon/tests/test_cuts.py
@@ -5,7 +5,7 @@
 import time
 import unittest
 
-from toucanpin.daemon.forwarder import Forwarder, Outgoing
+from toucanpin.daemon.forwarder import Forwarder, OutgoingRequest
 from toucanpin.daemon.tests.front_harness import (
     ScriptedInstance,
     answer,
@@ -16,9 +16,9 @@
 )
 from toucanpin.requests.messages import Interrupted, Refused, Responded
 
-POST = Outgoing("POST", "/", (("Host", "x"), ("Content-Length", "2")), b"hi")
-GET = Outgoing("GET", "/", (("Host", "x"),), b"")
-HEAD = Outgoing("HEAD", "/", (("Host", "x"),), b"")
+POST = OutgoingRequest("POST", "/", (("Host", "x"), ("Content-Length", "2")), b"hi")
+GET = OutgoingRequest("GET", "/", (("Host", "x"),), b"")
+HEAD = OutgoingRequest("HEAD", "/", (("Host", "x"),), b"")
 
 SIZED = answer(b"0123456789", extra="X-Last: 1\r\n")
 CHUNKED = (
@@ -109,7 +109,9 @@
         thread = threading.Thread(target=reset_early)
         thread.start()
         self.addCleanup(thread.join)
-        long = Outgoing("POST", "/", (("Host", "x"), ("Content-Length", "9000000")), b"x" * 9000000)
+        long = OutgoingRequest(
+            "POST", "/", (("Host", "x"), ("Content-Length", "9000000")), b"x" * 9000000
+        )
         port = listener.getsockname()[1]
         outcome = Forwarder("127.0.0.1", port).forward(long, time.monotonic() + 5.0, True)
         self.assertIsInstance(outcome, Interrupted)
--- a/toucanpin/daemon/tests/test_entry_hosts.py
+++ b/toucanpin/daemon/tests/test_entry_hosts.py
@@ -7,12 +7,12 @@
 from threading import Barrier
 
 from tools.demo.callers import Question
-from toucanpin.daemon.tests.entry_hosts import Balancer, EntryHosts, Load, ask, wait_until
+from toucanpin.daemon.tests.entry_hosts import Balancer, EntryHosts, Load, call, wait_until
 
 CALLERS = 4
-PAIRS = 20
-ANSWERS = 40
-REPEATED = 10
+DUPLICATE_REQUESTS = 20
+ANSWERS_PER_PHASE = 40
+REPEATED_REQUESTS = 10
 VERDICTS = {"not-run", "may-have-run"}
 
 
@@ -34,17 +34,17 @@
         self.addCleanup(load.stop)
         return load
 
-    def check_executions(self, answered):
+    def check_executions(self, results):
         """Check that nothing non-idempotent ran twice, and what was told ran as told."""
         ran = self.hosts.count_executions()
-        for seen in answered:
-            count = ran[f"request-{seen.number}"]
-            if seen.whole:
-                self.assertGreaterEqual(count, 1, seen)
-            if seen.verdict == "not-run":
-                self.assertEqual(count, 0, seen)
-            if Question(seen.number).method == "POST":
-                self.assertLessEqual(count, 1, seen)
+        for result in results:
+            count = ran[f"request-{result.number}"]
+            if result.correct:
+                self.assertGreaterEqual(count, 1, result)
+            if result.verdict == "not-run":
+                self.assertEqual(count, 0, result)
+            if Question(result.number).method == "POST":
+                self.assertLessEqual(count, 1, result)
         self.assertEqual(self.hosts.count_over_slots(), 0)
 
     def test_a_runs_one_id_once_through_two_entry_hosts(self):
@@ -55,21 +55,21 @@
         the claim row in the platform's table can tell them apart.
         """
         entries = self.hosts.topology.entries
-        for at in range(PAIRS):
+        for at in range(DUPLICATE_REQUESTS):
             question = Question(100_001 + 2 * at)
             barrier = Barrier(2)
 
-            def ask_together(entry, question=question, barrier=barrier):
+            def call_together(entry, question=question, barrier=barrier):
                 barrier.wait()
-                return ask(entry, question)
+                return call(entry, question)
 
             pair = (entries[at % 3], entries[(at + 1) % 3])
             with ThreadPoolExecutor(2) as pool:
-                answered = sorted(pool.map(ask_together, pair), key=lambda it: it.status)
-            self.assertEqual([it.status for it in answered], [200, 409])
-            self.assertTrue(answered[0].whole)
-            self.assertEqual(answered[1].verdict, "may-have-run")
-            self.check_executions(answered)
+                results = sorted(pool.map(call_together, pair), key=lambda it: it.status)
+            self.assertEqual([it.status for it in results], [200, 409])
+            self.assertTrue(results[0].correct)
+            self.assertEqual(results[1].verdict, "may-have-run")
+            self.check_executions(results)
 
     def test_b_loses_no_request_while_all_entry_hosts_are_replaced(self):
         """
@@ -80,12 +80,12 @@
         """
         load = self.load()
         for entry in self.hosts.topology.entries:
-            load.wait_for(ANSWERS)
+            load.wait_for(ANSWERS_PER_PHASE)
             self.assertEqual(self.hosts.replace(entry), 0)
-            load.wait_for(ANSWERS, entry)
-        answered = load.stop()
-        self.assertEqual([seen for seen in answered if not seen.whole][:5], [])
-        self.check_executions(answered)
+            load.wait_for(ANSWERS_PER_PHASE, entry)
+        results = load.stop()
+        self.assertEqual([result for result in results if not result.correct][:5], [])
+        self.check_executions(results)
 
     def test_c_answers_truly_while_one_entry_host_is_killed_and_one_frozen(self):
         """
@@ -98,25 +98,28 @@
         """
         awake, frozen, killed = self.hosts.topology.entries
         load = self.load()
-        load.wait_for(ANSWERS)
+        load.wait_for(ANSWERS_PER_PHASE)
         self.hosts.kill(killed)
         self.hosts.signal(frozen, signal.SIGSTOP)
         self.addCleanup(self.hosts.signal, frozen, signal.SIGCONT)
         both = {frozen.name, killed.name}
-        wait_until(lambda: self.hosts.find_gone(awake) == both, "both hosts given up")
-        load.wait_for(ANSWERS, awake)
+        wait_until(lambda: self.hosts.list_gone_hosts(awake) == both, "both hosts given up")
+        load.wait_for(ANSWERS_PER_PHASE, awake)
         self.hosts.signal(frozen, signal.SIGCONT)
-        load.wait_for(ANSWERS, frozen)
-        answered = load.stop()
-        broken = [seen for seen in answered if seen.status == 0 and not seen.verdict]
-        posts = [seen for seen in answered if Question(seen.number).method == "POST"]
-        served = [seen for seen in posts if seen.whole and seen.entry == killed.name]
-        again = [ask(awake, Question(seen.number)) for seen in (*broken, *served[-REPEATED:])]
-        self.assertLessEqual({seen.entry for seen in broken}, {killed.name})
-        for seen in (*(it for it in answered if it not in broken), *again):
-            self.assertTrue(seen.whole or seen.verdict in VERDICTS, seen)
-        self.check_executions(answered)
-        self.check_executions(again)
+        load.wait_for(ANSWERS_PER_PHASE, frozen)
+        results = load.stop()
+        broken = [result for result in results if result.status == 0 and not result.verdict]
+        posts = [result for result in results if Question(result.number).method == "POST"]
+        served = [result for result in posts if result.correct and result.entry == killed.name]
+        repeated = [
+            call(awake, Question(result.number))
+            for result in (*broken, *served[-REPEATED_REQUESTS:])
+        ]
+        self.assertLessEqual({result.entry for result in broken}, {killed.name})
+        for result in (*(it for it in results if it not in broken), *repeated):
+            self.assertTrue(result.correct or result.verdict in VERDICTS, result)
+        self.check_executions(results)
+        self.check_executions(repeated)
 
 
 if __name__ == "__main__":
--- a/toucanpin/daemon/tests/test_front.py
+++ b/toucanpin/daemon/tests/test_front.py
@@ -79,7 +79,7 @@
         view = FakeView(None, ("e1/request",))
         hosts = (ListedHost("i", HostRole.INSTANCE, "casco", "r", "127.0.0.1", 1, False, SERVICE),)
         upstreams = Upstreams(
-            "e1/request", "casco", 0.0, view, lambda: hosts, view, Random(1), places=8
+            "e1/request", "casco", 0.0, view, lambda: hosts, view, Random(1), max_requests=8
         )
         upstreams.refresh(1.0)
         view.bundle = bundle
--- a/toucanpin/daemon/tests/test_front_safety.py
+++ b/toucanpin/daemon/tests/test_front_safety.py
@@ -19,7 +19,7 @@
 NOT_RUN = answer(b"full", "503 Service Unavailable", "Toucanpin-Verdict: not-run\r\n")
 
 
-def refused_port() -> int:
+def find_closed_port() -> int:
     """Find a port on which nothing listens."""
     with socket.create_server(("127.0.0.1", 0)) as listener:
         return listener.getsockname()[1]
@@ -113,8 +113,8 @@
         self.assertEqual((reply.status, reply.verdict), (503, "not-run"))
         front.stop(1.0)
         self.assertEqual(table.rows, {})
-        again = self.start(instance.port, table=table)
-        self.assertEqual(call(again, "/", "POST", Toucanpin_Request_Id="r1").status, 200)
+        restarted = self.start(instance.port, table=table)
+        self.assertEqual(call(restarted, "/", "POST", Toucanpin_Request_Id="r1").status, 200)
 
     def test_retries_a_non_idempotent_request_only_if_it_did_not_run(self):
         """
@@ -126,7 +126,7 @@
         good = self.instance()
         full = self.instance(lambda number, request, sock: sock.sendall(NOT_RUN) is None)
         broken = self.instance(lambda number, request, sock: False)
-        for port in (refused_port(), full.port):
+        for port in (find_closed_port(), full.port):
             front = self.start(port, good.port)
             statuses = [call(front, "/", "POST", b"x").status for _ in range(3)]
             self.assertEqual(statuses, [200, 200, 200])
@@ -146,7 +146,7 @@
         """
         broken = self.instance(lambda number, request, sock: False)
         full = self.instance(lambda number, request, sock: sock.sendall(NOT_RUN) is None)
-        front = self.start(broken.port, far=(full.port,))
+        front = self.start(broken.port, remote=(full.port,))
         reply = call(front, "/")
         self.assertEqual((len(broken.requests), len(full.requests)), (1, 1))
         self.assertEqual(reply.verdict, "may-have-run")
@@ -188,7 +188,7 @@
         """
         instance = self.instance()
         fronts = [make_front([instance.port], linger=0.3) for _ in range(3)]
-        seen = list(fronts)
+        targets = list(fronts)
         done = threading.Event()
         wrong = []
         asked = [0] * 4
@@ -196,7 +196,7 @@
         def ask(number):
             while not done.is_set():
                 count = asked[number]
-                front = seen[(count + number) % len(seen)]
+                front = targets[(count + number) % len(targets)]
                 path = f"/{number}/{count}"
                 try:
                     raw = call(front, path, "POST", b"x").raw
@@ -209,15 +209,15 @@
         with ThreadPoolExecutor(4) as pool:
             askers = [pool.submit(ask, number) for number in range(4)]
             for number, front in enumerate(fronts):
-                fresh = make_front([instance.port])
-                self.addCleanup(fresh.stop, 1.0)
+                replacement = make_front([instance.port])
+                self.addCleanup(replacement.stop, 1.0)
                 stopping = start_thread(front.stop, 5.0)
                 while front.ready:
                     pass
                 before = list(asked)
                 while any(now < then + 4 for now, then in zip(asked, before, strict=True)):
                     done.wait(0.001)
-                seen[number] = fresh
+                targets[number] = replacement
                 stopping.join()
             done.set()
             for asker in askers:
--- a/toucanpin/daemon/tests/test_hedging.py
+++ b/toucanpin/daemon/tests/test_hedging.py
@@ -5,22 +5,22 @@
 
 from toucanpin.daemon.tests.front_harness import (
     SERVICE,
-    WAIT,
+    TEST_TIMEOUT_S,
     ScriptedInstance,
     answer,
     call,
     make_front,
 )
 
-LEARNT_SECONDS = 0.4
-HELD = 3
+OBSERVED_LATENCY_S = 0.4
+HELD_REQUESTS = 3
 
 
 class HeldInstances:
     """Serve from two instances; whichever gets a held target first keeps it until it is closed."""
 
     def __init__(self) -> None:
-        self.closed = [threading.Event() for _ in range(HELD)]
+        self.closed = [threading.Event() for _ in range(HELD_REQUESTS)]
         self._seen: set[bytes] = set()
         self._lock = threading.Lock()
         self.instances = [ScriptedInstance(self._answer) for _ in range(2)]
@@ -48,7 +48,7 @@
         for instance in self.held.instances:
             self.addCleanup(instance.close)
         for _ in range(100):
-            self.front._upstreams.find(SERVICE).state.attempt_timing.observe(LEARNT_SECONDS)
+            self.front._upstreams.find(SERVICE).state.attempt_timing.observe(OBSERVED_LATENCY_S)
 
     def test_answers_each_caller_once_with_its_own_answer(self):
         """
@@ -57,14 +57,14 @@
         The first instance asked is silent until its connection is closed, and answers then.  On a
         connection used again, that late answer would reach the next caller.
         """
-        for number in range(HELD):
+        for number in range(HELD_REQUESTS):
             target = f"/held/{number}"
             reply = call(self.front, target)
             self.assertEqual((reply.status, reply.body), (200, target.encode()))
-            self.assertTrue(self.held.closed[number].wait(WAIT))
+            self.assertTrue(self.held.closed[number].wait(TEST_TIMEOUT_S))
             after = call(self.front, f"/after/{number}")
             self.assertEqual(after.body, f"/after/{number}".encode())
-        self.assertEqual(self.front.counts["hedges"], HELD)
+        self.assertEqual(self.front.counts["hedges"], HELD_REQUESTS)
 
     def test_gives_up_the_connections_of_cancelled_attempts(self):
         """
@@ -73,11 +73,11 @@
         A cancelled attempt that kept its place in the count would use up the instance's share of
         connections, until the front refuses everything.
         """
-        for number in range(HELD):
+        for number in range(HELD_REQUESTS):
             call(self.front, f"/held/{number}")
         forwarders = self.front._upstreams.find(SERVICE).forwarders.values()
         for forwarder in forwarders:
-            forwarder.close_idle(everything=True)
+            forwarder.close_idle(include_recent=True)
         self.assertEqual(sum(each.open_connections for each in forwarders), 0)
 
 
--- a/toucanpin/daemon/tests/test_hostile_callers.py
+++ b/toucanpin/daemon/tests/test_hostile_callers.py
@@ -13,7 +13,7 @@
     send_raw,
 )
 
-MOST_CALLS = 400  # of a caller that comes back until it is served
+MAX_CALLS = 400  # of a caller that comes back until it is served
 TARGET = b"/v1/services/verify/"
 CHUNKED = b"Transfer-Encoding: chunked\r\n"
 SMUGGLED = b"GET /v1/services/verify/smuggled HTTP/1.1\r\nHost: x\r\n\r\n"
@@ -128,7 +128,7 @@
         for _ in range(12):
             with socket.create_connection(("127.0.0.1", front.port), 10.0) as sock:
                 sock.sendall(b"GET " + TARGET + b" HTTP/1.1\r\nHost: x\r\n\r\n")
-        bodies = (call(front, "/next").body for _ in range(MOST_CALLS))
+        bodies = (call(front, "/next").body for _ in range(MAX_CALLS))
         self.assertIn(b"/next|", bodies)
 
 
--- a/toucanpin/daemon/upstreams.py
+++ b/toucanpin/daemon/upstreams.py
@@ -25,8 +25,8 @@
 __all__ = ["ServiceEntry", "Upstreams"]
 
 REQUEST_ROLE = "request"
-REFRESH_SECONDS = 0.2
-SPREAD_SECONDS = 1.0
+REFRESH_PERIOD_S = 0.2
+MEMBERSHIP_SPREAD_S = 1.0
 
 
 class ServiceEntry:
@@ -40,7 +40,7 @@
         self.forwarders: dict[str, Forwarder] = {}
         self._events: dict[Ticket, threading.Event] = {}
 
-    def expect(self, ticket: Ticket) -> threading.Event:
+    def add_waiter(self, ticket: Ticket) -> threading.Event:
         """Make the event that ends a ticket's wait; call with the lock held."""
         event = self._events[ticket] = threading.Event()
         if ticket.settled:
@@ -55,7 +55,7 @@
             if event is not None:
                 event.set()
 
-    def forget(self, ticket: Ticket) -> None:
+    def remove_waiter(self, ticket: Ticket) -> None:
         """Drop a ticket's event."""
         with self.lock:
             self._events.pop(ticket, None)
@@ -73,15 +73,15 @@
         hosts: Callable[[], tuple[ListedHost, ...]],
         members: MembershipView,
         rng: Random,
-        places: int,
+        max_requests: int,
     ) -> None:
-        self._places = places
+        self._max_requests = max_requests
         self._site = site
         self._bundle = bundle
         self._hosts = hosts
         self._members = members
         self._rng = rng
-        self._book = SlotShares(name, SPREAD_SECONDS)
+        self._slot_shares = SlotShares(name, MEMBERSHIP_SPREAD_S)
         self._share_hold = share_hold
         self._entries: dict[str, ServiceEntry] = {}
         self._refreshed = 0.0
@@ -105,11 +105,11 @@
             # process that had just started would call itself ready and refuse what it is sent.
             return False
         services = (service,) if service else bundle.services
-        return all(self._book.owns_any_after(self._hold(each)) for each in services)
+        return all(self._slot_shares.owns_any_after(self._compute_hold(each)) for each in services)
 
     def tick(self, now: float) -> None:
         """Grant what time has freed, and refresh when it is time to."""
-        if now - self._refreshed >= REFRESH_SECONDS:
+        if now - self._refreshed >= REFRESH_PERIOD_S:
             self.refresh(now)
         for entry in list(self._entries.values()):
             with entry.lock:
@@ -134,7 +134,7 @@
             for member in self._members.members()
             if member.role == REQUEST_ROLE and member.standing is not Standing.GONE
         )
-        self._book.update(names, now)
+        self._slot_shares.update(names, now)
         bundle = self._bundle.current()
         if bundle is None:
             return
@@ -143,9 +143,9 @@
             service.name: self._refresh_service(bundle, service, hosts, now)
             for service in bundle.services
         }
-        gone = [entry for name, entry in self._entries.items() if name not in entries]
+        removed = [entry for name, entry in self._entries.items() if name not in entries]
         self._entries = entries
-        for entry in gone:
+        for entry in removed:
             _close(entry)
 
     def close(self) -> None:
@@ -160,12 +160,12 @@
         if entry is None:
             rng = Random(self._rng.random())
             share = bundle.limits.retry_share
-            entry = ServiceEntry(ServiceState(service, share, self._site, rng, self._places))
-        mine = [host for host in hosts if host.service == service.name]
-        shares = tuple(self._share(host, service) for host in mine)
-        listed = {host.name for host in mine}
+            entry = ServiceEntry(ServiceState(service, share, self._site, rng, self._max_requests))
+        instances = [host for host in hosts if host.service == service.name]
+        shares = tuple(self._make_instance_share(host, service) for host in instances)
+        listed = {host.name for host in instances}
         with entry.lock:
-            for host in mine:
+            for host in instances:
                 self._refresh_forwarder(entry, host, service)
             for name in [name for name in entry.forwarders if name not in listed]:
                 entry.forwarders[name].limit = 0
@@ -179,8 +179,10 @@
             forwarder.close_idle()
         return entry
 
-    def _share(self, host: ListedHost, service: Service) -> InstanceShare:
-        slots = self._book.share(host.name, host.slots or service.slots, self._hold(service))
+    def _make_instance_share(self, host: ListedHost, service: Service) -> InstanceShare:
+        slots = self._slot_shares.share(
+            host.name, host.slots or service.slots, self._compute_hold(service)
+        )
         return InstanceShare(host.name, host.site, slots, host.leaving)
 
     def _refresh_forwarder(self, entry: ServiceEntry, host: ListedHost, service: Service) -> None:
@@ -188,18 +190,18 @@
         if forwarder is None or (forwarder.address, forwarder.port) != (host.address, host.port):
             if forwarder is not None:
                 forwarder.limit = 0
-                forwarder.close_idle(everything=True)
+                forwarder.close_idle(include_recent=True)
             forwarder = entry.forwarders[host.name] = Forwarder(host.address, host.port)
         total = host.connections or service.connections
-        forwarder.limit = self._book.share(host.name, total, self._hold(service))
+        forwarder.limit = self._slot_shares.share(host.name, total, self._compute_hold(service))
 
-    def _hold(self, service: Service) -> float:
+    def _compute_hold(self, service: Service) -> float:
         if self._share_hold is not None:
             return self._share_hold
-        return min(MAX_HOLD_S, SPREAD_SECONDS + service.deadline_ms / 1_000)
+        return min(MAX_HOLD_S, MEMBERSHIP_SPREAD_S + service.deadline_ms / 1_000)
 
 
 def _close(entry: ServiceEntry) -> None:
     for forwarder in entry.forwarders.values():
         forwarder.limit = 0
-        forwarder.close_idle(everything=True)
+        forwarder.close_idle(include_recent=True)
