--- a/scenarios/requesting.py
+++ b/scenarios/requesting.py
@@ -173,8 +173,8 @@
 
     def _wake(self, state: ServiceState) -> None:
         """End the waits of tickets that were settled."""
-        while state.settled:
-            waiter = self._waiters.get(state.settled.pop())
+        while state.settled_tickets:
+            waiter = self._waiters.get(state.settled_tickets.pop())
             if waiter is not None:
                 self.after(0.0, waiter)
 
--- a/toucanpin/daemon/upstreams.py
+++ b/toucanpin/daemon/upstreams.py
@@ -49,7 +49,7 @@
 
     def wake(self) -> None:
         """Wake the threads whose tickets were settled; call with the lock held."""
-        settled = self.state.settled
+        settled = self.state.settled_tickets
         while settled:
             event = self._events.get(settled.pop())
             if event is not None:
@@ -169,7 +169,7 @@
                 self._refresh_forwarder(entry, host, service)
             for name in [name for name in entry.forwarders if name not in listed]:
                 entry.forwarders[name].limit = 0
-                if not entry.state.router.knows(name):
+                if not entry.state.router.has_instance(name):
                     del entry.forwarders[name]
             if entry.state.service != service:
                 entry.state.configure(service)
--- a/toucanpin/requests/admission.py
+++ b/toucanpin/requests/admission.py
@@ -2,8 +2,8 @@
 Admission
 =========
 
-The bounded queue of one service.  It is aware of deadlines and fair among callers; what can't be
-served in time is refused at once, with the time to come back.
+The bounded queue of one service, aware of deadlines and fair among callers.  Requests that cannot
+be served before their deadline are refused at once, with a time after which to retry.
 """
 
 from __future__ import annotations
@@ -13,15 +13,15 @@
 
 from toucanpin.verdict import Reason, Refusal, Verdict
 
-__all__ = ["Admission", "Ticket", "refuse_overload"]
+__all__ = ["AdmissionQueue", "Ticket", "refuse_overload"]
 
-MEAN_WEIGHT = 0.05
-MIN_RETRY_SECONDS = 0.5
-MAX_RETRY_SECONDS = 30.0
+HOLD_TIME_WEIGHT = 0.05
+MIN_RETRY_AFTER_S = 0.5
+MAX_RETRY_AFTER_S = 30.0
 
 
 class Ticket:
-    """Stand in the queue; ``granted`` names the instance once there is a slot."""
+    """A request's place in the queue; ``granted`` is the instance once a slot is granted."""
 
     __slots__ = ("caller", "deadline", "tried", "granted", "refusal", "queued")
 
@@ -35,116 +35,136 @@
 
     @property
     def settled(self) -> bool:
-        """Say whether the wait is over."""
+        """Return whether a slot was granted or refused."""
         return self.granted is not None or self.refusal is not None
 
 
 def refuse_overload(detail: str, wait: float, rng: Random) -> Refusal:
-    """Refuse as not run, to come back after about ``wait`` seconds, jittered."""
-    base = min(MAX_RETRY_SECONDS, max(MIN_RETRY_SECONDS, wait))
+    """Return a refusal as not run, to be retried after ``wait`` seconds with jitter."""
+    base = min(MAX_RETRY_AFTER_S, max(MIN_RETRY_AFTER_S, wait))
     seconds = base * rng.uniform(1.0, 2.0)
     return Refusal(Verdict.NOT_RUN, Reason.OVERLOAD, detail, retry_after=seconds)
 
 
-class Admission:
-    """Queue tickets: first in, first out for each caller, callers in turn."""
+class AdmissionQueue:
+    """Queue of tickets: first in, first out for each caller, round-robin among callers."""
 
-    __slots__ = ("limit", "_rng", "_lines", "_turns", "_length", "claiming", "slots", "mean")
+    __slots__ = (
+        "limit",
+        "_rng",
+        "_queues",
+        "_callers",
+        "_length",
+        "claims_in_progress",
+        "slots",
+        "mean_hold_time",
+    )
 
     def __init__(self, limit: int, rng: Random) -> None:
         self.limit = limit
         self._rng = rng
-        self._lines: dict[str, deque[Ticket]] = {}
-        self._turns: deque[str] = deque()
+        self._queues: dict[str, deque[Ticket]] = {}
+        self._callers: deque[str] = deque()
         self._length = 0
-        self.claiming = 0
+        self.claims_in_progress = 0
         self.slots = 0
-        self.mean = 0.0
+        self.mean_hold_time = 0.0
 
     def __len__(self) -> int:
         return self._length
 
     def observe(self, seconds: float) -> None:
-        """Take in how long a slot was held."""
-        self.mean = seconds if self.mean == 0.0 else self.mean + (seconds - self.mean) * MEAN_WEIGHT
-
-    def expect_wait(self) -> float:
-        """Estimate the wait of a request that came now and found no slot, in seconds."""
-        return (self._length + self.claiming + 1) * self.mean / max(1, self.slots)
+        """Record how long a slot was held."""
+        self.mean_hold_time = (
+            seconds
+            if self.mean_hold_time == 0.0
+            else self.mean_hold_time + (seconds - self.mean_hold_time) * HOLD_TIME_WEIGHT
+        )
+
+    def estimate_wait(self) -> float:
+        """Return the expected wait in seconds of a request that arrives now and finds no slot."""
+        return (
+            (self._length + self.claims_in_progress + 1) * self.mean_hold_time / max(1, self.slots)
+        )
 
     def check(self, caller: str, deadline: float, now: float, free: bool) -> Refusal | None:
-        """Refuse what can't be served in time, or what the queue can't hold."""
+        """Refuse a request that cannot be served in time or for which the queue has no room."""
         if deadline <= now:
             return Refusal(Verdict.NOT_RUN, Reason.DEADLINE, "the deadline has passed")
         if free:
             return None
-        wait = self.expect_wait()
-        if now + wait + self.mean > deadline:
+        wait = self.estimate_wait()
+        if now + wait + self.mean_hold_time > deadline:
             return refuse_overload("the queue is too long for the deadline", wait, self._rng)
-        if self._length + self.claiming < self.limit or self._find_heavier(caller) is not None:
+        if (
+            self._length + self.claims_in_progress < self.limit
+            or self._find_longer_queue(caller) is not None
+        ):
             return None
         return refuse_overload("the queue is full", wait, self._rng)
 
-    def enter(self, ticket: Ticket, urgent: bool = False) -> Ticket | None:
+    def enqueue(self, ticket: Ticket, at_front: bool = False) -> Ticket | None:
         """
-        Queue a ticket and return the one that it pushed out, if any.
+        Queue a ticket and return the ticket refused in exchange, if any.
 
-        With the queue full, the newest ticket of the caller with the longest line gives way to a
-        caller with a shorter one, so one caller can't lock the others out.
+        If the queue is full, the newest ticket of the caller with the most tickets is refused in
+        favour of a caller with fewer, so that one caller can't starve the others.
         """
-        loser = None
-        if self._length >= self.limit and not urgent:
-            heavier = self._find_heavier(ticket.caller)
-            loser = ticket if heavier is None else self._lines[heavier][-1]
-            loser.refusal = refuse_overload("the queue is full", self.expect_wait(), self._rng)
-            if loser is ticket:
-                return loser
-            self.remove(loser)
-        line = self._lines.get(ticket.caller)
-        if line is None:
-            line = self._lines[ticket.caller] = deque()
-            self._turns.append(ticket.caller)
-        if urgent:
-            line.appendleft(ticket)
+        displaced = None
+        if self._length >= self.limit and not at_front:
+            longer = self._find_longer_queue(ticket.caller)
+            displaced = ticket if longer is None else self._queues[longer][-1]
+            displaced.refusal = refuse_overload(
+                "the queue is full", self.estimate_wait(), self._rng
+            )
+            if displaced is ticket:
+                return displaced
+            self.remove(displaced)
+        queue = self._queues.get(ticket.caller)
+        if queue is None:
+            queue = self._queues[ticket.caller] = deque()
+            self._callers.append(ticket.caller)
+        if at_front:
+            queue.appendleft(ticket)
         else:
-            line.append(ticket)
+            queue.append(ticket)
         ticket.queued = True
         self._length += 1
-        return loser
+        return displaced
 
     def remove(self, ticket: Ticket) -> None:
-        """Take a ticket out of the queue if it is there."""
+        """Remove a ticket from the queue if it is queued."""
         if not ticket.queued:
             return
         ticket.queued = False
-        line = self._lines[ticket.caller]
-        line.remove(ticket)
+        queue = self._queues[ticket.caller]
+        queue.remove(ticket)
         self._length -= 1
-        if not line:
-            self._drop(ticket.caller)
+        if not queue:
+            self._remove_caller(ticket.caller)
 
     def peek(self) -> Ticket | None:
-        """Return the ticket whose turn it is."""
-        return self._lines[self._turns[0]][0] if self._turns else None
+        """Return the next ticket, None if the queue is empty."""
+        return self._queues[self._callers[0]][0] if self._callers else None
 
     def pop(self) -> None:
-        """Take out the ticket whose turn it is and let the next caller have its turn."""
-        caller = self._turns[0]
-        ticket = self._lines[caller].popleft()
+        """Remove the next ticket and move its caller behind the others."""
+        caller = self._callers[0]
+        ticket = self._queues[caller].popleft()
         ticket.queued = False
         self._length -= 1
-        if self._lines[caller]:
-            self._turns.rotate(-1)
+        if self._queues[caller]:
+            self._callers.rotate(-1)
         else:
-            self._drop(caller)
+            self._remove_caller(caller)
 
-    def _drop(self, caller: str) -> None:
-        del self._lines[caller]
-        self._turns.remove(caller)
+    def _remove_caller(self, caller: str) -> None:
+        del self._queues[caller]
+        self._callers.remove(caller)
 
-    def _find_heavier(self, caller: str) -> str | None:
-        own = len(self._lines.get(caller, ()))
-        heaviest = max(self._lines, key=lambda name: len(self._lines[name]), default=None)
-        if heaviest is None or len(self._lines[heaviest]) <= own + 1:
+    def _find_longer_queue(self, caller: str) -> str | None:
+        own = len(self._queues.get(caller, ()))
+        longest = max(self._queues, key=lambda name: len(self._queues[name]), default=None)
+        if longest is None or len(self._queues[longest]) <= own + 1:
             return None
-        return heaviest
+        return longest
--- a/toucanpin/requests/ejection.py
+++ b/toucanpin/requests/ejection.py
@@ -1,9 +1,10 @@
 """
-Ejection of outliers
-====================
+Outlier ejection
+================
 
-Instances that fail are taken out for a while and probed back in.  An instance that fails fast
-looks idle, so least-loaded routing would send it most of the traffic; ejection prevents that.
+Instances that fail receive no requests for a while and are then probed with single ones.  An
+instance that fails fast looks idle, so least-loaded routing would send it most of the traffic;
+ejection prevents that.
 """
 
 from __future__ import annotations
@@ -14,80 +15,85 @@
 
 __all__ = ["Ejector", "Health", "Phase"]
 
-FAILURES_IN_A_ROW = 3
-BASE_SECONDS = 1.0
-MAX_SECONDS = 30.0
-MAX_OUT_SHARE = 0.5
-RATE_WEIGHT = 0.1
-RATE_LIMIT = 0.5
+MAX_CONSECUTIVE_FAILURES = 3
+BASE_EJECTION_S = 1.0
+MAX_EJECTION_S = 30.0
+MAX_EJECTED_SHARE = 0.5
+FAILURE_RATE_WEIGHT = 0.1
+MAX_FAILURE_RATE = 0.5
 
 
 class Phase(enum.Enum):
-    """Say how an instance takes part."""
+    """Whether an instance receives requests; ``PROBING`` allows one at a time."""
 
-    IN = "in"
-    OUT = "out"
-    PROBE = "probe"
+    ACTIVE = "in"
+    EJECTED = "out"
+    PROBING = "probe"
 
 
 @dataclass(slots=True)
 class Health:
-    """Keep one instance's recent failures; ``rate`` is a moving average between 0 and 1."""
+    """Recent failures of one instance; ``failure_rate`` is a moving average from 0 to 1."""
 
-    phase: Phase = Phase.IN
-    failures: int = 0
-    rate: float = 0.0
+    phase: Phase = Phase.ACTIVE
+    consecutive_failures: int = 0
+    failure_rate: float = 0.0
     ejections: int = 0
-    until: float = 0.0
+    ejected_until: float = 0.0
 
 
 class Ejector:
-    """Decide which instances of a service are out, never more than a share of them."""
+    """Eject failing instances of a service, at most ``MAX_EJECTED_SHARE`` of them."""
 
     __slots__ = ("_rng",)
 
     def __init__(self, rng: Random) -> None:
         self._rng = rng
 
-    def succeed(self, health: Health) -> bool:
-        """Count a success; return True if it brought the instance back in."""
-        health.failures = 0
-        health.rate *= 1 - RATE_WEIGHT
-        returned = health.phase is Phase.PROBE
+    def record_success(self, health: Health) -> bool:
+        """Count a success; return whether it ends the instance's ejection."""
+        health.consecutive_failures = 0
+        health.failure_rate *= 1 - FAILURE_RATE_WEIGHT
+        returned = health.phase is Phase.PROBING
         if returned:
-            health.phase = Phase.IN
-            health.rate = 0.0
-        elif health.rate < RATE_WEIGHT:
+            health.phase = Phase.ACTIVE
+            health.failure_rate = 0.0
+        elif health.failure_rate < FAILURE_RATE_WEIGHT:
             health.ejections = 0
         return returned
 
-    def fail(
-        self, health: Health, out: int, total: int, now: float, overtaken: bool = False
+    def record_failure(
+        self, health: Health, ejected: int, total: int, now: float, lost_to_hedge: bool = False
     ) -> bool:
         """
-        Count a failure; ``out`` of ``total`` are out already.  Return True if it ejects.
+        Count a failure; return whether the instance is ejected for it.
 
-        An attempt that was only ``overtaken`` by a hedge counts in the rate but not in the row: a
-        good instance's slowest answers are overtaken too.
+        ``ejected`` of the ``total`` instances are ejected already.  An attempt that was only slower
+        than its hedge (``lost_to_hedge``) counts in the failure rate but not as a consecutive
+        failure, since the slowest answers of a good instance lose to hedges too.
         """
-        health.failures += not overtaken
-        health.rate += (1 - health.rate) * RATE_WEIGHT
-        probing = health.phase is Phase.PROBE
-        bad = health.failures >= FAILURES_IN_A_ROW or health.rate > RATE_LIMIT or probing
-        if not bad or health.phase is Phase.OUT:
+        health.consecutive_failures += not lost_to_hedge
+        health.failure_rate += (1 - health.failure_rate) * FAILURE_RATE_WEIGHT
+        probing = health.phase is Phase.PROBING
+        failing = (
+            health.consecutive_failures >= MAX_CONSECUTIVE_FAILURES
+            or health.failure_rate > MAX_FAILURE_RATE
+            or probing
+        )
+        if not failing or health.phase is Phase.EJECTED:
             return False
-        if not probing and out + 1 > int(total * MAX_OUT_SHARE):
-            # With most instances failing, the cause is likely common to all; the rest must not
-            # be crowded onto ever fewer instances.
+        if not probing and ejected + 1 > int(total * MAX_EJECTED_SHARE):
+            # With most instances failing, the cause is likely common to all; requests must not be
+            # concentrated on ever fewer instances.
             return False
-        seconds = min(MAX_SECONDS, BASE_SECONDS * 2**health.ejections)
-        health.phase = Phase.OUT
+        seconds = min(MAX_EJECTION_S, BASE_EJECTION_S * 2**health.ejections)
+        health.phase = Phase.EJECTED
         health.ejections = min(health.ejections + 1, 10)
-        health.failures = 0
-        health.until = now + seconds * self._rng.uniform(0.75, 1.25)
+        health.consecutive_failures = 0
+        health.ejected_until = now + seconds * self._rng.uniform(0.75, 1.25)
         return True
 
-    def renew(self, health: Health, now: float) -> None:
-        """Let an instance whose time is over be probed."""
-        if health.phase is Phase.OUT and now >= health.until:
-            health.phase = Phase.PROBE
+    def start_probe(self, health: Health, now: float) -> None:
+        """Start probing an instance whose ejection time has passed."""
+        if health.phase is Phase.EJECTED and now >= health.ejected_until:
+            health.phase = Phase.PROBING
--- a/toucanpin/requests/routing.py
+++ b/toucanpin/requests/routing.py
@@ -2,8 +2,8 @@
 Routing
 =======
 
-The choice of an instance: least-loaded of two, over the slots that this entry host owns, near site
-first, with slow start of new instances.
+The choice of an instance: the less loaded of two random ones, by the slots that this entry host
+owns, with the local site first and a slow start of new instances.
 """
 
 from __future__ import annotations
@@ -16,17 +16,17 @@
 
 __all__ = ["Instance", "InstanceShare", "Router"]
 
-SLOW_START_SECONDS = 10.0
-COLDEST = 0.1
-BUSY_SECONDS = 0.1
-MAX_BUSY_SECONDS = 5.0
-DRAWS = 4
-DRAINING_SECONDS = 30.0
+SLOW_START_S = 10.0
+MIN_WARM_UP_SHARE = 0.1
+BASE_AVOIDANCE_S = 0.1
+MAX_AVOIDANCE_S = 5.0
+SAMPLE_DRAWS = 4
+DRAINING_AVOIDANCE_S = 30.0
 
 
 @dataclass(frozen=True, slots=True)
 class InstanceShare:
-    """Give one instance and this process's share of its slots."""
+    """An instance and this process's share of its slots."""
 
     name: str
     site: str
@@ -37,66 +37,77 @@
 @dataclass(slots=True)
 class Instance:
     """
-    Keep what routing knows of one instance.
+    Routing state of one instance.
 
-    ``held`` are the instants until which slots stay taken though their requests have ended here.
+    ``holds`` are the instants until which slots stay taken though their requests have ended here.
+    ``warming_since`` is when the slow start began.
     """
 
     name: str
     site: str
     slots: int
-    since: float
+    warming_since: float
     leaving: bool = False
     in_flight: int = 0
     avoid_until: float = 0.0
     refusals: int = 0
-    held: list[float] = field(default_factory=list)
+    holds: list[float] = field(default_factory=list)
     health: Health = field(default_factory=Health)
 
-    def free(self, now: float) -> int:
-        """Count the slots that may be taken now."""
-        while self.held and self.held[0] <= now:
-            heapq.heappop(self.held)
+    def count_free(self, now: float) -> int:
+        """Return the number of slots that may be taken now."""
+        while self.holds and self.holds[0] <= now:
+            heapq.heappop(self.holds)
         limit = self.slots
-        if self.health.phase is Phase.PROBE:
+        if self.health.phase is Phase.PROBING:
             limit = min(limit, 1)
-        return limit - self.in_flight - len(self.held)
+        return limit - self.in_flight - len(self.holds)
 
     def load(self) -> float:
-        """Compare instances: slots in use by slots owned, counting the next request."""
-        return (self.in_flight + len(self.held) + 1) / self.slots
+        """Return the slots in use, counting the next request, divided by the slots owned."""
+        return (self.in_flight + len(self.holds) + 1) / self.slots
 
 
 class Router:
-    """Choose instances of one service and keep their load and health."""
-
-    __slots__ = ("_site", "_rng", "_ejector", "_instances", "_near", "_known", "ejected")
+    """Choose instances of one service by load and health."""
+
+    __slots__ = (
+        "_site",
+        "_rng",
+        "_ejector",
+        "_instances",
+        "_local_instances",
+        "_instance_count",
+        "ejected",
+    )
 
     def __init__(self, site: str, rng: Random) -> None:
         self._site = site
         self._rng = rng
         self._ejector = Ejector(rng)
         self._instances: dict[str, Instance] = {}
-        self._near: list[Instance] = []
-        self._known = 0
+        self._local_instances: list[Instance] = []
+        self._instance_count = 0
         self.ejected: list[str] = []
 
     @property
-    def known(self) -> int:
-        """Count the instances that may get new requests, shares aside."""
-        return self._known
+    def instance_count(self) -> int:
+        """Return the number of instances that are not leaving, regardless of shares."""
+        return self._instance_count
 
     @property
-    def owned(self) -> int:
-        """Count the slots that this process owns."""
+    def owned_slots(self) -> int:
+        """Return the number of slots that this process owns."""
         return sum(i.slots for i in self._instances.values() if not i.leaving)
 
-    def count_taken(self, now: float) -> int:
-        """Count the owned slots that are in use or held."""
-        return sum(i.slots - max(0, i.free(now)) for i in self._instances.values() if not i.leaving)
+    def count_used(self, now: float) -> int:
+        """Return the number of owned slots that are in use or held."""
+        return sum(
+            i.slots - max(0, i.count_free(now)) for i in self._instances.values() if not i.leaving
+        )
 
     def update(self, shares: tuple[InstanceShare, ...], now: float) -> None:
-        """Take in the instances as listed and the shares as they are now."""
+        """Set the listed instances and this process's shares of them."""
         first = not self._instances
         names = {share.name for share in shares}
         for name in [n for n, i in self._instances.items() if n not in names and not i.in_flight]:
@@ -107,99 +118,101 @@
         for share in shares:
             known = self._instances.get(share.name)
             if known is None:
-                # Instances that are there when this process starts are warm already.
-                since = now - SLOW_START_SECONDS if first else now
+                # Instances listed when this process starts are not new and need no slow start.
+                since = now - SLOW_START_S if first else now
                 known = Instance(share.name, share.site, share.slots, since)
                 self._instances[share.name] = known
             known.slots = share.slots
             known.leaving = share.leaving
-        self._known = sum(not instance.leaving for instance in self._instances.values())
-        self._near = [
+        self._instance_count = sum(not instance.leaving for instance in self._instances.values())
+        self._local_instances = [
             instance
             for instance in self._instances.values()
             if instance.site == self._site and instance.slots and not instance.leaving
         ]
 
-    def knows(self, name: str) -> bool:
-        """Say whether an instance is listed or still has requests in flight."""
+    def has_instance(self, name: str) -> bool:
+        """Return whether an instance is listed or still has requests in flight."""
         return name in self._instances
 
-    def has_free(self, now: float) -> bool:
-        """Say whether any slot may be taken now."""
-        nobody: frozenset[str] = frozenset()
-        return any(self._is_takeable(i, nobody, now) for i in self._instances.values())
+    def has_free_slot(self, now: float) -> bool:
+        """Return whether any slot may be taken now."""
+        none_tried: frozenset[str] = frozenset()
+        return any(self._is_takeable(i, none_tried, now) for i in self._instances.values())
 
-    def take(self, tried: frozenset[str], now: float) -> str | None:
-        """Take a slot of an instance not tried before; None if there is none."""
+    def take_slot(self, tried: frozenset[str], now: float) -> str | None:
+        """Take a slot of an untried instance and return its name, None if no slot is free."""
         chosen = self._sample(tried, now) or self._search(tried, now)
         if chosen is None:
             return None
         chosen.in_flight += 1
         return chosen.name
 
-    def has_other(self, tried: frozenset[str]) -> bool:
-        """Say whether there is an instance that wasn't tried yet, free or not."""
+    def has_untried(self, tried: frozenset[str]) -> bool:
+        """Return whether there is an untried instance, with or without a free slot."""
         return any(i.name not in tried and not i.leaving for i in self._instances.values())
 
-    def give_back(self, name: str, now: float, held_until: float | None = None) -> None:
-        """Return a slot, at ``held_until`` if the instance may be busy with it until then."""
+    def release_slot(self, name: str, now: float, held_until: float | None = None) -> None:
+        """Release a slot, at ``held_until`` if the instance may be busy with it until then."""
         instance = self._instances.get(name)
         if instance is None:
             return
         instance.in_flight -= 1
         if held_until is not None and held_until > now:
-            heapq.heappush(instance.held, held_until)
+            heapq.heappush(instance.holds, held_until)
 
-    def succeed(self, name: str, now: float) -> None:
-        """Count a whole answer of an instance."""
+    def record_success(self, name: str, now: float) -> None:
+        """Count a successful answer of an instance."""
         instance = self._instances.get(name)
         if instance is None:
             return
         instance.refusals = 0
-        if self._ejector.succeed(instance.health):
-            instance.since = now
+        if self._ejector.record_success(instance.health):
+            instance.warming_since = now
 
-    def fail(self, name: str, now: float, overtaken: bool = False) -> bool:
-        """Count a failure of an instance; return True if it is ejected for it."""
+    def record_failure(self, name: str, now: float, lost_to_hedge: bool = False) -> bool:
+        """Count a failure of an instance; return whether it is ejected for it."""
         instance = self._instances.get(name)
         if instance is None:
             return False
         phases = [i.health.phase for i in self._instances.values()]
-        out = sum(1 for phase in phases if phase is not Phase.IN)
-        ejected = self._ejector.fail(instance.health, out, len(phases), now, overtaken)
+        ejected_count = sum(1 for phase in phases if phase is not Phase.ACTIVE)
+        ejected = self._ejector.record_failure(
+            instance.health, ejected_count, len(phases), now, lost_to_hedge
+        )
         if ejected:
             self.ejected.append(name)
         return ejected
 
     def avoid(self, name: str, draining: bool, now: float) -> None:
         """
-        Send nothing new for a while to an instance that says it is full or draining.
+        Send no new requests for a while to an instance that says it is full or draining.
 
-        The time doubles with each such answer in a row: one that refuses all at once looks idle,
-        and each request that it draws costs a retry.
+        The time doubles with each consecutive answer of this kind: an instance that refuses
+        everything at once looks idle, and each request sent to it costs a retry.
         """
         instance = self._instances.get(name)
         if instance is None or instance.avoid_until > now:
             return
-        seconds = min(MAX_BUSY_SECONDS, BUSY_SECONDS * 2.0**instance.refusals)
+        seconds = min(MAX_AVOIDANCE_S, BASE_AVOIDANCE_S * 2.0**instance.refusals)
         instance.refusals = min(instance.refusals + 1, 16)
-        instance.avoid_until = now + (DRAINING_SECONDS if draining else seconds)
+        instance.avoid_until = now + (DRAINING_AVOIDANCE_S if draining else seconds)
 
-    def _takes(self, instance: Instance, now: float) -> bool:
+    def _accepts(self, instance: Instance, now: float) -> bool:
         if instance.leaving or instance.slots == 0 or instance.avoid_until > now:
             return False
-        self._ejector.renew(instance.health, now)
-        return instance.health.phase is not Phase.OUT
+        self._ejector.start_probe(instance.health, now)
+        return instance.health.phase is not Phase.EJECTED
 
     def _sample(self, tried: frozenset[str], now: float) -> Instance | None:
-        """Take the less loaded of the first two takeable instances near, of a few drawn."""
-        near = self._near
+        """Return the less loaded of the first two available local instances among a few drawn."""
+        local = self._local_instances
         first: Instance | None = None
-        for _ in range(DRAWS if near else 0):
-            drawn = near[int(self._rng.random() * len(near))]
+        for _ in range(SAMPLE_DRAWS if local else 0):
+            drawn = local[int(self._rng.random() * len(local))]
             if drawn is first or not self._is_takeable(drawn, tried, now):
                 continue
-            if self._is_spared(drawn, now):
+            if self._skips_draw(drawn, now):
                 continue
             if first is None:
                 first = drawn
@@ -207,22 +220,26 @@
             return first if first.load() <= drawn.load() else drawn
         return first
 
-    def _is_spared(self, instance: Instance, now: float) -> bool:
-        """Spare a new instance part of its draws, fewer as it warms up."""
-        age = now - instance.since
-        if age >= SLOW_START_SECONDS:
+    def _skips_draw(self, instance: Instance, now: float) -> bool:
+        """Return whether slow start skips this draw of an instance, less often as it warms up."""
+        age = now - instance.warming_since
+        if age >= SLOW_START_S:
             return False
-        return self._rng.random() > max(COLDEST, age / SLOW_START_SECONDS)
+        return self._rng.random() > max(MIN_WARM_UP_SHARE, age / SLOW_START_S)
 
     def _search(self, tried: frozenset[str], now: float) -> Instance | None:
-        """Look at every instance, near ones first."""
+        """Return the less loaded of two of all available instances, local ones first."""
         takeable = [i for i in self._instances.values() if self._is_takeable(i, tried, now)]
-        near = [instance for instance in takeable if instance.site == self._site]
-        candidates = near or takeable
+        local = [instance for instance in takeable if instance.site == self._site]
+        candidates = local or takeable
         if len(candidates) < 2:
             return candidates[0] if candidates else None
         first, second = self._rng.sample(candidates, 2)
         return first if first.load() <= second.load() else second
 
     def _is_takeable(self, instance: Instance, tried: frozenset[str], now: float) -> bool:
-        return instance.name not in tried and self._takes(instance, now) and instance.free(now) > 0
+        return (
+            instance.name not in tried
+            and self._accepts(instance, now)
+            and instance.count_free(now) > 0
+        )
--- a/toucanpin/requests/service.py
+++ b/toucanpin/requests/service.py
@@ -2,7 +2,7 @@
 State of one service
 ====================
 
-What one request process keeps of one service: queue, routing and retry budget, put together.
+What one request process knows of one service: its queue, routing, retry budget and attempt timing.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 from random import Random
 
 from toucanpin.bundles.schema import Service
-from toucanpin.requests.admission import Admission, Ticket
+from toucanpin.requests.admission import AdmissionQueue, Ticket
 from toucanpin.requests.attempt_timing import AttemptTiming
 from toucanpin.requests.retry_budget import RetryBudget
 from toucanpin.requests.routing import InstanceShare, Router
@@ -18,29 +18,29 @@
 
 __all__ = ["ServiceState"]
 
-ABSENT_RETRY_SECONDS = 2.0
+NO_INSTANCE_RETRY_AFTER_S = 2.0
 MAX_HEDGING_LOAD = 0.75
-MANY_PLACES = 1 << 30
+UNLIMITED_REQUESTS = 1 << 30
 
 
 class ServiceState:
     """
-    Put the decisions about one service together.
+    Combine admission, routing and retries of one service.
 
-    Not safe for threads: the daemon takes a lock around each step.  ``settled`` collects the
-    tickets whose wait ended in this step, for the daemon to wake.  ``places`` is how many requests
-    the process can keep at one time, in flight and queued.
+    Not thread-safe: the daemon takes a lock around each step.  ``settled_tickets`` collects the
+    tickets whose wait ended in this step, so that the daemon wakes their threads.
+    ``max_requests`` is how many requests the process can hold at one time, in flight and queued.
     """
 
     __slots__ = (
         "service",
-        "places",
+        "max_requests",
         "rng",
         "admission",
         "router",
         "budget",
         "attempt_timing",
-        "settled",
+        "settled_tickets",
     )
 
     def __init__(
@@ -49,96 +49,97 @@
         retry_share: float,
         site: str,
         rng: Random,
-        places: int = MANY_PLACES,
+        max_requests: int = UNLIMITED_REQUESTS,
     ) -> None:
         self.service = service
-        self.places = places
+        self.max_requests = max_requests
         self.rng = rng
-        self.admission = Admission(service.queue, rng)
+        self.admission = AdmissionQueue(service.queue, rng)
         self.router = Router(site, rng)
         self.budget = RetryBudget(retry_share)
         self.attempt_timing = AttemptTiming()
-        self.settled: list[Ticket] = []
+        self.settled_tickets: list[Ticket] = []
 
     def configure(self, service: Service) -> None:
-        """Take in a changed description of the service."""
+        """Set a changed description of the service."""
         self.service = service
 
     def update(self, shares: tuple[InstanceShare, ...], now: float) -> None:
-        """Take in instances and shares, and grant what they allow."""
+        """Set instances and shares, and grant the slots that they free."""
         self.router.update(shares, now)
-        self.admission.slots = self.router.owned
-        # A request that finds no thread would wait unseen, and be refused late or never.
-        room = max(1, self.places - self.router.owned)
-        self.admission.limit = min(self.service.queue, room)
+        self.admission.slots = self.router.owned_slots
+        # A request for which the process has no thread would wait unseen by this queue, and be
+        # refused late or never.
+        max_queue = max(1, self.max_requests - self.router.owned_slots)
+        self.admission.limit = min(self.service.queue, max_queue)
         self.grant(now)
 
     def check(self, caller: str, deadline: float, now: float) -> Refusal | None:
-        """Refuse at the door what can't be served."""
-        if self.router.known == 0:
-            return self.refuse_absent()
-        free = not len(self.admission) and self.router.has_free(now)
+        """Return a refusal if a new request cannot be served, None if it is admitted."""
+        if self.router.instance_count == 0:
+            return self.refuse_no_instance()
+        free = not len(self.admission) and self.router.has_free_slot(now)
         return self.admission.check(caller, deadline, now, free)
 
-    def refuse_absent(self) -> Refusal:
-        """Refuse because the service has no instance."""
-        wait = ABSENT_RETRY_SECONDS * self.rng.uniform(1.0, 2.0)
+    def refuse_no_instance(self) -> Refusal:
+        """Return the refusal for a service without instances."""
+        wait = NO_INSTANCE_RETRY_AFTER_S * self.rng.uniform(1.0, 2.0)
         detail = "the service has no instance"
         return Refusal(Verdict.NOT_RUN, Reason.NO_UPSTREAM, detail, retry_after=wait)
 
     def request_slot(
         self, caller: str, deadline: float, tried: frozenset[str], now: float
     ) -> Ticket:
-        """Take a slot at once if one is free, or queue for it; retries go before first attempts."""
+        """Take a free slot or queue for one; retries are queued before first attempts."""
         ticket = Ticket(caller, deadline, tried)
         if tried or not len(self.admission):
-            ticket.granted = self.router.take(tried, now)
+            ticket.granted = self.router.take_slot(tried, now)
         if ticket.granted is None:
-            loser = self.admission.enter(ticket, urgent=bool(tried))
-            if loser is not None and loser is not ticket:
-                self.settled.append(loser)
+            displaced = self.admission.enqueue(ticket, at_front=bool(tried))
+            if displaced is not None and displaced is not ticket:
+                self.settled_tickets.append(displaced)
         return ticket
 
-    def take_hedge(self, tried: frozenset[str], now: float) -> str | None:
+    def take_hedge_slot(self, tried: frozenset[str], now: float) -> str | None:
         """
-        Take a slot and a token for a second attempt; None if nobody may have them.
+        Take a slot and a token for a second attempt; None if there is none for hedges.
 
-        A hedge pays like a retry.  With few slots free it would only push out first attempts: they
-        wait for the slots that it and the attempt it overtakes hold.
+        A hedge costs a token like a retry.  With few slots free it would only delay first attempts,
+        which wait for the slots that the hedge and the attempt that it replaces hold.
         """
         if len(self.admission) or not self.budget.has_token:
             return None
-        if self.router.count_taken(now) > MAX_HEDGING_LOAD * self.router.owned:
+        if self.router.count_used(now) > MAX_HEDGING_LOAD * self.router.owned_slots:
             return None
-        instance = self.router.take(tried, now)
+        instance = self.router.take_slot(tried, now)
         if instance is not None:
             self.budget.spend()
         return instance
 
-    def give_back(self, instance: str, now: float, held_until: float | None = None) -> None:
-        """Return a slot and grant it to whose turn it is."""
-        self.router.give_back(instance, now, held_until)
+    def release_slot(self, instance: str, now: float, held_until: float | None = None) -> None:
+        """Release a slot and grant it to the next ticket."""
+        self.router.release_slot(instance, now, held_until)
         self.grant(now)
 
     def grant(self, now: float) -> None:
-        """Grant free slots in turn; tickets too late to be served are refused at once."""
+        """Grant free slots to the next tickets; refuse those that can't be served in time."""
         while (ticket := self.admission.peek()) is not None:
-            if now + self.admission.mean > ticket.deadline:
-                ticket.refusal = self.expire()
+            if now + self.admission.mean_hold_time > ticket.deadline:
+                ticket.refusal = self.refuse_no_slot()
             else:
-                ticket.granted = self.router.take(ticket.tried, now)
+                ticket.granted = self.router.take_slot(ticket.tried, now)
                 if ticket.granted is None:
                     return
             self.admission.pop()
-            self.settled.append(ticket)
+            self.settled_tickets.append(ticket)
 
     def abandon(self, ticket: Ticket, now: float) -> None:
-        """Take back a ticket whose holder has gone."""
+        """Remove a ticket whose request has ended, and release its slot if it has one."""
         self.admission.remove(ticket)
         if ticket.granted is not None:
-            self.give_back(ticket.granted, now)
+            self.release_slot(ticket.granted, now)
 
-    def expire(self) -> Refusal:
-        """Refuse because no slot came free in time."""
-        wait = max(1.0, self.admission.expect_wait()) * self.rng.uniform(1.0, 2.0)
+    def refuse_no_slot(self) -> Refusal:
+        """Return the refusal for a request that got no slot in time."""
+        wait = max(1.0, self.admission.estimate_wait()) * self.rng.uniform(1.0, 2.0)
         return Refusal(Verdict.NOT_RUN, Reason.OVERLOAD, "no slot came free in time", wait)
--- a/toucanpin/requests/tests/test_hedging.py
+++ b/toucanpin/requests/tests/test_hedging.py
@@ -87,8 +87,8 @@
         hedge = path.send(AttemptPending(0.1))
         path.send(AttemptEnded(hedge.instance, Responded(0.2, SECOND)))
         path.send(ActionDone(0.2))
-        self.assertEqual(state.router.count_taken(forward.deadline - 0.01), 1)
-        self.assertEqual(state.router.count_taken(forward.deadline), 0)
+        self.assertEqual(state.router.count_used(forward.deadline - 0.01), 1)
+        self.assertEqual(state.router.count_used(forward.deadline), 0)
 
     def test_hedges_out_of_the_retry_budget(self):
         """
--- a/toucanpin/requests/tests/virtual.py
+++ b/toucanpin/requests/tests/virtual.py
@@ -185,7 +185,7 @@
             self._step(*waiting, WaitEnded(self.clock.now))
 
     def _wake(self) -> None:
-        settled, self.state.settled[:] = list(self.state.settled), []
+        settled, self.state.settled_tickets[:] = list(self.state.settled_tickets), []
         for ticket in settled:
             self.clock.at(self.clock.now, partial(self._end_wait, ticket))
 
