--- a/scenarios/kernel.py
+++ b/scenarios/kernel.py
@@ -202,13 +202,13 @@
         recorder = self.recorders.get(name)
         if recorder is None:
             return None
-        return Cause(recorder.process, recorder.last, recorder.incarnation)
+        return Cause(recorder.process, recorder.last_sequence, recorder.incarnation)
 
     def _hear(self, name: str, cause: Cause | None) -> None:
         """Let a receiver's next event come after what a message named."""
         recorder = self.recorders.get(name)
         if recorder is not None and cause is not None:
-            recorder.hear(cause)
+            recorder.observe(cause)
 
     def _draw(self, source: str, target: str) -> float:
         """Draw the latency of one message."""
--- a/toucanpin/daemon/root.py
+++ b/toucanpin/daemon/root.py
@@ -146,14 +146,14 @@
             self.peer_keys,
             Timing(interval=settings.peers.heartbeat_ms / MILLISECONDS),
             self.recorder,
-            lambda: self.recorder.last,
+            lambda: self.recorder.last_sequence,
             self._hear,
         )
 
     def _hear(self, envelope: Envelope) -> None:
         """Let what this process records next come after what the sender had recorded."""
         life = str(get_process_incarnation(envelope.incarnation))
-        self.recorder.hear(Cause(envelope.sender, envelope.event, life))
+        self.recorder.observe(Cause(envelope.sender, envelope.event, life))
 
     def build(self) -> Daemon:
         """Connect the parts of the role and return them in starting order."""
--- a/toucanpin/daemon/timeline.py
+++ b/toucanpin/daemon/timeline.py
@@ -141,7 +141,7 @@
         """Send until stopped, then send what is left as long as the store takes it."""
         while not self._stopping.wait(self.choose_delay()):
             self.send()
-        while self._sent < self._recorder.last and self.send():
+        while self._sent < self._recorder.last_sequence and self.send():
             pass
 
 
--- a/toucanpin/timeline/recorder.py
+++ b/toucanpin/timeline/recorder.py
@@ -44,13 +44,13 @@
 
     __slots__ = (
         "_events",
-        "_heard",
         "_incarnation",
-        "_last",
+        "_last_sequence",
         "_lock",
         "_monotonic",
+        "_observed",
+        "_pending_causes",
         "_process",
-        "_unrecorded",
         "_wall",
     )
 
@@ -67,9 +67,9 @@
         self._monotonic = monotonic
         self._wall = wall
         self._events: deque[Event] = deque(maxlen=capacity)
-        self._last = 0
-        self._heard: dict[str, Cause] = {}
-        self._unrecorded: dict[str, Cause] = {}
+        self._last_sequence = 0
+        self._observed: dict[str, Cause] = {}
+        self._pending_causes: dict[str, Cause] = {}
         self._lock = threading.Lock()
 
     @property
@@ -83,26 +83,26 @@
         return self._incarnation
 
     @property
-    def last(self) -> int:
+    def last_sequence(self) -> int:
         """Return the sequence number of the newest event, 0 before the first."""
         with self._lock:
-            return self._last
+            return self._last_sequence
 
     @property
     def dropped(self) -> int:
         """Count the events that the buffer had no room to keep."""
         with self._lock:
-            return self._last - len(self._events)
+            return self._last_sequence - len(self._events)
 
-    def hear(self, cause: Cause) -> None:
+    def observe(self, cause: Cause) -> None:
         """Let the next event come after an event of another process, named by a message."""
         if cause.sequence == 0 or cause.process == self._process:
             return
         with self._lock:
-            known = self._heard.get(cause.process)
-            if known is None or _is_later(cause, known):
-                self._heard[cause.process] = cause
-                self._unrecorded[cause.process] = cause
+            known = self._observed.get(cause.process)
+            if known is None or _is_newer(cause, known):
+                self._observed[cause.process] = cause
+                self._pending_causes[cause.process] = cause
 
     def record(
         self, kind: str, ids: dict[str, str], detail: str = "", causes: tuple[Cause, ...] = ()
@@ -111,19 +111,19 @@
         # The clocks are read under the lock: otherwise two threads could record a later reading
         # under a lower sequence number, and the process's own order would contradict its clock.
         with self._lock:
-            self._last += 1
-            heard = tuple(self._unrecorded.values())
-            self._unrecorded.clear()
+            self._last_sequence += 1
+            observed = tuple(self._pending_causes.values())
+            self._pending_causes.clear()
             event = Event(
                 process=self._process,
                 incarnation=self._incarnation,
-                sequence=self._last,
+                sequence=self._last_sequence,
                 monotonic=self._monotonic(),
                 wall=self._wall(),
                 kind=kind,
                 ids=dict(ids),
                 detail=detail,
-                causes=(*causes, *heard),
+                causes=(*causes, *observed),
             )
             self._events.append(event)
             return event
@@ -131,7 +131,7 @@
     def read_after(self, sequence: int, limit: int | None = None) -> Excerpt:
         """Return the events after a sequence number, the oldest ``limit`` of them if given."""
         with self._lock:
-            first = self._last - len(self._events) + 1
+            first = self._last_sequence - len(self._events) + 1
             wanted = max(sequence, 0) + 1
             skipped = max(wanted - first, 0)
             stop = None if limit is None else skipped + limit
@@ -139,6 +139,6 @@
             return Excerpt(events, missed=max(first - wanted, 0))
 
 
-def _is_later(cause: Cause, known: Cause) -> bool:
+def _is_newer(cause: Cause, known: Cause) -> bool:
     """Say whether a cause is news; of two lives of a process the one heard last counts."""
     return cause.incarnation != known.incarnation or cause.sequence > known.sequence
--- a/toucanpin/timeline/tests/test_recorder.py
+++ b/toucanpin/timeline/tests/test_recorder.py
@@ -19,7 +19,7 @@
     def test_numbers_start_at_one(self):
         recorder = make_recorder()
         self.assertEqual(recorder.record("process.started", {}).sequence, 1)
-        self.assertEqual(recorder.last, 1)
+        self.assertEqual(recorder.last_sequence, 1)
 
     def test_full_buffer_drops_the_oldest_and_counts_them(self):
         recorder = make_recorder(capacity=4)
@@ -41,19 +41,19 @@
 
     def test_the_next_event_comes_after_what_a_message_named(self):
         recorder = make_recorder()
-        recorder.hear(Cause("b/control", 7, "1"))
-        recorder.hear(Cause("b/control", 5, "1"))
-        recorder.hear(Cause("c/control", 0, "1"))
+        recorder.observe(Cause("b/control", 7, "1"))
+        recorder.observe(Cause("b/control", 5, "1"))
+        recorder.observe(Cause("c/control", 0, "1"))
         self.assertEqual(recorder.record("x", {}).causes, (Cause("b/control", 7, "1"),))
         self.assertEqual(recorder.record("y", {}).causes, ())
-        recorder.hear(Cause("b/control", 7, "1"))
+        recorder.observe(Cause("b/control", 7, "1"))
         self.assertEqual(recorder.record("z", {}).causes, ())
 
     def test_a_new_life_of_a_process_counts_anew(self):
         recorder = make_recorder()
-        recorder.hear(Cause("b/control", 7, "1"))
+        recorder.observe(Cause("b/control", 7, "1"))
         recorder.record("x", {})
-        recorder.hear(Cause("b/control", 2, "2"))
+        recorder.observe(Cause("b/control", 2, "2"))
         self.assertEqual(recorder.record("y", {}).causes, (Cause("b/control", 2, "2"),))
 
     def test_later_change_of_the_ids_does_not_change_the_event(self):
