--- a/toucanpin/bundles/__init__.py
+++ b/toucanpin/bundles/__init__.py
@@ -1,1 +1,1 @@
-"""Signed bundles: schema, signatures, acceptance and spread."""
+"""Signed configuration bundles: schema, signatures, acceptance and replication."""
--- a/toucanpin/bundles/acceptance.py
+++ b/toucanpin/bundles/acceptance.py
@@ -2,7 +2,7 @@
 Acceptance of bundles
 =====================
 
-Decide whether a submitted bundle becomes the one in force, by one conditional write.
+Decide by a single conditional write whether a submitted bundle becomes the one in force.
 """
 
 from __future__ import annotations
@@ -63,21 +63,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Read:
-    """Read one row; the outcome is that of ``Table.read``."""
+    """Read one row; the result is that of ``Table.read``."""
 
     key: str
 
 
 @dataclass(frozen=True, slots=True)
 class Commit:
-    """Commit one transaction; the outcome is that of ``Table.commit``."""
+    """Commit one transaction; the result is that of ``Table.commit``."""
 
     transaction: Transaction
 
 
 @dataclass(frozen=True, slots=True)
 class Pause:
-    """Wait some seconds; the outcome is None."""
+    """Wait for a number of seconds; the result is None."""
 
     seconds: float
 
@@ -88,9 +88,10 @@
 @dataclass(frozen=True, slots=True)
 class Submission:
     """
-    Ask for a bundle to be accepted.
+    Request to put a bundle in force.
 
-    ``expected`` is the version in force that the operator had before them, 0 for none.
+    ``expected`` is the version in force that the bundle was prepared against, 0 for none.
+    ``submitted_at`` is in seconds of the wall clock.
     """
 
     signed: SignedBundle
@@ -101,7 +102,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Accepted:
-    """Say that the bundle was accepted; ``repeated`` if that was so before this submission."""
+    """The bundle is accepted; ``repeated`` if an earlier submission had been accepted already."""
 
     record: BundleRecord
     repeated: bool = False
@@ -109,14 +110,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Refused:
-    """Say that the bundle can't be accepted, and nothing changed."""
+    """The bundle is invalid, and nothing changed."""
 
     faults: tuple[str, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class Conflicted:
-    """Name the bundle in force in place of the expected one, and how it differs from this one."""
+    """Another bundle than expected is in force; ``difference`` compares it with this one."""
 
     winner: BundleRecord | None
     difference: tuple[str, ...]
@@ -124,14 +125,14 @@
 
 @dataclass(frozen=True, slots=True)
 class NotAccepted:
-    """Say that the table couldn't be asked: nothing changed, and the submission may be repeated."""
+    """The table is unavailable: nothing changed, and the submission may be repeated."""
 
     detail: str
 
 
 @dataclass(frozen=True, slots=True)
 class Uncertain:
-    """Say that the bundle may have been accepted, or may yet be; the same one may be repeated."""
+    """The bundle may have been accepted or may still be; the submission may be repeated."""
 
     detail: str
 
@@ -144,13 +145,13 @@
     root: KeyRing, submission: Submission, next_token: Callable[[], str]
 ) -> Acceptance:
     """
-    Yield reads and one conditional write, and return what became of the submission.
+    Yield reads and one conditional write, and return the outcome of the submission.
 
     Notes
     -----
-    After a lost answer the write may still take effect later.  Reading the old row back proves
-    nothing then, so the same conditional write is repeated: whichever of the two comes first moves
-    the row's version and makes the other one fail, and both hold the same bundle.
+    If the answer to a write is lost, the write may still take effect later, so reading the old row
+    proves nothing.  The same conditional write is repeated instead: the first one to take effect
+    changes the row's version and makes the other fail, and both contain the same bundle.
     """
     match verify_bundle(root, submission.signed):
         case Result(tag="ok", ok=verified):
@@ -171,7 +172,7 @@
     next_token: Callable[[], str]
 
     def record(self) -> BundleRecord:
-        """Return the record to be written."""
+        """Return the record to write."""
         return BundleRecord(
             self.verified.bundle.version,
             self.verified.digest,
@@ -181,7 +182,7 @@
         )
 
     def transaction(self, row: Row | None) -> Transaction:
-        """Return the one write that puts the bundle in force, on top of the row that was read."""
+        """Return the transaction that replaces the row that was read by the bundle."""
         value = encode_record(self.record())
         expected = ABSENT if row is None else row.version
         key = make_version_key(self.verified.bundle.version)
@@ -209,7 +210,7 @@
             case Result(tag="ok", ok=Committed()):
                 return Accepted(attempt.record())
             case Result(error=Conflict()):
-                continue  # the next read shows who was first
+                continue  # the next read shows the bundle that was written first
             case Result(error=Unavailable() as fault):
                 detail = fault.detail
                 if not uncertain:
@@ -237,8 +238,8 @@
     if current.version != expected:
         return (yield from _resolve_conflict(attempt, current))
     if not extends_rings(current.signed.rings, attempt.submission.signed.rings):
-        # A bundle without the newest ring was signed for an older one, perhaps by a key that has
-        # been revoked since.
+        # A bundle without the newest ring was signed under an older one, possibly by a key that
+        # has been revoked since.
         return Refused(("the key rings of the bundle in force are missing or differ",))
     return None
 
@@ -246,8 +247,8 @@
 def _resolve_conflict(
     attempt: _Attempt, current: BundleRecord
 ) -> Generator[Action, Any, Outcome | None]:
-    # The bundle may have been accepted, its answer lost, and a later one accepted on top of it.
-    # Its own row tells, where the current row would name a winner that is none.
+    # The bundle may have been accepted with its answer lost, and a later one accepted after it.
+    # The row of its version shows this; the current row would name the later bundle as winner.
     match (yield Read(make_version_key(attempt.verified.bundle.version))):
         case Result(tag="ok", ok=Row(value=value)):
             match decode_record(value):
--- a/toucanpin/bundles/actions.py
+++ b/toucanpin/bundles/actions.py
@@ -1,8 +1,8 @@
 """
-Questions and offers
-====================
+Actions of bundle replication
+=============================
 
-What the spread of bundles asks of the daemon, and what it makes of an offered bundle.
+The actions that a bundle replica asks its daemon to perform, and the results of offered bundles.
 """
 
 from __future__ import annotations
@@ -13,7 +13,6 @@
 from toucanpin.bundles.record import BundleRecord
 
 __all__ = [
-    "ReplicationAction",
     "OfferResult",
     "OfferStatus",
     "Peer",
@@ -21,23 +20,39 @@
     "PushTo",
     "ReadTable",
     "Readiness",
-    "Source",
+    "ReplicationAction",
     "ReplicationTiming",
+    "Source",
 ]
 
 
 @dataclass(frozen=True, slots=True)
 class ReplicationTiming:
     """
-    Time the spread; all in seconds.
-
-    ``settle`` is how long a process that starts or was away listens to its peers when the table is
-    silent, longer than it takes to suspect a member; ``catch_up`` how long a process serves on
-    although it has seen a higher version; ``isolated`` how long one serves that reaches neither
-    the table nor most of the others; ``outage`` how long one serves that reaches those, but none
-    of them the table; ``pause`` the gap that shows that the process was frozen.  ``hop`` is added
-    to the age of a confirmation at each process that it passes; it must exceed the delay of a
-    heartbeat.
+    Periods and timeouts of replication, in seconds.
+
+    Attributes
+    ----------
+    poll_period
+        Period of table reads.
+    retry_delay
+        Delay before the next pull after a failed one.
+    settling_time
+        Time for which a process listens to its peers after a start, a freeze or an isolation while
+        the table is unavailable; longer than it takes to suspect a member.
+    catch_up_time
+        Time for which a process keeps serving after it has seen a higher version.
+    isolation_timeout
+        Time for which a process keeps serving that reaches neither the table nor a majority of the
+        other processes.
+    outage_timeout
+        Time for which a process keeps serving that reaches a majority, none of which reaches the
+        table.
+    freeze_threshold
+        Gap between two calls that shows that the process was frozen.
+    hop_delay
+        Added to the age of a confirmation by each process that receives it; it must exceed the
+        delay of a heartbeat.
     """
 
     poll_period: float = 2.0
@@ -51,7 +66,7 @@
 
 
 class Source(enum.Enum):
-    """Say where a record came from."""
+    """Origin of a record."""
 
     TABLE = "table"
     PEER = "peer"
@@ -59,7 +74,11 @@
 
 
 class OfferStatus(enum.Enum):
-    """Say what became of an offered bundle."""
+    """
+    Outcome of an offered bundle.
+
+    KEPT is a verified bundle that isn't in force yet, since a newer one may exist.
+    """
 
     APPLIED = "applied"
     KEPT = "kept"
@@ -70,7 +89,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OfferResult:
-    """Report what became of an offered bundle, and why."""
+    """Outcome of an offered bundle, and its reason."""
 
     status: OfferStatus
     detail: str = ""
@@ -78,7 +97,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Peer:
-    """Name a member that is there and the version that it last said to have in force."""
+    """Reachable member, and the version in force in its last heartbeat."""
 
     name: str
     version: int
@@ -93,7 +112,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PullFrom:
-    """Ask a peer for its bundle."""
+    """Request a peer's bundle if its version is higher than ``above``."""
 
     peer: str
     above: int
@@ -101,7 +120,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PushTo:
-    """Hand the bundle in force to a peer."""
+    """Send the bundle in force to a peer."""
 
     peer: str
     record: BundleRecord
@@ -112,7 +131,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Readiness:
-    """Say whether the bundle in force may be served by, and if not, why."""
+    """Whether requests may be served with the bundle in force, and if not, why."""
 
     ready: bool
     reason: str = ""
--- a/toucanpin/bundles/canonical.py
+++ b/toucanpin/bundles/canonical.py
@@ -2,7 +2,7 @@
 Canonical bytes
 ===============
 
-Give every bundle exactly one sequence of bytes, which is what gets signed, stored and compared.
+Encode each bundle as a unique byte sequence, which is signed, stored and compared.
 """
 
 from __future__ import annotations
@@ -20,12 +20,12 @@
 
 
 def encode_bundle(bundle: Bundle) -> bytes:
-    """Return the canonical bytes: JSON with sorted keys, every field and no blanks."""
+    """Return the canonical bytes: JSON with sorted keys, all fields and no white space."""
     return msgspec.json.encode(bundle, order="sorted")
 
 
 def is_canonical(document: bytes) -> bool:
-    """Say whether bytes are canonical, whatever fields they hold."""
+    """Return whether bytes are canonical JSON, regardless of their fields."""
     try:
         return msgspec.json.encode(msgspec.json.decode(document), order="sorted") == document
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError):
@@ -34,10 +34,10 @@
 
 def decode_bundle(document: bytes) -> Result[Bundle, BundleError]:
     """
-    Return the bundle of canonical bytes, checked whole.
+    Return the bundle of canonical bytes after checking all of it.
 
-    A bundle with fields that this process doesn't know is refused: a part of it in force would
-    be neither the old configuration nor the new one.
+    A bundle with unknown fields is refused: applying only the known ones would give neither the
+    old configuration nor the new one.
     """
     if not is_canonical(document):
         return Error(BundleError(("the bytes are not canonical",)))
@@ -50,5 +50,5 @@
 
 
 def digest(document: bytes) -> str:
-    """Return the name of a document's bytes: SHA-256 in hexadecimal digits."""
+    """Return the SHA-256 digest of a document in hexadecimal digits."""
     return hashlib.sha256(document).hexdigest()
--- a/toucanpin/bundles/difference.py
+++ b/toucanpin/bundles/difference.py
@@ -2,7 +2,7 @@
 Differences of bundles
 ======================
 
-Say in readable lines what one bundle changes against another.
+Describe the changes from one bundle to another in readable lines.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 def compare_bundles(old: Bundle | None, new: Bundle) -> tuple[str, ...]:
-    """Return one line for each change, ``+`` added, ``-`` removed, ``~`` changed."""
+    """Return one line for each change: ``+`` added, ``-`` removed, ``~`` changed."""
     if old is None:
         old = Bundle(deployment=new.deployment, version=0)
     return tuple(_compare(old, new))
--- a/toucanpin/bundles/document.py
+++ b/toucanpin/bundles/document.py
@@ -2,7 +2,7 @@
 Documents of bundles
 ====================
 
-Check the TOML text of a bundle as a whole and name every fault with its line.
+Parse and check the TOML text of a bundle, and report every fault with its line.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 __all__ = ["Fault", "check_bundle", "check_name", "parse_bundle", "parse_document"]
 
 MAX_DOCUMENT_BYTES = 524_288
-MAX_NUMBER = 2**53
+MAX_NUMBER = 2**53  # integers up to this are exact in a float
 
 Document = TypeVar("Document", bound=msgspec.Struct)
 
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """Name one fault by the path of its key, its value and what is allowed."""
+    """Invalid entry: the path of its key, its value and the allowed values."""
 
     path: str
     value: object
@@ -52,14 +52,18 @@
 
 
 def parse_bundle(text: str, name: str = "bundle") -> Result[Bundle, BundleError]:
-    """Return the bundle of a TOML text, or every fault of it."""
+    """Return the bundle of a TOML text, or all its faults."""
     return parse_document(text, Bundle, check_bundle, name)
 
 
 def parse_document(
     text: str, kind: type[Document], check: Callable[[Document], Iterable[Fault]], name: str
 ) -> Result[Document, BundleError]:
-    """Return the value of a TOML text, or every fault: first those of types, then of ``check``."""
+    """
+    Return the value of a TOML text, or all its faults.
+
+    ``check`` is called only if the text has no faults of types.
+    """
     if len(text.encode()) > MAX_DOCUMENT_BYTES:
         return Error(BundleError((f"{name}: larger than {MAX_DOCUMENT_BYTES} bytes",)))
     try:
@@ -78,7 +82,7 @@
 
 
 def check_bundle(bundle: Bundle) -> Iterator[Fault]:
-    """Check what no single type says: ranges, names that occur twice, names that aren't there."""
+    """Yield the faults that types don't show: ranges, duplicate names and unknown names."""
     yield from check_name("deployment", bundle.deployment)
     if not 1 <= bundle.version <= MAX_NUMBER:
         yield Fault("version", bundle.version, f"1 to {MAX_NUMBER}")
@@ -95,7 +99,7 @@
 
 
 def check_name(path: str, name: str) -> Iterator[Fault]:
-    """Check a name that goes into keys, logs and addresses."""
+    """Yield a fault if a name isn't valid in keys, logs and addresses."""
     if not _NAME.fullmatch(name):
         yield Fault(path, name, _NAME_ALLOWED)
 
--- a/toucanpin/bundles/record.py
+++ b/toucanpin/bundles/record.py
@@ -2,7 +2,7 @@
 Records of accepted bundles
 ===========================
 
-What the table keeps of each accepted bundle, and its keys there.
+The rows that the table keeps of accepted bundles, and their keys.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 
 
 class BundleRecord(msgspec.Struct, frozen=True):
-    """Hold an accepted bundle, who submitted it and when (seconds of the wall clock)."""
+    """Accepted bundle, its operator and the time of its submission (seconds of the wall clock)."""
 
     version: int
     digest: str
@@ -40,17 +40,17 @@
 
 
 def make_version_key(version: int) -> str:
-    """Return the key of the row that keeps one accepted version."""
+    """Return the key of the row of an accepted version."""
     return f"{_VERSION_PREFIX}{version:0{_VERSION_DIGITS}d}"
 
 
 def encode_record(record: BundleRecord) -> bytes:
-    """Return the value of a record's row."""
+    """Return the row value of a record."""
     return msgspec.json.encode(record)
 
 
 def decode_record(value: bytes) -> Result[BundleRecord, BundleError]:
-    """Return the record of a row's value; it is not verified yet."""
+    """Return the unverified record of a row value."""
     try:
         return Ok(msgspec.json.decode(value, type=BundleRecord))
     except (msgspec.MsgspecError, UnicodeDecodeError) as error:
@@ -58,7 +58,7 @@
 
 
 def verify_record(root: KeyRing, record: BundleRecord) -> Result[Verified, BundleError]:
-    """Check a record's signatures, and that its version and digest are those of its bundle."""
+    """Verify a record's signatures, and its version and digest against its bundle."""
     match verify_bundle(root, record.signed):
         case Result(tag="ok", ok=verified):
             same = (verified.bundle.version, verified.digest) == (record.version, record.digest)
@@ -70,12 +70,12 @@
 
 
 def encode_signed(signed: SignedBundle) -> bytes:
-    """Return a signed bundle as operators submit it and processes hand it on."""
+    """Return a signed bundle encoded for submission and for transfer between processes."""
     return msgspec.json.encode(signed)
 
 
 def decode_signed(data: bytes) -> Result[SignedBundle, BundleError]:
-    """Return the signed bundle of untrusted bytes; it is not verified yet."""
+    """Return the unverified signed bundle of untrusted bytes."""
     try:
         return Ok(msgspec.json.decode(data, type=SignedBundle))
     except (msgspec.MsgspecError, UnicodeDecodeError) as error:
--- a/toucanpin/bundles/replication.py
+++ b/toucanpin/bundles/replication.py
@@ -1,8 +1,8 @@
 """
-Spread of bundles
-=================
+Replication of bundles
+======================
 
-Decide, in each process, which accepted bundle is in force there and whom to ask for a newer one.
+Decide in each process which accepted bundle is in force and where to look for a newer one.
 """
 
 from __future__ import annotations
@@ -41,10 +41,10 @@
 
 class BundleReplica:
     """
-    Keep the bundle in force in one process; times are readings of its monotonic clock.
+    The bundle in force in one process; times are readings of its monotonic clock.
 
-    Versions only go up: a bundle below the highest version that was ever seen, in the table, in a
-    peer's stamp or in an offer, isn't applied, whoever brings it.
+    Versions never decrease: a bundle below the highest version seen so far, in the table, in a
+    peer's heartbeat or in an offer, is not applied, whatever its source.
     """
 
     def __init__(self, name: str, root: KeyRing, timing: ReplicationTiming, now: float) -> None:
@@ -78,7 +78,7 @@
 
     @property
     def highest_seen(self) -> int:
-        """Return the highest version that this process has seen a sign of."""
+        """Return the highest version seen in the table, in a heartbeat or in an offer."""
         return self._highest_seen
 
     @property
@@ -94,11 +94,20 @@
         )
 
     def receive_heartbeat(self, version: int, confirmed_age: float | None, now: float) -> None:
-        """Take a peer's stamp, and how long ago (seconds) the table confirmed it."""
+        """
+        Update from a peer's heartbeat.
+
+        Parameters
+        ----------
+        version
+            Version in force at the peer.
+        confirmed_age
+            Seconds since the table confirmed that version to the peer, None if it never did.
+        """
         self._detect_freeze(now)
         self._observe_version(version, now)
-        # After a freeze the socket still holds heartbeats of the time before, whose ages are
-        # counted from a moment that nobody knows any more.
+        # After a freeze the socket still contains earlier heartbeats.  Their ages are relative to
+        # an unknown time of sending.
         if confirmed_age is None or now < self._ignore_ages_until:
             return
         if (
@@ -108,7 +117,7 @@
             self._confirm(now - confirmed_age - self._timing.hop_delay)
 
     def receive_rows(self, rows: tuple[Row, ...], asked_at: float, now: float) -> OfferResult:
-        """Take the table's answer to a ReadTable that was sent at ``asked_at``."""
+        """Update from the table's answer to a ReadTable that was sent at ``asked_at``."""
         self._detect_freeze(now)
         self._reading = False
         self._table_answers = True
@@ -117,7 +126,7 @@
         for row in rows:
             offer = self._receive_row(row, now)
         current = 0 if self._current is None else self._current.record.version
-        # A read that is behind a peer's push or stamp is a stale one and confirms nothing.
+        # A read that is behind a peer's push or heartbeat is outdated and confirms nothing.
         if (
             offer.status is not OfferStatus.REFUSED
             and current == self._table_version == self._highest_seen
@@ -127,14 +136,14 @@
         return offer
 
     def note_failed_read(self, now: float) -> None:
-        """Note that a ReadTable gave no answer."""
+        """Note that a ReadTable failed."""
         self._detect_freeze(now)
         self._reading = False
         self._table_answers = False
         self._read_due = now + self._timing.poll_period
 
     def offer(self, record: BundleRecord, source: Source, now: float) -> OfferResult:
-        """Take a record that a peer pushed or gave, or that was accepted through this process."""
+        """Evaluate a record from a peer, or one that was accepted through this process."""
         self._detect_freeze(now)
         if source is Source.PEER:
             self._pulling = False
@@ -150,13 +159,13 @@
         return offer
 
     def note_failed_pull(self, now: float) -> None:
-        """Note that a PullFrom gave nothing."""
+        """Note that a PullFrom returned no record."""
         self._detect_freeze(now)
         self._pulling = False
         self._pull_due = now + self._timing.retry_delay
 
     def plan_actions(self, peers: tuple[Peer, ...], now: float) -> tuple[ReplicationAction, ...]:
-        """Return what to ask and hand out now; call it several times a second."""
+        """Return the reads, pulls and pushes that are due; call it several times a second."""
         self._detect_freeze(now)
         self._trust_peers(peers, now)
         actions: list[ReplicationAction] = []
@@ -169,20 +178,20 @@
         return tuple(actions)
 
     def confirmed_age(self, now: float) -> float | None:
-        """Return the seconds since the table confirmed the bundle, None if it never did."""
+        """Return the seconds since the table confirmed the bundle, None if it hasn't."""
         if self._confirmed_at is None or not self._is_known:
             return None
         return max(0.0, now - self._confirmed_at)
 
     def readiness(self, reached: int, known: int, now: float) -> Readiness:
         """
-        Say whether to serve by the bundle in force.
+        Return whether requests may be served with the bundle in force.
 
-        ``reached`` of ``known`` other processes answer at present.  A process that reaches neither
-        the table nor most of the others is probably cut off, and a newer bundle may be in
-        force elsewhere: it stops soon.  While most of them can be reached and none reaches the
-        table, the table is out, nobody can accept a bundle, and stopping would only add to the
-        outage.
+        ``reached`` of ``known`` other processes are reachable.  A process that reaches neither the
+        table nor a majority of the others is probably isolated, and a newer bundle may be in force
+        elsewhere, so it stops serving after ``isolation_timeout``.  If a majority is reachable and
+        none of it reaches the table, the table is unavailable, no bundle can be accepted, and
+        stopping would only extend the outage, so it serves until ``outage_timeout``.
         """
         self._detect_freeze(now)
         if not self._is_known:
@@ -195,8 +204,8 @@
                 False, f"version {self._highest_seen} is in force, only {version} is here"
             )
         reaches_majority = 2 * reached > known
-        # A process that was cut off for long hears of the newer bundle in the very heartbeat that
-        # ends its cut; without the second condition it would serve by the old one once more.
+        # The first heartbeat after a long isolation may show a newer version.  Without the second
+        # condition the process would serve with the old bundle once more.
         in_outage = reaches_majority and self._behind_since is None
         limit = self._timing.outage_timeout if in_outage else self._timing.isolation_timeout
         confirmed_at = self._confirmed_at
@@ -212,9 +221,9 @@
         return Readiness(True)
 
     def _may_be_stale(self, in_outage: bool, now: float) -> bool:
-        # After a freeze, or after a time alone, the first to answer may be as old as this process,
-        # and the view of who is there is of the time before.  The doubt ends with a confirmation
-        # from after it began; with the table out, once the view had time to become true again.
+        # After a freeze or an isolation the first peers to answer may be as outdated as this
+        # process, and so may its membership view.  The bundle counts as possibly stale until a
+        # later confirmation or, in an outage of the table, until the view has had time to settle.
         if self._maybe_stale_since is None:
             return False
         settled = now - self._maybe_stale_since >= self._timing.settling_time
@@ -296,8 +305,8 @@
         self._is_pushing = False
 
     def _trust_peers(self, peers: tuple[Peer, ...], now: float) -> None:
-        # Without the table, peers are believed after a while: a peer with an older bundle may be
-        # the first to answer, and the stamps of the others arrive within this time.
+        # Without the table, peers are trusted only after the settling time: the first one to
+        # answer may have an older bundle, and the heartbeats of the others arrive by then.
         if self._is_known or self._current is None or self._table_answers or not peers:
             return
         is_newest = self._current.record.version == self._highest_seen
@@ -311,7 +320,7 @@
         ]
         if not newer:
             return
-        # Each process prefers another peer, so that not everybody asks the one that was first.
+        # Each process prefers another peer, which spreads the load of the pulls.
         newer.sort(key=lambda peer: xxhash.xxh64_intdigest(f"{self._name} {peer.name}".encode()))
         self._pulling = True
         self._pull_count += 1
--- a/toucanpin/bundles/schema.py
+++ b/toucanpin/bundles/schema.py
@@ -2,8 +2,8 @@
 Schema of a bundle
 ==================
 
-Everything that operators sign off and roll out: services, standing tasks, teams with quotas, the
-weights of the policy and the limits.
+The configuration that operators sign and roll out: services, standing tasks, teams with quotas,
+policy weights and limits.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class Service(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Describe a service; times are in milliseconds, sizes in bytes."""
+    """Service; times are in milliseconds, sizes in bytes."""
 
     name: str
     slots: int = 8
@@ -25,7 +25,7 @@
 
 
 class StandingTask(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Describe a task that must always be running somewhere; ``memory`` is in MiB."""
+    """Task that must always be running on some host; ``memory`` is in MiB."""
 
     name: str
     team: str
@@ -37,7 +37,7 @@
 
 
 class Team(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Limit what a team's tasks hold at one time; ``memory`` is in MiB."""
+    """Team, and the quota of the resources that its tasks use at one time; ``memory`` is in MiB."""
 
     name: str
     processors: int
@@ -46,7 +46,7 @@
 
 
 class Weights(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Weigh tail latency, batch throughput and evictions against each other."""
+    """Relative weights of tail latency, batch throughput and evictions."""
 
     latency: float = 1.0
     throughput: float = 0.5
@@ -54,7 +54,7 @@
 
 
 class Limits(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Limit retries (share of requests), header and body sizes (bytes) and failed attempts."""
+    """Limits of retries (share of requests), header and payload sizes (bytes) and attempts."""
 
     retry_share: float = 0.1
     max_header: int = 16_384
@@ -63,7 +63,7 @@
 
 
 class Bundle(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Hold one version of the whole configuration of one deployment."""
+    """One version of the whole configuration of a deployment."""
 
     deployment: str
     version: int
--- a/toucanpin/bundles/signature.py
+++ b/toucanpin/bundles/signature.py
@@ -2,10 +2,10 @@
 Signatures
 ==========
 
-Sign bundles and key rings, and check them against the ring that the settings trust.
+Sign bundles and key rings, and verify them against the root ring of the settings.
 
 A ring lists the signers and how many of them must sign.  A newer ring is signed by the signers of
-the one before it and travels with the bundle, so each bundle carries the chain from the root.
+its predecessor and is part of each bundle, so every bundle contains the chain from the root.
 """
 
 from __future__ import annotations
@@ -43,8 +43,8 @@
     "verify_bundle",
 ]
 
-# Each kind of document is signed behind its own label, so that no signature of the one can be
-# passed off as that of the other.
+# Each kind of document is signed with its own prefix, so that a signature of one kind is invalid
+# for the other.
 BUNDLE_LABEL = b"toucanpin bundle 1\0"
 RING_LABEL = b"toucanpin key ring 1\0"
 MAX_SIGNATURES = 64
@@ -54,7 +54,7 @@
 
 
 class Signer(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Name an Ed25519 public key (64 hexadecimal digits) by its id."""
+    """Ed25519 public key (64 hexadecimal digits) and its id."""
 
     id: str
     public: str
@@ -62,7 +62,7 @@
 
 
 class KeyRing(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """List who may sign for a deployment and how many different signers a bundle needs."""
+    """Signers of a deployment, and how many of them must sign a bundle."""
 
     deployment: str
     version: int
@@ -71,21 +71,21 @@
 
 
 class Signature(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Hold the signature made with one key."""
+    """Signature made with one key."""
 
     key: str
     signature: bytes
 
 
 class SignedRing(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Hold the canonical bytes of a key ring, signed by the ring before it."""
+    """Canonical bytes of a key ring, signed by signers of its predecessor."""
 
     document: bytes
     signatures: tuple[Signature, ...]
 
 
 class SignedBundle(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Hold the canonical bytes of a bundle, its signatures and the rings since the root."""
+    """Canonical bytes of a bundle, its signatures and the rings since the root."""
 
     document: bytes
     signatures: tuple[Signature, ...]
@@ -94,7 +94,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Verified:
-    """Hold a bundle whose signatures are good, and the newest ring that vouches for it."""
+    """Bundle with valid signatures, and the newest ring, under which it was verified."""
 
     bundle: Bundle
     digest: str
@@ -103,12 +103,12 @@
 
 
 def parse_ring(text: str, name: str = "key ring") -> Result[KeyRing, BundleError]:
-    """Return the key ring of a TOML text, or every fault of it."""
+    """Return the key ring of a TOML text, or all its faults."""
     return parse_document(text, KeyRing, check_ring, name)
 
 
 def check_ring(ring: KeyRing) -> Iterator[Fault]:
-    """Check that a ring can be met and that no person counts twice."""
+    """Yield the faults of a ring: invalid or duplicate signers, and a threshold out of reach."""
     yield from check_name("deployment", ring.deployment)
     if ring.version < 1:
         yield Fault("version", ring.version, "1 or more")
@@ -121,7 +121,7 @@
             yield Fault(f"{path}.public", signer.public, "64 hexadecimal digits, lower case")
         if signer.id in ids:
             yield Fault(f"{path}.id", signer.id, "an id that no other signer has")
-        # One key under two ids would meet a threshold of two alone.
+        # The owner of one key under two ids could meet a threshold of two alone.
         if signer.public in keys:
             yield Fault(f"{path}.public", signer.public, "a key that no other signer has")
         ids.add(signer.id)
@@ -137,25 +137,25 @@
 
 
 def sign_bundle(signed: SignedBundle, key_id: str, key: Ed25519PrivateKey) -> SignedBundle:
-    """Return the bundle with one more signature, or with that of the key replaced."""
+    """Return the bundle with the key's signature added or replaced."""
     signature = Signature(key_id, key.sign(BUNDLE_LABEL + signed.document))
     return msgspec.structs.replace(signed, signatures=_put_signature(signed.signatures, signature))
 
 
 def sign_ring(signed: SignedRing, key_id: str, key: Ed25519PrivateKey) -> SignedRing:
-    """Return the ring with one more signature, or with that of the key replaced."""
+    """Return the ring with the key's signature added or replaced."""
     signature = Signature(key_id, key.sign(RING_LABEL + signed.document))
     return msgspec.structs.replace(signed, signatures=_put_signature(signed.signatures, signature))
 
 
 def extends_rings(older: tuple[SignedRing, ...], newer: tuple[SignedRing, ...]) -> bool:
-    """Say whether a chain of rings holds another one as its beginning."""
+    """Return whether a chain of rings starts with an older chain."""
     documents = tuple(ring.document for ring in older)
     return tuple(ring.document for ring in newer[: len(older)]) == documents
 
 
 def verify_bundle(root: KeyRing, signed: SignedBundle) -> Result[Verified, BundleError]:
-    """Check a bundle whole: its rings, signatures, canonical bytes, schema and deployment."""
+    """Verify a bundle's rings, signatures, canonical bytes, schema and deployment."""
     if len(signed.signatures) > MAX_SIGNATURES or len(signed.rings) > MAX_RINGS:
         return Error(BundleError(("too many signatures or key rings",)))
     match _follow_rings(root, signed.rings):
@@ -190,7 +190,7 @@
             case Result(error=error):
                 return Error(error)
         if successor.version <= root.version:
-            continue  # the settings already trust a ring as new as this one
+            continue  # the root ring of the settings is as new as this one
         faults = _check_link(ring, successor, link)
         if faults:
             return Error(BundleError(faults))
--- a/toucanpin/bundles/tests/cluster.py
+++ b/toucanpin/bundles/tests/cluster.py
@@ -1,4 +1,4 @@
-"""Processes that spread bundles, on a virtual clock, for tests and measurements."""
+"""Processes that replicate bundles on a virtual clock, for tests and benchmarks."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 @dataclass
 class Process:
-    """Keep one process: its spread, what its peers said last, and what came into force when."""
+    """Simulated process, its peers' last heartbeats, and its versions in force over time."""
 
     name: str
     replica: BundleReplica
@@ -48,7 +48,7 @@
 
 
 class Cluster:
-    """Run processes; ``stamps`` and ``push`` can be switched off to measure polling alone."""
+    """Simulated processes; ``stamps`` and ``push`` can be disabled to measure polling alone."""
 
     def __init__(
         self,
@@ -79,18 +79,20 @@
             self.start(name)
 
     def start(self, name: str) -> Process:
-        """Start a fresh process, in place of an earlier one of this name."""
+        """Start a process, in place of an earlier one of this name."""
         if name in self.processes:
             self.processes[name].dead = True
         table = MemoryTable(self.core, self.line, name)
         process = Process(name, BundleReplica(name, ROOT, self.timing, self.now), table)
         self.processes[name] = process
-        self._later(self.random.random() * TICK, process, lambda: self._tick(process))
-        self._later(self.random.random() * self.interval, process, lambda: self._beat(process))
+        self._schedule(self.random.random() * TICK, process, lambda: self._tick(process))
+        self._schedule(
+            self.random.random() * self.interval, process, lambda: self._heartbeat_round(process)
+        )
         return process
 
     def run(self, seconds: float) -> None:
-        """Let the time pass."""
+        """Run the events of the next seconds."""
         end = self.now + seconds
         while self._events and self._events[0][0] <= end:
             self.now, _, act = heapq.heappop(self._events)
@@ -98,11 +100,11 @@
         self.now = end
 
     def freeze(self, name: str) -> None:
-        """Stop a process; what would reach it waits."""
+        """Suspend a process; its events wait until it is resumed."""
         self.processes[name].frozen = True
 
     def resume(self, name: str) -> None:
-        """Let it go on with what waits."""
+        """Resume a process and run its waiting events."""
         process = self.processes[name]
         process.frozen = False
         waiting, process.waiting = process.waiting, []
@@ -110,20 +112,20 @@
             act()
 
     def accept(self, record: BundleRecord, through: str | None = None) -> None:
-        """Put a record into the table, and tell the process that accepted it, if there is one."""
+        """Write a record to the table, and offer it to the process that accepted it, if given."""
         row = self.core.read(CURRENT_KEY)
         write = Write(CURRENT_KEY, 0 if row is None else row.version, encode_record(record))
         self.core.commit(Transaction(f"accept-{record.version}", (write,)))
         if through is not None:
             process = self.processes[through]
             process.replica.offer(record, Source.ACCEPTANCE, self.now)
-            self._note(process)
+            self._record_version(process)
 
     def hand(self, receiver: str, record: BundleRecord) -> str:
-        """Push a record to one process, as a peer would, and return what became of it."""
+        """Push a record to one process, as a peer would, and return the status of the offer."""
         process = self.processes[receiver]
         offer = process.replica.offer(record, Source.PEER, self.now)
-        self._note(process)
+        self._record_version(process)
         return offer.status.value
 
     def version(self, name: str) -> int:
@@ -131,23 +133,23 @@
         return self.processes[name].replica.version
 
     def is_ready(self, name: str) -> bool:
-        """Say whether a process may serve."""
+        """Return whether a process may serve."""
         process = self.processes[name]
         reached = sum(self.now - at < 2.0 for at in process.heard.values())
         return process.replica.readiness(reached, len(process.heard), self.now).ready
 
     def serve(self, name: str) -> int:
-        """Return the version that a process would serve a request by now, 0 for none."""
+        """Return the version that a process would serve a request with, 0 for none."""
         return self.version(name) if self.is_ready(name) else 0
 
-    def _later(self, delay: float, process: Process, act: Callable[[], None]) -> None:
-        def strike() -> None:
+    def _schedule(self, delay: float, process: Process, act: Callable[[], None]) -> None:
+        def run_event() -> None:
             if process.frozen:
-                process.waiting.append(strike)
+                process.waiting.append(run_event)
             elif not process.dead:
                 act()
 
-        heapq.heappush(self._events, (self.now + delay, next(self._order), strike))
+        heapq.heappush(self._events, (self.now + delay, next(self._order), run_event))
 
     def _tick(self, process: Process) -> None:
         for ask in process.replica.plan_actions(self._list_peers(process), self.now):
@@ -157,20 +159,20 @@
                 case PullFrom(peer, above):
                     self._pull(process, peer, above)
                 case PushTo(peer, record) if self.push:
-                    self._send(process.name, peer, record)
-        self._note(process)
-        self._later(TICK, process, lambda: self._tick(process))
+                    self._push(process.name, peer, record)
+        self._record_version(process)
+        self._schedule(TICK, process, lambda: self._tick(process))
 
     def _list_peers(self, process: Process) -> tuple[Peer, ...]:
         if self.stamps:
             return tuple(Peer(name, version) for name, version in process.stamps.items())
         return tuple(Peer(name, 0) for name in self.processes if name != process.name)
 
-    def _beat(self, process: Process) -> None:
-        self._tell(process)
-        self._later(self.interval, process, lambda: self._beat(process))
+    def _heartbeat_round(self, process: Process) -> None:
+        self._send_heartbeats(process)
+        self._schedule(self.interval, process, lambda: self._heartbeat_round(process))
 
-    def _tell(self, process: Process) -> None:
+    def _send_heartbeats(self, process: Process) -> None:
         if not self.stamps:
             return
         age = process.replica.confirmed_age(self.now)
@@ -179,21 +181,24 @@
             if other is process or self.cut(process.name, other.name):
                 continue
             self.messages += 1
-            self._later(self.delay, other, self._make_hearing(process.name, other, version, age))
+            self._schedule(
+                self.delay, other, self._make_receiver(process.name, other, version, age)
+            )
 
-    def _make_hearing(
+    def _make_receiver(
         self, sender: str, receiver: Process, version: int, age: float | None
     ) -> Callable[[], None]:
-        def hear() -> None:
+        def receive() -> None:
             receiver.stamps[sender] = version
             receiver.heard[sender] = self.now
             seen = receiver.replica.highest_seen
-            self._note(receiver)  # a request that comes between the view's change and the stamp
+            # A request may arrive after the view was updated but before the replica is.
+            self._record_version(receiver)
             receiver.replica.receive_heartbeat(version, age, self.now)
             if version > seen:
                 self._wake(receiver)
 
-        return hear
+        return receive
 
     def _wake(self, process: Process) -> None:
         for ask in process.replica.plan_actions(self._list_peers(process), self.now):
@@ -214,15 +219,15 @@
                     process.replica.receive_rows(rows, asked_at, self.now)
                 case _:
                     process.replica.note_failed_read(self.now)
-            self._note(process)
+            self._record_version(process)
 
-        self._later(5 * self.delay, process, answer)
+        self._schedule(5 * self.delay, process, answer)
 
     def read_stale(self, name: str, rows: tuple[Row, ...]) -> None:
-        """Give a process an old answer of the table."""
+        """Deliver an outdated answer of the table to a process."""
         process = self.processes[name]
         process.replica.receive_rows(rows, self.now, self.now)
-        self._note(process)
+        self._record_version(process)
 
     def _pull(self, process: Process, peer: str, above: int) -> None:
         other = self.processes.get(peer)
@@ -236,25 +241,25 @@
                 process.replica.note_failed_pull(self.now)
             else:
                 process.replica.offer(record, Source.PEER, self.now)
-            self._note(process)
+            self._record_version(process)
 
-        self._later(4 * self.delay, process, answer)
+        self._schedule(4 * self.delay, process, answer)
 
-    def _send(self, sender: str, receiver: str, record: BundleRecord) -> None:
+    def _push(self, sender: str, receiver: str, record: BundleRecord) -> None:
         process = self.processes[receiver]
         self.messages += 2
         if not self.cut(sender, receiver):
-            self._later(2 * self.delay, process, lambda: self._take(process, record))
+            self._schedule(2 * self.delay, process, lambda: self._receive_push(process, record))
 
-    def _take(self, process: Process, record: BundleRecord) -> None:
+    def _receive_push(self, process: Process, record: BundleRecord) -> None:
         process.replica.offer(record, Source.PEER, self.now)
-        self._note(process)
+        self._record_version(process)
 
-    def _note(self, process: Process) -> None:
+    def _record_version(self, process: Process) -> None:
         version = process.replica.version
         if self.processes.get(process.name) is process:
             process.served.append((self.now, self.serve(process.name)))
         last = process.history[-1][1] if process.history else 0
         if version != last:
             process.history.append((self.now, version))
-            self._tell(process)
+            self._send_heartbeats(process)
--- a/toucanpin/bundles/tests/fixtures.py
+++ b/toucanpin/bundles/tests/fixtures.py
@@ -1,4 +1,4 @@
-"""Signers, rings and signed bundles for tests and measurements."""
+"""Signers, rings and signed bundles for tests and benchmarks."""
 
 from __future__ import annotations
 
@@ -17,7 +17,15 @@
     sign_ring,
 )
 
-__all__ = ["KEYS", "ROOT", "make_bundle", "make_record", "make_ring", "make_signed", "next_ring"]
+__all__ = [
+    "KEYS",
+    "ROOT",
+    "make_bundle",
+    "make_record",
+    "make_ring",
+    "make_signed",
+    "make_signed_ring",
+]
 
 DEPLOYMENT = "swan"
 NAMES = ("alice", "bob", "carol")
@@ -27,7 +35,7 @@
 }
 
 
-def name_public(name: str) -> str:
+def get_public_key(name: str) -> str:
     """Return a signer's public key."""
     return KEYS[name].public_key().public_bytes_raw().hex()
 
@@ -39,13 +47,13 @@
     names: tuple[str, ...] = NAMES,
     deployment: str = DEPLOYMENT,
 ) -> KeyRing:
-    """Make a key ring."""
-    signers = tuple(Signer(name, name_public(name), name in revoked) for name in names)
+    """Return a key ring."""
+    signers = tuple(Signer(name, get_public_key(name), name in revoked) for name in names)
     return KeyRing(deployment, version, threshold, signers)
 
 
-def next_ring(ring: KeyRing, *signers: str) -> SignedRing:
-    """Sign a ring."""
+def make_signed_ring(ring: KeyRing, *signers: str) -> SignedRing:
+    """Return a ring signed by some signers of its predecessor."""
     signed = SignedRing(encode_ring(ring), ())
     for name in signers:
         signed = sign_ring(signed, name, KEYS[name])
@@ -53,7 +61,7 @@
 
 
 def make_bundle(version: int, service: str = "changeover", deployment: str = DEPLOYMENT) -> Bundle:
-    """Make a bundle that differs by its service."""
+    """Return a bundle with one service."""
     return Bundle(deployment=deployment, version=version, services=(Service(service),))
 
 
@@ -64,7 +72,7 @@
     rings: tuple[SignedRing, ...] = (),
     deployment: str = DEPLOYMENT,
 ) -> SignedBundle:
-    """Make a signed bundle."""
+    """Return a bundle signed by some signers."""
     document = encode_bundle(make_bundle(version, service, deployment))
     signed = SignedBundle(document, (), rings)
     for name in signers:
@@ -73,7 +81,7 @@
 
 
 def make_record(version: int, service: str = "changeover", **options: object) -> BundleRecord:
-    """Make the record of an accepted bundle."""
+    """Return the record of an accepted bundle."""
     signed = make_signed(version, service, **options)  # type: ignore[arg-type]
     return BundleRecord(version, digest(signed.document), "alice", 0.0, signed)
 
--- a/toucanpin/bundles/tests/test_acceptance.py
+++ b/toucanpin/bundles/tests/test_acceptance.py
@@ -25,13 +25,13 @@
 )
 from toucanpin.bundles.record import CURRENT_KEY, decode_record, make_version_key
 from toucanpin.bundles.signature import KeyRing, SignedBundle
-from toucanpin.bundles.tests.fixtures import ROOT, make_ring, make_signed, next_ring
+from toucanpin.bundles.tests.fixtures import ROOT, make_ring, make_signed, make_signed_ring
 
 FUZZ = settings(derandomize=True, database=None, deadline=None, max_examples=150)
 
 
 class Desk:
-    """Take submissions against a table in memory, on a virtual clock."""
+    """Runs submissions against a table in memory, on a virtual clock."""
 
     def __init__(self) -> None:
         self.now = 0.0
@@ -46,7 +46,7 @@
         return accept_bundle(root, submission, lambda: f"token-{next(self._tokens)}")
 
     def perform(self, action: Any) -> Any:
-        """Carry out one action."""
+        """Perform one action."""
         table = MemoryTable(self.core, self.line, "desk")
         match action:
             case Read(key):
@@ -58,11 +58,11 @@
         return None
 
     def submit(self, signed: SignedBundle, expected: int, root: KeyRing = ROOT, who: str = "x"):
-        """Run one submission to its end."""
+        """Run one submission and return its outcome."""
         return self.run(self.begin(signed, expected, root, who))
 
     def run(self, steps: Any) -> Any:
-        """Run steps to their end."""
+        """Run the steps of a submission and return its outcome."""
         answer = None
         while True:
             try:
@@ -82,29 +82,29 @@
     def setUp(self):
         self.desk = Desk()
 
-    def test_versions_follow_on_each_other(self):
+    def test_consecutive_versions_are_accepted(self):
         for version in (1, 2, 3):
             outcome = self.desk.submit(make_signed(version), version - 1)
             self.assertIsInstance(outcome, Accepted)
         self.assertEqual(self.desk.current().version, 3)
         self.assertIsNotNone(self.desk.core.read(make_version_key(2)))
 
-    def test_a_version_that_does_not_follow_is_refused(self):
+    def test_nonconsecutive_version_is_refused(self):
         self.desk.submit(make_signed(1), 0)
         for version, expected in ((3, 1), (1, 1), (0, 1)):
             outcome = self.desk.submit(make_signed(version, "other"), expected)
             self.assertIsInstance(outcome, Refused)
         self.assertEqual(self.desk.current().version, 1)
 
-    def test_what_is_not_well_signed_never_reaches_the_table(self):
+    def test_unsigned_bundle_never_reaches_the_table(self):
         outcome = self.desk.submit(make_signed(1, signers=()), 0)
         self.assertIsInstance(outcome, Refused)
         self.assertEqual(self.desk.core.counts.reads + self.desk.core.counts.writes, 0)
 
-    def test_a_replay_is_refused_and_names_what_is_in_force(self):
+    def test_replay_does_not_change_the_bundle_in_force(self):
         """
-        Someone submits a bundle again that was good once.  Version 1 was replaced by 2; with its
-        own expected version it meets a conflict, with the present one it doesn't follow on.
+        Guards against a replay of version 1 after version 2 was accepted.  It gives a conflict with
+        the expected version of then, and isn't consecutive with the version in force.
         """
         first = make_signed(1, "old")
         self.desk.submit(first, 0)
@@ -122,15 +122,15 @@
         self.assertEqual(outcome.winner.operator, "alice")
         self.assertEqual([line[:10] for line in outcome.difference], ["- services", "+ services"])
 
-    def test_expecting_a_bundle_where_there_is_none(self):
+    def test_conflict_without_bundle_in_force(self):
         self.assertEqual(self.desk.submit(make_signed(5), 4), Conflicted(None, ()))
 
-    def test_a_bundle_must_carry_the_rings_in_force(self):
+    def test_bundle_without_the_rings_in_force_is_refused(self):
         """
-        Ring 2 asks for two signers and is in force.  One operator alone signs a bundle for the
-        root's ring, where one signer is enough, and leaves ring 2 out.
+        Ring 2 requires two signers and is in force.  A single operator omits ring 2 and signs a
+        bundle under the root ring, which requires one signer.
         """
-        link = next_ring(make_ring(2, threshold=2), "alice")
+        link = make_signed_ring(make_ring(2, threshold=2), "alice")
         both = ("alice", "bob")
         self.desk.submit(make_signed(1, signers=both, rings=(link,)), 0)
         alone = self.desk.submit(make_signed(2, signers=("alice",)), 1)
@@ -144,45 +144,45 @@
         self.desk = Desk()
         self.desk.submit(make_signed(1), 0)
 
-    def strike(self, effect, times=1, delay=0.0, operation="commit"):
+    def add_fault(self, effect, times=1, delay=0.0, operation="commit"):
         rule = Rule(effect, operation=operation, times=times, delay=delay)
         self.desk.plan.rules = (*self.desk.plan.rules, rule)
 
     def test_the_write_took_effect(self):
-        self.strike(Effect.LOSE_AFTER)
+        self.add_fault(Effect.LOSE_AFTER)
         outcome = self.desk.submit(make_signed(2), 1)
         self.assertIsInstance(outcome, Accepted)
         self.assertEqual(self.desk.core.counts.writes, 2)
 
     def test_the_write_did_not_take_effect(self):
-        self.strike(Effect.LOSE_BEFORE)
+        self.add_fault(Effect.LOSE_BEFORE)
         self.assertIsInstance(self.desk.submit(make_signed(2), 1), Accepted)
         self.assertEqual(self.desk.current().version, 2)
 
     def test_the_write_takes_effect_later(self):
         """
-        The answer is lost, and reading back shows the old row, because the write is still on its
-        way.  Saying "not accepted" would be false a moment later.  The same conditional write is
-        sent again; it and the late one can't both take effect, and both hold this bundle.
+        The answer is lost, and a read shows the old row because the write is still in flight.
+        "Not accepted" would be false a moment later.  The same conditional write is repeated; only
+        one of the two can take effect, and both contain this bundle.
         """
         for delay in (2.0, 2.4, 5.0, 60.0):
             self.desk = Desk()
             self.desk.submit(make_signed(1), 0)
-            self.strike(Effect.SLOW, delay=delay)
+            self.add_fault(Effect.SLOW, delay=delay)
             self.assertIsInstance(self.desk.submit(make_signed(2), 1), Accepted)
             self.assertEqual(self.desk.current().version, 2)
             self.assertEqual(self.desk.core.counts.writes, 2)
 
     def test_the_table_goes_down_after_a_lost_answer(self):
         """
-        The answer is lost and the table can't be read afterwards.  The operator is told that it is
-        uncertain, and learns the outcome by submitting the same bundle again.
+        The answer is lost and the table can't be read afterwards.  The outcome is uncertain, and
+        the operator learns it by submitting the same bundle again.
         """
-        self.strike(Effect.LOSE_AFTER)
+        self.add_fault(Effect.LOSE_AFTER)
         steps = self.desk.begin(make_signed(2), 1)
         answer = self.desk.perform(next(steps))
         answer = self.desk.perform(steps.send(answer))
-        self.strike(Effect.DOWN, times=-1, operation="*")
+        self.add_fault(Effect.DOWN, times=-1, operation="*")
         outcome = None
         try:
             while True:
@@ -196,25 +196,25 @@
 
     def test_a_lost_answer_and_a_refused_retry_stay_uncertain(self):
         """
-        The first write is still on its way when the table refuses the second as unavailable.  Its
-        "no effect" is true of the second only.
+        The first write is still in flight when the table refuses the second as unavailable.  That
+        refusal says nothing about the first write.
         """
-        self.strike(Effect.SLOW, delay=50.0)
-        self.strike(Effect.DOWN, times=-1)
+        self.add_fault(Effect.SLOW, delay=50.0)
+        self.add_fault(Effect.DOWN, times=-1)
         self.assertIsInstance(self.desk.submit(make_signed(2), 1), Uncertain)
         self.assertEqual(self.desk.current().version, 2)
 
-    def test_down_before_the_write_is_not_accepted(self):
-        self.strike(Effect.DOWN, times=-1)
+    def test_table_down_before_the_write(self):
+        self.add_fault(Effect.DOWN, times=-1)
         self.assertIsInstance(self.desk.submit(make_signed(2), 1), NotAccepted)
         self.assertEqual(self.desk.current().version, 1)
 
     def test_accepted_and_superseded_before_reading_back(self):
         """
-        The answer is lost; before this operator reads back, another one puts version 3 on top.
-        The row in force isn't this bundle, and yet it was accepted.
+        The answer is lost, and another operator's version 3 is accepted before the row is read.
+        The bundle in force is another one, but this one was accepted.
         """
-        self.strike(Effect.LOSE_AFTER)
+        self.add_fault(Effect.LOSE_AFTER)
         steps = self.desk.begin(make_signed(2, "mine"), 1)
         answer = self.desk.perform(next(steps))
         answer = self.desk.perform(steps.send(answer))
@@ -263,8 +263,8 @@
 
 class RaceTest(unittest.TestCase):
     """
-    Operators submit different bundles on top of the same version, through any processes.  Exactly
-    one is told that its bundle is accepted, and every other one gets the winner's name.
+    Operators submit different successors of the same version concurrently.  Exactly one of them is
+    accepted, and all others get the winner's name.
     """
 
     def race(self, count, seed, faults=()):
--- a/toucanpin/bundles/tests/test_document.py
+++ b/toucanpin/bundles/tests/test_document.py
@@ -1,4 +1,4 @@
-"""Tests of bundles' documents, canonical bytes and differences."""
+"""Tests of bundle documents, canonical bytes and differences."""
 
 import unittest
 
@@ -48,7 +48,7 @@
         for part in parts:
             self.assertIn(part, faults[0])
 
-    def test_a_good_document(self):
+    def test_valid_document(self):
         parsed = parse_bundle(GOOD).ok
         self.assertEqual(parsed.services, (Service("changeover"),))
         self.assertEqual(parsed.weights, Weights())
@@ -77,11 +77,11 @@
         text = GOOD.replace("version = 3", "version = 0").replace("slots = 8", "slots = 0")
         self.assertEqual(len(self.find_faults(text)), 2)
 
-    def test_names_stand_once(self):
+    def test_duplicate_names_are_refused(self):
         twice = GOOD + '[[services]]\nname = "changeover"\n'
         self.assert_fault(twice, "b.toml:23", "services[1].name is 'changeover'", "no other")
 
-    def test_what_is_not_toml_names_the_line(self):
+    def test_toml_syntax_error_names_the_line(self):
         self.assert_fault(GOOD + "[=]\n", "b.toml: not TOML", "line 22")
 
     @FUZZ
@@ -92,7 +92,7 @@
 
 
 class CanonicalTest(unittest.TestCase):
-    def test_bytes_survive_the_way(self):
+    def test_encoding_round_trip(self):
         bundle = parse_bundle(GOOD).ok
         document = encode_bundle(bundle)
         self.assertEqual(decode_bundle(document).ok, bundle)
@@ -119,7 +119,7 @@
 
 
 class DifferenceTest(unittest.TestCase):
-    def test_reads_as_lines(self):
+    def test_one_line_per_change(self):
         old = Bundle("swan", 1, (Service("a"), Service("b")), limits=Limits(max_attempts=5))
         new = Bundle(
             "swan",
@@ -142,7 +142,7 @@
         )
         self.assertIn("8 -> 4", lines[2])
 
-    def test_without_an_older_bundle_all_is_new(self):
+    def test_without_older_bundle_everything_is_added(self):
         task = StandingTask("s", "t", "watch", 1, 1)
         lines = compare_bundles(None, Bundle("swan", 1, standing=(task,)))
         self.assertEqual(lines[0], "~ version: 0 -> 1")
--- a/toucanpin/bundles/tests/test_rollback.py
+++ b/toucanpin/bundles/tests/test_rollback.py
@@ -1,4 +1,4 @@
-"""Tests that a bundle in force never goes back, on a virtual clock."""
+"""Tests that the version in force never decreases, on a virtual clock."""
 
 import itertools
 import unittest
@@ -11,7 +11,7 @@
 from toucanpin.bundles.record import CURRENT_KEY, encode_record
 from toucanpin.bundles.replication import BundleReplica
 from toucanpin.bundles.tests.cluster import Cluster
-from toucanpin.bundles.tests.fixtures import ROOT, make_record, make_ring, next_ring
+from toucanpin.bundles.tests.fixtures import ROOT, make_record, make_ring, make_signed_ring
 from toucanpin.platform.ports import Row
 
 NAMES = tuple(f"h{index}/request" for index in range(6))
@@ -46,8 +46,8 @@
 
     def test_the_table_goes_down_right_after_acceptance(self):
         """
-        The commit is the last thing that the table does.  The accepting process alone has the
-        bundle, and hands it on; every process has it in force though none can read it.
+        The table fails right after the commit.  Only the accepting process has the bundle; it must
+        push it to the others, which can't read it.
         """
         self.take_down()
         self.cluster.accept(make_record(2), FIRST)
@@ -56,8 +56,8 @@
 
     def test_the_accepting_process_dies_right_after_acceptance(self):
         """
-        The commit succeeds and the process is gone before it told anybody.  The others find the
-        bundle in the table, and those that can't read it by the others' stamps.
+        The process stops after the commit, before it pushed the bundle.  The others find it in the
+        table or, if they can't read that, through the heartbeats of their peers.
         """
         self.cluster.plan.rules = (Rule(Effect.DOWN, client=THIRD),)
         self.cluster.accept(make_record(2))
@@ -65,10 +65,10 @@
         self.cluster.run(3)
         self.assertEqual(self.versions(NAMES[1:]), [2] * 5)
 
-    def test_a_restarted_process_starts_no_lower(self):
+    def test_restarted_process_starts_at_the_version_in_force(self):
         """
-        A host is replaced after version 2 was accepted.  The fresh process is not ready until it
-        knows what is in force, and then it is version 2.
+        A process restarts after version 2 was accepted.  It must not be ready before it knows the
+        bundle in force, which is version 2.
         """
         self.cluster.accept(make_record(2), FIRST)
         self.cluster.run(2)
@@ -80,8 +80,8 @@
 
     def test_a_replaced_host_with_the_table_down_asks_its_peers(self):
         """
-        A host is replaced while the table is down.  One peer has missed version 2 and answers
-        first; the fresh process waits for the others' stamps and takes version 2.
+        A host is replaced while the table is down.  The first peer to answer has missed version 2;
+        the new process must wait for the heartbeats of the others and apply version 2.
         """
         self.cluster.freeze(THIRD)
         self.cluster.accept(make_record(2), FIRST)
@@ -103,10 +103,10 @@
         self.assertEqual(self.cluster.version(SECOND), 0)
         self.assertFalse(self.cluster.is_ready(SECOND))
 
-    def test_a_stale_peer_takes_nobody_back(self):
+    def test_outdated_peer_causes_no_rollback(self):
         """
-        A peer that has missed version 2 hands out version 1: to a process with 2, and to a fresh
-        one that has only heard of 2.
+        A peer that has missed version 2 pushes version 1 to a process with version 2, and to a new
+        one that knows of version 2 from a heartbeat only.
         """
         self.cluster.accept(make_record(2), FIRST)
         self.cluster.run(2)
@@ -116,10 +116,10 @@
         self.assertIs(fresh.offer(make_record(1), Source.PEER, 0.2).status, OfferStatus.LOWER)
         self.assertEqual(fresh.version, 0)
 
-    def test_a_stale_read_takes_nobody_back(self):
+    def test_outdated_read_causes_no_rollback(self):
         """
-        The table answers from an old copy: with version 1 to a process that has 2, and to a fresh
-        one that has heard of 2.  The fresh one must not take the old answer for the truth.
+        The table answers with version 1, from an outdated copy, to a process with version 2 and to
+        a new one that knows of version 2 from a heartbeat only.  Neither may apply version 1.
         """
         self.cluster.accept(make_record(2), FIRST)
         self.cluster.run(2)
@@ -134,10 +134,10 @@
         fresh.receive_rows((row_of(make_record(2), 2),), 0.4, 0.5)
         self.assertTrue(fresh.readiness(5, 5, 0.6).ready)
 
-    def test_a_stale_read_confirms_nothing(self):
+    def test_outdated_read_confirms_nothing(self):
         """
-        A process got version 2 from a peer; an old copy of the table says that nothing changed
-        since version 1.  Counting that as a confirmation would let it serve on while it is cut off.
+        A process has version 2 from a peer; an outdated copy of the table reports no change since
+        version 1.  As a confirmation it would let the process keep serving while it is isolated.
         """
         replica = BundleReplica("a/request", ROOT, ReplicationTiming(), 0.0)
         replica.receive_rows((row_of(make_record(1), 1),), 0.0, 0.1)
@@ -145,10 +145,10 @@
         replica.receive_rows((), 40.0, 40.0)
         self.assertEqual(replica.confirmed_age(40.0), 40.0)
 
-    def test_a_site_that_was_parted_comes_back_up_not_down(self):
+    def test_partitioned_site_returns_to_the_newest_version(self):
         """
-        Half of the hosts are parted from the table and from the rest while version 2 is accepted.
-        They stop serving within the bound; on return they take version 2, and nobody takes 1.
+        Half of the hosts are partitioned from the table and the other hosts while version 2 is
+        accepted.  They must stop serving, apply version 2 afterwards and never serve version 1.
         """
         self.cluster.cut = lambda sender, receiver: (sender in LEFT) != (receiver in LEFT)
         self.cluster.plan.rules = tuple(Rule(Effect.DOWN, client=name) for name in LEFT)
@@ -170,8 +170,8 @@
 
     def test_a_process_frozen_longer_than_every_timeout(self):
         """
-        A process is frozen past every bound and misses version 2.  It wakes with old heartbeats in
-        its socket that call version 1 fresh.  It must not serve by version 1 on their word.
+        A process misses version 2 while it is frozen for longer than every timeout.  Its socket
+        still contains heartbeats that confirm version 1, by which it must not serve.
         """
         self.cluster = Cluster(NAMES, timing=ReplicationTiming(outage_timeout=100.0))
         self.cluster.accept(make_record(1), FIRST)
@@ -191,9 +191,9 @@
 
     def test_a_process_frozen_for_minutes(self):
         """
-        A process is frozen for five minutes and misses version 2.  On waking it believes that all
-        the others are there, and the bound for an outage of the table isn't over.  A request that
-        it finds in its socket must not be served by version 1.
+        A process misses version 2 while it is frozen for five minutes, less than the outage
+        timeout.  Its outdated membership view shows all others as reachable, but it must not serve
+        a waiting request by version 1.
         """
         self.cluster.freeze(SECOND)
         self.cluster.accept(make_record(2), FIRST)
@@ -208,8 +208,8 @@
 
     def test_two_bundles_of_one_version(self):
         """
-        A signed bundle that lost its race is pushed by somebody.  Its version and signature are as
-        good as the winner's; the one that is here stays, and the table's word corrects.
+        A signed bundle that lost the race for its version is pushed by a peer.  It must not replace
+        the accepted one, and the table replaces it where it arrived first.
         """
         self.assertEqual(self.cluster.hand(SECOND, make_record(1, "loser")), "refused")
         replica = BundleReplica("a/request", ROOT, ReplicationTiming(), 0.0)
@@ -218,12 +218,12 @@
         assert replica.bundle is not None
         self.assertEqual(replica.bundle.services[0].name, "changeover")
 
-    def test_a_ring_that_was_seen_stays(self):
+    def test_bundle_without_the_newest_ring_is_refused(self):
         """
-        Ring 2 revokes alice and is in force.  With her key somebody signs version 3 for the root's
-        ring, without ring 2, and pushes it.
+        Ring 2 revokes alice and is in force.  Version 3 is signed with her key under the root ring,
+        without ring 2, and pushed.
         """
-        link = next_ring(make_ring(2, revoked=("alice",)), "bob")
+        link = make_signed_ring(make_ring(2, revoked=("alice",)), "bob")
         self.cluster.accept(make_record(2, signers=("bob",), rings=(link,)), FIRST)
         self.cluster.run(2)
         self.assertEqual(self.cluster.hand(SECOND, make_record(3)), "refused")
@@ -291,18 +291,18 @@
         self.now = 0.1
 
     def is_ready(self, reached, now):
-        """Let a process that is never frozen run until ``now`` and say whether it is ready."""
+        """Return whether a process that is called every second is ready at ``now``."""
         while self.now < now - 1.0:
             self.now += 1.0
             self.replica.readiness(reached, 5, self.now)
         self.now = now
         return self.replica.readiness(reached, 5, now).ready
 
-    def test_alone_it_stops_soon_together_it_serves_on_through_an_outage(self):
+    def test_isolated_process_stops_before_one_in_an_outage(self):
         """
-        With the table out of reach, a process that hears most of the others goes on: the table is
-        out, so no bundle can be accepted.  One that hears fewer is cut off, and a newer bundle may
-        be in force: it stops after 30 s.
+        Without the table, a process that reaches a majority keeps serving, since no bundle can be
+        accepted in an outage of the table.  One that reaches fewer is isolated, a newer bundle may
+        be in force, and it stops after 30 s.
         """
         self.assertTrue(self.is_ready(1, 29.0))
         self.assertFalse(self.is_ready(1, 31.0))
@@ -310,20 +310,20 @@
         self.assertTrue(self.is_ready(3, 1_800.0))
         self.assertFalse(self.is_ready(3, 2_200.0))
 
-    def test_the_first_others_after_a_time_alone_prove_nothing(self):
+    def test_readiness_waits_for_all_peers_after_isolation(self):
         """
-        After a minute alone the heartbeats of most others arrive again, none of which knows more.
-        The process waits until the stamps of the rest would have come, too.
+        After a minute of isolation, heartbeats of a majority arrive, without a newer version.  The
+        process must wait until the heartbeats of the remaining peers would have arrived.
         """
         self.is_ready(1, 60.0)
         self.replica.note_failed_read(60.0)
         self.assertFalse(self.is_ready(4, 60.5))
         self.assertTrue(self.is_ready(4, 64.0))
 
-    def test_heartbeats_of_before_a_freeze_end_no_doubt(self):
+    def test_heartbeats_from_before_a_freeze_are_ignored(self):
         """
-        A process wakes with the table out of reach and reads its socket slowly.  Heartbeats from
-        before the freeze call version 1 fresh; their ages are of a time long ago.
+        After a freeze the table is unreachable, and the process slowly reads heartbeats that were
+        sent before the freeze.  Their confirmations of version 1 are outdated.
         """
         self.is_ready(1, 10.0)
         self.assertFalse(self.replica.readiness(1, 5, 25.0).ready)
@@ -332,23 +332,23 @@
         self.replica.receive_heartbeat(1, 0.1, 26.5)
         self.assertFalse(self.is_ready(1, 27.0))
 
-    def test_a_higher_stamp_ends_the_patience_of_an_outage(self):
-        """After minutes without the table, the stamp of a peer shows that bundles come again."""
+    def test_higher_version_ends_the_outage_timeout(self):
+        """In an outage of the table, a heartbeat with a higher version shows that it has ended."""
         self.assertTrue(self.is_ready(3, 600.0))
         self.replica.receive_heartbeat(2, None, 600.0)
         self.assertFalse(self.is_ready(3, 600.1))
 
-    def test_a_peers_confirmation_counts_with_its_age(self):
+    def test_confirmation_from_a_peer_counts_with_its_age(self):
         self.is_ready(1, 30.0)
         self.replica.receive_heartbeat(1, 0.5, 30.0)
         self.assertEqual(self.replica.confirmed_age(30.0), 1.5)
         self.assertTrue(self.is_ready(1, 50.0))
 
-    def test_two_that_are_cut_off_do_not_keep_each_other_fresh(self):
+    def test_isolated_peers_do_not_renew_each_others_confirmation(self):
         """
-        Two parted processes hear each other, slowly.  If each took the other's age as it arrived,
-        the delay of every heartbeat would make the confirmation younger, and they would serve an
-        old bundle for ever.
+        Two isolated processes exchange delayed heartbeats.  If each adopted the other's age as it
+        is, every delay would shorten the age of the confirmation, and they would serve an outdated
+        bundle for ever.
         """
         other = BundleReplica("b/request", ROOT, ReplicationTiming(), 0.0)
         other.receive_rows((row_of(make_record(1), 1),), 0.0, 0.1)
@@ -361,7 +361,7 @@
                 receiver.receive_heartbeat(1, age, now)
         self.assertFalse(self.is_ready(1, now + 0.5))
 
-    def test_behind_it_stops_after_the_time_to_catch_up(self):
+    def test_outdated_process_stops_after_the_catch_up_time(self):
         self.replica.receive_heartbeat(2, None, 1.0)
         self.assertTrue(self.is_ready(5, 2.0))
         self.assertFalse(self.is_ready(5, 7.0))
--- a/toucanpin/bundles/tests/test_signature.py
+++ b/toucanpin/bundles/tests/test_signature.py
@@ -21,14 +21,14 @@
 from toucanpin.bundles.tests.fixtures import (
     KEYS,
     ROOT,
+    get_public_key,
     make_ring,
     make_signed,
-    name_public,
-    next_ring,
+    make_signed_ring,
 )
 
 FUZZ = settings(derandomize=True, database=None, deadline=None, max_examples=300)
-TWO = make_ring(threshold=2)
+TWO_SIGNER_RING = make_ring(threshold=2)
 
 
 def is_good(root, signed):
@@ -36,37 +36,37 @@
 
 
 class ThresholdTest(unittest.TestCase):
-    def test_as_many_signers_as_the_ring_asks(self):
+    def test_threshold_of_signers(self):
         self.assertTrue(is_good(ROOT, make_signed(1)))
-        self.assertFalse(is_good(TWO, make_signed(1)))
-        self.assertTrue(is_good(TWO, make_signed(1, signers=("alice", "carol"))))
+        self.assertFalse(is_good(TWO_SIGNER_RING, make_signed(1)))
+        self.assertTrue(is_good(TWO_SIGNER_RING, make_signed(1, signers=("alice", "carol"))))
 
     def test_one_signer_counts_once(self):
         """
-        An operator alone repeats their signature, also under a second id of the same key.  Neither
-        stands for a second person.
+        A single operator repeats their signature, also under a second id of the same key.  Neither
+        counts as a second signer.
         """
         signed = make_signed(1)
         twice = msgspec.structs.replace(signed, signatures=signed.signatures * 2)
-        self.assertFalse(is_good(TWO, twice))
+        self.assertFalse(is_good(TWO_SIGNER_RING, twice))
         ring = make_ring(threshold=2)
         doubled = msgspec.structs.replace(
-            ring, signers=(*ring.signers, Signer("alias", name_public("alice")))
+            ring, signers=(*ring.signers, Signer("alias", get_public_key("alice")))
         )
         self.assertEqual([f.path for f in check_ring(doubled)], ["signers[3].public"])
 
-    def test_strangers_and_revoked_signers_do_not_count(self):
+    def test_unknown_and_revoked_signers_do_not_count(self):
         self.assertFalse(is_good(make_ring(names=("bob",)), make_signed(1)))
         self.assertFalse(is_good(make_ring(revoked=("alice",)), make_signed(1)))
 
     def test_another_deployment_is_refused(self):
-        """The same operators sign for two deployments; a bundle of the one is sent to the other."""
+        """Operators sign for two deployments, and a bundle is sent to the wrong one."""
         self.assertFalse(is_good(ROOT, make_signed(1, deployment="stillwater")))
 
-    def test_a_signature_of_a_ring_is_none_of_a_bundle(self):
+    def test_ring_signature_is_invalid_for_a_bundle(self):
         """
-        A signed key ring's bytes are put where a bundle's belong, and the other way round.  The
-        label before the signed bytes tells them apart.
+        A signature made for a key ring is attached to a bundle with the same bytes.  The prefix of
+        the signed bytes distinguishes the two kinds.
         """
         signed = make_signed(1)
         as_ring = sign_ring(SignedRing(signed.document, ()), "alice", KEYS["alice"])
@@ -76,31 +76,35 @@
 
 class RotationTest(unittest.TestCase):
     def test_a_new_ring_signed_by_the_old_one_takes_over(self):
-        """Alice's key is lost.  Bob signs a ring that revokes it; a bundle of hers is refused."""
-        link = next_ring(make_ring(2, revoked=("alice",)), "bob")
+        """A ring signed by Bob revokes Alice's key, so a bundle signed with it is refused."""
+        link = make_signed_ring(make_ring(2, revoked=("alice",)), "bob")
         self.assertTrue(is_good(ROOT, make_signed(2, signers=("bob",), rings=(link,))))
         self.assertFalse(is_good(ROOT, make_signed(2, signers=("alice",), rings=(link,))))
 
     def test_a_revoked_signer_cannot_reinstate_themselves(self):
-        first = next_ring(make_ring(2, revoked=("alice",)), "bob")
-        second = next_ring(make_ring(3), "alice")
+        first = make_signed_ring(make_ring(2, revoked=("alice",)), "bob")
+        second = make_signed_ring(make_ring(3), "alice")
         self.assertFalse(is_good(ROOT, make_signed(2, rings=(first, second))))
 
     def test_a_ring_out_of_order_or_of_another_deployment_is_refused(self):
         for ring in (make_ring(3), make_ring(2, deployment="stillwater")):
-            self.assertFalse(is_good(ROOT, make_signed(2, rings=(next_ring(ring, "alice"),))))
-        second, third = next_ring(make_ring(2), "alice"), next_ring(make_ring(3), "alice")
+            self.assertFalse(
+                is_good(ROOT, make_signed(2, rings=(make_signed_ring(ring, "alice"),)))
+            )
+        second, third = make_signed_ring(make_ring(2), "alice"), make_signed_ring(
+            make_ring(3), "alice"
+        )
         self.assertTrue(is_good(ROOT, make_signed(2, rings=(second, third))))
         self.assertFalse(is_good(ROOT, make_signed(2, rings=(third, second))))
 
     def test_a_ring_needs_the_threshold_of_the_one_before(self):
-        alone = next_ring(make_ring(2), "alice")
-        both = next_ring(make_ring(2), "alice", "bob")
-        self.assertFalse(is_good(TWO, make_signed(2, rings=(alone,))))
-        self.assertTrue(is_good(TWO, make_signed(2, rings=(both,))))
+        alone = make_signed_ring(make_ring(2), "alice")
+        both = make_signed_ring(make_ring(2), "alice", "bob")
+        self.assertFalse(is_good(TWO_SIGNER_RING, make_signed(2, rings=(alone,))))
+        self.assertTrue(is_good(TWO_SIGNER_RING, make_signed(2, rings=(both,))))
 
     def test_settings_may_trust_a_later_ring(self):
-        link = next_ring(make_ring(2, revoked=("alice",)), "bob")
+        link = make_signed_ring(make_ring(2, revoked=("alice",)), "bob")
         later = make_ring(2, revoked=("alice",))
         self.assertTrue(is_good(later, make_signed(2, signers=("bob",), rings=(link,))))
         self.assertFalse(is_good(later, make_signed(2, signers=("alice",))))
@@ -109,7 +113,7 @@
 class RingDocumentTest(unittest.TestCase):
     def test_parses_and_names_faults(self):
         text = 'deployment = "swan"\nversion = 1\nthreshold = 2\n[[signers]]\nid = "alice"\n'
-        good = text.replace("2", "1") + f'public = "{name_public("alice")}"\n'
+        good = text.replace("2", "1") + f'public = "{get_public_key("alice")}"\n'
         self.assertTrue(parse_ring(good).is_ok())
         faults = parse_ring(text + 'public = "xyz"\n', "ring.toml").error.faults
         self.assertIn("ring.toml:6: signers[0].public is 'xyz'", faults[0])
@@ -117,15 +121,15 @@
 
 
 SIGNED = make_signed(
-    7, signers=("alice", "bob"), rings=(next_ring(make_ring(2, threshold=2), "alice"),)
+    7, signers=("alice", "bob"), rings=(make_signed_ring(make_ring(2, threshold=2), "alice"),)
 )
 WIRE = encode_signed(SIGNED)
 
 
 class ForgeryTest(unittest.TestCase):
     """
-    Someone between operator and process changes what was signed.  Whatever arrives is refused, or
-    holds exactly the bytes that were signed.
+    A signed bundle is modified between the operator and a process.  It must be refused unless its
+    document is exactly the signed bytes.
     """
 
     def assert_refused_or_same(self, data):
@@ -138,7 +142,7 @@
         if verified.is_ok():
             self.assertEqual(signed.document, SIGNED.document)
 
-    def test_the_untouched_one_is_good(self):
+    def test_unchanged_bundle_is_valid(self):
         self.assertTrue(is_good(ROOT, decode_signed(WIRE).ok))
 
     @FUZZ
@@ -181,9 +185,9 @@
 
     def test_without_its_rings(self):
         """
-        A bundle needs two signers since ring 2.  One operator alone leaves ring 2 out, so that the
-        root's single signer is enough.  The signature is good; the process that has seen ring 2
-        refuses the bundle (test_rollback), and acceptance does (test_acceptance).
+        Ring 2 requires two signers.  A single operator omits it, so that the root ring's single
+        signer suffices.  The signature is valid; replicas that have seen ring 2 refuse the bundle
+        (test_rollback), and so does acceptance (test_acceptance).
         """
         alone = make_signed(8, signers=("alice",))
         self.assertTrue(is_good(ROOT, alone))
--- a/toucanpin/interference/tests/test_estimator.py
+++ b/toucanpin/interference/tests/test_estimator.py
@@ -31,7 +31,7 @@
     def rise(self, kind, load=0.5):
         return self.estimator.latency_rise("s", kind, load)
 
-    def test_finds_pairs_and_the_quiet_tail(self):
+    def test_estimates_effects_and_baseline(self):
         self.teach(0, 200)
         self.assertAlmostEqual(self.rise("noisy"), 4.0 * 0.5 / 1.25, delta=0.25)
         self.assertAlmostEqual(self.rise("mild"), 0.2 * 0.5 / 1.25, delta=0.25)
@@ -56,7 +56,7 @@
         self.teach(0, 50)
         self.assertTrue(self.rise("mild") < self.rise("new") < self.rise("noisy"))
 
-    def test_follows_a_shift(self):
+    def test_follows_changed_effects(self):
         """
         The noisy kind becomes mild, as after a new release of its program.  The policy would go on
         throttling it for nothing if old samples weighed as much as new ones.
@@ -65,14 +65,14 @@
         self.teach(1_500, 150, {"noisy": 0.2, "mild": 4.0})
         self.assertGreater(self.rise("mild"), 3 * self.rise("noisy"))
 
-    def test_unseen_pair_drifts_back_to_its_prior(self):
+    def test_unobserved_pair_returns_to_its_prior(self):
         self.teach(0, 200)
         learnt = self.rise("noisy")
         day = 86_400.0
         self.estimator.learn(day, "s", true_latency(0.5, {}), 0.5, {"noisy": 0.0})
         self.assertLess(abs(self.rise("noisy") - 0.5 / 1.25), 0.5 * abs(learnt - 0.5 / 1.25))
 
-    def test_one_wild_sample_moves_little(self):
+    def test_outlier_moves_estimate_little(self):
         self.teach(0, 100)
         before = self.rise("mild")
         self.estimator.learn(600, "s", 50 * BASELINE_MS, 0.5, {"mild": 0.3})
@@ -89,7 +89,7 @@
 
 
 class KindUsageTest(unittest.TestCase):
-    def test_learns_from_usage_and_believes_declarations_before(self):
+    def test_declared_size_is_used_until_usage_is_known(self):
         usage = KindUsage()
         self.assertEqual(usage.estimate("k", 16), 16.0)
         for _ in range(10):
--- a/toucanpin/interference/tests/test_policy.py
+++ b/toucanpin/interference/tests/test_policy.py
@@ -74,21 +74,21 @@
         self.policy.observe(now, view)
         return actions, view
 
-    def test_throttles_the_task_that_harms(self):
+    def test_throttles_the_interfering_task(self):
         self.make()
         actions, view = self.step(10, make_view(NOISY, MILD), sample(9))
         self.assertIsInstance(actions[0], Avoid)
         self.assertEqual([it.task for it in actions[1:]], ["t1"])
         self.assertLess(view.residents[0].share, 1.0)
 
-    def test_standing_task_is_left_alone(self):
+    def test_standing_task_is_not_throttled(self):
         self.make(noisy=40.0)
         view = make_view(STANDING, dataclasses.replace(STANDING, task="t4", share=0.05))
         for now in range(10, 200, 10):
             actions, _ = self.step(now, view, sample(now - 1))
             self.assertEqual(actions, [])
 
-    def test_waits_for_a_sample_that_shows_the_last_action(self):
+    def test_waits_for_a_sample_after_the_last_action(self):
         """
         A task was throttled at second 10; reports go on to bring samples of the seconds before, in
         which the load seems to have fallen.  Acting on them would give the share back before
@@ -103,7 +103,7 @@
         actions, _ = self.step(24, view, sample(13))
         self.assertNotEqual(actions, [])
 
-    def test_load_that_swings_a_little_changes_nothing(self):
+    def test_small_load_variation_changes_nothing(self):
         """
         The load of a service swings by two hundredths about a value at which two shares cost the
         same.  Without a margin each report would move the share by a step and back.
@@ -118,7 +118,7 @@
             changes += bool(actions)
         self.assertLessEqual(changes, 2)
 
-    def test_evicts_only_after_throttling_did_not_help_for_long(self):
+    def test_evicts_only_after_eviction_delay(self):
         """
         A task does so much harm that its share stays near the floor.  Only after it has had next to
         nothing for the patience is it moved, and the order is avoid, throttle, evict.
@@ -134,7 +134,7 @@
         eviction_delay = Tuning().eviction_delay
         self.assertGreaterEqual(seen[2][0] - seen[1][0], eviction_delay)
 
-    def test_costly_eviction_is_not_made(self):
+    def test_costly_eviction_is_avoided(self):
         """Stillwater's weights and much unsaved work make a move dearer than its gain."""
         self.make(Weights(evictions=1.0), noisy=60.0)
         view = make_view(dataclasses.replace(NOISY, unsaved=600.0))
@@ -150,7 +150,7 @@
             shares.append(view.residents[0].share)
         self.assertLess(shares[1], shares[0])
 
-    def test_share_is_given_back_step_by_step(self):
+    def test_share_is_raised_step_by_step(self):
         self.make()
         view = make_view(dataclasses.replace(NOISY, share=0.1), load=0.2)
         shares = []
@@ -159,7 +159,7 @@
             shares.append(view.residents[0].share)
         self.assertEqual(shares[:5], [0.25, 0.5, 0.75, 1.0, 1.0])
 
-    def test_score_prefers_the_host_that_suffers_least(self):
+    def test_score_prefers_host_with_least_interference(self):
         self.make(noisy=8.0, mild=0.1)
         busy, idle = make_view(NOISY, load=0.9), make_view(load=0.2, host="h2")
         noisy, mild = Candidate("noisy", 8.0), Candidate("mild", 8.0)
@@ -167,7 +167,7 @@
         self.assertLess(self.policy.score(idle, noisy), self.policy.score(busy, noisy))
         self.assertLess(self.policy.score(idle, mild), 0.0)
 
-    def test_task_that_harms_everywhere_starts_in_the_end(self):
+    def test_harmful_task_starts_after_max_wait(self):
         self.make(noisy=60.0)
         score = self.policy.score(make_view(load=0.9), Candidate("noisy", 8.0))
         max_wait = Tuning().max_wait
@@ -175,7 +175,7 @@
         self.assertTrue(self.policy.accepts(score, max_wait))
         self.assertTrue(self.policy.accepts(-0.1, 0))
 
-    def test_sample_is_charged_to_those_who_were_there(self):
+    def test_late_sample_is_attributed_to_past_residents(self):
         """
         A noisy task leaves and a mild one comes; the sample of the noisy time arrives afterwards.
         Charged to the present task, it would make the mild kind look noisy and be throttled.
@@ -191,7 +191,7 @@
         rise = self.policy.estimator.latency_rise
         self.assertGreater(rise("s", "noisy", 0.8), rise("s", "mild", 0.8) + 2.0)
 
-    def test_samples_that_come_twice_or_too_late_count_once(self):
+    def test_duplicate_and_late_samples_are_ignored(self):
         """A report is doubled on its way, and a sample is older than what is remembered."""
         self.policy = InterferencePolicy(Weights())
         view = make_view(NOISY)
@@ -201,7 +201,7 @@
         self.policy.measure(111, view, [sample(105, 60.0), sample(104, 90.0), sample(50, 90.0)])
         self.assertEqual(self.policy.estimator.latency_rise("s", "noisy", 0.8), learnt)
 
-    def test_budget_holds_over_hosts(self):
+    def test_budget_limits_evictions_across_hosts(self):
         """
         A noisy wave hits many hosts at once and every one would evict.  Only the budget's number
         goes in a minute, or the wave of evictions would cost more than the wave of noise.
@@ -222,7 +222,7 @@
 
 
 class BudgetTest(unittest.TestCase):
-    def test_one_job_is_not_evicted_again_and_again(self):
+    def test_evictions_per_job_are_limited(self):
         budget = EvictionBudget(Budget(per_minute=5, per_job=2, job_window=600.0))
         for now in (0.0, 100.0):
             self.assertTrue(budget.allows(now, "j"))
@@ -233,7 +233,7 @@
 
 
 class CoResidentsTest(unittest.TestCase):
-    def test_finds_who_was_there(self):
+    def test_finds_past_residents(self):
         history = CoResidents(span=100.0)
         history.record(10, (NOISY,))
         history.record(50, (MILD,))
