--- a/toucanpin/cli/access.py
+++ b/toucanpin/cli/access.py
@@ -17,7 +17,7 @@
 
 import click
 
-from toucanpin.daemon.reading import check_secret_file
+from toucanpin.daemon.settings_reader import check_secret_file
 
 __all__ = [
     "Access",
--- a/toucanpin/cli/config.py
+++ b/toucanpin/cli/config.py
@@ -17,8 +17,8 @@
 from toucanpin.cli.exits import ExitCode
 from toucanpin.cli.http import fail
 from toucanpin.cli.output import output_option, show
-from toucanpin.daemon.reading import read_settings
 from toucanpin.daemon.settings import Settings
+from toucanpin.daemon.settings_reader import read_settings
 from toucanpin.exception import SettingsError
 
 __all__ = ["config"]
--- a/toucanpin/cli/status.py
+++ b/toucanpin/cli/status.py
@@ -19,8 +19,8 @@
 from toucanpin.cli.exits import ExitCode
 from toucanpin.cli.http import Answer, Unreached, ask_json, send
 from toucanpin.cli.output import output_option, show
-from toucanpin.daemon.reading import read_settings
 from toucanpin.daemon.settings import Settings
+from toucanpin.daemon.settings_reader import read_settings
 from toucanpin.exception import SettingsError
 
 __all__ = ["doctor", "hosts", "status"]
--- a/toucanpin/cli/tests/test_bundle.py
+++ b/toucanpin/cli/tests/test_bundle.py
@@ -14,7 +14,7 @@
 from toucanpin.cli.files import read_signed
 from toucanpin.daemon.endpoint import Endpoint
 from toucanpin.daemon.operators import Operators
-from toucanpin.daemon.tests.bundle_parts import Node, Platform, wait_until
+from toucanpin.daemon.tests.bundle_nodes import Node, Platform, wait_until
 
 TEXT = 'deployment = "swan"\nversion = {version}\n[[services]]\nname = "{service}"\n'
 OPERATORS_PORT = 17_947
--- a/toucanpin/daemon/control.py
+++ b/toucanpin/daemon/control.py
@@ -16,7 +16,7 @@
 from expression import Error, Result
 from logbook import Logger
 
-from toucanpin.daemon.driving import perform_on_table
+from toucanpin.daemon.decisions import perform_table_action
 from toucanpin.daemon.parts import BundleView, EventSink, MembershipView
 from toucanpin.placement.actions import (
     Action,
@@ -193,7 +193,7 @@
             case RecordEvent(kind, ids, detail):
                 return self._events.record(kind, ids, detail)
             case _:
-                return perform_on_table(self._table, action)
+                return perform_table_action(self._table, action)
 
     def _refresh_hosts(self) -> None:
         """Keep the newest host list that could be read."""
--- a/toucanpin/daemon/driving.py
+++ b/toucanpin/daemon/decisions.py
@@ -14,12 +14,12 @@
 from toucanpin.placement.actions import Action, Answer, Commit, Decision, Read, Scan
 from toucanpin.platform.ports import Table
 
-__all__ = ["drive", "perform_on_table"]
+__all__ = ["perform_table_action", "run_decision"]
 
 T = TypeVar("T")
 
 
-def drive(decision: Decision[T], perform: Callable[[Action], object]) -> T:
+def run_decision(decision: Decision[T], perform: Callable[[Action], object]) -> T:
     """Run a decision to its end."""
     try:
         action = next(decision)
@@ -30,7 +30,7 @@
         return result
 
 
-def perform_on_table(table: Table, action: Action) -> object:
+def perform_table_action(table: Table, action: Action) -> object:
     """Carry out an action that concerns the table alone."""
     match action:
         case Commit(transaction):
--- a/toucanpin/daemon/drains.py
+++ b/toucanpin/daemon/drains.py
@@ -16,7 +16,7 @@
 import logbook
 from expression import Ok, Result
 
-from toucanpin.daemon.driving import drive, perform_on_table
+from toucanpin.daemon.decisions import perform_table_action, run_decision
 from toucanpin.daemon.hosts import Hosts
 from toucanpin.daemon.parts import EventSink, WsgiApp
 from toucanpin.daemon.web import StartResponse, answer_json, answer_refusal
@@ -91,7 +91,9 @@
             detail = f"the platform lists no host {name!r}"
             return answer_refusal(start, Refusal(Verdict.NOT_RUN, Reason.NOT_FOUND, detail))
         row = DrainRow(name, environ.get("toucanpin.operator", ""), time.time())
-        outcome = drive(set_drain(row, wanted), lambda action: perform_on_table(table, action))
+        outcome = run_decision(
+            set_drain(row, wanted), lambda action: perform_table_action(table, action)
+        )
         match outcome:
             case Result(tag="ok", ok=changed):
                 kind = "host.drain" if wanted else "host.undrain"
--- a/toucanpin/daemon/jobs_app.py
+++ b/toucanpin/daemon/jobs_app.py
@@ -17,7 +17,7 @@
 import msgspec
 from expression import Result
 
-from toucanpin.daemon.driving import drive, perform_on_table
+from toucanpin.daemon.decisions import perform_table_action, run_decision
 from toucanpin.daemon.parts import BundleView
 from toucanpin.daemon.web import answer_refusal
 from toucanpin.placement.actions import Decision
@@ -113,7 +113,7 @@
 
     def _run(self, decision: Decision[Result[Any, Refusal]]) -> Any:
         """Run a decision on the table, and raise its refusal."""
-        outcome = drive(decision, lambda action: perform_on_table(self._table, action))
+        outcome = run_decision(decision, lambda action: perform_table_action(self._table, action))
         if outcome.is_error():
             raise RefusedError(outcome.error)
         return outcome.ok
--- a/toucanpin/daemon/main.py
+++ b/toucanpin/daemon/main.py
@@ -17,9 +17,9 @@
 
 from toucanpin import __version__
 from toucanpin.daemon.logs import EventId, make_log_handler, set_log_level
-from toucanpin.daemon.reading import read_settings
 from toucanpin.daemon.root import Daemon, compose
 from toucanpin.daemon.settings import Settings
+from toucanpin.daemon.settings_reader import read_settings
 from toucanpin.exception import SettingsError
 
 __all__ = ["main"]
--- a/toucanpin/daemon/settings.py
+++ b/toucanpin/daemon/settings.py
@@ -3,7 +3,7 @@
 =====================
 
 Every setting with its type, unit, limits, default and meaning.  ``toucanpin config explain``
-prints this module's knowledge; ``reading`` checks a file against it.
+prints this module's knowledge; ``settings_reader`` checks a file against it.
 """
 
 from __future__ import annotations
--- a/toucanpin/daemon/tests/test_bundle_spread.py
+++ b/toucanpin/daemon/tests/test_bundle_spread.py
@@ -7,7 +7,7 @@
 from standins.faults import Effect, Rule
 from toucanpin.bundles.tests.fixtures import make_signed
 from toucanpin.daemon.bundle_apps import SubmitRequest
-from toucanpin.daemon.tests.bundle_parts import Node, Platform, wait_until
+from toucanpin.daemon.tests.bundle_nodes import Node, Platform, wait_until
 from toucanpin.membership.member import Standing
 
 
--- a/toucanpin/daemon/tests/test_gossip.py
+++ b/toucanpin/daemon/tests/test_gossip.py
@@ -5,7 +5,7 @@
 import unittest
 
 from toucanpin.daemon.gossip import Gossip
-from toucanpin.daemon.tests.bundle_parts import KEYS, PATIENCE, wait_until
+from toucanpin.daemon.tests.bundle_nodes import KEYS, PATIENCE, wait_until
 from toucanpin.membership.beat import Timing
 from toucanpin.membership.member import Member, Standing
 
--- a/toucanpin/daemon/tests/test_operators.py
+++ b/toucanpin/daemon/tests/test_operators.py
@@ -6,9 +6,9 @@
 
 from toucanpin.daemon.endpoint import Endpoint
 from toucanpin.daemon.operators import Operators
-from toucanpin.daemon.reading import read_settings
 from toucanpin.daemon.root import compose
 from toucanpin.daemon.settings import Tls
+from toucanpin.daemon.settings_reader import read_settings
 from toucanpin.daemon.tests.certificates import write_certificate
 from toucanpin.exception import SettingsError
 
--- a/toucanpin/daemon/tests/test_reading.py
+++ b/toucanpin/daemon/tests/test_settings_reader.py
@@ -4,7 +4,7 @@
 import unittest
 from pathlib import Path
 
-from toucanpin.daemon.reading import read_settings
+from toucanpin.daemon.settings_reader import read_settings
 from toucanpin.exception import SettingsError
 
 GOOD = """
