--- a/toucanpin/cli/tests/test_timeline.py
+++ b/toucanpin/cli/tests/test_timeline.py
@@ -14,7 +14,7 @@
 from toucanpin.cli import timeline as module
 from toucanpin.cli.exits import ExitCode
 from toucanpin.cli.timeline import timeline
-from toucanpin.daemon.timeline import timeline_app
+from toucanpin.daemon.timeline import make_timeline_app
 from toucanpin.platform.ports import Unavailable
 from toucanpin.timeline.codec import encode_lines
 from toucanpin.timeline.event import Cause, Event
@@ -67,7 +67,7 @@
         recorder.record("job.finished", {"job": "j"}, causes=(Cause("entry-a/control", 1, "1"),))
         recorder.record("request.answered", {"request": "r"})
         stored = bodies or {"timeline/entry-a/control/1/1": b"".join(encode_lines([LOST]))}
-        with serve(timeline_app(recorder)) as url:
+        with serve(make_timeline_app(recorder)) as url:
             filled = [url if word == "LIVE" else word for word in arguments]
             with mock.patch.object(
                 module, "HttpObjectStore", lambda url, client: StoredObjects(stored)
--- a/toucanpin/daemon/bundle_apps.py
+++ b/toucanpin/daemon/bundle_apps.py
@@ -33,7 +33,7 @@
 )
 from toucanpin.bundles.record import BundleRecord, decode_record, make_version_key
 from toucanpin.bundles.signature import KeyRing, SignedBundle
-from toucanpin.daemon.bundles import Bundles
+from toucanpin.daemon.bundles import BundleReplicator
 from toucanpin.daemon.gossip import Gossip
 from toucanpin.daemon.parts import EventSink, WsgiApp
 from toucanpin.daemon.web import StartResponse, answer_json, answer_refusal
@@ -117,7 +117,7 @@
 
 
 def make_bundle_apps(
-    bundles: Bundles,
+    bundles: BundleReplicator,
     gossip: Gossip,
     table: Table,
     root: KeyRing,
@@ -137,7 +137,7 @@
 
     def __init__(
         self,
-        bundles: Bundles,
+        bundles: BundleReplicator,
         gossip: Gossip,
         table: Table,
         root: KeyRing,
@@ -224,7 +224,7 @@
         match outcome:
             case Accepted(record, repeated):
                 if not repeated or record.version == self._gossip.own.bundle + 1:
-                    self._bundles.take_accepted(record)
+                    self._bundles.apply_accepted(record)
                 ids = {"bundle": str(record.version)}
             case _:
                 ids = {}
--- a/toucanpin/daemon/bundles.py
+++ b/toucanpin/daemon/bundles.py
@@ -49,7 +49,7 @@
 )
 from toucanpin.wire.server import Handler
 
-__all__ = ["BundleStatus", "Bundles"]
+__all__ = ["BundleReplicator", "BundleStatus"]
 
 CALL_SECONDS = 2.0
 ASK_SECONDS = 0.2
@@ -73,7 +73,7 @@
     record: BundleRecord | None
 
 
-class Bundles:
+class BundleReplicator:
     """Keep the bundle in force in this process; any thread may ask for it."""
 
     def __init__(
@@ -100,8 +100,8 @@
         self._calls = ThreadPoolExecutor(MAX_CALLS, thread_name_prefix="bundle-call")
         self._pushes = ThreadPoolExecutor(MAX_PUSHES, thread_name_prefix="bundle-push")
         self._thread: threading.Thread | None = None
-        gossip.confirmed_age = self._confirmed_milliseconds
-        gossip.listen(self._hear)
+        gossip.get_confirmed_age_ms = self._confirmed_milliseconds
+        gossip.add_listener(self._hear)
 
     def current(self) -> Bundle | None:
         """
@@ -144,7 +144,7 @@
         """Return the handlers of the inner protocol's server."""
         return {PushBundle: self._take_push, PullBundle: self._give}
 
-    def take_accepted(self, record: BundleRecord) -> None:
+    def apply_accepted(self, record: BundleRecord) -> None:
         """Put a bundle in force that was accepted through this process, and hand it on."""
         self._offer(record, Source.ACCEPTANCE)
         self._wake.set()
@@ -181,7 +181,7 @@
             # Also asked here, so that a time alone is noticed while no request comes in.
             self._is_ready()
             version = self._spread.version
-        self._gossip.carry(version)
+        self._gossip.announce_bundle(version)
         for ask in asks:
             pool = self._pushes if isinstance(ask, PushTo) else self._calls
             pool.submit(self._perform, ask)
@@ -278,7 +278,7 @@
         with self._lock:
             offer = self._spread.offer(record, source, time.monotonic())
             version = self._spread.version
-        self._gossip.carry(version)
+        self._gossip.announce_bundle(version)
         self._report(offer, source, causes)
         return offer
 
@@ -295,7 +295,7 @@
                     )
 
     def _is_ready(self) -> Readiness:
-        reached, known = self._gossip.reach()
+        reached, known = self._gossip.count_reachable()
         return self._spread.readiness(reached, known, time.monotonic())
 
     def _confirmed_milliseconds(self) -> int:
--- a/toucanpin/daemon/control.py
+++ b/toucanpin/daemon/control.py
@@ -37,7 +37,7 @@
 
 __all__ = ["AskPeers", "Control"]
 
-TURN = 0.25
+TURN_PERIOD_S = 0.25
 HOSTS_PERIOD = 1.0
 POLL_THREADS = 16
 POLL_WAIT = 0.5
@@ -106,21 +106,23 @@
         events: EventSink,
         ask_peers: AskPeers,
         terms: LeaseTerms | None = None,
-        pace: ControlOptions | None = None,
+        options: ControlOptions | None = None,
         policy: PlacementPolicy | None = None,
-        turn: float = TURN,
+        turn_period: float = TURN_PERIOD_S,
     ) -> None:
         """Connect the ports; nothing is asked before `start`."""
-        life = ControllerId(process, incarnation)
-        advice = policy or InterferenceAwarePolicy()
-        self.state = ControlState(life, terms or LeaseTerms(), pace or ControlOptions(), advice)
+        controller_id = ControllerId(process, incarnation)
+        policy = policy or InterferenceAwarePolicy()
+        self.state = ControlState(
+            controller_id, terms or LeaseTerms(), options or ControlOptions(), policy
+        )
         self._table = table
         self._hosts = hosts
         self._members = members
         self._bundle = bundle
         self._events = events
         self._ask_peers = ask_peers
-        self._turn = turn
+        self._turn_period = turn_period
         self._listed: tuple[ListedHost, ...] = ()
         self._lock = threading.Lock()
         self._stopping = threading.Event()
@@ -166,7 +168,7 @@
                 log.exception("turn failed")
                 for cell in list(self.state.cells.values()):
                     cell.stale = True
-            self._stopping.wait(max(0.0, self._turn - (time.monotonic() - began)))
+            self._stopping.wait(max(0.0, self._turn_period - (time.monotonic() - began)))
         self._drive(release_all(self.state))
 
     def _view(self, now: float) -> ClusterView:
--- a/toucanpin/daemon/drains.py
+++ b/toucanpin/daemon/drains.py
@@ -17,7 +17,7 @@
 from expression import Ok, Result
 
 from toucanpin.daemon.decisions import perform_table_action, run_decision
-from toucanpin.daemon.hosts import Hosts
+from toucanpin.daemon.hosts import HostListCache
 from toucanpin.daemon.parts import EventSink, WsgiApp
 from toucanpin.daemon.web import StartResponse, answer_json, answer_refusal
 from toucanpin.placement.drains import (
@@ -67,7 +67,9 @@
         return self._drains
 
 
-def make_drain_app(drained: DrainedHosts, hosts: Hosts, table: Table, events: EventSink) -> WsgiApp:
+def make_drain_app(
+    drained: DrainedHosts, hosts: HostListCache, table: Table, events: EventSink
+) -> WsgiApp:
     """Build the application: GET lists drains, PUT and DELETE of a host's path change them."""
 
     def serve(environ: dict[str, Any], start: StartResponse) -> Iterable[bytes]:
--- a/toucanpin/daemon/gossip.py
+++ b/toucanpin/daemon/gossip.py
@@ -23,24 +23,24 @@
 from toucanpin.wire.keys import PeerKeys
 from toucanpin.wire.messages import UNCONFIRMED, Envelope, Heartbeat, MemberRecord, Received
 
-__all__ = ["BeatListener", "Gossip"]
+__all__ = ["Gossip", "HeartbeatListener"]
 
-BeatListener = Callable[[Member, int], None]
+HeartbeatListener = Callable[[Member, int], None]
 
-RECEIVE_SECONDS = 0.25
+RECEIVE_TIMEOUT_S = 0.25
 
 _log = logbook.Logger("gossip")
 
 
-def _know_nothing() -> int:
+def _get_unconfirmed_age() -> int:
     return UNCONFIRMED
 
 
-def _see_no_event() -> int:
+def _get_no_event() -> int:
     return 0
 
 
-def _hear_nothing(envelope: Envelope) -> None:
+def _ignore_message(envelope: Envelope) -> None:
     return None
 
 
@@ -60,8 +60,8 @@
         keys: PeerKeys,
         timing: Timing | None = None,
         events: EventSink | None = None,
-        event_sequence: Callable[[], int] = _see_no_event,
-        hear: Callable[[Envelope], None] = _hear_nothing,
+        event_sequence: Callable[[], int] = _get_no_event,
+        hear: Callable[[Envelope], None] = _ignore_message,
     ) -> None:
         self._timing = timing or Timing()
         self._view = View(own, self._timing, time.monotonic())
@@ -72,9 +72,9 @@
         self._stopping = threading.Event()
         self._thread: threading.Thread | None = None
         self._socket: DatagramSocket | None = None
-        self._listeners: list[BeatListener] = []
+        self._listeners: list[HeartbeatListener] = []
         self._entry_hosts: Callable[[], frozenset[str]] = frozenset
-        self.confirmed_age: Callable[[], int] = _know_nothing
+        self.get_confirmed_age_ms: Callable[[], int] = _get_unconfirmed_age
         self.identity = Identity(
             deployment,
             own.name,
@@ -100,20 +100,20 @@
         with self._lock:
             return self._view.members()
 
-    def reach(self) -> tuple[int, int]:
+    def count_reachable(self) -> tuple[int, int]:
         """Return how many other members are heard, and how many should be."""
         with self._lock:
             return self._view.count_reachable()
 
-    def listen(self, listener: BeatListener) -> None:
+    def add_listener(self, listener: HeartbeatListener) -> None:
         """Call ``listener`` on each heartbeat, on the thread of the heartbeats."""
         self._listeners.append(listener)
 
-    def watch_hosts(self, entry_hosts: Callable[[], frozenset[str]]) -> None:
+    def set_entry_hosts(self, entry_hosts: Callable[[], frozenset[str]]) -> None:
         """Ask for the names of the platform's entry hosts at each round, empty while unknown."""
         self._entry_hosts = entry_hosts
 
-    def carry(self, bundle: int) -> None:
+    def announce_bundle(self, bundle: int) -> None:
         """Stamp the version of the bundle in force on every message, and tell it at once."""
         with self._lock:
             changed = bundle != self._view.own.bundle
@@ -148,13 +148,13 @@
             # removed by all others and never notice.
             try:
                 if now >= due:
-                    due = now + self._wait_for_round()
+                    due = now + self._get_round_delay()
                     self._tick(now)
                 self._receive(due - now)
             except Exception:
                 _log.exception("heartbeat failed")
 
-    def _wait_for_round(self) -> float:
+    def _get_round_delay(self) -> float:
         # Rounds begin at whole intervals of the wall clock, in all processes at nearly one time.
         # Heartbeats then come in bursts, which cost much less than one by one, when each wakes
         # a cold thread.  Clocks that differ only lose that.
@@ -172,7 +172,7 @@
 
     def _receive(self, timeout: float) -> None:
         channel = self._socket
-        received = None if channel is None else channel.receive(min(timeout, RECEIVE_SECONDS))
+        received = None if channel is None else channel.receive(min(timeout, RECEIVE_TIMEOUT_S))
         if received is None or not isinstance(received.message, Heartbeat):
             return
         beat = _to_beat(received.envelope, received.message)
@@ -218,7 +218,7 @@
             own.port,
             own.standing is Standing.LEAVING,
             digest,
-            self.confirmed_age(),
+            self.get_confirmed_age_ms(),
             tuple(_to_wire(record) for record in records),
         )
         try:
--- a/toucanpin/daemon/hosts.py
+++ b/toucanpin/daemon/hosts.py
@@ -15,12 +15,12 @@
 from toucanpin.daemon.logs import EventId
 from toucanpin.platform.ports import HostList, HostRole, ListedHost, StoreFault, Unavailable
 
-__all__ = ["Hosts"]
+__all__ = ["HostListCache"]
 
 log = logbook.Logger("toucanpin.hosts")
 
 
-class Hosts:
+class HostListCache:
     """Read the host list again and again and show the newest."""
 
     __slots__ = ("_every", "_halt", "_hosts", "_port", "_thread")
@@ -42,7 +42,7 @@
         self._halt.set()
         self._thread.join(grace)
 
-    def known(self) -> bool:
+    def is_known(self) -> bool:
         """Say whether the list was read at least once."""
         return self._hosts is not None
 
--- a/toucanpin/daemon/metrics.py
+++ b/toucanpin/daemon/metrics.py
@@ -47,9 +47,9 @@
 
     def serve(self, environ: dict[str, Any], start: StartResponse) -> Iterable[bytes]:
         """Answer with every metric in the Prometheus text form."""
-        return answer_text(start, self.write_text(), kind="text/plain; version=0.0.4")
+        return answer_text(start, self.render_text(), content_type="text/plain; version=0.0.4")
 
-    def write_text(self) -> str:
+    def render_text(self) -> str:
         """Write every metric in the Prometheus text form."""
         data = self._reader.get_metrics_data()
         if data is None:
@@ -60,7 +60,7 @@
             for scope in resource.scope_metrics
             for metric in scope.metrics
         )
-        return "".join(f"{line}\n" for metric in metrics for line in _write_metric(metric))
+        return "".join(f"{line}\n" for metric in metrics for line in _render_metric(metric))
 
     def stop(self) -> None:
         """Push what is left and stop."""
@@ -76,7 +76,7 @@
     return PeriodicExportingMetricReader(exporter, export_interval_millis=telemetry.every_ms)
 
 
-def _write_metric(metric: Metric) -> Iterator[str]:
+def _render_metric(metric: Metric) -> Iterator[str]:
     """Yield the lines of one metric."""
     name = metric.name.replace(".", "_")
     yield f"# HELP {name} {metric.description}"
--- a/toucanpin/daemon/operators.py
+++ b/toucanpin/daemon/operators.py
@@ -15,7 +15,7 @@
 
 from toucanpin import __version__
 from toucanpin.daemon.endpoint import Endpoint
-from toucanpin.daemon.operators_server import OperatorsServer, PatientAdapter
+from toucanpin.daemon.operators_server import DeferredHandshakeAdapter, OperatorsServer
 from toucanpin.daemon.parts import WsgiApp
 from toucanpin.daemon.settings import Tls
 from toucanpin.daemon.web import StartResponse, answer_json, answer_text, mount_apps
@@ -75,10 +75,10 @@
         self._thread.join(grace)
 
 
-def _make_adapter(tls: Tls) -> PatientAdapter:
+def _make_adapter(tls: Tls) -> DeferredHandshakeAdapter:
     """Load the certificate and its key."""
     try:
-        return PatientAdapter(tls.certificate, tls.key)
+        return DeferredHandshakeAdapter(tls.certificate, tls.key)
     except (OSError, ValueError) as error:
         raise SettingsError((f"tls: certificate or key can't be used: {error}",)) from error
 
--- a/toucanpin/daemon/operators_server.py
+++ b/toucanpin/daemon/operators_server.py
@@ -20,7 +20,7 @@
 from cheroot.makefile import MakeFile
 from cheroot.ssl.builtin import BuiltinSSLAdapter
 
-__all__ = ["OperatorsServer", "PatientAdapter"]
+__all__ = ["DeferredHandshakeAdapter", "OperatorsServer"]
 
 HANDSHAKE_SECONDS = 10.0
 MAX_WAITING = 512
@@ -45,7 +45,7 @@
     FAILED = enum.auto()
 
 
-class PatientAdapter(BuiltinSSLAdapter):
+class DeferredHandshakeAdapter(BuiltinSSLAdapter):
     """Wrap accepted sockets and leave the handshake for later."""
 
     def wrap(self, sock: socket.socket) -> tuple[ssl.SSLSocket, dict[str, Any]]:
@@ -69,7 +69,7 @@
         self._shaken = not isinstance(sock, ssl.SSLSocket)
         self._seen = False
 
-    def advance(self, adapter: PatientAdapter | None, timeout: float) -> Progress:
+    def advance(self, adapter: DeferredHandshakeAdapter | None, timeout: float) -> Progress:
         """Go as far as is possible with the bytes that are there."""
         if not self._seen:
             self._seen = True
--- a/toucanpin/daemon/page.py
+++ b/toucanpin/daemon/page.py
@@ -23,7 +23,7 @@
 from toucanpin.platform.ports import ListedHost
 from toucanpin.verdict import Reason, Refusal, Verdict
 
-__all__ = ["OwnedCell", "Page", "make_page_app", "render_page", "show_cells"]
+__all__ = ["OwnedCell", "Page", "make_page_app", "render_page", "summarize_cells"]
 
 PAGE_PATH = "/"
 READ_METHODS = ("GET", "HEAD")
@@ -58,7 +58,7 @@
     cells: tuple[OwnedCell, ...] | None = None
 
 
-def show_cells(cells: Iterable[Cell]) -> tuple[OwnedCell, ...]:
+def summarize_cells(cells: Iterable[Cell]) -> tuple[OwnedCell, ...]:
     """Show owned cells by name."""
     shown = (
         OwnedCell(
--- a/toucanpin/daemon/root.py
+++ b/toucanpin/daemon/root.py
@@ -17,21 +17,21 @@
 from toucanpin.bundles.signature import KeyRing, parse_ring
 from toucanpin.daemon.access import guard_app, read_operators
 from toucanpin.daemon.bundle_apps import make_bundle_apps
-from toucanpin.daemon.bundles import Bundles
+from toucanpin.daemon.bundles import BundleReplicator
 from toucanpin.daemon.control import Control
 from toucanpin.daemon.drains import DRAIN_PATH, DrainedHosts, make_drain_app
 from toucanpin.daemon.endpoint import Endpoint, parse_endpoint
 from toucanpin.daemon.front import Front, FrontSettings
 from toucanpin.daemon.gossip import Gossip
-from toucanpin.daemon.hosts import Hosts
+from toucanpin.daemon.hosts import HostListCache
 from toucanpin.daemon.jobs_app import JobsApp
 from toucanpin.daemon.metrics import Metrics
 from toucanpin.daemon.operators import Operators, ProcessState, make_probe_apps
-from toucanpin.daemon.page import Page, make_page_app, show_cells
+from toucanpin.daemon.page import Page, make_page_app, summarize_cells
 from toucanpin.daemon.parts import Part, WsgiApp
 from toucanpin.daemon.settings import Settings, Tls
 from toucanpin.daemon.standstill import StandstillCalls
-from toucanpin.daemon.timeline import TimelineStreamer, timeline_app
+from toucanpin.daemon.timeline import TimelineStreamer, make_timeline_app
 from toucanpin.daemon.views import make_view_apps
 from toucanpin.daemon.web import mount_apps
 from toucanpin.exception import SettingsError
@@ -104,10 +104,10 @@
         self.recorder = Recorder(self.name, str(self.life), time.monotonic, time.time)
         self._connect_platform()
         self._join_members(incarnation)
-        self.gossip.watch_hosts(self.hosts.entry_names)
+        self.gossip.set_entry_hosts(self.hosts.entry_names)
         self.root = _read_ring(folder / settings.keys.ring_file)
         client = InnerClient(self.gossip.identity, self.peer_keys)
-        self.bundles = Bundles(self.gossip, self.table, client, self.root, self.recorder)
+        self.bundles = BundleReplicator(self.gossip, self.table, client, self.root, self.recorder)
         term = settings.control.authority_ms / MILLISECONDS
         self.standstill = StandstillCalls(self.gossip, client, term)
         self.roles: list[Part] = []
@@ -121,7 +121,7 @@
         self.objects = HttpObjectStore(platform.objects, self.name, timeout)
         listed = HttpHostList(platform.hosts, self.name, timeout)
         self.host_list = DrainedHosts(listed, self.table)
-        self.hosts = Hosts(self.host_list, platform.hosts_every_ms / MILLISECONDS)
+        self.hosts = HostListCache(self.host_list, platform.hosts_every_ms / MILLISECONDS)
 
     def _join_members(self, incarnation: int) -> None:
         """Build the membership."""
@@ -225,7 +225,7 @@
                 authority=times.authority_ms / MILLISECONDS,
                 max_authority=times.hold_ms / MILLISECONDS,
             ),
-            turn=times.turn_ms / MILLISECONDS,
+            turn_period=times.turn_ms / MILLISECONDS,
         )
         self.handlers[Standstill] = self.standstill.make_handler(control.answer_standstill)
         self.front = None
@@ -248,7 +248,7 @@
             **make_view_apps(self.gossip, self.hosts),
             DRAIN_PATH: make_drain_app(self.host_list, self.hosts, self.table, self.recorder),
             "/metrics": self.metrics.serve,
-            "/v1/timeline": timeline_app(self.recorder),
+            "/v1/timeline": make_timeline_app(self.recorder),
         }
         if self.settings.access.operators_file is None:
             return apps
@@ -261,7 +261,7 @@
         readiness = self.bundles.readiness()
         if not readiness.ready:
             reasons.append(f"bundle: {readiness.reason}")
-        if not self.hosts.known():
+        if not self.hosts.is_known():
             reasons.append("hosts: the platform's list was not read yet")
         if self.front is not None and not self.front.ready:
             reasons.append("requests: no share of slots yet, or draining")
@@ -285,7 +285,9 @@
     def _read_page(self) -> Page:
         """Return what the status page shows."""
         cells = (
-            None if self.control is None else show_cells(tuple(self.control.state.cells.values()))
+            None
+            if self.control is None
+            else summarize_cells(tuple(self.control.state.cells.values()))
         )
         return Page(self._show_state(), self.gossip.members(), self.hosts.all(), cells)
 
--- a/toucanpin/daemon/tests/bundle_nodes.py
+++ b/toucanpin/daemon/tests/bundle_nodes.py
@@ -17,7 +17,7 @@
 from standins.table import TableCore
 from toucanpin.bundles.tests.fixtures import ROOT
 from toucanpin.daemon.bundle_apps import make_bundle_apps
-from toucanpin.daemon.bundles import Bundles
+from toucanpin.daemon.bundles import BundleReplicator
 from toucanpin.daemon.gossip import Gossip
 from toucanpin.daemon.web import mount_apps
 from toucanpin.membership.member import Member
@@ -28,7 +28,7 @@
 __all__ = ["Node", "Platform", "wait_until"]
 
 PORT = 17_946
-PATIENCE = 30.0
+TEST_TIMEOUT_S = 30.0
 KEYS = PeerKeys("k1", {"k1": bytes(32)})
 
 _networks = itertools.count(1)
@@ -67,7 +67,7 @@
         self.name = own.name
         self.gossip = Gossip(own, ROOT.deployment, seeds, KEYS)
         client = InnerClient(self.gossip.identity, KEYS)
-        self.bundles = Bundles(self.gossip, table, client, ROOT)
+        self.bundles = BundleReplicator(self.gossip, table, client, ROOT)
         self.server = InnerServer(
             own.address, PORT, self.gossip.identity, KEYS, self.bundles.handlers()
         )
@@ -82,9 +82,9 @@
 
     def stop(self) -> None:
         """Stop every part and say farewell."""
-        self.bundles.stop(PATIENCE)
-        self.gossip.stop(PATIENCE)
-        self.server.stop(PATIENCE)
+        self.bundles.stop(TEST_TIMEOUT_S)
+        self.gossip.stop(TEST_TIMEOUT_S)
+        self.server.stop(TEST_TIMEOUT_S)
 
     def version(self) -> int:
         """Return the version that this process serves by, 0 for none."""
@@ -108,7 +108,7 @@
 
 def wait_until(condition: Callable[[], bool]) -> bool:
     """Wait until a condition holds, with a patience that only a fault exhausts."""
-    deadline = time.monotonic() + PATIENCE
+    deadline = time.monotonic() + TEST_TIMEOUT_S
     pause = threading.Event()
     while not condition():
         if time.monotonic() > deadline:
--- a/toucanpin/daemon/tests/test_control.py
+++ b/toucanpin/daemon/tests/test_control.py
@@ -22,7 +22,7 @@
 from toucanpin.platform.ports import HostRole, ListedHost, Poll, Report, Size
 from toucanpin.timeline.event import Event
 
-PATIENCE = 30.0
+TEST_TIMEOUT_S = 30.0
 
 
 class Platform:
@@ -60,7 +60,7 @@
 
     def wait(self, kind: str) -> bool:
         """Wait for an event."""
-        return self.noted.setdefault(kind, threading.Event()).wait(PATIENCE)
+        return self.noted.setdefault(kind, threading.Event()).wait(TEST_TIMEOUT_S)
 
     def control(self) -> Control:
         """Build the part under test."""
@@ -74,7 +74,7 @@
             self,
             self,
             lambda holder, peers: frozenset(),
-            turn=0.01,
+            turn_period=0.01,
         )
 
 
@@ -120,7 +120,7 @@
         control.start()
         self.assertTrue(platform.wait("job.finish"))
         self.assertTrue(control.is_ready())
-        control.stop(PATIENCE)
+        control.stop(TEST_TIMEOUT_S)
         self.assertEqual(caller.call("GET", headers["Location"] + "/result")[0], 200)
         self.assertEqual(
             json.loads(caller.call("GET", headers["Location"])[2])["state"], "finished"
@@ -142,7 +142,7 @@
         control = platform.control()
         control.start()
         self.assertTrue(platform.wait("task.outgrown"))
-        control.stop(PATIENCE)
+        control.stop(TEST_TIMEOUT_S)
 
 
 class SilentWorkers:
@@ -154,7 +154,7 @@
     def poll(self, host, poll):
         """Wait if this is the silent worker."""
         if host.name == "silent":
-            self.release.wait(PATIENCE)
+            self.release.wait(TEST_TIMEOUT_S)
         return Ok(Report(host.name, "1", 1, poll.epoch, True, False, Size(1, 1), ()))
 
 
--- a/toucanpin/daemon/tests/test_gossip.py
+++ b/toucanpin/daemon/tests/test_gossip.py
@@ -5,7 +5,7 @@
 import unittest
 
 from toucanpin.daemon.gossip import Gossip
-from toucanpin.daemon.tests.bundle_nodes import KEYS, PATIENCE, wait_until
+from toucanpin.daemon.tests.bundle_nodes import KEYS, TEST_TIMEOUT_S, wait_until
 from toucanpin.membership.beat import Timing
 from toucanpin.membership.member import Member, Standing
 
@@ -25,7 +25,7 @@
         )
         gossip = Gossip(own, "swan", ((f"{self.network}.1", PORT),), keys, FAST)
         gossip.start()
-        self.addCleanup(gossip.stop, PATIENCE)
+        self.addCleanup(gossip.stop, TEST_TIMEOUT_S)
         return gossip
 
     def assert_soon(self, condition):
@@ -42,7 +42,7 @@
     def test_leaving_is_told(self):
         first, second = self.start(0, "a"), self.start(1, "b")
         self.assert_soon(lambda: len(first.members()) == 2)
-        second.stop(PATIENCE)
+        second.stop(TEST_TIMEOUT_S)
         self.assert_soon(lambda: first.members()[1].standing is Standing.LEAVING)
 
     def test_a_failing_listener_does_not_silence_the_process(self):
@@ -54,9 +54,9 @@
             heard.append(member.name)
             raise RuntimeError("a fault of a listener")
 
-        first.listen(fail)
+        first.add_listener(fail)
         self.assert_soon(lambda: len(heard) > 3)
-        first.carry(7)
+        first.announce_bundle(7)
         self.assert_soon(lambda: second.members()[1].bundle == 7)
 
 
--- a/toucanpin/daemon/tests/test_metrics.py
+++ b/toucanpin/daemon/tests/test_metrics.py
@@ -45,7 +45,7 @@
         )
         counter = metrics.meter.create_counter("toucanpin.requests")
         counter.add(2, {"outcome": "relayed"})
-        lines = metrics.write_text().splitlines()
+        lines = metrics.render_text().splitlines()
         self.assertIn("toucanpin_members{} 3", lines)
         self.assertIn('toucanpin_requests{outcome="relayed"} 2', lines)
 
--- a/toucanpin/daemon/tests/test_timeline.py
+++ b/toucanpin/daemon/tests/test_timeline.py
@@ -7,7 +7,7 @@
 from expression import Error, Ok
 
 from toucanpin.daemon import timeline
-from toucanpin.daemon.timeline import TimelineStreamer, timeline_app
+from toucanpin.daemon.timeline import TimelineStreamer, make_timeline_app
 from toucanpin.platform.ports import Unavailable, Unknown
 from toucanpin.timeline.codec import decode_lines
 from toucanpin.timeline.event import Event
@@ -59,7 +59,7 @@
         for _ in range(5):
             recorder.record("x", {})
         seen = []
-        body = timeline_app(recorder)(
+        body = make_timeline_app(recorder)(
             {"QUERY_STRING": query, "REQUEST_METHOD": method},
             lambda status, headers: seen.extend([status, dict(headers)]),
         )
--- a/toucanpin/daemon/timeline.py
+++ b/toucanpin/daemon/timeline.py
@@ -23,7 +23,7 @@
 from toucanpin.timeline.recorder import Recorder
 from toucanpin.verdict import Reason, Refusal, Verdict
 
-__all__ = ["TimelineStreamer", "name_object", "timeline_app"]
+__all__ = ["TimelineStreamer", "make_object_name", "make_timeline_app"]
 
 DEFAULT_PERIOD = 2.0
 LONGEST_DELAY = 60.0
@@ -34,7 +34,7 @@
 _log = logbook.Logger("timeline")
 
 
-def timeline_app(recorder: Recorder) -> WsgiApp:
+def make_timeline_app(recorder: Recorder) -> WsgiApp:
     """Return the application that answers ``GET /v1/timeline?after=N`` with JSON lines."""
 
     def answer(environ: dict[str, Any], start_response: Callable[..., Any]) -> Iterable[bytes]:
@@ -57,7 +57,7 @@
     return answer
 
 
-def name_object(recorder: Recorder, first: int) -> str:
+def make_object_name(recorder: Recorder, first: int) -> str:
     """Name the object that holds events from ``first`` on; names sort as their numbers do."""
     return f"timeline/{recorder.process}/{recorder.incarnation}/{first:012d}"
 
@@ -118,7 +118,7 @@
             return True
         # After a lost answer the next batch starts at the same event, so it replaces the object
         # under the same name with itself or a longer one: no event is lost, none is told twice.
-        name = name_object(self._recorder, excerpt.events[0].sequence)
+        name = make_object_name(self._recorder, excerpt.events[0].sequence)
         stored = self._objects.put(name, b"".join(encode_lines(excerpt.events)))
         if stored.is_error():
             self._failures += 1
--- a/toucanpin/daemon/views.py
+++ b/toucanpin/daemon/views.py
@@ -10,14 +10,14 @@
 from collections.abc import Iterable
 from typing import Any
 
-from toucanpin.daemon.hosts import Hosts
+from toucanpin.daemon.hosts import HostListCache
 from toucanpin.daemon.parts import MembershipView, WsgiApp
 from toucanpin.daemon.web import StartResponse, answer_json
 
 __all__ = ["make_view_apps"]
 
 
-def make_view_apps(members: MembershipView, hosts: Hosts) -> dict[str, WsgiApp]:
+def make_view_apps(members: MembershipView, hosts: HostListCache) -> dict[str, WsgiApp]:
     """Build the applications by path."""
 
     def serve_members(environ: dict[str, Any], start: StartResponse) -> Iterable[bytes]:
--- a/toucanpin/daemon/web.py
+++ b/toucanpin/daemon/web.py
@@ -55,10 +55,13 @@
 
 
 def answer_text(
-    start: StartResponse, text: str, status: int = 200, kind: str = "text/plain; charset=utf-8"
+    start: StartResponse,
+    text: str,
+    status: int = 200,
+    content_type: str = "text/plain; charset=utf-8",
 ) -> Iterable[bytes]:
     """Answer with text."""
-    return _answer(start, status, text.encode(), kind, {})
+    return _answer(start, status, text.encode(), content_type, {})
 
 
 def answer_refusal(start: StartResponse, refusal: Refusal) -> Iterable[bytes]:
@@ -95,12 +98,12 @@
 
 
 def _answer(
-    start: StartResponse, status: int, body: bytes, kind: str, headers: Mapping[str, str]
+    start: StartResponse, status: int, body: bytes, content_type: str, headers: Mapping[str, str]
 ) -> Iterable[bytes]:
     """Answer with bytes of a known length."""
     line = f"{status} {http.HTTPStatus(status).phrase}"
     start(
         line,
-        [("Content-Type", kind), ("Content-Length", str(len(body))), *headers.items()],
+        [("Content-Type", content_type), ("Content-Length", str(len(body))), *headers.items()],
     )
     return [body]
