--- a/toucanpin/membership/beat.py
+++ b/toucanpin/membership/beat.py
@@ -2,7 +2,7 @@
 Heartbeats
 ==========
 
-What one process tells another of itself and of the members that it knows.
+What one process tells another about itself and about the members that it knows.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Record:
-    """Tell of one member; ``sequence`` is the newest heard of from this incarnation of it."""
+    """State of one member; ``sequence`` is the highest known of this incarnation."""
 
     member: Member
     sequence: int
@@ -26,7 +26,7 @@
 @dataclass(frozen=True, slots=True)
 class Beat:
     """
-    Hold one heartbeat: the sender's own record, a digest of its view and what changed in it.
+    One heartbeat: the sender's own record, a digest of its view and the records that changed.
 
     ``sequence`` in ``sender`` only grows within one incarnation.
     """
@@ -37,7 +37,7 @@
 
 
 class ChangeKind(enum.Enum):
-    """Say what became of a member in this process's view."""
+    """Kind of a change of a member in this process's view."""
 
     JOINED = "joined"
     RETURNED = "returned"
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """Report one change of the view."""
+    """One change of the view."""
 
     kind: ChangeKind
     member: Member
@@ -59,10 +59,10 @@
 @dataclass(frozen=True, slots=True)
 class Timing:
     """
-    Time the view; all in seconds.
+    Intervals and timeouts of membership, in seconds.
 
-    A member is suspected after ``suspect_after`` without a heartbeat, gone after ``gone_after``
-    without any sign of it, and forgotten ``forget_after`` later.
+    A member is suspected after ``suspect_after`` without a heartbeat from it, gone after
+    ``gone_after`` without any newer record of it, and forgotten ``forget_after`` later.
     """
 
     interval: float = 0.5
--- a/toucanpin/membership/view.py
+++ b/toucanpin/membership/view.py
@@ -1,14 +1,14 @@
 """
-View of the members
-===================
+Membership view
+===============
 
-Decide, from heartbeats alone, which processes are there.  The view gives hints: a member that it
-calls gone may be running, and no promise of the system rests on it.
+Decides from heartbeats alone which processes are running.  The view is a hint: a member that it
+reports as gone may still be running, and no guarantee of the system depends on it.
 
 Notes
 -----
-Suspicion before removal, incarnation numbers and refutation follow SWIM, with direct heartbeats to
-every member in place of random probes, which is cheaper than probing up to some dozens of members.
+Suspicion before removal, incarnation numbers and refutation follow SWIM.  Direct heartbeats to
+every member replace the random probes, which is cheaper up to some dozens of members.
 
 References
 ----------
@@ -41,9 +41,11 @@
 @dataclass(slots=True)
 class _Entry:
     """
-    Keep what is known of one member; ``heard`` is direct, ``evidence`` also through others.
+    What is known of one member.
 
-    ``excused`` is True if it left or was replaced, so that its silence means nothing.
+    ``heard_at`` is the instant of its last own heartbeat, ``evidence_at`` that of the last newer
+    record of it, also relayed by others.  ``departed`` is True if it left or was replaced, so that
+    it is not expected to be heard.
     """
 
     member: Member
@@ -55,13 +57,13 @@
     departed: bool = False
 
     def set_standing(self, standing: Standing) -> Member:
-        """Change the standing and return the member as it is now."""
+        """Set the standing and return the changed member."""
         self.member = dataclasses.replace(self.member, standing=standing)
         return self.member
 
 
 class View:
-    """Keep the members as one process sees them; times are readings of its monotonic clock."""
+    """The members as one process sees them; instants are of its monotonic clock."""
 
     def __init__(self, own: Member, timing: Timing, now: float) -> None:
         self.own = own
@@ -77,28 +79,28 @@
         return (self.own, *(entry.member for entry in self._entries.values()))
 
     def digest(self) -> int:
-        """Summarize the names and incarnations of the members that are there."""
+        """Return a digest of the names and incarnations of the alive and suspected members."""
         if self._digest is None:
             present = (m for m in self.members() if m.standing in _PRESENT)
             self._digest = sum(_hash(member) for member in present) % _DIGEST_MODULUS
         return self._digest
 
     def leave(self) -> None:
-        """Say from now on that this process is leaving."""
+        """Mark this process as leaving."""
         self.own = dataclasses.replace(self.own, standing=Standing.LEAVING)
         self._digest = None
 
     def set_bundle(self, bundle: int) -> None:
-        """Note the version of the bundle in force here."""
+        """Set the version of the bundle in force in this process."""
         if bundle != self.own.bundle:
             self.own = dataclasses.replace(self.own, bundle=bundle)
 
     def endpoints(self) -> frozenset[tuple[str, int]]:
-        """Return the endpoints that heartbeats come from or go to, this process's own included."""
+        """Return the endpoints of all known members, this process included."""
         return frozenset((member.address, member.port) for member in self.members())
 
     def count_reachable(self) -> tuple[int, int]:
-        """Return how many others are heard, and how many should be: those and the lost ones."""
+        """Return how many other members are heard, and how many are expected to be."""
         entries = tuple(self._entries.values())
         heard = sum(entry.member.standing is Standing.ALIVE for entry in entries)
         expected = sum(not entry.departed for entry in entries)
@@ -106,12 +108,12 @@
 
     def mark_delisted(self, listed: frozenset[str]) -> None:
         """
-        Take the platform's list of entry hosts: whoever is silent and not on it won't come back.
+        Mark gone members as departed if the platform's list of entry hosts lacks their hosts.
 
-        Replaced hosts leave their names behind.  Counted as lost for an hour, they would make a
-        process that hears everybody believe that it hears less than half.  The list lags, so it
-        excuses only who is gone here as well, and one that lacks this host is no list of entry
-        hosts.
+        The names of replaced hosts stay in the view.  Counted as lost for an hour, they would make
+        a process that hears all running members conclude that it hears less than half.  The list
+        lags, so only members that are gone in this view too are marked.  A list that lacks this
+        host is not a list of entry hosts and is ignored.
         """
         if self.own.host not in listed:
             return
@@ -123,8 +125,8 @@
         """
         Return the members to send this round's heartbeat to.
 
-        Gone members are still probed now and then: after a parting of sites each side has removed
-        the other, and would never meet it again if both only sent to who is there.
+        Gone members are included every few rounds: during a network partition each side removes the
+        other, and would never find it again if both only sent to present members.
         """
         self._rounds += 1
         probe = self._rounds % PROBE_PERIOD_ROUNDS == 0
@@ -132,7 +134,7 @@
         return tuple(m for m in members if probe or m.standing is not Standing.GONE)
 
     def make_beat(self, sequence: int) -> Beat:
-        """Return this round's heartbeat, with news and the members that are suspected."""
+        """Return this round's heartbeat, with the records of changed and suspected members."""
         records: list[Record] = []
         for entry in self._entries.values():
             if len(records) == MAX_RECORDS:
@@ -144,7 +146,7 @@
         return Beat(Record(self.own, sequence), self.digest(), news)
 
     def list_answers(self, name: str) -> tuple[Record, ...]:
-        """Return all that the named member needs to reach the same view, itself included."""
+        """Return the records that the named member needs for the same view, its own included."""
         return tuple(
             Record(entry.member, entry.sequence)
             for entry in self._entries.values()
@@ -152,7 +154,7 @@
         )
 
     def tick(self, now: float) -> tuple[Change, ...]:
-        """Suspect and remove who was silent for too long; call it every interval."""
+        """Suspect and remove members that were silent for too long; call it every interval."""
         changes = list(self._recover_from_pause(now))
         self._last_tick = now
         self._answers_sent = 0
@@ -161,7 +163,7 @@
         return self._finish_changes(changes)
 
     def receive(self, beat: Beat, now: float) -> tuple[Change, ...]:
-        """Take one heartbeat in."""
+        """Apply one heartbeat."""
         if beat.sender.member.name == self.own.name:
             return self._finish_changes(list(self._refute(beat.sender)))
         changes = list(self._apply_sender_record(beat.sender, now))
@@ -171,11 +173,11 @@
 
     def needs_answer(self, beat: Beat, now: float) -> bool:
         """
-        Say whether the sender of a heartbeat just received must be sent ``answers``.
+        Return whether the sender of a heartbeat just received must be sent ``list_answers``.
 
-        It must if its view differs, or if its incarnation is over here.  At most MAX_ANSWERS
-        an interval are given, and one to each member, so that neither a replay nor a change that
-        everybody sees at once makes a storm.
+        It must if its view differs, or if its incarnation is gone or outdated in this view.  At
+        most MAX_ANSWERS_PER_INTERVAL are sent in an interval, and one to each member, so that
+        neither a replay nor a change that all members see at once causes a storm of answers.
         """
         entry = self._entries.get(beat.sender.member.name)
         if entry is None or self._answers_sent >= MAX_ANSWERS_PER_INTERVAL:
@@ -200,9 +202,9 @@
         pause = now - self._last_tick
         if pause <= self._timing.suspect_after:
             return
-        # This process was frozen.  What it knows is old, and the silence of the others was its own:
-        # judging them by it would remove everybody at once.  The others have removed it meanwhile,
-        # so it comes back as a new incarnation.
+        # This process was frozen.  It seems that no member was heard during the pause, and counting
+        # that time would remove all members at once.  The others have removed this process in the
+        # meantime, so it returns as a new incarnation.
         for entry in self._entries.values():
             entry.heard_at += pause
             entry.evidence_at += pause
@@ -231,10 +233,10 @@
             yield from self._remove_predecessor(member)
             return
         if (member.incarnation, record.sequence) <= (entry.member.incarnation, entry.sequence):
-            return  # delayed, replayed, or of an earlier life
+            return  # delayed, replayed, or of an earlier incarnation
         if entry.member.standing is Standing.GONE:
-            # Removed members don't come back as they were: others may have acted on the removal.
-            # The sender is told, and returns as a new incarnation.
+            # A removed member does not return in the same incarnation: others may have acted on the
+            # removal.  The sender gets an answer, and returns as a new incarnation.
             return
         entry.sequence = record.sequence
         entry.heard_at = entry.evidence_at = now
@@ -262,8 +264,8 @@
         yield Change(ChangeKind.JOINED if known is None else ChangeKind.RETURNED, member)
 
     def _remove_predecessor(self, member: Member) -> Iterator[Change]:
-        # A replaced host takes the address of the one before it under another name.  Whoever was
-        # there isn't any more, and must not be counted until its timeout.
+        # A replacement host takes the address of its predecessor under another name.  The
+        # predecessor is gone, and must not be counted until its timeout.
         for entry in self._entries.values():
             other = entry.member
             if other.name == member.name or other.standing is Standing.GONE:
