--- a/benchmarks/queue_model.py
+++ b/benchmarks/queue_model.py
@@ -20,7 +20,7 @@
 from toucanpin.requests.attempt_timing import AttemptTiming
 from toucanpin.requests.routing import InstanceShare
 from toucanpin.requests.shares import compute_share
-from toucanpin.requests.tests.virtual import Attempt, Clock, Load, VirtualFront
+from toucanpin.requests.tests.virtual_front import Attempt, Clock, Load, VirtualFront
 
 __all__ = ["Result", "Shape", "arrivals", "run_central", "run_own", "run_queues"]
 
@@ -165,14 +165,14 @@
             front.state.attempt_timing = _Unhedged()
         fronts.append(front)
     for at, _, host in arrivals(shape):
-        clock.at(at, partial(fronts[host].ask, limit=DEADLINE))
+        clock.at(at, partial(fronts[host].submit, limit=DEADLINE))
         result.span = at
     clock.run()
     for front in fronts:
         for record in front.records:
-            latency = record.answered - record.request.arrived
+            latency = record.answered_at - record.request.arrived
             (result.served if record.ok else result.refused).append(latency)
-    result.most = max(load.most.values())
+    result.most = max(load.peak.values())
     result.attempts = sum(load.sent.values()) / shape.count
     return result
 
--- a/toucanpin/requests/tests/test_claims.py
+++ b/toucanpin/requests/tests/test_claims.py
@@ -39,11 +39,11 @@
         self.rng = rng
         self.rows = {}
         self.version = 0
-        self.late = []
+        self.delayed = []
 
-    def answer(self, action):
-        if self.late and self.rng.random() < 0.5:
-            self.apply(self.late.pop(0))
+    def handle(self, action):
+        if self.delayed and self.rng.random() < 0.5:
+            self.apply(self.delayed.pop(0))
         if isinstance(action, ReadRow):
             lost = self.rng.random() < 0.2
             return Error(Unavailable("down")) if lost else Ok(self.rows.get(action.key))
@@ -53,19 +53,19 @@
         if chance < 0.2:
             return Error(Unknown("never"))
         if chance < 0.4:
-            self.late.append(action.transaction)
+            self.delayed.append(action.transaction)
             return Error(Unknown("later"))
         result = self.apply(action.transaction)
         return Error(Unknown("done")) if chance < 0.6 else result
 
     def apply(self, transaction):
-        wrong = [
+        conflicts = [
             self.rows.get(write.key, Row(write.key, ABSENT, b""))
             for write in transaction.writes
             if (self.rows[write.key].version if write.key in self.rows else 0) != write.expected
         ]
-        if wrong:
-            return Error(Conflict(tuple(wrong)))
+        if conflicts:
+            return Error(Conflict(tuple(conflicts)))
         self.version += 1
         for write in transaction.writes:
             if write.value is None and not write.check_only:
@@ -75,17 +75,17 @@
         return Ok(Committed(self.version))
 
 
-class CalmTable(LossyTable):
+class ReliableTable(LossyTable):
     """Answer every question."""
 
-    def answer(self, action):
+    def handle(self, action):
         return self.apply(action.transaction)
 
 
-class DeafTable(LossyTable):
+class UnavailableTable(LossyTable):
     """Lose every write, and its reading back too."""
 
-    def answer(self, action):
+    def handle(self, action):
         lost = isinstance(action, Commit)
         return Error(Unknown("lost")) if lost else Error(Unavailable("down"))
 
@@ -96,7 +96,7 @@
     action = next(steps)
     while True:
         try:
-            action = steps.send(table.answer(action))
+            action = steps.send(table.handle(action))
         except StopIteration as end:
             return end.value
 
@@ -132,14 +132,14 @@
         while actions:
             p = rng.choice(sorted(actions))
             try:
-                actions[p] = steps[p].send(table.answer(actions[p]))
+                actions[p] = steps[p].send(table.handle(actions[p]))
             except StopIteration as end:
                 outcomes[p] = end.value
                 del actions[p]
         return outcomes
 
     def test_refuses_duplicates_and_serves_the_rest_of_a_batch(self):
-        table = CalmTable(Random(1))
+        table = ReliableTable(Random(1))
         run(table, (prepare_claim("r1", "a"),))
         batch = (prepare_claim("r1", "b"), prepare_claim("r2", "c"))
         outcomes = run(table, batch)
@@ -148,7 +148,7 @@
         self.assertIsInstance(outcomes[b"c"], HeldClaim)
 
     def test_refuses_as_not_run_what_stays_uncertain(self):
-        table = DeafTable(Random(1))
+        table = UnavailableTable(Random(1))
         outcome = run(table, (prepare_claim("r1", "a"),))[b"a"]
         self.assertIs(outcome.verdict, Verdict.NOT_RUN)
         self.assertIs(outcome.reason, Reason.STORE_UNCERTAIN)
@@ -159,7 +159,7 @@
         left its row, although another process's wall clock is ahead, since none is looked at.
         Rows whose version was seen ten minutes ago are deleted.
         """
-        table = CalmTable(Random(1))
+        table = ReliableTable(Random(1))
         ages = VersionAges()
         for second in range(0, 2_000, 100):
             run(table, tuple(prepare_claim(f"r{second}.{n}", f"{second}.{n}") for n in range(9)))
@@ -172,7 +172,7 @@
         self.assertEqual(left, kept)
 
     def test_a_process_that_just_started_deletes_nothing(self):
-        table = CalmTable(Random(1))
+        table = ReliableTable(Random(1))
         run(table, (prepare_claim("r", "a"),))
         for prefix in list_partitions(("a",), "a"):
             self.sweep(table, prefix, VersionAges(), 1e9)
@@ -199,8 +199,8 @@
         claims = tuple(prepare_claim(f"r{n}", f"{n}") for n in range(MAX_TRANSACTION_ROWS + 9))
         batch, rest = gather_batch(claims)
         self.assertEqual((len(batch), len(rest)), (MAX_TRANSACTION_ROWS, 9))
-        twins = (prepare_claim("r", "a"), prepare_claim("r", "b"))
-        self.assertEqual(gather_batch(twins), (twins[:1], twins[1:]))
+        duplicates = (prepare_claim("r", "a"), prepare_claim("r", "b"))
+        self.assertEqual(gather_batch(duplicates), (duplicates[:1], duplicates[1:]))
 
 
 if __name__ == "__main__":
--- a/toucanpin/requests/tests/test_hedging.py
+++ b/toucanpin/requests/tests/test_hedging.py
@@ -20,7 +20,7 @@
 )
 from toucanpin.requests.path import serve_request
 from toucanpin.requests.service import ServiceState
-from toucanpin.requests.tests.virtual import Attempt, Clock, Load, VirtualFront, share_evenly
+from toucanpin.requests.tests.virtual_front import Attempt, Clock, Load, VirtualFront, share_evenly
 
 SERVICE = Service("verify")
 FIRST, SECOND = Response(200, "OK", (), b"first"), Response(200, "OK", (), b"second")
@@ -44,7 +44,7 @@
 
 
 class HedgeTest(unittest.TestCase):
-    def hedge(self, state):
+    def drive_to_hedge(self, state):
         """Lead a path to its hedge; return it and the names of both instances."""
         path, forward = begin(state)
         self.assertIsInstance(forward, Forward)
@@ -57,7 +57,7 @@
         for winner in (0, 1):
             with self.subTest(winner):
                 state = make_state()
-                path, *names = self.hedge(state)
+                path, *names = self.drive_to_hedge(state)
                 response = (FIRST, SECOND)[winner]
                 action = path.send(AttemptEnded(names[winner], Responded(0.2, response)))
                 self.assertIsInstance(action, Cancel)
@@ -68,7 +68,7 @@
 
     def test_hedges_at_another_instance_in_a_slot_of_its_own(self):
         state = make_state()
-        path, first, second = self.hedge(state)
+        path, first, second = self.drive_to_hedge(state)
         self.assertNotEqual(first, second)
         busy = {i.name: i.in_flight for i in state.router._instances.values() if i.in_flight}
         self.assertEqual(busy, {first: 1, second: 1})
@@ -121,14 +121,14 @@
         self.assertIsNone(forward.pending_at)
 
     def test_prefers_a_good_answer_that_may_still_come_to_a_failure(self):
-        path, first, second = self.hedge(make_state())
+        path, first, second = self.drive_to_hedge(make_state())
         self.assertIsInstance(
             path.send(AttemptEnded(second, Responded(0.11, FAILED))), AwaitAttempt
         )
         self.assertEqual(path.send(AttemptEnded(first, Responded(0.2, FIRST))), Relay(FIRST))
 
     def test_relays_a_failure_if_nothing_better_comes(self):
-        path, first, second = self.hedge(make_state())
+        path, first, second = self.drive_to_hedge(make_state())
         path.send(AttemptEnded(second, Responded(0.11, FAILED)))
         self.assertEqual(path.send(AttemptEnded(first, Interrupted(0.2, "x"))), Relay(FAILED))
 
@@ -149,7 +149,7 @@
         at = 0.0
         for _ in range(count):
             at += rng.expovariate(rate)
-            clock.at(at, front.ask)
+            clock.at(at, front.submit)
         clock.run()
         return front, load
 
@@ -163,7 +163,7 @@
         rng = Random(3)
 
         def behave(name, now):
-            kind = "broke" if rng.random() < 0.04 else "whole"
+            kind = "interrupted" if rng.random() < 0.04 else "answered"
             return Attempt(rng.lognormvariate(-4.0, 1.5), kind)
 
         front, load = self.run_front(behave)
@@ -180,10 +180,10 @@
         front, load = self.run_front(
             lambda name, now: Attempt(1.0 if name == "i0" and now > 1.0 else 0.05)
         )
-        slow = [r for r in front.records if r.answered - r.request.arrived > 0.3]
+        slow = [r for r in front.records if r.answered_at - r.request.arrived > 0.3]
         self.assertLess(len(slow), 0.001 * len(front.records))
         self.assertTrue(all(record.ok for record in front.records))
-        self.assertLessEqual(max(load.most.values()), 8)
+        self.assertLessEqual(max(load.peak.values()), 8)
 
     def test_ejects_an_instance_that_hedges_overtake(self):
         """
--- a/toucanpin/requests/tests/test_path.py
+++ b/toucanpin/requests/tests/test_path.py
@@ -23,14 +23,14 @@
 from toucanpin.requests.path import serve_request
 from toucanpin.requests.routing import InstanceShare
 from toucanpin.requests.service import ServiceState
-from toucanpin.requests.tests.virtual import Attempt, Clock, Load, VirtualFront, share_evenly
+from toucanpin.requests.tests.virtual_front import Attempt, Clock, Load, VirtualFront, share_evenly
 from toucanpin.verdict import Reason, Verdict
 
 SERVICE = Service("verify")
-WELL = Response(200, "OK", (), b"x")
+GOOD = Response(200, "OK", (), b"x")
 
 
-def walk(idempotent, outcomes, request_id="", instances=3):
+def drive(idempotent, outcomes, request_id="", instances=3):
     """Drive one path by hand; return its actions' types and its last answer."""
     state = ServiceState(SERVICE, 0.1, "casco", Random(1))
     state.update(share_evenly([f"i{n}" for n in range(instances)]), 0.0)
@@ -48,20 +48,20 @@
         outcome = next(feed, None)
 
 
-def kinds(actions):
+def list_kinds(actions):
     """Name the types of actions."""
     return [type(action).__name__ for action in actions]
 
 
 class PathTest(unittest.TestCase):
     def test_relays_a_whole_answer(self):
-        actions, busy = walk(False, [Responded(0.1, WELL)])
-        self.assertEqual(kinds(actions), ["Forward", "Relay"])
+        actions, busy = drive(False, [Responded(0.1, GOOD)])
+        self.assertEqual(list_kinds(actions), ["Forward", "Relay"])
         self.assertEqual(busy, 0)
 
     def test_retries_a_refused_attempt_at_another_instance(self):
-        actions, _ = walk(False, [Refused(0.1, "x"), Responded(0.2, WELL)])
-        self.assertEqual(kinds(actions), ["Forward", "Forward", "Relay"])
+        actions, _ = drive(False, [Refused(0.1, "x"), Responded(0.2, GOOD)])
+        self.assertEqual(list_kinds(actions), ["Forward", "Forward", "Relay"])
         self.assertNotEqual(actions[0].instance, actions[1].instance)
 
     def test_never_repeats_a_non_idempotent_request_that_may_have_run(self):
@@ -72,8 +72,8 @@
         second attempt could run the request twice.
         """
         for outcome in (Interrupted(0.1, "x"), Interrupted(0.1, "x", stale=True), TimedOut(2.0)):
-            actions, _ = walk(False, [outcome])
-            self.assertEqual(kinds(actions), ["Forward", "Answer"])
+            actions, _ = drive(False, [outcome])
+            self.assertEqual(list_kinds(actions), ["Forward", "Answer"])
             self.assertIs(actions[-1].refusal.verdict, Verdict.MAY_HAVE_RUN)
 
     def test_never_calls_not_run_what_an_earlier_attempt_may_have_run(self):
@@ -84,27 +84,27 @@
         """
         not_run = Responded(0.2, Response(503, "", (), b"", None, True))
         for last in (Refused(0.2, "x"), not_run):
-            actions, _ = walk(True, [Interrupted(0.1, "x"), last, last])
-            self.assertEqual(kinds(actions), ["Forward", "Forward", "Forward", "Answer"])
+            actions, _ = drive(True, [Interrupted(0.1, "x"), last, last])
+            self.assertEqual(list_kinds(actions), ["Forward", "Forward", "Forward", "Answer"])
             self.assertIs(actions[-1].refusal.verdict, Verdict.MAY_HAVE_RUN)
 
     def test_claims_before_forwarding_and_releases_what_did_not_run(self):
         claimed = Claimed(0.1, HeldClaim("k", 7))
-        actions, _ = walk(False, [claimed, Responded(0.2, WELL)], "r1")
-        self.assertEqual(kinds(actions), ["Claim", "Forward", "Relay"])
+        actions, _ = drive(False, [claimed, Responded(0.2, GOOD)], "r1")
+        self.assertEqual(list_kinds(actions), ["Claim", "Forward", "Relay"])
         refused = [claimed] + [Refused(0.2, "x")] * 3
-        actions, _ = walk(False, refused, "r1")
-        self.assertEqual(kinds(actions)[-2:], ["ReleaseClaim", "Answer"])
-        actions, _ = walk(False, [claimed, Interrupted(0.2, "x")], "r1")
-        self.assertEqual(kinds(actions), ["Claim", "Forward", "Answer"])
+        actions, _ = drive(False, refused, "r1")
+        self.assertEqual(list_kinds(actions)[-2:], ["ReleaseClaim", "Answer"])
+        actions, _ = drive(False, [claimed, Interrupted(0.2, "x")], "r1")
+        self.assertEqual(list_kinds(actions), ["Claim", "Forward", "Answer"])
 
     def test_refuses_at_once_without_instances(self):
-        actions, _ = walk(True, [], instances=0)
+        actions, _ = drive(True, [], instances=0)
         self.assertIs(actions[0].refusal.reason, Reason.NO_UPSTREAM)
         self.assertIs(actions[0].refusal.verdict, Verdict.NOT_RUN)
 
     def test_passes_on_the_remaining_time(self):
-        actions, _ = walk(False, [Refused(0.5, "x"), Responded(0.6, WELL)])
+        actions, _ = drive(False, [Refused(0.5, "x"), Responded(0.6, GOOD)])
         self.assertEqual([action.deadline for action in actions[:2]], [2.0, 2.0])
 
     def test_uses_every_action(self):
@@ -120,7 +120,7 @@
         at = 0.0
         for _ in range(count):
             at += rng.expovariate(rate)
-            clock.at(at, front.ask)
+            clock.at(at, front.submit)
         clock.run()
         return front, load
 
@@ -131,7 +131,7 @@
         Every attempt fails, each in one way.  With a count of retries in place of a budget, three
         attempts would go out for each request and keep the instances down.
         """
-        for kind in ("broke", "refused", "not run"):
+        for kind in ("interrupted", "refused", "not run"):
             with self.subTest(kind):
                 front, load = self.run_front(lambda name, now, k=kind: Attempt(0.005, k))
                 self.assertLessEqual(sum(load.sent.values()), 1.1 * len(front.records))
@@ -198,8 +198,8 @@
             for record in refused:
                 self.assertIs(record.outcome.verdict, Verdict.NOT_RUN)
                 self.assertGreater(record.outcome.retry_after, 0.0)
-                self.assertLess(record.answered - record.request.arrived, 0.05)
-            self.assertLessEqual(max(load.most.values()), 8)
+                self.assertLess(record.answered_at - record.request.arrived, 0.05)
+            self.assertLessEqual(max(load.peak.values()), 8)
 
     def test_serves_a_quiet_caller_beside_a_flood(self):
         """
@@ -212,10 +212,10 @@
         front = VirtualFront(clock, service, lambda name, now: Attempt(0.05), load)
         front.update(share_evenly(["i0"]))
         for number in range(2_000):
-            clock.at(number * 0.001, lambda: front.ask(caller="flood"))
+            clock.at(number * 0.001, lambda: front.submit(caller="flood"))
         quiet = []
         for number in range(20):
-            clock.at(0.2 + number * 0.08, lambda: quiet.append(front.ask(caller="quiet")))
+            clock.at(0.2 + number * 0.08, lambda: quiet.append(front.submit(caller="quiet")))
         clock.run()
         self.assertTrue(all(record.ok for record in quiet))
 
@@ -230,7 +230,7 @@
             lambda name, now: Attempt(60.0 if name == "i0" and now > 1.0 else 0.05), rate=800.0
         )
         late = [
-            record for record in front.records if record.answered - record.request.arrived > 0.5
+            record for record in front.records if record.answered_at - record.request.arrived > 0.5
         ]
         self.assertLess(len(late), 0.005 * len(front.records))
         self.assertFalse([record for record in front.records if not record.ok])
@@ -249,7 +249,7 @@
         )
         bad = sum(not record.ok for record in front.records)
         self.assertLess(bad, 0.005 * len(front.records))
-        self.assertLess(load.cut, 0.02 * len(front.records))
+        self.assertLess(load.timed_out, 0.02 * len(front.records))
         self.assertLessEqual(sum(load.sent.values()), 1.1 * len(front.records))
 
     def test_outlives_the_loss_of_a_site(self):
@@ -270,7 +270,7 @@
         shares += tuple(InstanceShare(f"f{number}", "kennebec", 8) for number in range(5))
         front.update(shares)
         for number in range(4_000):
-            clock.at(number * 0.005, front.ask)
+            clock.at(number * 0.005, front.submit)
         clock.run()
         bad = [record for record in front.records if not record.ok]
         self.assertLess(len(bad), 0.01 * len(front.records))
@@ -292,13 +292,13 @@
         )
         front.update(share_evenly([f"i{number}" for number in range(10)]))
         for number in range(200):
-            clock.at(number * 0.01, front.ask)
-        herd: list[Any] = []
+            clock.at(number * 0.01, front.submit)
+        returning: list[Any] = []
         for number in range(600):
-            clock.at(2.0 + number / 6_000, lambda: herd.append(front.ask()))
+            clock.at(2.0 + number / 6_000, lambda: returning.append(front.submit()))
         clock.run()
-        self.assertGreater(sum(record.ok for record in herd), 0.95 * len(herd))
-        self.assertLessEqual(max(load.most.values()), 8)
+        self.assertGreater(sum(record.ok for record in returning), 0.95 * len(returning))
+        self.assertLessEqual(max(load.peak.values()), 8)
 
     def test_holds_the_slot_of_an_attempt_whose_end_is_unknown(self):
         """
@@ -311,10 +311,10 @@
         front = VirtualFront(clock, Service("verify"), lambda n, t: Attempt(0.01, "lost"), load)
         front.update(share_evenly(["i0"]))
         for number in range(100):
-            clock.at(number * 0.01, lambda: front.ask(idempotent=False))
+            clock.at(number * 0.01, lambda: front.submit(idempotent=False))
         clock.run()
         self.assertGreater(load.sent["i0"], 8)
-        self.assertLessEqual(load.most["i0"], 8)
+        self.assertLessEqual(load.peak["i0"], 8)
 
 
 if __name__ == "__main__":
--- a/toucanpin/requests/tests/test_shares.py
+++ b/toucanpin/requests/tests/test_shares.py
@@ -7,7 +7,7 @@
 INSTANCES = [f"i{n}" for n in range(35)]
 
 
-def names(count):
+def make_names(count):
     """Name request processes."""
     return tuple(f"e{n}/request" for n in range(count))
 
@@ -15,7 +15,7 @@
 class ShareTest(unittest.TestCase):
     def test_adds_up_to_the_slots_under_one_view(self):
         for count in (1, 2, 6, 8, 9, 20):
-            members = names(count)
+            members = make_names(count)
             for total in (1, 8, 64):
                 for instance in INSTANCES:
                     shares = [compute_share(instance, total, members, me) for me in members]
@@ -29,7 +29,7 @@
         Each process learns of a change at its own instant, up to a second apart, and applies it.
         Were a departed member's slots used at once, it could still be using them itself.
         """
-        members = names(7)
+        members = make_names(7)
         changes = [(2.0, members[:6]), (6.0, members), (10.0, members[1:]), (14.0, members[1:5])]
         books = {name: SlotShares(name, 2.0) for name in members}
         for step in range(200):
@@ -48,15 +48,15 @@
         A second process joins; the first learns of it half a second later and has just begun
         requests on all eight slots, of which it owns four from then on.  They may take two seconds.
         """
-        old, new = (SlotShares(name, 1.0) for name in names(2))
+        old, new = (SlotShares(name, 1.0) for name in make_names(2))
         hold = 1.0 + 2.0
         for step in range(100):
-            old.update(names(1), step * 0.1)
+            old.update(make_names(1), step * 0.1)
         self.assertEqual(old.share("i0", 8, hold), 8)
         for step in range(100, 150):
             now = step * 0.1
-            old.update(names(1 if now < 10.5 else 2), now)
-            new.update(names(2), now)
+            old.update(make_names(1 if now < 10.5 else 2), now)
+            new.update(make_names(2), now)
             in_flight = 8 if now < 10.4 + 2.0 else old.share("i0", 8, hold)
             self.assertLessEqual(in_flight + new.share("i0", 8, hold), 8, f"at {now}")
         self.assertEqual(old.share("i0", 8, hold) + new.share("i0", 8, hold), 8)
@@ -69,13 +69,13 @@
         """
         book = SlotShares("e0/request", 2.0)
         for step in range(40):
-            book.update(names(2), step * 0.1)
+            book.update(make_names(2), step * 0.1)
         self.assertEqual(book.share("i0", 8), 4)
-        book.update(names(2), 60.0)
+        book.update(make_names(2), 60.0)
         self.assertEqual(book.share("i0", 8), 0)
         self.assertFalse(book.owns_any)
         for step in range(1, 25):
-            book.update(names(2), 60.0 + step * 0.1)
+            book.update(make_names(2), 60.0 + step * 0.1)
         self.assertEqual(book.share("i0", 8), 4)
 
 
--- a/toucanpin/requests/tests/virtual.py
+++ b/toucanpin/requests/tests/virtual_front.py
@@ -1,4 +1,4 @@
-"""Drive real paths of requests on a virtual clock, with instances that are plain functions."""
+"""Drive request paths on a virtual clock, with instances simulated by plain functions."""
 
 from __future__ import annotations
 
@@ -39,33 +39,33 @@
 from toucanpin.requests.routing import InstanceShare
 from toucanpin.requests.service import ServiceState
 
-GRANT_SECONDS = 0.05
+GRANT_INTERVAL_S = 0.05
 
 
 @dataclass(slots=True)
 class Attempt:
     """
-    Say how an instance treats one attempt: ``kind`` after ``seconds``, with this status.
+    How an instance treats one attempt: it ends as ``kind`` after ``seconds``, with ``status``.
 
-    After "lost" the instance works on until the attempt's deadline.
+    An attempt that is "lost" ends for the front, while the instance runs it until its deadline.
     """
 
     seconds: float
-    kind: str = "whole"
+    kind: str = "answered"
     status: int = 200
 
 
 @dataclass(slots=True)
 class Record:
-    """Keep what one caller saw."""
+    """A caller's request and its outcome."""
 
     request: Request
-    answered: float = 0.0
+    answered_at: float = 0.0
     outcome: Any = None
 
     @property
     def ok(self) -> bool:
-        """Say whether the caller got a good answer."""
+        """Return whether the caller got a good answer."""
         return isinstance(self.outcome, Response) and self.outcome.status == 200
 
 
@@ -85,7 +85,7 @@
         heapq.heappush(self._events, (max(instant, self.now), next(self._numbers), call))
 
     def run(self) -> None:
-        """Run until nothing is left."""
+        """Run until no callbacks are left."""
         while self._events:
             self.now, _, call = heapq.heappop(self._events)
             call()
@@ -94,19 +94,19 @@
 @dataclass(slots=True)
 class Load:
     """
-    Count what each instance got, and the most that it had at one time.
+    Attempts by instance: all, those in flight and the highest number in flight at one time.
 
-    ``cut`` counts the attempts that had no answer by their deadline.
+    ``timed_out`` counts the attempts without an answer by their deadline.
     """
 
     sent: dict[str, int] = field(default_factory=dict)
-    busy: dict[str, int] = field(default_factory=dict)
-    most: dict[str, int] = field(default_factory=dict)
-    cut: int = 0
+    in_flight: dict[str, int] = field(default_factory=dict)
+    peak: dict[str, int] = field(default_factory=dict)
+    timed_out: int = 0
 
 
 class VirtualFront:
-    """Serve one service as one entry host would."""
+    """The front of one entry host for one service."""
 
     def __init__(
         self, clock: Clock, service: Service, behave: Behave, load: Load, seed: int = 1
@@ -121,12 +121,12 @@
         self._running: dict[Path, list[AttemptEnded]] = {}
 
     def update(self, shares: tuple[InstanceShare, ...]) -> None:
-        """Take in instances and shares."""
+        """Set instances and shares."""
         self.state.update(shares, self.clock.now)
         self._wake()
 
-    def ask(self, idempotent: bool = True, limit: float = 2.0, **options: str) -> Record:
-        """Begin one request now."""
+    def submit(self, idempotent: bool = True, limit: float = 2.0, **options: str) -> Record:
+        """Start one request now."""
         now = self.clock.now
         caller = options.get("caller", "c")
         request_id = options.get("request_id", "")
@@ -145,7 +145,7 @@
                 return
             match action:
                 case Answer(refusal=result) | Relay(response=result):
-                    record.answered, record.outcome = self.clock.now, result
+                    record.answered_at, record.outcome = self.clock.now, result
                     outcome = ActionDone(self.clock.now)
                     continue
                 case ReleaseClaim():
@@ -156,7 +156,7 @@
                     outcome = ActionDone(self.clock.now)
                     continue
                 case Claim(request_id=name):
-                    self._later(0.005, path, record, partial(_hold_claim, name))
+                    self._resume_after(0.005, path, record, partial(_make_claimed, name))
                 case Forward():
                     self._forward(path, record, action)
                 case Hedge():
@@ -168,7 +168,7 @@
             self._wake()
             return
 
-    def _later(
+    def _resume_after(
         self, seconds: float, path: Path, record: Record, make: Callable[[float], Any]
     ) -> None:
         at = self.clock.now + seconds
@@ -192,7 +192,7 @@
     def _grant_later(self) -> None:
         if not self._granting:
             self._granting = True
-            self.clock.at(self.clock.now + GRANT_SECONDS, self._grant)
+            self.clock.at(self.clock.now + GRANT_INTERVAL_S, self._grant)
 
     def _grant(self) -> None:
         self._granting = False
@@ -205,10 +205,10 @@
         ends, outcome = self._begin(action)
         pending_at = action.pending_at
         if pending_at is None or ends <= pending_at:
-            self._later(ends - self.clock.now, path, record, lambda _: outcome)
+            self._resume_after(ends - self.clock.now, path, record, lambda _: outcome)
             return
         self._running[path] = [AttemptEnded(action.instance, outcome)]
-        self._later(pending_at - self.clock.now, path, record, AttemptPending)
+        self._resume_after(pending_at - self.clock.now, path, record, AttemptPending)
 
     def _hedge(self, path: Path, record: Record, action: Hedge) -> None:
         _, outcome = self._begin(action)
@@ -219,28 +219,28 @@
         running = self._running[path]
         first = min(running, key=lambda ended: ended.outcome.at)
         running.remove(first)
-        self._later(first.outcome.at - self.clock.now, path, record, lambda _: first)
+        self._resume_after(first.outcome.at - self.clock.now, path, record, lambda _: first)
 
     def _begin(self, action: Forward | Hedge) -> tuple[float, Any]:
-        """Begin an attempt; return when it ends, and how if nobody cancels it."""
+        """Start an attempt; return when it ends, and its outcome if it is not cancelled."""
         name = action.instance
         self.load.sent[name] = self.load.sent.get(name, 0) + 1
-        self.load.busy[name] = self.load.busy.get(name, 0) + 1
-        self.load.most[name] = max(self.load.most.get(name, 0), self.load.busy[name])
+        self.load.in_flight[name] = self.load.in_flight.get(name, 0) + 1
+        self.load.peak[name] = max(self.load.peak.get(name, 0), self.load.in_flight[name])
         attempt = self._behave(name, self.clock.now)
-        late = self.clock.now + attempt.seconds > action.deadline
-        ends = min(self.clock.now + attempt.seconds, action.deadline)
-        self.load.cut += late
+        times_out = self.clock.now + attempt.seconds > action.deadline
+        ended_at = min(self.clock.now + attempt.seconds, action.deadline)
+        self.load.timed_out += times_out
 
-        def leave() -> None:
-            self.load.busy[name] -= 1
+        def finish() -> None:
+            self.load.in_flight[name] -= 1
 
-        # A cancelled attempt keeps its instance busy all the same, the worst case.
-        self.clock.at(action.deadline if attempt.kind == "lost" else ends, leave)
-        return ends, TimedOut(ends) if late else _make_outcome(attempt, ends)
+        # In the worst case, simulated here, a cancelled attempt keeps its instance busy.
+        self.clock.at(action.deadline if attempt.kind == "lost" else ended_at, finish)
+        return ended_at, TimedOut(ended_at) if times_out else _make_outcome(attempt, ended_at)
 
 
-def _hold_claim(name: str, at: float) -> Claimed:
+def _make_claimed(name: str, at: float) -> Claimed:
     return Claimed(at, HeldClaim(name, 1))
 
 
@@ -248,8 +248,8 @@
     match attempt.kind:
         case "refused":
             return Refused(at, "refused")
-        case "broke" | "lost":
-            return Interrupted(at, "broke")
+        case "interrupted" | "lost":
+            return Interrupted(at, "interrupted")
         case "not run":
             return Responded(at, Response(503, "", (), b"", None, True))
         case _:
@@ -257,5 +257,5 @@
 
 
 def share_evenly(names: list[str], slots: int = 8) -> tuple[InstanceShare, ...]:
-    """Give a front the same number of slots of each instance."""
+    """Return shares with the same number of slots of each instance."""
     return tuple(InstanceShare(name, "casco", slots) for name in names)
