--- a/toucanpin/cli/tests/test_timeline.py
+++ b/toucanpin/cli/tests/test_timeline.py
@@ -20,8 +20,8 @@
 from toucanpin.timeline.event import Cause, Event
 from toucanpin.timeline.recorder import Recorder
 
-LOST = Event("entry-a/control", "1", 1, 1.0, 9.0, "task.placed", {"job": "j"})
-NOBODY = "http://127.0.0.1:1"
+LOST_EVENT = Event("entry-a/control", "1", 1, 1.0, 9.0, "task.placed", {"job": "j"})
+UNREACHABLE_URL = "http://127.0.0.1:1"
 
 
 class QuietHandler(WSGIRequestHandler):
@@ -66,7 +66,7 @@
         recorder = Recorder("entry-b/control", "1", lambda: 5.0, lambda: 5.0)
         recorder.record("job.finished", {"job": "j"}, causes=(Cause("entry-a/control", 1, "1"),))
         recorder.record("request.answered", {"request": "r"})
-        stored = bodies or {"timeline/entry-a/control/1/1": b"".join(encode_lines([LOST]))}
+        stored = bodies or {"timeline/entry-a/control/1/1": b"".join(encode_lines([LOST_EVENT]))}
         with serve(make_timeline_app(recorder)) as url:
             filled = [url if word == "LIVE" else word for word in arguments]
             with mock.patch.object(
@@ -88,14 +88,14 @@
         self.assertIn("job.finished", lines[1])
 
     def test_says_which_source_was_not_read_and_shows_the_rest(self):
-        result = self.run_command("--from", NOBODY, "--from", "LIVE", "--output", "json")
+        result = self.run_command("--from", UNREACHABLE_URL, "--from", "LIVE", "--output", "json")
         self.assertEqual(result.exit_code, ExitCode.UNCERTAIN)
         self.assertEqual(len(result.stdout.splitlines()), 2)
-        self.assertIn(f"{NOBODY}: not read", result.stderr)
+        self.assertIn(f"{UNREACHABLE_URL}: not read", result.stderr)
         self.assertIn("its cause entry-a/control#1 is missing", result.stderr)
 
     def test_reports_an_unreadable_line_with_its_place(self):
-        bodies = {"timeline/x/1/1": b"".join(encode_lines([LOST])) + b'{"process": "entr'}
+        bodies = {"timeline/x/1/1": b"".join(encode_lines([LOST_EVENT])) + b'{"process": "entr'}
         result = self.run_command("--store", "http://store", bodies=bodies)
         self.assertEqual(result.exit_code, 0)
         self.assertIn("timeline/x/1/1:2: unreadable event", result.stderr)
@@ -111,7 +111,9 @@
 
     def test_asks_for_a_source_and_a_known_kind_of_picture(self):
         self.assertEqual(self.run_command().exit_code, 2)
-        self.assertEqual(self.run_command("--from", NOBODY, "--picture", "x.png").exit_code, 2)
+        self.assertEqual(
+            self.run_command("--from", UNREACHABLE_URL, "--picture", "x.png").exit_code, 2
+        )
 
 
 if __name__ == "__main__":
--- a/toucanpin/cli/timeline.py
+++ b/toucanpin/cli/timeline.py
@@ -14,7 +14,7 @@
 import click
 from expression import Result
 
-from toucanpin.cli.access import ca_option, token_option, trust_url
+from toucanpin.cli.access import add_operators_url, ca_option, token_option
 from toucanpin.cli.exits import ExitCode
 from toucanpin.cli.http import send
 from toucanpin.platform.http import HttpObjectStore
@@ -24,61 +24,61 @@
 from toucanpin.timeline.faults import Fault, Unreadable, explain_fault
 from toucanpin.timeline.filters import Filter, select
 from toucanpin.timeline.lanes import render_html, render_svg
-from toucanpin.timeline.merge import keep_events, merge
+from toucanpin.timeline.merge import merge, skip_unreadable
 from toucanpin.timeline.text import render_text
 
-__all__ = ["Unfetched", "fetch_process", "gather_objects", "timeline"]
+__all__ = ["FetchFailure", "fetch_process", "fetch_objects", "timeline"]
 
-PATH = "/v1/timeline"
-PREFIX = "timeline/"
-_HTTP_OK = 200
+TIMELINE_PATH = "/v1/timeline"
+OBJECT_PREFIX = "timeline/"
+OK_STATUS = 200
 
 
 @dataclass(frozen=True, slots=True)
-class Unfetched:
+class FetchFailure:
     """Report a source that could not be read."""
 
     source: str
     detail: str
 
 
-Item = Event | Unreadable | Unfetched
+Item = Event | Unreadable | FetchFailure
 
 
 def fetch_process(url: str) -> Iterator[Item]:
     """Yield the events that one process still holds."""
     address = url.rstrip("/")
-    address = address if address.endswith(PATH) else address + PATH
+    address = address if address.endswith(TIMELINE_PATH) else address + TIMELINE_PATH
     match send("GET", address):
-        case Result(tag="ok", ok=answer) if answer.status == _HTTP_OK:
+        case Result(tag="ok", ok=answer) if answer.status == OK_STATUS:
             yield from decode_lines(url, answer.body)
         case Result(tag="ok", ok=answer):
-            yield Unfetched(url, f"answered with status {answer.status}")
+            yield FetchFailure(url, f"answered with status {answer.status}")
         case Result(error=fault):
-            yield Unfetched(url, fault.detail)
+            yield FetchFailure(url, fault.detail)
 
 
-def gather_objects(objects: ObjectStore, prefix: str = PREFIX) -> Iterator[Item]:
+def fetch_objects(objects: ObjectStore, prefix: str = OBJECT_PREFIX) -> Iterator[Item]:
     """Yield the events that processes, lost ones too, left in the object store."""
     listed = objects.names(prefix)
     if listed.is_error():
-        yield Unfetched(prefix, str(listed.error))
+        yield FetchFailure(prefix, str(listed.error))
         return
     for name in sorted(listed.ok):
         found = objects.get(name)
         if found.is_error():
-            yield Unfetched(name, str(found.error))
+            yield FetchFailure(name, str(found.error))
         elif found.ok is None:
-            yield Unfetched(name, "listed but absent")
+            yield FetchFailure(name, "listed but absent")
         else:
             yield from decode_lines(name, found.ok)
 
 
-def _take_sources(
+def _check_sources(
     context: click.Context, parameter: click.Parameter, values: tuple[str, ...]
 ) -> tuple[str, ...]:
     """Check the URLs of the processes."""
-    return tuple(trust_url(value) for value in values)
+    return tuple(add_operators_url(value) for value in values)
 
 
 @click.command(epilog="""\b
@@ -92,7 +92,7 @@
     "urls",
     multiple=True,
     metavar="URL",
-    callback=_take_sources,
+    callback=_check_sources,
     help="Ask this process; repeatable.",
 )
 @token_option
@@ -137,23 +137,23 @@
         raise click.UsageError("name at least one --from or --store")
     if picture is not None and picture.suffix not in (".svg", ".html"):
         raise click.BadParameter("must end in .svg or .html", param_hint="--picture")
-    missing: list[Unfetched] = []
-    items = _keep_fetched(_gather(urls, store), missing)
-    merged = merge(keep_events(items, _tell), _tell)
+    failures: list[FetchFailure] = []
+    items = _collect_failures(_fetch_all(urls, store), failures)
+    merged = merge(skip_unreadable(items, _print_fault), _print_fault)
     wanted = Filter(request=request, job=job, host=host, bundle=bundle, task=task, kind=kind)
-    _show(select(merged, wanted), output, picture)
-    for fault in missing:
+    _output_events(select(merged, wanted), output, picture)
+    for fault in failures:
         click.echo(f"{fault.source}: not read: {fault.detail}", err=True)
-    if missing:
+    if failures:
         raise click.exceptions.Exit(ExitCode.UNCERTAIN)
 
 
-def _gather(urls: tuple[str, ...], store: str | None) -> Iterator[Item]:
+def _fetch_all(urls: tuple[str, ...], store: str | None) -> Iterator[Item]:
     """Yield what every source tells."""
     for url in urls:
         yield from fetch_process(url)
     if store is not None:
-        yield from gather_objects(_open_objects(store))
+        yield from fetch_objects(_open_objects(store))
 
 
 def _open_objects(url: str) -> ObjectStore:
@@ -161,22 +161,24 @@
     return HttpObjectStore(url, client="toucanpin")
 
 
-def _keep_fetched(items: Iterable[Item], missing: list[Unfetched]) -> Iterator[Event | Unreadable]:
+def _collect_failures(
+    items: Iterable[Item], failures: list[FetchFailure]
+) -> Iterator[Event | Unreadable]:
     """Pass on what was read and collect the sources that were not."""
     for item in items:
         match item:
-            case Unfetched():
-                missing.append(item)
+            case FetchFailure():
+                failures.append(item)
             case _:
                 yield item
 
 
-def _tell(fault: Fault) -> None:
+def _print_fault(fault: Fault) -> None:
     """Print a fault of the time line beside it."""
     click.echo(explain_fault(fault), err=True)
 
 
-def _show(events: Iterable[Event], output: str, picture: Path | None) -> None:
+def _output_events(events: Iterable[Event], output: str, picture: Path | None) -> None:
     """Print the events or draw them."""
     if picture is not None:
         draw = render_svg if picture.suffix == ".svg" else render_html
--- a/toucanpin/timeline/__init__.py
+++ b/toucanpin/timeline/__init__.py
@@ -5,7 +5,7 @@
 from toucanpin.timeline.faults import Fault, explain_fault
 from toucanpin.timeline.filters import Filter, select
 from toucanpin.timeline.lanes import render_html, render_svg
-from toucanpin.timeline.merge import identify, keep_events, merge
+from toucanpin.timeline.merge import identify, merge, skip_unreadable
 from toucanpin.timeline.recorder import Excerpt, Recorder
 from toucanpin.timeline.text import describe, render_text
 
@@ -21,7 +21,7 @@
     "encode_lines",
     "explain_fault",
     "identify",
-    "keep_events",
+    "skip_unreadable",
     "merge",
     "render_html",
     "render_svg",
--- a/toucanpin/timeline/faults.py
+++ b/toucanpin/timeline/faults.py
@@ -15,7 +15,7 @@
 __all__ = [
     "AmbiguousCause",
     "Cycle",
-    "Differing",
+    "ConflictingCopies",
     "EventId",
     "Fault",
     "Gap",
@@ -71,7 +71,7 @@
 
     event: EventId
     cause: Cause
-    taken: str
+    chosen: str
 
 
 @dataclass(frozen=True, slots=True)
@@ -82,13 +82,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Differing:
+class ConflictingCopies:
     """Report one event of which two sources tell different things."""
 
     event: EventId
 
 
-Fault = Unreadable | Gap | MissingCause | AmbiguousCause | Cycle | Differing
+Fault = Unreadable | Gap | MissingCause | AmbiguousCause | Cycle | ConflictingCopies
 
 
 def explain_fault(fault: Fault) -> str:
@@ -100,10 +100,10 @@
             return f"{process}@{incarnation}: events {first} to {last} are missing"
         case MissingCause(event, cause):
             return f"{event}: its cause {cause.process}#{cause.sequence} is missing"
-        case AmbiguousCause(event, cause, taken):
-            place = f"{cause.process}#{cause.sequence}"
-            return f"{event}: its cause {place} fits several incarnations, took {taken}"
+        case AmbiguousCause(event, cause, chosen):
+            location = f"{cause.process}#{cause.sequence}"
+            return f"{event}: its cause {location} fits several incarnations, took {chosen}"
         case Cycle(event):
             return f"{event}: waits for events that wait for it"
-        case Differing(event):
+        case ConflictingCopies(event):
             return f"{event}: two sources differ, the first was kept"
--- a/toucanpin/timeline/merge.py
+++ b/toucanpin/timeline/merge.py
@@ -20,8 +20,8 @@
 from toucanpin.timeline.event import Cause, Event
 from toucanpin.timeline.faults import (
     AmbiguousCause,
+    ConflictingCopies,
     Cycle,
-    Differing,
     EventId,
     Fault,
     Gap,
@@ -29,9 +29,9 @@
     Unreadable,
 )
 
-__all__ = ["identify", "keep_events", "merge"]
+__all__ = ["identify", "skip_unreadable", "merge"]
 
-Report = Callable[[Fault], None]
+ReportFault = Callable[[Fault], None]
 _Rank = tuple[float, str, int, int]
 
 
@@ -40,7 +40,7 @@
     return EventId(event.process, event.incarnation, event.sequence)
 
 
-def keep_events(items: Iterable[Event | Unreadable], report: Report) -> Iterator[Event]:
+def skip_unreadable(items: Iterable[Event | Unreadable], report: ReportFault) -> Iterator[Event]:
     """Yield the events and report the lines that held none."""
     for item in items:
         match item:
@@ -50,155 +50,165 @@
                 yield item
 
 
-def merge(events: Iterable[Event], report: Report) -> Iterator[Event]:
+def merge(events: Iterable[Event], report: ReportFault) -> Iterator[Event]:
     """Yield every event once, in causal order, and report what is wrong with them."""
-    unique = _unite(events, report)
-    lives = _sort_lives(unique)
-    _report_gaps(lives, report)
-    parents = _link(unique, lives, report)
-    yield from _order(unique, lives, parents, report)
+    unique = _deduplicate(events, report)
+    sequences_by_process = _group_sequences(unique)
+    _report_gaps(sequences_by_process, report)
+    parents = _find_parents(unique, sequences_by_process, report)
+    yield from _sort_causally(unique, sequences_by_process, parents, report)
 
 
-def _unite(events: Iterable[Event], report: Report) -> dict[EventId, Event]:
+def _deduplicate(events: Iterable[Event], report: ReportFault) -> dict[EventId, Event]:
     """Keep one copy of each event."""
     # The arrival order decides nothing: of two differing copies the smaller text is kept.
     unique: dict[EventId, Event] = {}
     differing: set[EventId] = set()
     for event in events:
-        name = identify(event)
-        other = unique.setdefault(name, event)
+        event_id = identify(event)
+        other = unique.setdefault(event_id, event)
         if other != event:
-            differing.add(name)
-            unique[name] = min(other, event, key=repr)
-    for name in sorted(differing):
-        report(Differing(name))
+            differing.add(event_id)
+            unique[event_id] = min(other, event, key=repr)
+    for event_id in sorted(differing):
+        report(ConflictingCopies(event_id))
     return unique
 
 
-def _sort_lives(unique: dict[EventId, Event]) -> dict[str, dict[str, list[int]]]:
+def _group_sequences(unique: dict[EventId, Event]) -> dict[str, dict[str, list[int]]]:
     """Give, for each process, its incarnations in order and their sequence numbers."""
     sequences: dict[str, dict[str, list[int]]] = defaultdict(lambda: defaultdict(list))
-    for name in sorted(unique):
-        sequences[name.process][name.incarnation].append(name.sequence)
+    for event_id in sorted(unique):
+        sequences[event_id.process][event_id.incarnation].append(event_id.sequence)
     return {
         process: {
             incarnation: found[incarnation]
-            for incarnation in sorted(found, key=lambda life: _age(process, life, found, unique))
+            for incarnation in sorted(
+                found, key=lambda each: _make_incarnation_key(process, each, found, unique)
+            )
         }
         for process, found in sorted(sequences.items())
     }
 
 
-def _age(
+def _make_incarnation_key(
     process: str, incarnation: str, found: dict[str, list[int]], unique: dict[EventId, Event]
 ) -> tuple[int, float, str]:
     """Rank one incarnation among those of its process."""
     # Incarnations are counted upwards, so numbers order them exactly; the clock helps with others.
-    if all(life.isascii() and life.isdigit() for life in found):
+    if all(each.isascii() and each.isdigit() for each in found):
         return int(incarnation), 0.0, incarnation
     first = unique[EventId(process, incarnation, found[incarnation][0])]
     return 0, first.wall, incarnation
 
 
-def _report_gaps(lives: dict[str, dict[str, list[int]]], report: Report) -> None:
+def _report_gaps(
+    sequences_by_process: dict[str, dict[str, list[int]]], report: ReportFault
+) -> None:
     """Report the sequence numbers that are missing below the highest of each incarnation."""
-    for process, incarnations in lives.items():
+    for process, incarnations in sequences_by_process.items():
         for incarnation, sequences in incarnations.items():
             for before, after in pairwise((0, *sequences)):
                 if after > before + 1:
                     report(Gap(process, incarnation, before + 1, after - 1))
 
 
-def _link(
-    unique: dict[EventId, Event], lives: dict[str, dict[str, list[int]]], report: Report
+def _find_parents(
+    unique: dict[EventId, Event],
+    sequences_by_process: dict[str, dict[str, list[int]]],
+    report: ReportFault,
 ) -> dict[EventId, set[EventId]]:
     """Give, for each event, the events that must come before it."""
-    parents: dict[EventId, set[EventId]] = {name: set() for name in unique}
-    for process, incarnations in lives.items():
-        line = [
-            EventId(process, life, number) for life in incarnations for number in incarnations[life]
+    parents: dict[EventId, set[EventId]] = {event_id: set() for event_id in unique}
+    for process, incarnations in sequences_by_process.items():
+        history = [
+            EventId(process, incarnation, number)
+            for incarnation in incarnations
+            for number in incarnations[incarnation]
         ]
-        for before, after in pairwise(line):
+        for before, after in pairwise(history):
             parents[after].add(before)
-    for name in sorted(unique):
-        for cause in unique[name].causes:
-            found = _find(name, cause, unique, lives, report)
+    for event_id in sorted(unique):
+        for cause in unique[event_id].causes:
+            found = _resolve_cause(event_id, cause, unique, sequences_by_process, report)
             if found is not None:
-                parents[name].add(found)
+                parents[event_id].add(found)
     return parents
 
 
-def _find(
-    name: EventId,
+def _resolve_cause(
+    event_id: EventId,
     cause: Cause,
     unique: dict[EventId, Event],
-    lives: dict[str, dict[str, list[int]]],
-    report: Report,
+    sequences_by_process: dict[str, dict[str, list[int]]],
+    report: ReportFault,
 ) -> EventId | None:
     """Return the event that a cause points at; of a lost one, its last known predecessor."""
-    incarnations = lives.get(cause.process, {})
-    wanted = [
-        life
-        for life in incarnations
-        if cause.incarnation in ("", life) and cause.sequence in incarnations[life]
+    incarnations = sequences_by_process.get(cause.process, {})
+    candidates = [
+        incarnation
+        for incarnation in incarnations
+        if cause.incarnation in ("", incarnation) and cause.sequence in incarnations[incarnation]
     ]
-    if not wanted:
-        report(MissingCause(name, cause))
+    if not candidates:
+        report(MissingCause(event_id, cause))
         return _find_predecessor(cause, incarnations)
-    if len(wanted) == 1:
-        return EventId(cause.process, wanted[0], cause.sequence)
-    own = unique[name].wall
+    if len(candidates) == 1:
+        return EventId(cause.process, candidates[0], cause.sequence)
+    own = unique[event_id].wall
     earlier = [
-        life for life in wanted if unique[EventId(cause.process, life, cause.sequence)].wall <= own
+        incarnation
+        for incarnation in candidates
+        if unique[EventId(cause.process, incarnation, cause.sequence)].wall <= own
     ]
-    taken = earlier[-1] if earlier else wanted[0]
-    report(AmbiguousCause(name, cause, taken))
-    return EventId(cause.process, taken, cause.sequence)
+    chosen = earlier[-1] if earlier else candidates[0]
+    report(AmbiguousCause(event_id, cause, chosen))
+    return EventId(cause.process, chosen, cause.sequence)
 
 
 def _find_predecessor(cause: Cause, incarnations: dict[str, list[int]]) -> EventId | None:
     """Return the newest known event before a lost one of a certain incarnation."""
     sequences = incarnations.get(cause.incarnation, [])
-    place = bisect_left(sequences, cause.sequence)
-    if place == 0:
+    index = bisect_left(sequences, cause.sequence)
+    if index == 0:
         return None
-    return EventId(cause.process, cause.incarnation, sequences[place - 1])
+    return EventId(cause.process, cause.incarnation, sequences[index - 1])
 
 
-def _order(
+def _sort_causally(
     unique: dict[EventId, Event],
-    lives: dict[str, dict[str, list[int]]],
+    sequences_by_process: dict[str, dict[str, list[int]]],
     parents: dict[EventId, set[EventId]],
-    report: Report,
+    report: ReportFault,
 ) -> Iterator[Event]:
     """Yield events whose predecessors were yielded, the earliest by wall clock first."""
     children: dict[EventId, list[EventId]] = defaultdict(list)
-    waiting = {name: len(before) for name, before in parents.items()}
-    for name, before in parents.items():
+    waiting = {event_id: len(before) for event_id, before in parents.items()}
+    for event_id, before in parents.items():
         for parent in before:
-            children[parent].append(name)
-    ranks = {name: _rank(event, lives) for name, event in unique.items()}
-    ready = [(ranks[name], name) for name, count in waiting.items() if count == 0]
+            children[parent].append(event_id)
+    ranks = {event_id: _rank(event, sequences_by_process) for event_id, event in unique.items()}
+    ready = [(ranks[event_id], event_id) for event_id, count in waiting.items() if count == 0]
     heapq.heapify(ready)
     blocked = iter(sorted(unique, key=ranks.__getitem__))
     done: set[EventId] = set()
     while len(done) < len(unique):
         if ready:
-            name = heapq.heappop(ready)[1]
+            event_id = heapq.heappop(ready)[1]
         else:
-            name = next(each for each in blocked if each not in done)
-            report(Cycle(name))
-        if name in done:
+            event_id = next(each for each in blocked if each not in done)
+            report(Cycle(event_id))
+        if event_id in done:
             continue
-        done.add(name)
-        yield unique[name]
-        for child in children[name]:
+        done.add(event_id)
+        yield unique[event_id]
+        for child in children[event_id]:
             waiting[child] -= 1
             if waiting[child] == 0 and child not in done:
                 heapq.heappush(ready, (ranks[child], child))
 
 
-def _rank(event: Event, lives: dict[str, dict[str, list[int]]]) -> _Rank:
+def _rank(event: Event, sequences_by_process: dict[str, dict[str, list[int]]]) -> _Rank:
     """Rank an event among those that nothing else orders."""
-    life = list(lives[event.process]).index(event.incarnation)
-    return event.wall, event.process, life, event.sequence
+    incarnation = list(sequences_by_process[event.process]).index(event.incarnation)
+    return event.wall, event.process, incarnation, event.sequence
--- a/toucanpin/timeline/tests/test_merge.py
+++ b/toucanpin/timeline/tests/test_merge.py
@@ -8,8 +8,8 @@
 from toucanpin.timeline.event import Cause, Event
 from toucanpin.timeline.faults import (
     AmbiguousCause,
+    ConflictingCopies,
     Cycle,
-    Differing,
     EventId,
     Fault,
     Gap,
@@ -77,7 +77,7 @@
         one_way = list(merge([event, other], lambda fault: None))
         other_way = list(merge([other, event], lambda fault: None))
         self.assertEqual(one_way, other_way)
-        self.assertEqual(merge_all([event, other])[1], [Differing(EventId("a", "1", 1))])
+        self.assertEqual(merge_all([event, other])[1], [ConflictingCopies(EventId("a", "1", 1))])
 
     def test_cause_without_life_takes_the_newest_that_the_clock_allows(self):
         events = [
--- a/toucanpin/timeline/tests/test_views.py
+++ b/toucanpin/timeline/tests/test_views.py
@@ -56,9 +56,9 @@
             Filter(task="t"): [],
             Filter(bundle="3"): [],
         }
-        for wanted, found in cases.items():
-            with self.subTest(wanted):
-                self.assertEqual(list(select(both, wanted)), found)
+        for expected, found in cases.items():
+            with self.subTest(expected):
+                self.assertEqual(list(select(both, expected)), found)
 
 
 class TextTest(unittest.TestCase):
@@ -68,7 +68,7 @@
         self.assertTrue(lines[1].startswith("     1.500  entry-b/request"))
         self.assertIn(r"\x1b[0m\nand more", lines[1])
         self.assertIn("<- entry-a/control#1", lines[1])
-        self.assertTrue(all(sign.isprintable() for line in lines for sign in line))
+        self.assertTrue(all(char.isprintable() for line in lines for char in line))
 
 
 class LanesTest(unittest.TestCase):
--- a/toucanpin/timeline/text.py
+++ b/toucanpin/timeline/text.py
@@ -24,19 +24,19 @@
 
 def describe(event: Event) -> str:
     """Write what happened, to what, and what it followed."""
-    ids = (f"{key}={_quote(value)}" for key, value in sorted(event.ids.items()))
-    causes = (f"<- {_point(cause)}" for cause in event.causes)
-    detail = (_quote(event.detail),) if event.detail else ()
+    ids = (f"{key}={_escape(value)}" for key, value in sorted(event.ids.items()))
+    causes = (f"<- {_format_cause(cause)}" for cause in event.causes)
+    detail = (_escape(event.detail),) if event.detail else ()
     return "  ".join((event.kind, *ids, *detail, *causes))
 
 
-def _point(cause: Cause) -> str:
+def _format_cause(cause: Cause) -> str:
     """Write where a cause is found."""
-    life = f"@{cause.incarnation}" if cause.incarnation else ""
-    return f"{cause.process}{life}#{cause.sequence}"
+    incarnation = f"@{cause.incarnation}" if cause.incarnation else ""
+    return f"{cause.process}{incarnation}#{cause.sequence}"
 
 
-def _quote(text: str) -> str:
+def _escape(text: str) -> str:
     """Escape what could be taken for another line or a terminal's control sequence."""
     # Details hold words of callers; a newline in one could forge an event for whoever reads on.
-    return "".join(sign if sign.isprintable() else repr(sign)[1:-1] for sign in text)
+    return "".join(char if char.isprintable() else repr(char)[1:-1] for char in text)
