--- a/toucanpin/cli/access.py
+++ b/toucanpin/cli/access.py
@@ -24,10 +24,10 @@
     "both_urls_option",
     "ca_option",
     "callers_option",
-    "find_access",
+    "get_access",
     "optional_url_option",
     "token_option",
-    "trust_url",
+    "add_operators_url",
     "url_option",
 ]
 
@@ -35,8 +35,8 @@
 CA_VARIABLE = "TOUCANPIN_CA"
 OPERATORS_VARIABLE = "TOUCANPIN_OPERATORS"
 CALLERS_VARIABLE = "TOUCANPIN_CALLERS"
-_META = "toucanpin.access"
-_TOKEN = re.compile(r"[!-~]+")
+_META_KEY = "toucanpin.access"
+_TOKEN_PATTERN = re.compile(r"[!-~]+")
 
 Command = TypeVar("Command", bound=Callable[..., Any])
 
@@ -53,56 +53,58 @@
         """Return the headers that prove who asks, none for any but operators' HTTP."""
         # The token went to a callers' HTTP or a platform's service otherwise, whose logs may show
         # it and whose keepers could then submit bundles.
-        if self.token and any(url.startswith(f"{own}/") for own in self.urls):
+        if self.token and any(url.startswith(f"{operators_url}/") for operators_url in self.urls):
             return {"Authorization": f"Bearer {self.token}"}
         return {}
 
 
-def find_access() -> Access:
+def get_access() -> Access:
     """Return the access of the command that runs."""
     context = click.get_current_context(silent=True)
     if context is None:
         return Access()
-    found: Access = context.meta.setdefault(_META, Access())
+    found: Access = context.meta.setdefault(_META_KEY, Access())
     return found
 
 
-def trust_url(url: str) -> str:
+def add_operators_url(url: str) -> str:
     """Check the URL of an operators' HTTP and let it have the token."""
-    url = _check_url(url)
-    find_access().urls.append(url)
+    url = _normalize_url(url)
+    get_access().urls.append(url)
     return url
 
 
-def _take_url(context: click.Context, parameter: click.Parameter, value: str | None) -> str | None:
+def _check_operators_url(
+    context: click.Context, parameter: click.Parameter, value: str | None
+) -> str | None:
     """Check the URL if one is given."""
-    return None if value is None else trust_url(value)
+    return None if value is None else add_operators_url(value)
 
 
-def _take_callers(context: click.Context, parameter: click.Parameter, value: str) -> str:
+def _check_callers_url(context: click.Context, parameter: click.Parameter, value: str) -> str:
     """Check the URL of a callers' HTTP, which gets no token."""
-    return _check_url(value)
+    return _normalize_url(value)
 
 
-def _check_url(url: str) -> str:
+def _normalize_url(url: str) -> str:
     """Refuse what is no URL and drop the slash at its end."""
     if not url.startswith(("http://", "https://")):
         raise click.BadParameter(f"{url!r} must begin with http:// or https://")
     return url.rstrip("/")
 
 
-def _take_token(context: click.Context, parameter: click.Parameter, value: Path | None) -> None:
+def _load_token(context: click.Context, parameter: click.Parameter, value: Path | None) -> None:
     """Read the token from the file, or else from the environment."""
-    find_access().token = _read_environment() if value is None else _read_token(value)
+    get_access().token = _read_token_variable() if value is None else _read_token_file(value)
 
 
-def _read_environment() -> str:
+def _read_token_variable() -> str:
     """Read the token from the environment, empty if there is none."""
     token = os.environ.get(TOKEN_VARIABLE, "")
     return _check_token(token, TOKEN_VARIABLE) if token else ""
 
 
-def _read_token(path: Path) -> str:
+def _read_token_file(path: Path) -> str:
     """Read a token's file, refused if others can open it."""
     fault = check_secret_file(path)
     if fault:
@@ -116,20 +118,20 @@
 
 def _check_token(token: str, source: str) -> str:
     """Refuse a token that no header can carry, without showing it."""
-    if not _TOKEN.fullmatch(token):
+    if not _TOKEN_PATTERN.fullmatch(token):
         raise click.BadParameter(f"{source}: no token; allowed are visible ASCII characters")
     return token
 
 
-def _take_ca(context: click.Context, parameter: click.Parameter, value: Path | None) -> None:
+def _set_ca(context: click.Context, parameter: click.Parameter, value: Path | None) -> None:
     """Keep the file of trusted certificates."""
-    find_access().ca = value
+    get_access().ca = value
 
 
 token_option = click.option(
     "--token-file",
     type=click.Path(path_type=Path),
-    callback=_take_token,
+    callback=_load_token,
     expose_value=False,
     help=f"File with the operator's token, for its owner only; else {TOKEN_VARIABLE} is taken.",
 )
@@ -138,7 +140,7 @@
     "--ca",
     envvar=CA_VARIABLE,
     type=click.Path(exists=True, dir_okay=False, path_type=Path),
-    callback=_take_ca,
+    callback=_set_ca,
     expose_value=False,
     help="File with the certificates (PEM) that https:// is checked against.",
 )
@@ -152,7 +154,7 @@
         envvar=OPERATORS_VARIABLE,
         required=required,
         metavar="URL",
-        callback=_take_url,
+        callback=_check_operators_url,
         help="Operators' HTTP of any process, such as http://127.0.1.1:9080.",
     )
 
@@ -167,7 +169,7 @@
 optional_url_option = _make_url_option(required=False)
 
 
-def _name_callers_option(name: str) -> Callable[[Command], Command]:
+def _make_callers_option(name: str) -> Callable[[Command], Command]:
     """Make the option ``--callers`` whose URL is the argument ``name``."""
     return click.option(
         "--callers",
@@ -175,16 +177,16 @@
         envvar=CALLERS_VARIABLE,
         required=True,
         metavar="URL",
-        callback=_take_callers,
+        callback=_check_callers_url,
         help="Callers' HTTP of any entry host, such as http://127.0.1.1:8080.",
     )
 
 
 def callers_option(command: Command) -> Command:
     """Add the options ``--callers`` and ``--ca``; the URL is the argument ``url``."""
-    return _name_callers_option("url")(ca_option(command))
+    return _make_callers_option("url")(ca_option(command))
 
 
 def both_urls_option(command: Command) -> Command:
     """Add the options of `url_option` and ``--callers``; the arguments are ``url``, ``callers``."""
-    return url_option(_name_callers_option("callers")(command))
+    return url_option(_make_callers_option("callers")(command))
--- a/toucanpin/cli/bundle.py
+++ b/toucanpin/cli/bundle.py
@@ -22,21 +22,21 @@
 from toucanpin.cli.files import (
     existing_file,
     read_bundle,
-    read_in_force,
+    read_current,
     read_signed,
     unpack_bundle,
 )
-from toucanpin.cli.http import ask, fail, read
-from toucanpin.cli.output import Form, output_option, show
+from toucanpin.cli.http import fail, read, request
+from toucanpin.cli.output import OutputFormat, output_option, show
 from toucanpin.cli.signing import keys, sign
 from toucanpin.daemon.bundle_apps import Force, History, SubmitAnswer, SubmitRequest
 from toucanpin.daemon.bundles import BundleStatus
 
 __all__ = ["bundle"]
 
-POLL_SECONDS = 0.25
-SUBMIT_SECONDS = 30.0
-_DIGITS_SHOWN = 16
+POLL_PERIOD_S = 0.25
+SUBMIT_TIMEOUT_S = 30.0
+_DIGEST_DIGITS_SHOWN = 16
 _SUBMIT_STATUSES = (
     http.HTTPStatus.OK,
     http.HTTPStatus.CONFLICT,
@@ -105,10 +105,10 @@
     new = read_bundle(file)
     if against is None and url is None:
         raise click.UsageError("--against FILE or --operators URL is needed")
-    in_force = None if url is None or against is not None else unpack_bundle(read_in_force(url))
+    in_force = None if url is None or against is not None else unpack_bundle(read_current(url))
     old = in_force if against is None else read_bundle(against)
     lines = compare_bundles(old, new)
-    if Form(form) is Form.JSON:
+    if OutputFormat(form) is OutputFormat.JSON:
         show(form, (), (), {"changes": lines})
         return
     click.echo("\n".join(lines) or "no difference")
@@ -133,7 +133,7 @@
         expected = 0 if parsed is None else parsed.version - 1
     body = msgspec.json.encode(SubmitRequest(expected, signed))
     headers = {"Content-Type": "application/json"}
-    answer = ask("POST", f"{url}/v1/bundle", body, headers, SUBMIT_SECONDS)
+    answer = request("POST", f"{url}/v1/bundle", body, headers, SUBMIT_TIMEOUT_S)
     if answer.status not in _SUBMIT_STATUSES:
         text = answer.body.decode(errors="replace").strip()
         fail(f"HTTP {answer.status}: {text}", ExitCode.REFUSED)
@@ -141,10 +141,10 @@
         outcome = msgspec.json.decode(answer.body, type=SubmitAnswer)
     except msgspec.MsgspecError as error:
         fail(f"the answer can't be understood, it may have acted: {error}", ExitCode.UNCERTAIN)
-    if Form(form) is Form.JSON:
+    if OutputFormat(form) is OutputFormat.JSON:
         show(form, (), (), outcome)
     else:
-        click.echo(_describe(outcome))
+        click.echo(_format_outcome(outcome))
     sys.exit(_EXIT_CODES.get(outcome.outcome, ExitCode.REFUSED))
 
 
@@ -155,7 +155,7 @@
     """Show the bundle in force and where it is."""
     own = read(f"{url}/v1/bundle", BundleStatus)
     force = _read_force(url)
-    if Form(form) is Form.TABLE:
+    if OutputFormat(form) is OutputFormat.TABLE:
         age = "never" if own.confirmed_age is None else f"{own.confirmed_age:.1f} s ago"
         state = "ready" if own.ready else f"not ready: {own.reason}"
         click.echo(f"{own.process}: version {own.version}, {state}, confirmed {age}")
@@ -172,7 +172,12 @@
     """List the accepted versions, the newest first."""
     answer = read(f"{url}/v1/bundle/history?limit={limit}", History)
     rows = [
-        (each.version, each.digest[:_DIGITS_SHOWN], each.operator, _show_time(each.accepted_at))
+        (
+            each.version,
+            each.digest[:_DIGEST_DIGITS_SHOWN],
+            each.operator,
+            _format_time(each.accepted_at),
+        )
         for each in answer.versions
     ]
     show(form, ("version", "digest", "operator", "accepted at"), rows, answer)
@@ -192,9 +197,9 @@
         lagging = [each for each in force.processes if each.version < target]
         if not lagging or time.monotonic() >= deadline:
             break
-        time.sleep(POLL_SECONDS)
+        time.sleep(POLL_PERIOD_S)
     rows = [(each.name, each.site, each.standing, each.version) for each in lagging]
-    if Form(form) is Form.JSON or lagging:
+    if OutputFormat(form) is OutputFormat.JSON or lagging:
         value = {"version": target, "lagging": [each.name for each in lagging]}
         show(form, ("lagging", "site", "standing", "version"), rows, value)
     else:
@@ -206,7 +211,7 @@
     return read(f"{url}/v1/bundle/force", Force)
 
 
-def _describe(answer: SubmitAnswer) -> str:
+def _format_outcome(answer: SubmitAnswer) -> str:
     lines = "".join(f"\n  {line}" for line in answer.detail)
     match answer.outcome:
         case "accepted":
@@ -219,5 +224,5 @@
     return f"{answer.outcome}{lines}"
 
 
-def _show_time(seconds: float) -> str:
+def _format_time(seconds: float) -> str:
     return time.strftime("%Y-%m-%dT%H:%M:%SZ", time.gmtime(seconds))
--- a/toucanpin/cli/config.py
+++ b/toucanpin/cli/config.py
@@ -60,25 +60,25 @@
 @output_option
 def explain(form: str) -> None:
     """Print every setting with its unit, default and meaning."""
-    lines = tuple(_explain_all())
+    lines = tuple(_explain_settings())
     rows = ((line.key, line.unit, line.default, line.meaning) for line in lines)
     show(form, ("setting", "unit", "default", "meaning"), rows, lines)
 
 
-def _explain_all() -> Iterator[Explanation]:
+def _explain_settings() -> Iterator[Explanation]:
     """Yield every setting of every section."""
     for section in msgspec.structs.fields(Settings):
         for field in msgspec.structs.fields(section.type):
-            meta = tuple(_find_meta(field.type))
+            meta = tuple(_find_metadata(field.type))
             yield Explanation(
                 f"{section.name}.{field.name}",
                 next((found.extra["unit"] for found in meta if found.extra), ""),
-                _write_default(field),
+                _format_default(field),
                 next((found.description for found in meta if found.description), ""),
             )
 
 
-def _find_meta(kind: Any) -> Iterator[msgspec.Meta]:
+def _find_metadata(kind: Any) -> Iterator[msgspec.Meta]:
     """Yield what is said of a type, outermost first."""
     if get_origin(kind) is None:
         return
@@ -86,10 +86,10 @@
         if isinstance(part, msgspec.Meta):
             yield part
         else:
-            yield from _find_meta(part)
+            yield from _find_metadata(part)
 
 
-def _write_default(field: msgspec.structs.FieldInfo) -> str:
+def _format_default(field: msgspec.structs.FieldInfo) -> str:
     """Write a setting's default as the file would."""
     if field.required:
         return "(required)"
--- a/toucanpin/cli/drain.py
+++ b/toucanpin/cli/drain.py
@@ -13,7 +13,7 @@
 import click
 
 from toucanpin.cli.access import url_option
-from toucanpin.cli.http import ask_json
+from toucanpin.cli.http import request_json
 from toucanpin.cli.output import output_option, show
 
 __all__ = ["drain"]
@@ -56,13 +56,13 @@
 @output_option
 def list_(url: str, form: str) -> None:
     """List the drained hosts."""
-    found = ask_json("GET", f"{url}/v1/drain")
+    found = request_json("GET", f"{url}/v1/drain")
     rows = ((one["host"], one["operator"], time.ctime(one["since"])) for one in found)
     show(form, COLUMNS, rows, found)
 
 
 def _change(method: str, host: str, url: str, form: str) -> None:
     """Change a drain and show the outcome."""
-    answer = ask_json(method, f"{url}/v1/drain/{urllib.parse.quote(host, safe='')}")
+    answer = request_json(method, f"{url}/v1/drain/{urllib.parse.quote(host, safe='')}")
     columns = ("host", "drain", "changed")
     show(form, columns, [tuple(answer[column] for column in columns)], answer)
--- a/toucanpin/cli/explain.py
+++ b/toucanpin/cli/explain.py
@@ -16,10 +16,10 @@
 
 from toucanpin.cli.exits import ExitCode
 
-__all__ = ["Line", "explain", "parse_lines", "select_story"]
+__all__ = ["LogLine", "explain", "parse_lines", "select_lines"]
 
 # What surrounds a story: it concerns every job of a cell or host, whatever the id asked for.
-BACKGROUND = (
+BACKGROUND_EVENTS = (
     "cell.taken",
     "cell.lost",
     "configuration.applied",
@@ -28,11 +28,11 @@
     "store.lost",
     "store.regained",
 )
-HIDDEN = ("time", "clock", "level", "host", "event", "message")
+STANDARD_FIELDS = ("time", "clock", "level", "host", "event", "message")
 
 
 @dataclass(frozen=True, slots=True)
-class Line:
+class LogLine:
     """Hold one log line; ``clock`` is the table's, in ms, which all hosts share."""
 
     clock: int
@@ -42,7 +42,7 @@
     fields: dict[str, Any]
 
 
-def parse_lines(lines: Iterable[str]) -> Iterator[Line]:
+def parse_lines(lines: Iterable[str]) -> Iterator[LogLine]:
     """Yield the log lines among others, whatever a collector has put before them."""
     for text in lines:
         start = text.find("{")
@@ -53,16 +53,16 @@
         except msgspec.MsgspecError:
             continue
         if isinstance(fields, dict) and "event" in fields:
-            yield Line(
+            yield LogLine(
                 int(fields.get("clock") or 0),
                 str(fields.get("time", "")),
                 str(fields.get("host", "")),
                 str(fields["event"]),
-                {key: value for key, value in fields.items() if key not in HIDDEN},
+                {key: value for key, value in fields.items() if key not in STANDARD_FIELDS},
             )
 
 
-def select_story(lines: Iterable[Line], identifier: str, background: bool) -> list[Line]:
+def select_lines(lines: Iterable[LogLine], identifier: str, background: bool) -> list[LogLine]:
     """
     Return the lines about a job or worker in their order.
 
@@ -77,11 +77,12 @@
     return [
         line
         for line in found
-        if _concerns(line, identifier) or (line.event in BACKGROUND and first <= line.clock <= last)
+        if _concerns(line, identifier)
+        or (line.event in BACKGROUND_EVENTS and first <= line.clock <= last)
     ]
 
 
-def _concerns(line: Line, identifier: str) -> bool:
+def _concerns(line: LogLine, identifier: str) -> bool:
     return any(
         isinstance(value, str) and identifier in value
         for key, value in line.fields.items()
@@ -89,8 +90,8 @@
     )
 
 
-def _write(line: Line, begun: int) -> str:
-    after = (line.clock - begun) / 1_000 if line.clock and begun else 0.0
+def _format_line(line: LogLine, start_clock: int) -> str:
+    after = (line.clock - start_clock) / 1_000 if line.clock and start_clock else 0.0
     fields = " ".join(f"{key}={value}" for key, value in line.fields.items())
     return f"{after:9.3f} s  {line.host:24} {line.event:22} {fields}"
 
@@ -112,17 +113,17 @@
     entry hosts, - for standard input.  Times count from the first line, on the table's clock.
     """
     lines = (line for file in files for line in parse_lines(file))
-    story = select_story(lines, identifier, background)
-    if not story:
+    selected = select_lines(lines, identifier, background)
+    if not selected:
         click.echo(f"no line is about {identifier}", err=True)
         raise SystemExit(ExitCode.REFUSED)
-    begun = next((line.clock for line in story if line.clock), 0)
-    for line in story:
+    start_clock = next((line.clock for line in selected if line.clock), 0)
+    for line in selected:
         if as_json:
-            click.echo(msgspec.json.encode({"event": line.event, **_plain(line)}).decode())
+            click.echo(msgspec.json.encode({"event": line.event, **_collect_fields(line)}).decode())
         else:
-            click.echo(_write(line, begun))
+            click.echo(_format_line(line, start_clock))
 
 
-def _plain(line: Line) -> dict[str, Any]:
+def _collect_fields(line: LogLine) -> dict[str, Any]:
     return {"clock": line.clock, "time": line.time, "host": line.host, **line.fields}
--- a/toucanpin/cli/files.py
+++ b/toucanpin/cli/files.py
@@ -28,12 +28,12 @@
 __all__ = [
     "existing_file",
     "read_bundle",
-    "read_in_force",
+    "read_current",
     "read_key",
     "read_ring",
     "read_signed",
     "read_signed_ring",
-    "read_unsigned",
+    "read_for_signing",
     "unpack_bundle",
 ]
 
@@ -57,7 +57,7 @@
     return _unwrap(decode_signed(path.read_bytes()))
 
 
-def read_unsigned(path: Path) -> SignedBundle:
+def read_for_signing(path: Path) -> SignedBundle:
     """Read a TOML file to be signed, or a signed bundle that needs one more signature."""
     if path.suffix == ".toml":
         return SignedBundle(encode_bundle(read_bundle(path)), ())
@@ -80,7 +80,7 @@
     return loaded.ok
 
 
-def read_in_force(url: str) -> SignedBundle | None:
+def read_current(url: str) -> SignedBundle | None:
     """Ask a process for the bundle in force."""
     status = read(f"{url}/v1/bundle", BundleStatus)
     return None if status.record is None else status.record.signed
--- a/toucanpin/cli/http.py
+++ b/toucanpin/cli/http.py
@@ -27,13 +27,13 @@
     SSLError,
 )
 
-from toucanpin.cli.access import find_access
+from toucanpin.cli.access import get_access
 from toucanpin.cli.exits import ExitCode
 
-__all__ = ["Answer", "Unreached", "ask", "ask_json", "convert", "fail", "read", "send"]
+__all__ = ["Answer", "RequestFailure", "request", "request_json", "convert", "fail", "read", "send"]
 
-TIMEOUT_SECONDS = 10.0
-FIRST_REFUSED_STATUS = 300
+REQUEST_TIMEOUT_S = 10.0
+MIN_ERROR_STATUS = 300
 
 Value = TypeVar("Value")
 
@@ -48,7 +48,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Unreached:
+class RequestFailure:
     """Say why no whole answer came, and whether the request may have run nevertheless."""
 
     detail: str
@@ -60,30 +60,32 @@
     url: str,
     body: bytes | None = None,
     headers: dict[str, str] | None = None,
-    timeout: float = TIMEOUT_SECONDS,
-) -> Result[Answer, Unreached]:
+    timeout: float = REQUEST_TIMEOUT_S,
+) -> Result[Answer, RequestFailure]:
     """Send one request once; redirects are not followed."""
-    access = find_access()
+    access = get_access()
     sent = {**(headers or {}), **access.make_headers(url)}
     try:
         answer = _make_pool(access.ca).request(
             method, url, body=body, headers=sent, timeout=timeout, redirect=False
         )
     except (NewConnectionError, ConnectTimeoutError, LocationValueError) as error:
-        return Error(Unreached(f"{url} can't be reached, nothing was sent: {error}", False))
+        return Error(RequestFailure(f"{url} can't be reached, nothing was sent: {error}", False))
     except SSLError as error:
         return Error(_explain_tls(url, error))
     except HTTPError as error:
-        return Error(Unreached(f"{url} gave no whole answer, it may have acted: {error}", True))
+        return Error(
+            RequestFailure(f"{url} gave no whole answer, it may have acted: {error}", True)
+        )
     return Ok(Answer(answer.status, dict(answer.headers), answer.data))
 
 
-def ask(
+def request(
     method: str,
     url: str,
     body: bytes | None = None,
     headers: dict[str, str] | None = None,
-    timeout: float = TIMEOUT_SECONDS,
+    timeout: float = REQUEST_TIMEOUT_S,
 ) -> Answer:
     """Send one request; end the tool with a clear message if no answer comes."""
     outcome = send(method, url, body, headers, timeout)
@@ -92,16 +94,18 @@
     return outcome.ok
 
 
-def ask_json(method: str, url: str, body: Any = None, headers: dict[str, str] | None = None) -> Any:
+def request_json(
+    method: str, url: str, body: Any = None, headers: dict[str, str] | None = None
+) -> Any:
     """Send one request with a JSON body; end the tool if the answer is a refusal."""
     content = None if body is None else msgspec.json.encode(body)
-    answer = ask(method, url, content, {"Content-Type": "application/json", **(headers or {})})
-    if answer.status >= FIRST_REFUSED_STATUS:
+    answer = request(method, url, content, {"Content-Type": "application/json", **(headers or {})})
+    if answer.status >= MIN_ERROR_STATUS:
         _fail_refused(answer)
     try:
         return msgspec.json.decode(answer.body) if answer.body else None
     except msgspec.MsgspecError as error:
-        _fail_garbled(error)
+        _fail_invalid_answer(error)
 
 
 def convert(value: Any, kind: type[Value]) -> Value:
@@ -109,12 +113,12 @@
     try:
         return msgspec.convert(value, kind)
     except msgspec.MsgspecError as error:
-        _fail_garbled(error)
+        _fail_invalid_answer(error)
 
 
 def read(url: str, kind: type[Value]) -> Value:
     """Read what stands at a URL."""
-    return convert(ask_json("GET", url), kind)
+    return convert(request_json("GET", url), kind)
 
 
 def fail(message: str, code: ExitCode) -> NoReturn:
@@ -133,16 +137,16 @@
     return urllib3.PoolManager(retries=False, ssl_context=context)
 
 
-def _explain_tls(url: str, error: SSLError) -> Unreached:
+def _explain_tls(url: str, error: SSLError) -> RequestFailure:
     """Tell a failed check of the certificate, before which nothing is sent, from later faults."""
     cause = error.args[0] if error.args else None
     if isinstance(cause, ssl.SSLCertVerificationError):
         detail = f"{url} is not trusted, nothing was sent: {cause.verify_message}; see --ca"
-        return Unreached(detail, False)
-    return Unreached(f"{url}: TLS failed, it may have acted: {error}", True)
+        return RequestFailure(detail, False)
+    return RequestFailure(f"{url}: TLS failed, it may have acted: {error}", True)
 
 
-def _fail_garbled(error: msgspec.MsgspecError) -> NoReturn:
+def _fail_invalid_answer(error: msgspec.MsgspecError) -> NoReturn:
     """End the tool because an answer came that it can't read."""
     fail(f"the answer can't be understood, it may have acted: {error}", ExitCode.UNCERTAIN)
 
--- a/toucanpin/cli/job.py
+++ b/toucanpin/cli/job.py
@@ -19,15 +19,15 @@
 
 from toucanpin.cli.access import callers_option
 from toucanpin.cli.exits import ExitCode
-from toucanpin.cli.http import ask, ask_json, convert, fail, read
+from toucanpin.cli.http import convert, fail, read, request, request_json
 from toucanpin.cli.output import output_option, show
 from toucanpin.placement.submission import JobStatus, StandingStatus
 
 __all__ = ["STANDING_COLUMNS", "job", "standing"]
 
-POLL_SECONDS = 0.5
-OK = 200
-ENDED = ("finished", "failed", "cancelled")
+POLL_PERIOD_S = 0.5
+OK_STATUS = 200
+END_STATES = ("finished", "failed", "cancelled")
 JOB_COLUMNS = ("job", "state", "kind", "team", "attempt", "evictions", "failures", "host", "reason")
 STANDING_COLUMNS = ("task", "state", "cell", "host", "attempt")
 
@@ -56,7 +56,7 @@
         submission = msgspec.json.decode(file.read())
     except msgspec.DecodeError as error:
         fail(f"{file.name}: is not JSON: {error}", ExitCode.USAGE)
-    answer = ask_json("POST", f"{url}/v1/jobs", submission, {"Idempotency-Key": key})
+    answer = request_json("POST", f"{url}/v1/jobs", submission, {"Idempotency-Key": key})
     _show_jobs(form, [convert(answer, JobStatus)])
 
 
@@ -91,13 +91,13 @@
 @output_option
 def cancel(name: str, url: str, form: str) -> None:
     """Cancel the job NAME; a job that ended first keeps its end (exit code 3)."""
-    answer = ask("DELETE", f"{url}/v1/jobs/{urllib.parse.quote(name, safe='')}")
+    answer = request("DELETE", f"{url}/v1/jobs/{urllib.parse.quote(name, safe='')}")
     try:
         found = msgspec.json.decode(answer.body, type=JobStatus)
     except msgspec.MsgspecError:
         fail(answer.body.decode(errors="replace"), ExitCode.REFUSED)
     _show_jobs(form, [found])
-    sys.exit(ExitCode.DONE if answer.status == OK else ExitCode.CONFLICT)
+    sys.exit(ExitCode.DONE if answer.status == OK_STATUS else ExitCode.CONFLICT)
 
 
 @job.command()
@@ -106,8 +106,8 @@
 @callers_option
 def result(name: str, out: Path | None, url: str) -> None:
     """Print the result of the job NAME or write it to a file."""
-    answer = ask("GET", f"{url}/v1/jobs/{urllib.parse.quote(name, safe='')}/result")
-    if answer.status != OK:
+    answer = request("GET", f"{url}/v1/jobs/{urllib.parse.quote(name, safe='')}/result")
+    if answer.status != OK_STATUS:
         fail(f"no result: {answer.body.decode(errors='replace')}", ExitCode.REFUSED)
     if out is None:
         sys.stdout.buffer.write(answer.body)
@@ -124,8 +124,8 @@
     """Wait until the job NAME has ended; exit code 1 if it did not finish."""
     deadline = time.monotonic() + timeout
     found = _read_job(url, name)
-    while found.state not in ENDED and time.monotonic() < deadline:
-        time.sleep(POLL_SECONDS)
+    while found.state not in END_STATES and time.monotonic() < deadline:
+        time.sleep(POLL_PERIOD_S)
         found = _read_job(url, name)
     _show_jobs(form, [found])
     sys.exit(ExitCode.DONE if found.state == "finished" else ExitCode.REFUSED)
--- a/toucanpin/cli/keys.py
+++ b/toucanpin/cli/keys.py
@@ -17,10 +17,10 @@
 from cryptography.hazmat.primitives.asymmetric.ed25519 import Ed25519PrivateKey
 from expression import Error, Ok, Result
 
-__all__ = ["PrivateKey", "create_key", "load_key", "name_public"]
+__all__ = ["PrivateKey", "create_key", "load_key", "encode_public_key"]
 
-OWNER_ONLY = 0o600
-_ID = re.compile(r"[a-z0-9][a-z0-9._-]{0,62}")
+OWNER_ONLY_MODE = 0o600
+_KEY_ID_PATTERN = re.compile(r"[a-z0-9][a-z0-9._-]{0,62}")
 
 
 @dataclass(frozen=True, slots=True)
@@ -33,13 +33,13 @@
 
 def create_key(key_id: str, path: Path) -> Result[PrivateKey, str]:
     """Write a new private key to a file that only its owner can open, and that wasn't there."""
-    if not _ID.fullmatch(key_id):
+    if not _KEY_ID_PATTERN.fullmatch(key_id):
         return Error(f"key id {key_id!r}: allowed are 1 to 63 of a-z, 0-9, '.', '_' and '-'")
     key = Ed25519PrivateKey.generate()
     text = f'id = "{key_id}"\nprivate = "{key.private_bytes_raw().hex()}"\n'
     try:
         # The mode is given at creation: a file that is narrowed afterwards was open for a moment.
-        descriptor = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_EXCL, OWNER_ONLY)
+        descriptor = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_EXCL, OWNER_ONLY_MODE)
         with os.fdopen(descriptor, "w", encoding="utf-8") as file:
             file.write(text)
     except OSError as error:
@@ -60,11 +60,11 @@
         return Error(f"{path}: {error.strerror}")
     except (KeyError, TypeError, ValueError):
         return Error(f"{path}: not a private key; allowed is a file made by 'bundle keys new'")
-    if not isinstance(key_id, str) or not _ID.fullmatch(key_id):
+    if not isinstance(key_id, str) or not _KEY_ID_PATTERN.fullmatch(key_id):
         return Error(f"{path}: its key id can't be used")
     return Ok(PrivateKey(key_id, key))
 
 
-def name_public(key: PrivateKey) -> str:
+def encode_public_key(key: PrivateKey) -> str:
     """Return the public key as key rings hold it."""
     return key.key.public_key().public_bytes_raw().hex()
--- a/toucanpin/cli/losses.py
+++ b/toucanpin/cli/losses.py
@@ -16,13 +16,13 @@
 import click
 
 from toucanpin.cli.exits import ExitCode
-from toucanpin.cli.explain import Line, parse_lines
+from toucanpin.cli.explain import LogLine, parse_lines
 from toucanpin.cli.losses_plot import draw_losses
 
 __all__ = ["Losses", "losses", "sum_losses"]
 
-LATE = "late"
-NOT_LOGGED = "reason not logged"  # its line was dropped
+LATE_STATE = "late"
+REASON_NOT_LOGGED = "reason not logged"  # its line was dropped
 
 
 @dataclass(slots=True)
@@ -45,7 +45,7 @@
             self.by_second[second][cause] += part
 
 
-def sum_losses(lines: Iterable[Line]) -> dict[str, Losses]:
+def sum_losses(lines: Iterable[LogLine]) -> dict[str, Losses]:
     """
     Return by queue where the time of its tasks went.
 
@@ -53,22 +53,22 @@
     run that is stopped counts under the reason of the stop.
     """
     found: dict[str, Losses] = defaultdict(Losses)
-    began: dict[tuple[str, int], tuple[int, str]] = {}
+    starts: dict[tuple[str, int], tuple[int, str]] = {}
     reasons: dict[str, str] = {}
     for line in sorted(lines, key=lambda line: line.clock):
         fields = line.fields
         match line.event:
             case "task.placed":
                 queue = str(fields.get("queue", ""))
-                began[fields["task"], int(fields["attempt"])] = (line.clock, queue)
+                starts[fields["task"], int(fields["attempt"])] = (line.clock, queue)
                 waited = float(fields.get("waited", 0.0))
                 if waited > 0:
                     found[queue].add(f"wait: {fields.get('why', '')}", waited, line.clock)
             case "task.stopping":
                 reasons.setdefault(fields["task"], str(fields.get("reason", "")))
             case "task.ended":
-                start = began.pop((fields["task"], int(fields["attempt"])), None)
-                reason = reasons.pop(fields["task"], NOT_LOGGED)
+                start = starts.pop((fields["task"], int(fields["attempt"])), None)
+                reason = reasons.pop(fields["task"], REASON_NOT_LOGGED)
                 if start is None:
                     continue
                 end = str(fields.get("end", ""))
@@ -77,12 +77,12 @@
             case "job.ended":
                 state = str(fields.get("state", ""))
                 late = float(fields.get("late", 0.0)) > 0
-                kind = LATE if late and state == "completed" else state
+                kind = LATE_STATE if late and state == "completed" else state
                 found[str(fields.get("queue", ""))].jobs[kind] += 1
     return dict(found)
 
 
-def _count_dropped(lines: Iterable[Line]) -> int:
+def _count_dropped(lines: Iterable[LogLine]) -> int:
     """Return how many lines the hosts have dropped; each tells its own count so far."""
     by_host: dict[str, int] = {}
     for line in lines:
@@ -91,7 +91,7 @@
     return sum(by_host.values())
 
 
-def _write_table(found: dict[str, Losses], by_second: bool) -> Iterable[str]:
+def _format_table(found: dict[str, Losses], by_second: bool) -> Iterable[str]:
     for queue, lost in sorted(found.items()):
         jobs = ", ".join(f"{count} {kind}" for kind, count in sorted(lost.jobs.items()))
         yield f"{queue}: jobs {jobs or 'none ended'}"
@@ -107,11 +107,11 @@
 
 def _write_plot(found: dict[str, Losses], plot: IO[str]) -> None:
     try:
-        picture = draw_losses({queue: lost.by_second for queue, lost in found.items()})
+        svg = draw_losses({queue: lost.by_second for queue, lost in found.items()})
     except ImportError:
         click.echo("--plot needs matplotlib: install the extra 'dev'", err=True)
         raise SystemExit(ExitCode.REFUSED) from None
-    plot.write(picture)
+    plot.write(svg)
 
 
 def _sort_causes(seconds: dict[str, float]) -> list[tuple[str, float]]:
@@ -142,7 +142,7 @@
     if not found:
         click.echo("no line tells of a task", err=True)
         raise SystemExit(ExitCode.REFUSED)
-    for text in _write_table(found, by_second):
+    for text in _format_table(found, by_second):
         click.echo(text)
     dropped = _count_dropped(lines)
     if dropped:
--- a/toucanpin/cli/losses_plot.py
+++ b/toucanpin/cli/losses_plot.py
@@ -16,12 +16,12 @@
 BySecond = Mapping[int, Mapping[str, float]]
 Causes = Mapping[str, Mapping[int, float]]
 
-SHOWN = 9  # causes of a queue that are drawn alone
-OTHER = "other"
-COLOURS = "tab20"
+MAX_CAUSES_SHOWN = 9  # causes of a queue that are drawn alone
+OTHER_CAUSES = "other"
+PALETTE = "tab20"
 OTHER_COLOUR = "lightgrey"
-WIDTH = 11.0  # inches
-HEIGHT = 3.2  # inches a queue
+WIDTH_INCHES = 11.0  # inches
+QUEUE_HEIGHT_INCHES = 3.2  # inches a queue
 
 
 def rank_causes(by_second: BySecond) -> dict[str, dict[int, float]]:
@@ -31,9 +31,9 @@
         for cause, value in causes.items():
             seconds.setdefault(cause, {})[second] = value
     ranked = sorted(seconds, key=lambda cause: (-sum(seconds[cause].values()), cause))
-    shown = {cause: seconds[cause] for cause in ranked[:SHOWN]}
-    for cause in ranked[SHOWN:]:
-        rest = shown.setdefault(OTHER, {})
+    shown = {cause: seconds[cause] for cause in ranked[:MAX_CAUSES_SHOWN]}
+    for cause in ranked[MAX_CAUSES_SHOWN:]:
+        rest = shown.setdefault(OTHER_CAUSES, {})
         for second, value in seconds[cause].items():
             rest[second] = rest.get(second, 0.0) + value
     return shown
@@ -49,9 +49,11 @@
     from matplotlib.figure import Figure
 
     shown = {queue: rank_causes(by_queue[queue]) for queue in sorted(by_queue) if by_queue[queue]}
-    colours = _choose_colours(shown.values(), matplotlib.colormaps[COLOURS])
+    colours = _choose_colours(shown.values(), matplotlib.colormaps[PALETTE])
     first, last = _find_span(by_queue.values())
-    figure = Figure(figsize=(WIDTH, HEIGHT * max(1, len(shown))), layout="constrained")
+    figure = Figure(
+        figsize=(WIDTH_INCHES, QUEUE_HEIGHT_INCHES * max(1, len(shown))), layout="constrained"
+    )
     axes = figure.subplots(max(1, len(shown)), 1, sharex=True, squeeze=False)[:, 0]
     for axis, (queue, causes) in zip(axes, shown.items(), strict=False):
         _draw_queue(axis, causes, colours, range(first, last + 2))
@@ -66,9 +68,9 @@
 
 def _choose_colours(queues: Iterable[Causes], palette: Any) -> dict[str, Any]:
     """Return a colour for each cause, the same in all queues."""
-    causes = dict.fromkeys(cause for queue in queues for cause in queue if cause != OTHER)
+    causes = dict.fromkeys(cause for queue in queues for cause in queue if cause != OTHER_CAUSES)
     chosen = {cause: palette(number % palette.N) for number, cause in enumerate(causes)}
-    return chosen | {OTHER: OTHER_COLOUR}
+    return chosen | {OTHER_CAUSES: OTHER_COLOUR}
 
 
 def _find_span(queues: Iterable[BySecond]) -> tuple[int, int]:
--- a/toucanpin/cli/output.py
+++ b/toucanpin/cli/output.py
@@ -16,12 +16,12 @@
 from rich.console import Console
 from rich.table import Table
 
-__all__ = ["Form", "output_option", "show"]
+__all__ = ["OutputFormat", "output_option", "show"]
 
-PLAIN_WIDTH = 200
+NON_TERMINAL_WIDTH = 200
 
 
-class Form(enum.Enum):
+class OutputFormat(enum.Enum):
     """Name the forms of output."""
 
     TABLE = "table"
@@ -31,8 +31,8 @@
 output_option = click.option(
     "--output",
     "form",
-    type=click.Choice([form.value for form in Form]),
-    default=Form.TABLE.value,
+    type=click.Choice([form.value for form in OutputFormat]),
+    default=OutputFormat.TABLE.value,
     show_default=True,
     help="Readable table, or JSON for scripts.",
 )
@@ -40,12 +40,12 @@
 
 def show(form: str, columns: Sequence[str], rows: Iterable[Sequence[Any]], value: Any) -> None:
     """Print rows as a table, or the whole value as JSON."""
-    if Form(form) is Form.JSON:
+    if OutputFormat(form) is OutputFormat.JSON:
         click.echo(msgspec.json.format(msgspec.json.encode(value)).decode())
         return
     console = Console()
     if not console.is_terminal:
-        console = Console(width=PLAIN_WIDTH, no_color=True)
+        console = Console(width=NON_TERMINAL_WIDTH, no_color=True)
     table = Table(*columns, box=None, pad_edge=False)
     for row in rows:
         table.add_row(*(str(cell) for cell in row))
--- a/toucanpin/cli/signing.py
+++ b/toucanpin/cli/signing.py
@@ -18,14 +18,14 @@
 from toucanpin.cli.exits import ExitCode
 from toucanpin.cli.files import (
     existing_file,
-    read_in_force,
+    read_current,
+    read_for_signing,
     read_key,
     read_ring,
     read_signed_ring,
-    read_unsigned,
 )
 from toucanpin.cli.http import fail
-from toucanpin.cli.keys import create_key, name_public
+from toucanpin.cli.keys import create_key, encode_public_key
 
 __all__ = ["keys", "sign"]
 
@@ -69,10 +69,10 @@
       toucanpin bundle sign changeover.toml --key alice.key --out changeover.json
     """
     keys = [read_key(path) for path in key_files]
-    signed = read_unsigned(file)
+    signed = read_for_signing(file)
     rings = signed.rings
     if url and not rings:
-        in_force = read_in_force(url)
+        in_force = read_current(url)
         rings = () if in_force is None else in_force.rings
     rings = (*rings, *(read_signed_ring(path) for path in ring_files))
     signed = msgspec.structs.replace(signed, rings=rings)
@@ -102,7 +102,7 @@
     if created.is_error():
         fail(created.error, ExitCode.REFUSED)
     key = created.ok
-    click.echo(f'[[signers]]\nid = "{key.id}"\npublic = "{name_public(key)}"')
+    click.echo(f'[[signers]]\nid = "{key.id}"\npublic = "{encode_public_key(key)}"')
 
 
 @keys.command("sign")
--- a/toucanpin/cli/status.py
+++ b/toucanpin/cli/status.py
@@ -17,7 +17,7 @@
 
 from toucanpin.cli.access import ca_option, url_option
 from toucanpin.cli.exits import ExitCode
-from toucanpin.cli.http import Answer, Unreached, ask_json, send
+from toucanpin.cli.http import Answer, RequestFailure, request_json, send
 from toucanpin.cli.output import output_option, show
 from toucanpin.daemon.settings import Settings
 from toucanpin.daemon.settings_reader import read_settings
@@ -25,8 +25,8 @@
 
 __all__ = ["doctor", "hosts", "status"]
 
-READY = 200
-PROBE_SECONDS = 2.0
+READY_STATUS = 200
+PROBE_TIMEOUT_S = 2.0
 
 
 class Finding(msgspec.Struct, frozen=True):
@@ -49,7 +49,7 @@
     Example:
       toucanpin status --operators http://127.0.1.1:9080
     """
-    members = ask_json("GET", f"{url}/v1/members")
+    members = request_json("GET", f"{url}/v1/members")
     columns = ("name", "site", "standing", "incarnation", "address", "port", "bundle")
     rows = (tuple(member[column] for column in columns) for member in members)
     show(form, columns, rows, members)
@@ -66,7 +66,7 @@
     Example:
       toucanpin hosts --operators http://127.0.1.1:9080 --output json
     """
-    listed = ask_json("GET", f"{url}/v1/hosts")
+    listed = request_json("GET", f"{url}/v1/hosts")
     columns = ("name", "role", "site", "rack", "address", "port", "leaving", "service")
     rows = (tuple(host[column] for column in columns) for host in listed)
     show(form, columns, rows, listed)
@@ -84,7 +84,7 @@
     Example:
       toucanpin doctor /etc/toucanpin/*.toml
     """
-    findings = [finding for file in files for finding in _examine(file)]
+    findings = [finding for file in files for finding in _check_file(file)]
     columns = ("file", "check", "finding", "what to do")
     rows = (msgspec.structs.astuple(finding) for finding in findings)
     show(form, columns, rows, findings)
@@ -92,7 +92,7 @@
         sys.exit(ExitCode.REFUSED)
 
 
-def _examine(file: Path) -> Iterator[Finding]:
+def _check_file(file: Path) -> Iterator[Finding]:
     """Yield what one settings file and its process show."""
     try:
         settings = read_settings(file)
@@ -101,16 +101,16 @@
             yield Finding(str(file), "settings", fault, "mend the file, then start the process")
         return
     yield Finding(str(file), "settings", "good")
-    yield from _examine_process(file, settings)
-    yield from _examine_platform(file, settings)
+    yield from _check_process(file, settings)
+    yield from _check_platform(file, settings)
 
 
-def _examine_process(file: Path, settings: Settings) -> Iterator[Finding]:
+def _check_process(file: Path, settings: Settings) -> Iterator[Finding]:
     """Yield what the process says of itself."""
     scheme = "http" if settings.tls.certificate is None else "https"
     url = f"{scheme}://{settings.listen.operators}"
     match _probe(f"{url}/readyz"):
-        case Result(tag="ok", ok=answer) if answer.status == READY:
+        case Result(tag="ok", ok=answer) if answer.status == READY_STATUS:
             yield Finding(str(file), "ready", "ready")
         case Result(tag="ok", ok=answer):
             reasons = answer.body.decode(errors="replace").strip().replace("\n", "; ")
@@ -120,7 +120,7 @@
             yield Finding(str(file), "process", fault.detail, "start it; read its log; see --ca")
 
 
-def _examine_platform(file: Path, settings: Settings) -> Iterator[Finding]:
+def _check_platform(file: Path, settings: Settings) -> Iterator[Finding]:
     """Yield whether the platform's services can be reached from here."""
     platform = settings.platform
     for name, url in (("table", platform.table), ("objects", platform.objects)):
@@ -131,6 +131,6 @@
                 yield Finding(str(file), name, fault.detail, "check the platform's service")
 
 
-def _probe(url: str) -> Result[Answer, Unreached]:
+def _probe(url: str) -> Result[Answer, RequestFailure]:
     """Ask a URL and wait a short time only."""
-    return send("GET", url, timeout=PROBE_SECONDS)
+    return send("GET", url, timeout=PROBE_TIMEOUT_S)
--- a/toucanpin/cli/tests/test_access.py
+++ b/toucanpin/cli/tests/test_access.py
@@ -12,7 +12,7 @@
 from click.testing import CliRunner
 
 from toucanpin.cli.exits import ExitCode
-from toucanpin.cli.http import ask
+from toucanpin.cli.http import request
 from toucanpin.cli.main import main
 from toucanpin.daemon.endpoint import Endpoint
 from toucanpin.daemon.operators import Operators
@@ -21,8 +21,8 @@
 
 ADDRESS = "127.0.0.1"
 TOKEN = "t0ken-of-ada"
-PATIENCE = 30.0
-PEERS = 24
+TIMEOUT_S = 30.0
+IDLE_PEERS = 24
 
 
 class AccessTest(unittest.TestCase):
@@ -110,7 +110,7 @@
         self.url = f"https://{ADDRESS}:{self.port}"
 
     def connect(self):
-        peer = socket.create_connection((ADDRESS, self.port), PATIENCE)
+        peer = socket.create_connection((ADDRESS, self.port), TIMEOUT_S)
         self.addCleanup(peer.close)
         return peer
 
@@ -134,15 +134,15 @@
         connections open: some never begin the handshake, some send half of its first record, some
         shake hands and send no request.  None of them takes the accepting thread or a worker.
         """
-        for _ in range(PEERS):
+        for _ in range(IDLE_PEERS):
             self.connect()
         self.check_served()
-        for _ in range(PEERS):
+        for _ in range(IDLE_PEERS):
             self.connect().sendall(b"\x16\x03\x01\x02\x00\x01")
         self.check_served()
-        for _ in range(PEERS):
-            shaken = self.make_context().wrap_socket(self.connect(), server_hostname=ADDRESS)
-            self.addCleanup(shaken.close)
+        for _ in range(IDLE_PEERS):
+            connected = self.make_context().wrap_socket(self.connect(), server_hostname=ADDRESS)
+            self.addCleanup(connected.close)
         self.check_served()
 
     def test_a_certificate_of_another_authority_is_refused(self):
@@ -189,11 +189,11 @@
     def test_a_process_that_is_not_there_ran_nothing(self):
         with (
             self.assertRaises(SystemExit) as ended,
-            contextlib.redirect_stderr(io.StringIO()) as told,
+            contextlib.redirect_stderr(io.StringIO()) as stderr,
         ):
-            ask("GET", "http://127.0.0.1:9/")
+            request("GET", "http://127.0.0.1:9/")
         self.assertEqual(ended.exception.code, ExitCode.UNCERTAIN)
-        self.assertIn("nothing was sent", told.getvalue())
+        self.assertIn("nothing was sent", stderr.getvalue())
 
 
 if __name__ == "__main__":
--- a/toucanpin/cli/tests/test_losses.py
+++ b/toucanpin/cli/tests/test_losses.py
@@ -13,7 +13,7 @@
 
 from toucanpin.cli.explain import parse_lines
 from toucanpin.cli.losses import losses, sum_losses
-from toucanpin.cli.losses_plot import OTHER, SHOWN, rank_causes
+from toucanpin.cli.losses_plot import MAX_CAUSES_SHOWN, OTHER_CAUSES, rank_causes
 
 LINES = [
     {"clock": 1_000, "event": "task.placed", "task": "j.0.0.0", "attempt": 1, "queue": "batch",
@@ -120,12 +120,15 @@
         self.assertIn("missing/losses.svg", output)
 
     def test_small_causes_are_drawn_as_one(self) -> None:
-        causes = {f"cause {number}": 100.0 - number for number in range(SHOWN + 3)}
-        ranked = rank_causes({7: causes, 8: {f"cause {SHOWN}": 1.0}})
-        self.assertEqual([f"cause {number}" for number in range(SHOWN)], list(ranked)[:SHOWN])
-        self.assertEqual(SHOWN + 1, len(ranked))
-        self.assertEqual(3 * 100.0 - 3 * SHOWN - 3, ranked[OTHER][7])
-        self.assertEqual(1.0, ranked[OTHER][8])
+        causes = {f"cause {number}": 100.0 - number for number in range(MAX_CAUSES_SHOWN + 3)}
+        ranked = rank_causes({7: causes, 8: {f"cause {MAX_CAUSES_SHOWN}": 1.0}})
+        self.assertEqual(
+            [f"cause {number}" for number in range(MAX_CAUSES_SHOWN)],
+            list(ranked)[:MAX_CAUSES_SHOWN],
+        )
+        self.assertEqual(MAX_CAUSES_SHOWN + 1, len(ranked))
+        self.assertEqual(3 * 100.0 - 3 * MAX_CAUSES_SHOWN - 3, ranked[OTHER_CAUSES][7])
+        self.assertEqual(1.0, ranked[OTHER_CAUSES][8])
 
 
 if __name__ == "__main__":
