--- a/toucanpin/membership/tests/mesh.py
+++ b/toucanpin/membership/tests/mesh.py
@@ -1,4 +1,4 @@
-"""A network of views on a virtual clock, for tests and measurements."""
+"""A network of membership views on a virtual clock, for tests and benchmarks."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 
 
 def make_member(name: str, incarnation: int, port: int, site: str = "malaga") -> Member:
-    """Describe a process."""
+    """Return the member of a process."""
     host, _, role = name.partition("/")
     return Member(name, host, site, role, incarnation, "127.0.0.1", port)
 
 
 class Mesh:
-    """Carry heartbeats between views; time moves only by ``run``."""
+    """Deliver heartbeats between views; time advances only in ``run``."""
 
     def __init__(self, timing: Timing | None = None) -> None:
         self.now = 1_000.0
@@ -34,7 +34,7 @@
         self._seeds: set[tuple[str, int]] = set()
 
     def add(self, member: Member) -> View:
-        """Start a process; the first ever is the seed of all."""
+        """Start a process; the first one is the seed of all others."""
         view = View(member, self.timing, self.now)
         self.views[member.name] = view
         self.changes.setdefault(member.name, [])
@@ -44,7 +44,7 @@
         return view
 
     def run(self, seconds: float) -> None:
-        """Let every process that isn't frozen take its rounds."""
+        """Run the rounds of every process that is not frozen."""
         for _ in range(round(seconds / self.timing.interval)):
             self.now += self.timing.interval
             for name in tuple(self.views):
@@ -52,23 +52,23 @@
                     self._round(name)
 
     def freeze(self, name: str) -> None:
-        """Stop a process; what is sent to it waits in its socket."""
+        """Freeze a process; heartbeats sent to it wait in its socket."""
         self.frozen[name] = []
 
     def resume(self, name: str) -> None:
-        """Let it go on: its timer is overdue and comes before what waits in its socket."""
+        """Resume a process: its overdue timer fires before the waiting heartbeats are read."""
         waiting = self.frozen.pop(name)
         self._round(name)
         for beat in waiting:
             self._deliver(name, beat)
 
     def get_standing(self, viewer: str, name: str) -> Standing | None:
-        """Return what one process believes of another, None if it doesn't know it."""
+        """Return the standing of a process in another's view, None if it is not known there."""
         found = [m for m in self.views[viewer].members() if m.name == name]
         return found[0].standing if found else None
 
     def list_alive(self, viewer: str) -> set[str]:
-        """Return the names that one process believes to be there."""
+        """Return the names of the members that are alive in one process's view."""
         members = self.views[viewer].members()
         return {m.name for m in members if m.standing is Standing.ALIVE}
 
--- a/toucanpin/membership/tests/test_view.py
+++ b/toucanpin/membership/tests/test_view.py
@@ -1,4 +1,4 @@
-"""Tests of the view of the members on a virtual clock."""
+"""Tests of the membership view on a virtual clock."""
 
 import dataclasses
 import unittest
@@ -29,7 +29,7 @@
         for name in (A, B, C, D):
             self.assertEqual(mesh.list_alive(name), {A, B, C, D})
 
-    def test_silence_is_suspected_before_it_is_removal(self):
+    def test_a_silent_member_is_suspected_before_it_is_removed(self):
         mesh = build_mesh()
         del mesh.views[C]
         mesh.run(3)
@@ -37,10 +37,11 @@
         mesh.run(6)
         self.assertIs(mesh.get_standing(A, C), Standing.GONE)
 
-    def test_leaving_is_told_at_once_and_stays(self):
+    def test_leaving_is_announced_at_once_and_is_final(self):
         """
-        A process drains and says so.  Heartbeats that it sent before arrive afterwards; nobody may
-        take it for alive again, or new work would be sent to it.
+        A process announces that it leaves, and heartbeats that it sent before arrive afterwards.
+
+        It must not be considered alive again, or new work would be sent to it.
         """
         mesh = build_mesh()
         late = mesh.make_beat(C)
@@ -55,8 +56,10 @@
 
     def test_a_one_way_cut_does_not_remove(self):
         """
-        Nothing of B reaches A, all else gets through.  A suspects B; C still hears B and says so.
-        Removing B would make A take over what B still does.
+        Heartbeats from B to A are lost, all others are delivered.
+
+        A suspects B, but relayed records show that C still hears it.  If A removed B, it would take
+        over work that B is still doing.
         """
         mesh = build_mesh()
         mesh.cut = lambda sender, receiver: (sender, receiver) == (B, A)
@@ -69,9 +72,10 @@
 
     def test_a_process_frozen_longer_than_every_timeout(self):
         """
-        B is frozen for ten minutes; the others remove it.  It wakes with a socket full of old
-        heartbeats and a view in which everybody was silent for ten minutes.  It must not remove
-        them, and must come back as a new incarnation, not as what it was.
+        B is frozen for ten minutes, and the others remove it.
+
+        It resumes with a socket full of old heartbeats and a view in which all members were silent
+        for ten minutes.  It must not remove them, and must return as a new incarnation.
         """
         mesh = build_mesh()
         before = mesh.views[B].own.incarnation
@@ -86,10 +90,11 @@
         lost = [c for c in mesh.changes[B] if c.kind in (ChangeKind.GONE, ChangeKind.SUSPECTED)]
         self.assertEqual(lost, [])
 
-    def test_old_state_does_not_resurrect(self):
+    def test_a_removed_incarnation_does_not_return(self):
         """
-        B was removed.  A heartbeat that it sent as the removed incarnation arrives, with a higher
-        sequence number than any before.  B stays removed until it answers as a new incarnation.
+        A heartbeat of B's removed incarnation arrives, with a higher sequence number than before.
+
+        B stays removed until it answers as a new incarnation.
         """
         mesh = build_mesh()
         beat = mesh.make_beat(B)
@@ -99,13 +104,15 @@
         mesh.views[A].receive(Beat(newer, beat.digest), mesh.now)
         self.assertIs(mesh.get_standing(A, B), Standing.GONE)
         self.assertTrue(mesh.views[A].needs_answer(Beat(newer, beat.digest), mesh.now))
-        told = [r.member.standing for r in mesh.views[A].list_answers(B) if r.member.name == B]
-        self.assertEqual(told, [Standing.GONE])
+        answered = [r.member.standing for r in mesh.views[A].list_answers(B) if r.member.name == B]
+        self.assertEqual(answered, [Standing.GONE])
 
     def test_a_replaced_host_of_the_same_name_and_address(self):
         """
-        B's host is replaced; the new one has its name and address and a clock that is behind, so
-        its incarnation starts lower.  It is told and takes a higher one; the old life stays over.
+        B's host is replaced by one of the same name and address whose clock is behind.
+
+        Its incarnation starts lower than the old one, so it is sent the old record and takes a
+        higher incarnation.  Heartbeats of the old host have no effect afterwards.
         """
         mesh = build_mesh()
         old = mesh.make_beat(B)
@@ -119,8 +126,10 @@
 
     def test_a_replaced_host_of_another_name_at_the_address(self):
         """
-        B's host is replaced by one named D at B's address.  B must not be counted until its
-        timeout: its share of the slots would be idle, and calls to it would reach D.
+        B's host is replaced by one named D at B's address.
+
+        B must not be counted until its timeout: its share of the slots would be idle, and calls to
+        it would reach D.
         """
         mesh = build_mesh()
         del mesh.views[B]
@@ -130,10 +139,11 @@
         self.assertIs(mesh.get_standing(A, D), Standing.ALIVE)
         self.assertEqual(mesh.views[A].count_reachable()[1], 2)
 
-    def test_two_sites_parted_for_minutes_meet_again(self):
+    def test_two_sites_find_each_other_after_a_partition(self):
         """
-        Two sites of two hosts are parted for ten minutes, and each removes the other.  When the
-        link is back nobody is left who sends to the other side, but for the probes.
+        Two sites of two hosts are partitioned for ten minutes, and each removes the other.
+
+        When the link is back, only heartbeats to gone members reach the other side.
         """
         mesh = build_mesh((A, B, C, D))
         left = {A, B}
@@ -146,10 +156,9 @@
         for name in (A, B, C, D):
             self.assertEqual(mesh.list_alive(name), {A, B, C, D})
 
-    def test_a_replayed_heartbeat_keeps_nobody_alive(self):
+    def test_a_replayed_heartbeat_keeps_no_member_alive(self):
         """
-        Someone sends captured heartbeats of a dead process again and again.  It must be removed
-        as if they did not come.
+        Captured heartbeats of a dead process are replayed; it must be removed nevertheless.
         """
         mesh = build_mesh()
         captured = mesh.make_beat(C)
@@ -162,9 +171,10 @@
 
     def test_replaced_hosts_do_not_count_as_lost(self):
         """
-        Two of four hosts are replaced by others at new addresses.  The platform's list no longer
-        names the old ones.  Those that are left hear everybody there is, and must know it, or they
-        would take an outage of the table for a cut of their own.
+        Two of four hosts are removed, and the platform's list no longer contains them.
+
+        The remaining processes hear all members that exist.  If they counted the removed ones as
+        lost, they would take an outage of the table for a network cut of their own.
         """
         mesh = build_mesh((A, B, C, D))
         del mesh.views[C], mesh.views[D]
@@ -177,7 +187,7 @@
         view.mark_delisted(frozenset({"a"}))
         self.assertEqual(view.count_reachable(), (1, 1))
 
-    def test_answers_are_rationed(self):
+    def test_answers_are_limited_in_each_interval(self):
         view = View(make_member(A, 1, 7_000), Timing(), 0.0)
         owed = 0
         for index in range(50):
@@ -200,10 +210,10 @@
 class StaleRecordTest(unittest.TestCase):
     @FUZZ
     @given(st.lists(st.tuples(OLDER, st.booleans()), max_size=12))
-    def test_no_record_of_an_older_life_touches_a_newer_one(self, records):
+    def test_no_record_of_an_older_incarnation_changes_a_newer_one(self, records):
         """
-        B lives as incarnation 20.  Records and heartbeats of its earlier lives, suspect, leaving or
-        gone, arrive in any order, from B's old socket and from other members.
+        B runs as incarnation 20.  Records and heartbeats of earlier incarnations, suspect, leaving
+        or gone, arrive in any order, from B's old socket and from other members.
         """
         mesh = Mesh()
         view = mesh.add(make_member(A, 1, 7_000))
@@ -218,15 +228,13 @@
 
     @FUZZ
     @given(st.permutations(list(range(6))))
-    def test_the_order_of_arrival_does_not_matter(self, order):
-        """
-        Heartbeats of three lives of B arrive out of order.  What A ends with is the newest life.
-        """
+    def test_the_newest_incarnation_wins_in_any_order_of_arrival(self, order):
+        """Heartbeats of three incarnations of B arrive in any order; the newest one remains."""
         mesh = Mesh()
         view = mesh.add(make_member(A, 1, 7_000))
         records = [
-            Record(dataclasses.replace(make_member(B, life, 7_001), bundle=life), sequence)
-            for life in (1, 2, 3)
+            Record(dataclasses.replace(make_member(B, number, 7_001), bundle=number), sequence)
+            for number in (1, 2, 3)
             for sequence in (1, 2)
         ]
         for index in order:
--- a/toucanpin/requests/tests/test_claims.py
+++ b/toucanpin/requests/tests/test_claims.py
@@ -1,4 +1,4 @@
-"""Tests of claims, with two request processes interleaved at every step."""
+"""Tests of claims and of their deletion, with interleaved request processes."""
 
 import unittest
 from contextlib import suppress
@@ -33,7 +33,7 @@
 
 
 class LossyTable:
-    """Lose answers at random; a lost write takes effect at once, later or never."""
+    """Table that loses answers at random; a lost write is applied at once, later or never."""
 
     def __init__(self, rng):
         self.rng = rng
@@ -76,14 +76,14 @@
 
 
 class ReliableTable(LossyTable):
-    """Answer every question."""
+    """Table that answers every request."""
 
     def handle(self, action):
         return self.apply(action.transaction)
 
 
 class UnavailableTable(LossyTable):
-    """Lose every write, and its reading back too."""
+    """Table that loses every write and whose reads fail."""
 
     def handle(self, action):
         lost = isinstance(action, Commit)
@@ -91,7 +91,7 @@
 
 
 def run(table, batch, prefix="t"):
-    """Settle one batch alone."""
+    """Insert the claims of one batch."""
     steps = insert_claims(batch, iter([f"{prefix}{n}" for n in range(9)]).__next__)
     action = next(steps)
     while True:
@@ -102,12 +102,12 @@
 
 
 class ClaimsTest(unittest.TestCase):
-    def test_gives_an_id_to_one_request_at_most(self):
+    def test_an_id_is_claimed_by_one_request_at_most(self):
         """
-        Of two callers with one id, at most one is let through; the other is told the truth.
+        Two processes claim the same ids, interleaved at random after every request to the table.
 
-        Two processes claim overlapping ids, interleaved at random after every question to the
-        table, which loses answers and lets lost writes take effect late.
+        The table loses answers and applies lost writes late; a claim held by both processes would
+        let a request run twice.
         """
         for seed in range(3_000):
             rng = Random(seed)
@@ -138,7 +138,7 @@
                 del actions[p]
         return outcomes
 
-    def test_refuses_duplicates_and_serves_the_rest_of_a_batch(self):
+    def test_duplicate_in_a_batch_is_refused_and_the_others_are_claimed(self):
         table = ReliableTable(Random(1))
         run(table, (prepare_claim("r1", "a"),))
         batch = (prepare_claim("r1", "b"), prepare_claim("r2", "c"))
@@ -147,17 +147,17 @@
         self.assertIs(outcomes[b"b"].verdict, Verdict.MAY_HAVE_RUN)
         self.assertIsInstance(outcomes[b"c"], HeldClaim)
 
-    def test_refuses_as_not_run_what_stays_uncertain(self):
+    def test_claim_with_an_unknown_outcome_is_refused_as_not_run(self):
         table = UnavailableTable(Random(1))
         outcome = run(table, (prepare_claim("r1", "a"),))[b"a"]
         self.assertIs(outcome.verdict, Verdict.NOT_RUN)
         self.assertIs(outcome.reason, Reason.STORE_UNCERTAIN)
 
-    def test_sweeps_only_what_no_longer_refuses_duplicates(self):
+    def test_only_expired_claims_are_swept(self):
         """
-        A caller repeats an id within ten minutes and is told that it is a duplicate: sweeps have
-        left its row, although another process's wall clock is ahead, since none is looked at.
-        Rows whose version was seen ten minutes ago are deleted.
+        Rows whose version was first seen ten minutes ago are deleted, and no others: an id that is
+        repeated within ten minutes must be refused as a duplicate.  Age must not depend on wall
+        clocks, which may be ahead on the host that sweeps.
         """
         table = ReliableTable(Random(1))
         ages = VersionAges()
@@ -171,14 +171,14 @@
         }
         self.assertEqual(left, kept)
 
-    def test_a_process_that_just_started_deletes_nothing(self):
+    def test_process_that_just_started_deletes_nothing(self):
         table = ReliableTable(Random(1))
         run(table, (prepare_claim("r", "a"),))
         for prefix in list_partitions(("a",), "a"):
             self.sweep(table, prefix, VersionAges(), 1e9)
         self.assertEqual(len(table.rows), 1)
 
-    def test_each_part_is_swept_by_one_process(self):
+    def test_each_partition_is_swept_by_one_process(self):
         members = ("a", "b", "c")
         parts = [set(list_partitions(members, me)) for me in members]
         self.assertEqual(len(set.union(*parts)), sum(len(part) for part in parts))
@@ -195,7 +195,7 @@
                 assert isinstance(action, Commit)
                 reply = table.apply(action.transaction)
 
-    def test_fills_transactions_and_puts_second_claims_off(self):
+    def test_batch_is_limited_and_has_each_id_once(self):
         claims = tuple(prepare_claim(f"r{n}", f"{n}") for n in range(MAX_TRANSACTION_ROWS + 9))
         batch, rest = gather_batch(claims)
         self.assertEqual((len(batch), len(rest)), (MAX_TRANSACTION_ROWS, 9))
--- a/toucanpin/requests/tests/test_hedging.py
+++ b/toucanpin/requests/tests/test_hedging.py
@@ -1,4 +1,4 @@
-"""Tests of hedging: a second attempt beside one that takes long."""
+"""Tests of hedging: a second attempt beside a slow one."""
 
 import unittest
 from random import Random
@@ -28,7 +28,7 @@
 
 
 def make_state(instances=3):
-    """Make a service whose answers took 0.1 s so far."""
+    """Return the state of a service whose answers have taken 0.1 s so far."""
     state = ServiceState(SERVICE, 0.1, "casco", Random(1))
     state.update(share_evenly([f"i{n}" for n in range(instances)]), 0.0)
     for _ in range(100):
@@ -38,14 +38,14 @@
 
 
 def begin(state, idempotent=True, at=0.0):
-    """Begin a path; return it and its first attempt."""
+    """Start a path; return it and its first attempt."""
     path = serve_request(Request("verify", "c", "", idempotent, at, at + 2.0), state)
     return path, path.send(None)
 
 
 class HedgeTest(unittest.TestCase):
     def drive_to_hedge(self, state):
-        """Lead a path to its hedge; return it and the names of both instances."""
+        """Drive a path to its hedge; return it and the names of both instances."""
         path, forward = begin(state)
         self.assertIsInstance(forward, Forward)
         self.assertEqual(forward.pending_at, 0.1)
@@ -53,7 +53,7 @@
         self.assertIsInstance(hedge, Hedge)
         return path, forward.instance, hedge.instance
 
-    def test_relays_the_first_whole_answer_and_cancels_the_other(self):
+    def test_relays_the_first_answer_and_cancels_the_other_attempt(self):
         for winner in (0, 1):
             with self.subTest(winner):
                 state = make_state()
@@ -66,7 +66,7 @@
                 with self.assertRaises(StopIteration):
                     path.send(ActionDone(0.2))
 
-    def test_hedges_at_another_instance_in_a_slot_of_its_own(self):
+    def test_hedge_takes_a_slot_of_another_instance(self):
         state = make_state()
         path, first, second = self.drive_to_hedge(state)
         self.assertNotEqual(first, second)
@@ -75,12 +75,11 @@
         path.close()
         self.assertFalse(any(i.in_flight for i in state.router._instances.values()))
 
-    def test_holds_the_slot_of_the_cancelled_attempt_until_it_must_have_stopped(self):
+    def test_holds_the_slot_of_the_cancelled_attempt_until_its_deadline(self):
         """
-        The instance that was overtaken gets nothing new in that slot before its time is over.
+        The instance may not notice that the connection was closed and keep running the request.
 
-        It may not notice that the connection was closed and work on; with the slot given out again
-        it would have more requests than slots.
+        If its slot were used again before the deadline, it would have more requests than slots.
         """
         state = make_state()
         path, forward = begin(state)
@@ -90,11 +89,11 @@
         self.assertEqual(state.router.count_used(forward.deadline - 0.01), 1)
         self.assertEqual(state.router.count_used(forward.deadline), 0)
 
-    def test_hedges_out_of_the_retry_budget(self):
+    def test_hedges_spend_the_retry_budget(self):
         """
-        The instances get at most 1.1 times the requests, though every one of them is late.
+        All instances become slow at once, and every request is late enough for a hedge.
 
-        All instances become slow at once.  Were each request hedged, the load would double.
+        If each request were hedged, the load would double; at most a tenth of them may be.
         """
         state = make_state()
         hedges = 0
@@ -111,28 +110,26 @@
         path, _ = begin(make_state(instances=1))
         self.assertIsInstance(path.send(AttemptPending(0.1)), AwaitAttempt)
 
-    def test_never_hedges_what_is_not_idempotent(self):
+    def test_never_hedges_a_non_idempotent_request(self):
         """
-        A verification marked as non-idempotent runs once, however slow its instance is.
-
-        It is pending for long.  A second attempt beside it would run it twice.
+        A second attempt beside a slow one would run a non-idempotent request twice.
         """
         _, forward = begin(make_state(), idempotent=False)
         self.assertIsNone(forward.pending_at)
 
-    def test_prefers_a_good_answer_that_may_still_come_to_a_failure(self):
+    def test_failed_hedge_does_not_end_the_wait_for_the_first_attempt(self):
         path, first, second = self.drive_to_hedge(make_state())
         self.assertIsInstance(
             path.send(AttemptEnded(second, Responded(0.11, FAILED))), AwaitAttempt
         )
         self.assertEqual(path.send(AttemptEnded(first, Responded(0.2, FIRST))), Relay(FIRST))
 
-    def test_relays_a_failure_if_nothing_better_comes(self):
+    def test_relays_a_failure_if_the_other_attempt_breaks_off(self):
         path, first, second = self.drive_to_hedge(make_state())
         path.send(AttemptEnded(second, Responded(0.11, FAILED)))
         self.assertEqual(path.send(AttemptEnded(first, Interrupted(0.2, "x"))), Relay(FAILED))
 
-    def test_leaves_the_slots_to_first_attempts_under_load(self):
+    def test_does_not_hedge_under_load(self):
         state = make_state(instances=2)
         for _ in range(12):
             state.request_slot("c", 2.0, frozenset(), 0.0)
@@ -155,10 +152,10 @@
 
     def test_keeps_amplification_within_the_budget(self):
         """
-        The instances get at most 1.1 times the requests, hedges and retries together.
+        The instances get at most 1.1 times the requests, hedges and retries included.
 
-        Answer times spread widely, so many attempts are late, and some break.  Without the budget
-        hedges would add to a load that is slow already.
+        Answer times vary widely, so many attempts are late, and some break off.  Without the budget
+        hedges would add load to a service that is already slow.
         """
         rng = Random(3)
 
@@ -170,12 +167,12 @@
         self.assertGreater(sum(load.sent.values()), 1.05 * len(front.records))
         self.assertLessEqual(sum(load.sent.values()), 1.1 * len(front.records))
 
-    def test_serves_around_a_slow_instance_within_its_slots(self):
+    def test_slow_instance_delays_few_callers_and_keeps_its_slot_limit(self):
         """
-        Callers don't wait for the slow instance, and it never has more than its eight slots.
+        One instance of ten takes 20 times as long as the others.
 
-        One instance of ten takes 20 times as long, and doesn't notice that the connection of an
-        overtaken attempt was closed; were that slot used again at once, it would have more.
+        It does not notice that the connection of a cancelled attempt was closed.  If that slot were
+        used again at once, it would get more requests than its eight slots.
         """
         front, load = self.run_front(
             lambda name, now: Attempt(1.0 if name == "i0" and now > 1.0 else 0.05)
@@ -185,12 +182,12 @@
         self.assertTrue(all(record.ok for record in front.records))
         self.assertLessEqual(max(load.peak.values()), 8)
 
-    def test_ejects_an_instance_that_hedges_overtake(self):
+    def test_ejects_an_instance_that_always_loses_to_hedges(self):
         """
-        A frozen instance draws few requests, though none of them fails in the callers' eyes.
+        Each attempt at a frozen instance loses to a hedge and is cancelled, so no request fails.
 
-        Each attempt at it is overtaken by a hedge and cancelled.  Counted as nothing, it would look
-        healthy and go on drawing requests that each need a hedge.
+        If these attempts were not counted as failures, the instance would look healthy and continue
+        to get requests that each need a hedge.
         """
         front, load = self.run_front(
             lambda name, now: Attempt(60.0 if name == "i0" and now > 1.0 else 0.05)
--- a/toucanpin/requests/tests/test_path.py
+++ b/toucanpin/requests/tests/test_path.py
@@ -1,4 +1,4 @@
-"""Tests of a request's path on a virtual clock."""
+"""Tests of the request path on a virtual clock."""
 
 import unittest
 from random import Random
@@ -31,7 +31,7 @@
 
 
 def drive(idempotent, outcomes, request_id="", instances=3):
-    """Drive one path by hand; return its actions' types and its last answer."""
+    """Drive one path with these outcomes; return its actions and the slots still in use."""
     state = ServiceState(SERVICE, 0.1, "casco", Random(1))
     state.update(share_evenly([f"i{n}" for n in range(instances)]), 0.0)
     path = serve_request(Request("verify", "c", request_id, idempotent, 0.0, 2.0), state)
@@ -49,12 +49,12 @@
 
 
 def list_kinds(actions):
-    """Name the types of actions."""
+    """Return the class names of actions."""
     return [type(action).__name__ for action in actions]
 
 
 class PathTest(unittest.TestCase):
-    def test_relays_a_whole_answer(self):
+    def test_relays_an_answer(self):
         actions, busy = drive(False, [Responded(0.1, GOOD)])
         self.assertEqual(list_kinds(actions), ["Forward", "Relay"])
         self.assertEqual(busy, 0)
@@ -66,21 +66,20 @@
 
     def test_never_repeats_a_non_idempotent_request_that_may_have_run(self):
         """
-        The caller is told "may have run" after one attempt.
+        The attempt breaks off or times out after its first byte was written.
 
-        The instance broke off, or didn't answer in time, after the first byte was written; a
-        second attempt could run the request twice.
+        A second attempt could run the request twice, so the verdict is "may have run" after one.
         """
         for outcome in (Interrupted(0.1, "x"), Interrupted(0.1, "x", stale=True), TimedOut(2.0)):
             actions, _ = drive(False, [outcome])
             self.assertEqual(list_kinds(actions), ["Forward", "Answer"])
             self.assertIs(actions[-1].refusal.verdict, Verdict.MAY_HAVE_RUN)
 
-    def test_never_calls_not_run_what_an_earlier_attempt_may_have_run(self):
+    def test_verdict_covers_an_earlier_attempt_that_may_have_run(self):
         """
-        The caller is told "may have run", though the last instances refused the request.
+        The first attempt of an idempotent request breaks off after its first byte was written.
 
-        The first attempt of an idempotent request broke off after its first byte.
+        The verdict is "may have run" although the later attempts were refused.
         """
         not_run = Responded(0.2, Response(503, "", (), b"", None, True))
         for last in (Refused(0.2, "x"), not_run):
@@ -88,7 +87,7 @@
             self.assertEqual(list_kinds(actions), ["Forward", "Forward", "Forward", "Answer"])
             self.assertIs(actions[-1].refusal.verdict, Verdict.MAY_HAVE_RUN)
 
-    def test_claims_before_forwarding_and_releases_what_did_not_run(self):
+    def test_claims_before_forwarding_and_releases_the_claim_if_not_run(self):
         claimed = Claimed(0.1, HeldClaim("k", 7))
         actions, _ = drive(False, [claimed, Responded(0.2, GOOD)], "r1")
         self.assertEqual(list_kinds(actions), ["Claim", "Forward", "Relay"])
@@ -103,7 +102,7 @@
         self.assertIs(actions[0].refusal.reason, Reason.NO_UPSTREAM)
         self.assertIs(actions[0].refusal.verdict, Verdict.NOT_RUN)
 
-    def test_passes_on_the_remaining_time(self):
+    def test_non_idempotent_attempts_get_the_deadline_of_the_caller(self):
         actions, _ = drive(False, [Refused(0.5, "x"), Responded(0.6, GOOD)])
         self.assertEqual([action.deadline for action in actions[:2]], [2.0, 2.0])
 
@@ -126,10 +125,10 @@
 
     def test_limits_retries_when_every_instance_fails(self):
         """
-        Callers get their refusals, and the instances at most 1.1 times the requests.
+        Every attempt fails, and the instances get at most 1.1 times the requests.
 
-        Every attempt fails, each in one way.  With a count of retries in place of a budget, three
-        attempts would go out for each request and keep the instances down.
+        With a limit per request instead of a budget, three attempts would be made for each request,
+        and the load would keep the instances from recovering.
         """
         for kind in ("interrupted", "refused", "not run"):
             with self.subTest(kind):
@@ -137,12 +136,11 @@
                 self.assertLessEqual(sum(load.sent.values()), 1.1 * len(front.records))
                 self.assertFalse(any(record.ok for record in front.records))
 
-    def test_keeps_traffic_from_an_instance_that_fails_fast(self):
+    def test_an_instance_that_fails_fast_gets_few_requests(self):
         """
-        All but a few callers get good answers.
+        One instance of ten answers 500 within 1 ms, the others answer after 50 ms.
 
-        One instance of ten answers 500 in a millisecond, the others work for 50.  It always looks
-        idle, so least-loaded routing would send it most of the traffic.
+        It always looks idle, so least-loaded routing alone would send it most of the traffic.
         """
         front, load = self.run_front(
             lambda name, now: Attempt(0.001, status=500) if name == "i0" else Attempt(0.05),
@@ -152,12 +150,11 @@
         self.assertLess(load.sent["i0"], 0.02 * len(front.records))
         self.assertLess(bad, 0.02 * len(front.records))
 
-    def test_wastes_few_retries_on_an_instance_that_refuses_all(self):
+    def test_an_instance_that_refuses_everything_costs_few_retries(self):
         """
-        All but a few callers get good answers.
+        One instance of three answers "not run" at once to every request.
 
-        One instance of three says "not run" at once to everything.  It always looks idle, and each
-        request that it draws costs a retry, until the budget is spent.
+        It always looks idle, and each request sent to it costs a retry until the budget is spent.
         """
         front, load = self.run_front(
             lambda name, now: Attempt(0.001, "not run") if name == "i0" else Attempt(0.05),
@@ -168,7 +165,7 @@
         self.assertLess(load.sent["i0"], 0.02 * len(front.records))
         self.assertLess(bad, 0.005 * len(front.records))
 
-    def test_probes_an_instance_back_in(self):
+    def test_an_instance_that_recovers_gets_requests_again(self):
         front, load = self.run_front(
             lambda name, now: Attempt(0.01, status=500 if name == "i0" and now < 1.0 else 200)
         )
@@ -176,16 +173,15 @@
         self.assertTrue(all(record.ok for record in recent))
         self.assertGreater(load.sent["i0"], 20)
 
-    def test_keeps_half_of_the_instances_when_all_fail(self):
+    def test_at_most_half_of_the_instances_are_ejected(self):
         _, load = self.run_front(lambda name, now: Attempt(0.01, status=500))
         self.assertGreaterEqual(sum(count > 100 for count in load.sent.values()), 5)
 
     def test_refuses_overload_at_once_and_serves_the_rest(self):
         """
-        At twice the capacity, half of the callers are served and the others refused at once.
+        At twice the capacity, half of the requests are served and the others refused at once.
 
-        Requests that can't be served in time are refused as they come, or when it shows; none
-        takes a slot only to miss its deadline.
+        Requests that cannot be served in time must not take a slot and then miss their deadline.
         """
         for queue in (32, 10_000):
             front, load = self.run_front(
@@ -201,11 +197,10 @@
                 self.assertLess(record.answered_at - record.request.arrived, 0.05)
             self.assertLessEqual(max(load.peak.values()), 8)
 
-    def test_serves_a_quiet_caller_beside_a_flood(self):
+    def test_a_caller_with_few_requests_is_served_beside_a_flood(self):
         """
-        The quiet caller's requests are served though another caller fills the queue.
-
-        The full queue gives up the newest request of the caller with the longest line.
+        One caller fills the queue; the full queue refuses the newest request of the caller with the
+        most queued requests, so that the other caller's are served.
         """
         clock, load = Clock(), Load()
         service = Service("verify", queue=16)
@@ -219,12 +214,11 @@
         clock.run()
         self.assertTrue(all(record.ok for record in quiet))
 
-    def test_leaves_a_frozen_instance_soon(self):
+    def test_a_frozen_instance_delays_few_callers(self):
         """
-        Nearly all callers are served in time, the slowest within half a second.
+        One instance of ten accepts connections and never answers, as a stopped process does.
 
-        One instance of ten takes connections and never answers, as a stopped process does.  Without
-        a limit of its own the first attempt would use up the caller's two seconds.
+        Without a timeout of its own, the first attempt would use up the caller's two seconds.
         """
         front, load = self.run_front(
             lambda name, now: Attempt(60.0 if name == "i0" and now > 1.0 else 0.05), rate=800.0
@@ -236,12 +230,12 @@
         self.assertFalse([record for record in front.records if not record.ok])
         self.assertLessEqual(load.sent["i0"], 100)
 
-    def test_does_not_cut_answers_that_are_only_slow(self):
+    def test_slow_attempts_rarely_time_out(self):
         """
-        All callers but a few are served, though answer times spread widely.
+        Answer times vary widely, and the timeout of attempts is learnt from them.
 
-        Attempts are cut after a limit learnt from answers.  Learnt from the answers alone, without
-        the attempts that were cut, the limit shrinks with each cut until most are cut.
+        If it were learnt without the attempts that timed out, it would shrink with each of them
+        until most attempts time out.
         """
         rng = Random(3)
         front, load = self.run_front(
@@ -252,11 +246,11 @@
         self.assertLess(load.timed_out, 0.02 * len(front.records))
         self.assertLessEqual(sum(load.sent.values()), 1.1 * len(front.records))
 
-    def test_outlives_the_loss_of_a_site(self):
+    def test_the_remote_site_serves_while_the_local_one_is_down(self):
         """
-        Callers are served by the far site after a moment, and by the near one when it is back.
+        All instances of the local site refuse connections for four seconds.
 
-        The whole near site refuses connections for four seconds.
+        The remote site serves the requests in the meantime, and the local one again afterwards.
         """
         clock, load = Clock(), Load()
         near = [f"n{number}" for number in range(5)]
@@ -276,12 +270,12 @@
         self.assertLess(len(bad), 0.01 * len(front.records))
         self.assertGreater(sum(load.sent.get(name, 0) for name in near), 2_000)
 
-    def test_recovers_from_a_herd_after_an_outage(self):
+    def test_serves_a_burst_of_requests_after_an_outage(self):
         """
-        All callers that come after the outage are served, and no instance gets more than its slots.
+        Every instance refuses connections for two seconds; then 600 requests arrive within a tenth
+        of a second for 80 slots.
 
-        Every instance refuses connections for two seconds; then 600 callers come back within a
-        tenth of a second, on 80 slots.
+        Nearly all are served, and no instance gets more requests than its slots.
         """
         clock, load = Clock(), Load()
         front = VirtualFront(
@@ -300,12 +294,11 @@
         self.assertGreater(sum(record.ok for record in returning), 0.95 * len(returning))
         self.assertLessEqual(max(load.peak.values()), 8)
 
-    def test_holds_the_slot_of_an_attempt_whose_end_is_unknown(self):
+    def test_holds_the_slot_of_an_attempt_that_may_still_be_running(self):
         """
-        The instance never works on more than its eight slots.
+        Attempts break off while the instance keeps running them until their deadline.
 
-        Attempts break off here while the instance goes on with them until their deadline; were
-        their slots used again at once, it would soon have far more than eight.
+        If their slots were used again at once, it would soon run far more than eight requests.
         """
         clock, load = Clock(), Load()
         front = VirtualFront(clock, Service("verify"), lambda n, t: Attempt(0.01, "lost"), load)
--- a/toucanpin/requests/tests/test_shares.py
+++ b/toucanpin/requests/tests/test_shares.py
@@ -1,4 +1,4 @@
-"""Tests of the shares of slots."""
+"""Tests of shares of slots."""
 
 import unittest
 
@@ -8,7 +8,7 @@
 
 
 def make_names(count):
-    """Name request processes."""
+    """Return names of request processes."""
     return tuple(f"e{n}/request" for n in range(count))
 
 
@@ -24,10 +24,10 @@
 
     def test_never_gives_out_a_slot_twice_while_views_change(self):
         """
-        No instance gets more than its eight slots while members come and go at any instants.
+        Members join and leave, and each process learns of it up to a second after the others.
 
-        Each process learns of a change at its own instant, up to a second apart, and applies it.
-        Were a departed member's slots used at once, it could still be using them itself.
+        If a departed member's slots were used at once, it could still be using them itself, and an
+        instance would get more requests than its eight slots.
         """
         members = make_names(7)
         changes = [(2.0, members[:6]), (6.0, members), (10.0, members[1:]), (14.0, members[1:5])]
@@ -41,12 +41,12 @@
                 total = sum(book.share(instance, 8) for book in books.values())
                 self.assertLessEqual(total, 8, f"at {now}")
 
-    def test_waits_for_requests_that_began_on_the_slots_before(self):
+    def test_slots_are_not_used_before_earlier_requests_on_them_end(self):
         """
-        The instance never has more than its eight requests at one time.
+        The first process starts requests on all eight slots just before it learns of the second.
 
-        A second process joins; the first learns of it half a second later and has just begun
-        requests on all eight slots, of which it owns four from then on.  They may take two seconds.
+        It owns four of the slots from then on, but the requests may take two more seconds; the
+        instance must not get more than eight at one time.
         """
         old, new = (SlotShares(name, 1.0) for name in make_names(2))
         hold = 1.0 + 2.0
@@ -61,11 +61,11 @@
             self.assertLessEqual(in_flight + new.share("i0", 8, hold), 8, f"at {now}")
         self.assertEqual(old.share("i0", 8, hold) + new.share("i0", 8, hold), 8)
 
-    def test_owns_nothing_after_a_pause_until_settled(self):
+    def test_owns_nothing_after_a_pause_until_the_hold_time_has_passed(self):
         """
-        A process that was frozen uses no slot until others had time to take it in again.
+        A process resumes after a pause with its old view, in which it owns slots.
 
-        It wakes with its old view, in which it owns slots that the others use by now.
+        The others may be using these slots by now, and need time to learn of its return.
         """
         book = SlotShares("e0/request", 2.0)
         for step in range(40):
