--- a/toucanpin/interference/__init__.py
+++ b/toucanpin/interference/__init__.py
@@ -2,8 +2,8 @@
 Interference
 ============
 
-Learns from late measurements what tasks cost the services beside them, and decides without input
-or output what to do: avoid, throttle, checkpoint and evict.
+Learns the effect of tasks on colocated services from delayed latency samples, and decides without
+input or output when to avoid a host and when to throttle or evict a task.
 """
 
 from toucanpin.interference.budget import Budget, EvictionBudget
--- a/toucanpin/interference/budget.py
+++ b/toucanpin/interference/budget.py
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Budget:
-    """Limit evictions: all in a minute, and those of one job within ``job_span`` seconds."""
+    """Limits of evictions: of all jobs per minute, and of one job within ``job_window`` seconds."""
 
     per_minute: int = 6
     per_job: int = 2
@@ -23,7 +23,7 @@
 
 
 class EvictionBudget:
-    """Grant evictions within a budget."""
+    """Counter of the evictions that a budget limits."""
 
     def __init__(self, budget: Budget | None = None) -> None:
         self._budget = budget or Budget()
@@ -31,7 +31,7 @@
         self._jobs: dict[str, deque[float]] = {}
 
     def allows(self, now: float, job: str) -> bool:
-        """Tell whether a job may be evicted now."""
+        """Return whether a job may be evicted now."""
         drop_before(self._recent, now - MINUTE)
         if len(self._recent) >= self._budget.per_minute:
             return False
@@ -42,19 +42,19 @@
         return len(own) < self._budget.per_job
 
     def spend(self, now: float, job: str) -> None:
-        """Count an eviction."""
+        """Count an eviction of a job."""
         self._recent.append(now)
         self._jobs.setdefault(job, deque()).append(now)
         self._drop_old_jobs(now)
 
     def _drop_old_jobs(self, now: float) -> None:
-        """Forget the jobs whose evictions are all too old to count."""
+        """Drop the jobs without evictions in the window."""
         cutoff = now - self._budget.job_window
         for job in [job for job, instants in self._jobs.items() if instants[-1] <= cutoff]:
             del self._jobs[job]
 
 
 def drop_before(instants: deque[float], cutoff: float) -> None:
-    """Drop the instants up to an edge."""
+    """Drop the instants up to a cutoff."""
     while instants and instants[0] <= cutoff:
         instants.popleft()
--- a/toucanpin/interference/cost.py
+++ b/toucanpin/interference/cost.py
@@ -1,13 +1,13 @@
 """
-Cost of a host's mix
-====================
+Cost of colocation
+==================
 
-Weighs, for one host, the rise of its services' tails against the work that its batch tasks do.
+Weighs the latency rise of a host's services against the work of its batch tasks.
 
-The cost, by the minute, is the load-weighted square of each service's relative rise, times the
-weight of latency, less the share of the host that batch work uses, times the weight of throughput.
-The square makes one host with a long tail dearer than two with half of it, as the p99 over all
-hosts does.
+The cost per minute is the load-weighted sum of the squares of the services' relative rises, times
+the weight of latency, less the fraction of the host that batch work uses, times the weight of
+throughput.  By the square, one host with a long tail costs more than two with half of it, as in the
+p99 over all hosts.
 """
 
 from __future__ import annotations
@@ -21,13 +21,13 @@
 
 __all__ = ["SHARES", "HostCost", "Summary", "score"]
 
-SHARES = (0.05, 0.1, 0.25, 0.5, 0.75, 1.0)
+SHARES = (0.05, 0.1, 0.25, 0.5, 0.75, 1.0)  # to which batch tasks may be throttled
 MAX_PASSES = 3
 
 
 @dataclass(frozen=True, slots=True)
 class Summary:
-    """Sum up a host for scores: its services and the relative rise of each as it stands."""
+    """Services of a host and their present relative rises, for scores."""
 
     processors: int
     services: tuple[ServiceLoad, ...]
@@ -35,7 +35,7 @@
 
 
 class HostCost:
-    """Price the shares of the residents of one host; shares stand in the order of residents."""
+    """Cost of one host as a function of its residents' shares, in the order of the residents."""
 
     def __init__(self, effects: Effects, weights: Weights, view: HostView) -> None:
         self._weights = weights
@@ -44,11 +44,11 @@
         self._work = [it.processors / view.processors if it.batch else 0.0 for it in view.residents]
 
     def total_cost(self, shares: Sequence[float]) -> float:
-        """Return the cost of the host if the residents had these shares."""
+        """Return the cost of the host at these shares."""
         return self.latency_cost(shares) - self.work_value(shares)
 
     def latency_cost(self, shares: Sequence[float]) -> float:
-        """Return the cost of the services' tails alone."""
+        """Return the cost of the services' latency rises alone."""
         return self._weights.latency * self._sum_weighted_squares(self.sum_rises(shares))
 
     def work_value(self, shares: Sequence[float]) -> float:
@@ -67,22 +67,22 @@
     def is_worthwhile(
         self, current: Sequence[float], chosen: Sequence[float], margin: float
     ) -> bool:
-        """Tell whether a change gains more than a part, the margin, of what it trades."""
+        """Return whether the net gain of a change exceeds a fraction of what it trades."""
         latency = self.latency_cost(current) - self.latency_cost(chosen)
         work = self.work_value(chosen) - self.work_value(current)
-        # Relative to what is traded: a fixed margin would leave small tasks throttled for good.
+        # With an absolute margin, small tasks would stay throttled permanently.
         return latency + work > margin * (abs(latency) + abs(work))
 
     def lower_shares(self) -> list[float]:
-        """Choose the shares of the batch tasks that cost least, none above its present one."""
+        """Return the shares of least cost at which no batch task gets more than at present."""
         return self._choose_shares(lambda share, present: share <= present)
 
     def raise_shares(self) -> list[float]:
-        """Choose the shares of the batch tasks that cost least, none below its present one."""
+        """Return the shares of least cost at which no batch task gets less than at present."""
         return self._choose_shares(lambda share, present: share >= present)
 
     def _choose_shares(self, allows: Callable[[float, float], bool]) -> list[float]:
-        """Choose allowed shares, one task after the other, until none changes."""
+        """Return the best allowed shares, by coordinate descent over the batch tasks."""
         residents = self._view.residents
         shares = [it.share for it in residents]
         steps = [[step for step in SHARES if allows(step, it.share)] for it in residents]
@@ -99,7 +99,7 @@
     def _choose_share(
         self, index: int, share: float, steps: Sequence[float], totals: list[float]
     ) -> float:
-        """Choose the share of one task while the others keep theirs, and correct the totals."""
+        """Return the best share of one task at fixed others, and update the totals."""
         rises = self._rises[index]
         square = 0.0
         slope = 0.0
@@ -114,13 +114,13 @@
         return chosen
 
     def _sum_weighted_squares(self, rises: Sequence[float]) -> float:
-        """Return the load-weighted sum of squares."""
+        """Return the load-weighted sum of squared rises."""
         services = self._view.services
         return sum(it.load * rise * rise for it, rise in zip(services, rises, strict=True))
 
 
 def score(effects: Effects, weights: Weights, summary: Summary, task: Candidate) -> float:
-    """Return what a task at full share would add to the cost of a host."""
+    """Return the increase of a host's cost by a task at full share."""
     amount = task.processors / summary.processors
     latency = 0.0
     for it, rise in zip(summary.services, summary.rises, strict=True):
@@ -130,7 +130,7 @@
 
 
 def list_latency_rises(effects: Effects, view: HostView, resident: Resident) -> list[float]:
-    """Return the rise that a resident at full share causes to each service of its host."""
+    """Return the rise of each service of a host by a resident at full share."""
     amount = resident.processors / view.processors
     return [
         amount * effects.latency_rise(it.service, resident.kind, it.load) for it in view.services
--- a/toucanpin/interference/estimator.py
+++ b/toucanpin/interference/estimator.py
@@ -2,8 +2,8 @@
 Estimator of pair effects
 =========================
 
-Learns, for each service, what each kind of task beside it costs its tail latency, with the load of
-the service as a factor.
+Learns for each service the effect of each kind of colocated task on its tail latency, in proportion
+to the load of the service.
 """
 
 from __future__ import annotations
@@ -21,28 +21,30 @@
 BASELINE_FEATURE = "quiet"
 LOAD_FEATURE = "load"
 KIND_PREFIX = "kind/"
-MIN_BASELINE = 0.05
+MIN_BASELINE = 0.05  # in units of the model
 
 
 class Effects(Protocol):
-    """Say what kinds of tasks cost a service."""
+    """Effects of kinds of tasks on services."""
 
     def latency_rise(self, service: str, kind: str, load: float) -> float:
-        """Return the rise of the p99, relative to the quiet one, beside a host full of a kind."""
+        """Return the rise of the p99 on a host full of one kind, relative to the baseline."""
         ...
 
     def baseline_latency(self, service: str, load: float) -> float | None:
-        """Return the p99 without neighbours in milliseconds, None if it isn't known."""
+        """Return the p99 without colocated tasks in milliseconds, None if it isn't known."""
         ...
 
 
 @dataclass(frozen=True, slots=True)
 class Prior:
     """
-    State what is believed before any sample.
+    Prior of the effects on a service.
 
-    ``rise`` is that of a host full of an unknown kind at full load; deviations are standard ones;
-    ``noise`` is relative to the sample; ``memory`` is in seconds.
+    ``latency_rise`` is that of a host full of an unknown kind at full load, ``load_rise`` that of
+    the load alone.  Deviations are standard deviations.  ``relative_noise`` is relative to the
+    sample, ``time_constant`` is in seconds.  In the guess for an unknown kind, ``latency_rise``
+    counts as much as ``pseudo_count`` known kinds.
     """
 
     latency_rise: float = 1.0
@@ -56,7 +58,7 @@
 
 
 class PairEstimator:
-    """Estimate the effects of pairs of a service and a kind of task."""
+    """Estimator of the effects of pairs of a service and a kind of task."""
 
     def __init__(self, prior: Prior | None = None) -> None:
         self._prior = prior or Prior()
@@ -67,7 +69,7 @@
         self, now: float, service: str, latency: float, load: float, amounts: Mapping[str, float]
     ) -> None:
         """
-        Take a sample of a service's p99.
+        Update the model of a service with a sample of its p99.
 
         Parameters
         ----------
@@ -76,7 +78,7 @@
         load
             Load of the service when it was measured, between 0 and 1.
         amounts
-            Share of the host's processors that each kind used at that instant.
+            Fraction of the host's processors that each kind used at that time.
         """
         if latency <= 0:
             return
@@ -87,13 +89,12 @@
                 model.add(now, KIND_PREFIX + kind, rise, self._prior.rise_deviation)
         features = make_features(load, amounts)
         value = latency / self._scales[service]
-        # The noise grows with the sample itself, so that one wild measurement can't undo what many
-        # have shown.
+        # The noise is proportional to the sample, so that one outlier can't outweigh many samples.
         scale = max(value, model.predict(features))
         model.learn(now, features, value, self._prior.relative_noise * scale)
 
     def latency_rise(self, service: str, kind: str, load: float) -> float:
-        """Return the rise of the p99, relative to the quiet one, beside a host full of a kind."""
+        """Return the rise of the p99 on a host full of one kind, relative to the baseline."""
         model = self._models.get(service)
         if model is None:
             return self._prior.latency_rise * load
@@ -102,14 +103,14 @@
         return max(0.0, effect) * load / self._predict_baseline(model, load)
 
     def baseline_latency(self, service: str, load: float) -> float | None:
-        """Return the p99 without neighbours in milliseconds, None if it isn't known."""
+        """Return the p99 without colocated tasks in milliseconds, None if it isn't known."""
         model = self._models.get(service)
         if model is None:
             return None
         return self._predict_baseline(model, load) * self._scales[service]
 
     def _add_service(self, now: float, service: str, latency: float, load: float) -> Regression:
-        """Start the model of a service with its first sample as the unit of latency."""
+        """Add the model of a service; its unit of latency follows from the first sample."""
         prior = self._prior
         model = Regression(prior.time_constant)
         self._scales[service] = latency / (1.0 + prior.load_rise * load)
@@ -119,25 +120,25 @@
         return model
 
     def _guess_rise(self, model: Regression) -> float:
-        """Guess the effect of an unknown kind from the known ones and the prior."""
+        """Return the expected effect of an unknown kind, from the known ones and the prior."""
         known = model.means(KIND_PREFIX)
         total = self._prior.latency_rise * self._prior.pseudo_count + sum(known)
         return total / (self._prior.pseudo_count + len(known))
 
     def _predict_baseline(self, model: Regression, load: float) -> float:
-        """Predict the p99 without neighbours in units of the model."""
+        """Return the p99 without colocated tasks in units of the model."""
         return max(MIN_BASELINE, model.predict(make_features(load, {})))
 
 
 def make_features(load: float, amounts: Mapping[str, float]) -> dict[str, float]:
-    """Return the features of a sample."""
+    """Return the regression features of a sample."""
     features = {BASELINE_FEATURE: 1.0, LOAD_FEATURE: load}
     features.update((KIND_PREFIX + kind, load * amount) for kind, amount in amounts.items())
     return features
 
 
 def sum_amounts(residents: Iterable[Resident], processors: int) -> dict[str, float]:
-    """Return the share of a host's processors that each kind uses."""
+    """Return the fraction of a host's processors that each kind uses."""
     amounts: defaultdict[str, float] = defaultdict(float)
     for it in residents:
         amounts[it.kind] += it.processors * it.share / processors
--- a/toucanpin/interference/policy.py
+++ b/toucanpin/interference/policy.py
@@ -1,9 +1,9 @@
 """
-Policy of interference
-======================
+Interference policy
+===================
 
-Learns from late samples and answers two questions: what would a task cost here, and what has to be
-done about a host.  Times are seconds of the owner's clock.
+Learns from delayed samples, scores the placement of a task on a host and decides on throttling and
+evictions.  Times are in seconds of the owner's clock.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Sample:
-    """Give the measured p99 of a service on a host at a past instant, in milliseconds."""
+    """Past measurement of a service on a host: its p99 in milliseconds, and its load."""
 
     host: str
     service: str
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Avoid:
-    """Place nothing more on a host until an instant."""
+    """Place no task on a host until a given time."""
 
     host: str
     until: float
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetShare:
-    """Throttle a task to a share, or give it back."""
+    """Throttle a task to a share, or raise its share again."""
 
     task: str
     share: float
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Evict:
-    """Checkpoint and stop a task, and queue it again."""
+    """Checkpoint and stop a task, and return it to the queue."""
 
     task: str
 
@@ -61,13 +61,26 @@
 @dataclass(frozen=True, slots=True)
 class Tuning:
     """
-    Set how readily the policy acts.
-
-    ``lower_margin`` and ``raise_margin`` are the part of what a change of shares trades that it
-    must gain.  ``settle`` is how many seconds after an action a sample has to be taken to show it.
-    ``evict_share`` and ``patience`` (seconds) say below which share and after how long a task is
-    worth moving, ``horizon`` for how many minutes a move pays, ``elsewhere`` which share the task
-    is expected to get there.  After ``max_wait`` seconds a task takes the best host there is.
+    Thresholds of the policy.
+
+    Attributes
+    ----------
+    lower_margin, raise_margin
+        Net gain that a change of shares must exceed, as a fraction of the latency cost and work
+        that it trades.
+    settling_time
+        Seconds after an action from which samples show its effect.
+    evict_share
+        Highest share at which a task may be evicted.
+    eviction_delay
+        Seconds for which a task must have had such a share before it is evicted, and for which a
+        host is avoided after throttling.
+    horizon_minutes
+        Minutes over which the gain of a move is counted.
+    expected_share
+        Share that an evicted task is expected to get on its next host.
+    max_wait
+        Seconds after which a queued task is placed on the best host regardless of its score.
     """
 
     lower_margin: float = 0.6
@@ -82,7 +95,7 @@
 
 @dataclass(slots=True)
 class HostState:
-    """Remember of one host who was there, what was measured and what was done."""
+    """Residents, samples and actions of one host."""
 
     history: CoResidents = field(default_factory=CoResidents)
     newest_sample_at: float = float("-inf")
@@ -92,7 +105,7 @@
 
 
 class InterferencePolicy:
-    """Decide about interference on the hosts of one owner."""
+    """Interference policy for the hosts of one owner."""
 
     def __init__(
         self,
@@ -109,7 +122,7 @@
         self._hosts: dict[str, HostState] = {}
 
     def observe(self, now: float, view: HostView) -> None:
-        """Note who is on a host from now on; call it for each change and each report."""
+        """Record the residents of a host; call it for each change and each report."""
         state = self._hosts.setdefault(view.host, HostState())
         state.history.record(now, view.residents)
         low = {it.task for it in view.residents if it.share <= self._tuning.evict_share}
@@ -117,7 +130,7 @@
         state.low_since = {task: kept.get(task, now) for task in low}
 
     def measure(self, now: float, view: HostView, samples: Iterable[Sample]) -> None:
-        """Learn from samples of a host; one that came before, or too late, is left out."""
+        """Learn from samples of a host, except duplicates and those older than its history."""
         state = self._hosts.setdefault(view.host, HostState())
         for sample in samples:
             if sample.sampled_at <= state.last_sampled.get(sample.service, float("-inf")):
@@ -131,32 +144,34 @@
 
     def score(self, view: HostView, task: Candidate) -> float:
         """
-        Return what a task would add to the cost of a host, by the minute.
+        Return the increase of a host's cost per minute by a task.
 
-        The host with the lowest score is best; above zero the task does more harm than good.
+        The host with the lowest score is best; at a positive score the latency cost exceeds the
+        value of the work.
         """
         return self.score_summary(self.summarize(view), task)
 
     def summarize(self, view: HostView) -> Summary:
-        """Sum up a host once for the scores of many tasks."""
+        """Return the summary of a host, for the scores of many tasks."""
         shares = [it.share for it in view.residents]
         rises = self._host_cost(view).sum_rises(shares)
         return Summary(view.processors, view.services, tuple(rises))
 
     def score_summary(self, summary: Summary, task: Candidate) -> float:
-        """Return the score of a task on a host that was summed up before."""
+        """Return the score of a task on a host from its summary."""
         return score(self._effects, self.weights, summary, task)
 
     def accepts(self, score: float, waited: float) -> bool:
-        """Tell whether a task that waited so many seconds is placed at this score."""
-        # A kind that harms everywhere would never start; throttling bounds what it does.
+        """Return whether a task with this score is placed after waiting ``waited`` seconds."""
+        # Without the limit, a kind that interferes on all hosts would never start.  Throttling
+        # bounds its effect.
         return score < 0.0 or (waited >= self._tuning.max_wait and score < float("inf"))
 
     def decide(self, now: float, view: HostView) -> Iterator[Action]:
-        """Yield what has to be done about a host now, in rising order."""
+        """Yield the actions for a host, the mildest first."""
         state = self._hosts.setdefault(view.host, HostState())
-        # The samples at hand are older than the last action.  Acting on them again would answer the
-        # same rise twice, then its absence twice: shares swing and tasks are evicted for nothing.
+        # Samples from before the last action don't show its effect.  Acting on them again would
+        # make shares oscillate and evict tasks without need.
         if state.newest_sample_at < state.acted_at + self._tuning.settling_time:
             return
         cost = self._host_cost(view)
@@ -174,15 +189,15 @@
             yield Evict(evicted.task)
 
     def forget_host(self, host: str) -> None:
-        """Forget a host that is gone or has another owner."""
+        """Drop the state of a host that was removed or has another owner."""
         self._hosts.pop(host, None)
 
     def _host_cost(self, view: HostView) -> HostCost:
-        """Price a host with what is known of it."""
+        """Return the cost model of a host."""
         return HostCost(self._effects, self.weights, view)
 
     def _change_shares(self, cost: HostCost, view: HostView) -> Iterator[SetShare]:
-        """Yield the changes of shares that are worth it; a rise goes one step at a time."""
+        """Yield the worthwhile changes of shares; shares are raised one step at a time."""
         current = [it.share for it in view.residents]
         lower = cost.lower_shares()
         if cost.is_worthwhile(current, lower, self._tuning.lower_margin):
@@ -196,7 +211,7 @@
     def _choose_eviction(
         self, now: float, cost: HostCost, view: HostView, state: HostState
     ) -> Resident | None:
-        """Choose the task whose move gains most, None if no move is worth its cost."""
+        """Return the task whose move gains most, None if no move is worth its cost."""
         best = None
         best_gain = 0.0
         for index, it in enumerate(view.residents):
@@ -209,7 +224,7 @@
         return best
 
     def _move_gain(self, cost: HostCost, view: HostView, index: int) -> float:
-        """Return what the move of one task gains over the horizon, less its cost."""
+        """Return the gain of moving one task over the horizon, less the cost of the eviction."""
         it = view.residents[index]
         shares = [other.share for other in view.residents]
         without = [*shares[:index], 0.0, *shares[index + 1 :]]
@@ -220,17 +235,17 @@
 
 
 def lowers_share(change: SetShare, view: HostView) -> bool:
-    """Tell whether a change takes share from a task."""
+    """Return whether a change lowers the share of a task."""
     return any(it.task == change.task and change.share < it.share for it in view.residents)
 
 
 def next_step(present: float, chosen: float) -> float:
-    """Return the next step from a share towards a higher one."""
+    """Return the next step from the present share towards the chosen one."""
     return present if chosen == present else next(step for step in SHARES if step > present)
 
 
 def list_share_changes(view: HostView, shares: Iterable[float]) -> Iterator[SetShare]:
-    """Yield the shares that differ from the present ones."""
+    """Yield a change for each share that differs from the present one."""
     for it, share in zip(view.residents, shares, strict=True):
         if share != it.share:
             yield SetShare(it.task, share)
--- a/toucanpin/interference/regression.py
+++ b/toucanpin/interference/regression.py
@@ -1,10 +1,10 @@
 """
-Regression that forgets
-=======================
+Regression with forgetting
+==========================
 
-Linear regression on a stream of samples, in which each coefficient drifts about a prior: a Kalman
-filter over Ornstein-Uhlenbeck processes.  Few samples leave a coefficient near its prior, and old
-ones lose their weight.
+Linear regression on a stream of samples in which each coefficient varies around a prior: a Kalman
+filter over Ornstein-Uhlenbeck processes.  A coefficient with few samples stays near its prior, and
+old samples lose their weight.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 @dataclass(slots=True)
 class Coefficient:
-    """Hold one coefficient: its prior, its mean and when it was last brought up to date."""
+    """Coefficient: its prior mean and variance, its mean and the time of its last update."""
 
     prior: float
     variance: float
@@ -28,11 +28,11 @@
 
 class Regression:
     """
-    Estimate coefficients by name.
+    Recursive estimator of named coefficients.
 
     Parameters
     ----------
-    memory
+    time_constant
         Seconds after which a deviation from the prior has lost 63% of its weight.
     """
 
@@ -46,7 +46,7 @@
         return name in self._names
 
     def add(self, now: float, name: str, prior: float, deviation: float) -> None:
-        """Add a coefficient at its prior, which has this standard deviation."""
+        """Add a coefficient with the mean and the standard deviation of its prior."""
         variance = deviation * deviation
         self._names[name] = len(self._coefficients)
         self._coefficients.append(Coefficient(prior, variance, prior, now))
@@ -69,15 +69,15 @@
         return math.sqrt(max(0.0, self._covariance[index][index]))
 
     def means(self, prefix: str) -> list[float]:
-        """Return the estimates of the coefficients whose names begin so."""
+        """Return the estimates of the coefficients whose names start with a prefix."""
         return [self.mean(name) for name in self._names if name.startswith(prefix)]
 
     def predict(self, features: Mapping[str, float]) -> float:
-        """Predict a sample."""
+        """Return the predicted value of a sample."""
         return sum(self.mean(name) * value for name, value in features.items())
 
     def learn(self, now: float, features: Mapping[str, float], value: float, noise: float) -> None:
-        """Take a sample with noise of this standard deviation."""
+        """Update the estimates with a sample whose noise has this standard deviation."""
         for name in features:
             self._decay(self._names[name], now)
         present = [(self._names[name], x) for name, x in features.items() if x]
@@ -94,7 +94,7 @@
                 ]
 
     def _decay(self, index: int, now: float) -> None:
-        """Let a coefficient drift back to its prior for the time since its last sample."""
+        """Decay a coefficient towards its prior for the time since its last update."""
         it = self._coefficients[index]
         elapsed = now - it.updated_at
         if elapsed <= 0:
--- a/toucanpin/interference/tests/test_estimator.py
+++ b/toucanpin/interference/tests/test_estimator.py
@@ -1,4 +1,4 @@
-"""Tests of the estimator: attribution by features, shrinkage, forgetting, wild samples, usage."""
+"""Tests of the estimator: attribution to kinds, shrinkage, forgetting, outliers and usage."""
 
 import random
 import unittest
@@ -44,7 +44,7 @@
         self.assertGreater(self.rise("noisy", 0.8), 1.8 * self.rise("noisy", 0.3))
 
     def test_few_samples_stay_near_the_prior(self):
-        """One sample moves a pair less than a hundred that say the same."""
+        """One sample changes an estimate less than a hundred samples of the same effect."""
         before = self.rise("noisy")
         self.estimator.learn(0, "s", true_latency(0.5, {"noisy": 0.2}), 0.5, {"noisy": 0.2})
         moved = abs(self.rise("noisy") - before)
@@ -58,8 +58,8 @@
 
     def test_follows_changed_effects(self):
         """
-        The noisy kind becomes mild, as after a new release of its program.  The policy would go on
-        throttling it for nothing if old samples weighed as much as new ones.
+        The noisy kind becomes mild, as after a new release of its program.  If old samples had the
+        weight of new ones, the policy would keep throttling it without need.
         """
         self.teach(0, 300)
         self.teach(1_500, 150, {"noisy": 0.2, "mild": 4.0})
--- a/toucanpin/interference/tests/test_policy.py
+++ b/toucanpin/interference/tests/test_policy.py
@@ -1,4 +1,4 @@
-"""Tests of the policy: attribution, rising order, the lag, hysteresis, budget and weights."""
+"""Tests of the policy: attribution, order of actions, lag, hysteresis, budget and weights."""
 
 import dataclasses
 import unittest
@@ -49,7 +49,7 @@
 
 
 def apply(view, actions):
-    """Return the view after the actions."""
+    """Return the view after some actions."""
     shares = {it.task: it.share for it in actions if isinstance(it, SetShare)}
     gone = {it.task for it in actions if isinstance(it, Evict)}
     residents = tuple(
@@ -66,7 +66,7 @@
         self.policy = InterferencePolicy(weights or Weights(), effects)
 
     def step(self, now, view, *samples):
-        """Take samples, decide and carry the actions out."""
+        """Learn from samples, decide and apply the actions."""
         self.policy.observe(now, view)
         self.policy.measure(now, view, samples)
         actions = list(self.policy.decide(now, view))
@@ -90,9 +90,9 @@
 
     def test_waits_for_a_sample_after_the_last_action(self):
         """
-        A task was throttled at second 10; reports go on to bring samples of the seconds before, in
-        which the load seems to have fallen.  Acting on them would give the share back before
-        anybody has seen what taking it did, then take it again, and so on.
+        A task is throttled at second 10, and later reports contain samples from before, at a lower
+        load.  Acting on them would raise the share before the effect of throttling is known, lower
+        it again, and so on.
         """
         self.make()
         _, view = self.step(10, make_view(NOISY), sample(9))
@@ -105,8 +105,8 @@
 
     def test_small_load_variation_changes_nothing(self):
         """
-        The load of a service swings by two hundredths about a value at which two shares cost the
-        same.  Without a margin each report would move the share by a step and back.
+        The load of a service varies by 0.02 around a value at which two shares have the same cost.
+        Without a margin, the share would change with each report.
         """
         self.make()
         view = make_view(NOISY)
@@ -120,8 +120,8 @@
 
     def test_evicts_only_after_eviction_delay(self):
         """
-        A task does so much harm that its share stays near the floor.  Only after it has had next to
-        nothing for the patience is it moved, and the order is avoid, throttle, evict.
+        A task interferes so much that its share stays near the minimum.  It is evicted only after
+        the eviction delay, and the order of actions is avoid, throttle, evict.
         """
         self.make(noisy=60.0)
         view = make_view(NOISY)
@@ -135,7 +135,7 @@
         self.assertGreaterEqual(seen[2][0] - seen[1][0], eviction_delay)
 
     def test_costly_eviction_is_avoided(self):
-        """Stillwater's weights and much unsaved work make a move dearer than its gain."""
+        """A high weight of evictions and much unsaved work make a move cost more than it gains."""
         self.make(Weights(evictions=1.0), noisy=60.0)
         view = make_view(dataclasses.replace(NOISY, unsaved=600.0))
         for now in range(10, 400, 10):
@@ -177,8 +177,8 @@
 
     def test_late_sample_is_attributed_to_past_residents(self):
         """
-        A noisy task leaves and a mild one comes; the sample of the noisy time arrives afterwards.
-        Charged to the present task, it would make the mild kind look noisy and be throttled.
+        A noisy task is replaced by a mild one before the sample of the noisy period arrives.
+        Attributed to the present resident, it would get the mild kind throttled.
         """
         self.policy = InterferencePolicy(Weights())
         now = 0.0
@@ -192,7 +192,7 @@
         self.assertGreater(rise("s", "noisy", 0.8), rise("s", "mild", 0.8) + 2.0)
 
     def test_duplicate_and_late_samples_are_ignored(self):
-        """A report is doubled on its way, and a sample is older than what is remembered."""
+        """A report is delivered twice, and a sample is older than the history."""
         self.policy = InterferencePolicy(Weights())
         view = make_view(NOISY)
         self.policy.observe(100, view)
@@ -203,8 +203,8 @@
 
     def test_budget_limits_evictions_across_hosts(self):
         """
-        A noisy wave hits many hosts at once and every one would evict.  Only the budget's number
-        goes in a minute, or the wave of evictions would cost more than the wave of noise.
+        Interference rises on many hosts at once, and each of them would evict a task.  Without the
+        limit per minute, the evictions would cost more than the interference.
         """
         effects = FixedEffects(noisy=60.0)
         policy = InterferencePolicy(Weights(), effects, Budget(per_minute=3))
--- a/toucanpin/interference/view.py
+++ b/toucanpin/interference/view.py
@@ -2,7 +2,7 @@
 Views of hosts
 ==============
 
-What a decision about interference knows of one host.  Times are seconds of the owner's clock.
+The state of one host as input of interference decisions.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceLoad:
-    """Give the newest known load of a service on a host, between 0 and 1."""
+    """Latest known load of a service on a host, between 0 and 1."""
 
     service: str
     load: float
@@ -23,11 +23,11 @@
 @dataclass(frozen=True, slots=True)
 class Resident:
     """
-    Describe a task on a host.
+    Task on a host.
 
-    ``processors`` is what it takes at full share: measured use where there is a measurement,
-    declared size otherwise.  ``unsaved`` is the work since its checkpoint, in seconds.  A task that
-    isn't ``batch`` is never throttled or evicted.
+    ``processors`` is its usage at full share: the measured one if there is a measurement, otherwise
+    the declared size.  ``unsaved`` is the work since its checkpoint, in seconds.  A task that isn't
+    ``batch`` is never throttled or evicted.
     """
 
     task: str
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Candidate:
-    """Describe a task that waits for a place."""
+    """Task that waits for placement."""
 
     kind: str
     processors: float
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HostView:
-    """Describe a host, the services on it and the tasks beside them."""
+    """Host with its services and the tasks colocated with them."""
 
     host: str
     processors: int
