--- a/toucanpin/timeline/__init__.py
+++ b/toucanpin/timeline/__init__.py
@@ -1,4 +1,4 @@
-"""Events of every process, merged into one time line."""
+"""Events of all processes, merged into one timeline."""
 
 from toucanpin.timeline.codec import decode_lines, encode_lines
 from toucanpin.timeline.event import Cause, Event
--- a/toucanpin/timeline/codec.py
+++ b/toucanpin/timeline/codec.py
@@ -1,8 +1,8 @@
 """
-Codec
-=====
+Event codec
+===========
 
-Events as JSON lines.
+Encode and decode events as JSON lines.
 """
 
 from __future__ import annotations
@@ -21,16 +21,16 @@
 
 
 def encode_lines(events: Iterable[Event]) -> Iterator[bytes]:
-    """Yield one line for each event, its end included."""
+    """Yield one JSON line for each event, newline included."""
     for event in events:
         yield _ENCODER.encode(event) + b"\n"
 
 
 def decode_lines(source: str, body: bytes) -> Iterator[Event | Unreadable]:
     """
-    Yield the event of each line, or the fault of a line that holds none.
+    Yield the event of each line, or an `Unreadable` for a line that can't be decoded.
 
-    A process that dies while it sends leaves half a line at the end; the rest is still told.
+    A process that crashes while sending leaves a truncated last line; the other lines are kept.
     """
     for number, line in enumerate(body.split(b"\n"), start=1):
         if not line.strip():
--- a/toucanpin/timeline/event.py
+++ b/toucanpin/timeline/event.py
@@ -2,7 +2,7 @@
 Events
 ======
 
-One thing that happened in one process, ordered against other processes by sequence numbers.
+Events of processes, with the events of other processes that caused them.
 """
 
 from __future__ import annotations
@@ -15,9 +15,9 @@
 @dataclass(frozen=True, slots=True)
 class Cause:
     """
-    Point at the event of another process that came before, by its sequence number.
+    Reference, by sequence number, to an earlier event of another process.
 
-    Sequence numbers start anew in each incarnation; an empty ``incarnation`` leaves it open.
+    Sequence numbers restart in each incarnation; an empty ``incarnation`` means unknown.
     """
 
     process: str
@@ -28,9 +28,10 @@
 @dataclass(frozen=True, slots=True)
 class Event:
     """
-    Record one event; ``monotonic`` and ``wall`` are in seconds, ``ids`` name what it concerns.
+    Event of one process; ``monotonic`` and ``wall`` are clock readings in seconds.
 
-    Keys of ``ids`` are ``request``, ``job``, ``host``, ``bundle``, ``cell`` or ``task``.
+    ``ids`` identify what the event concerns; their keys are ``request``, ``job``, ``host``,
+    ``bundle``, ``cell`` or ``task``.
     """
 
     process: str
--- a/toucanpin/timeline/faults.py
+++ b/toucanpin/timeline/faults.py
@@ -1,9 +1,9 @@
 """
-Faults of a time line
-=====================
+Faults of a timeline
+====================
 
-What is wrong with the events that were gathered.  A fault is reported beside the time line and
-never ends it: an incident leaves holes, and its time line is needed most then.
+Defects of the collected events.  A fault is reported beside the timeline and doesn't end it: after
+an incident events are often missing, and that is when the timeline is needed most.
 """
 
 from __future__ import annotations
@@ -27,20 +27,20 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class EventId:
-    """Name one event among those of every process."""
+    """Identifier of an event, unique among all processes."""
 
     process: str
     incarnation: str
     sequence: int
 
     def __str__(self) -> str:
-        """Write the name as people read it."""
+        """Return the identifier as ``process@incarnation#sequence``."""
         return f"{self.process}@{self.incarnation}#{self.sequence}"
 
 
 @dataclass(frozen=True, slots=True)
 class Unreadable:
-    """Report a line that holds no event."""
+    """Line that can't be decoded as an event."""
 
     source: str
     line: int
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Gap:
-    """Report events of one incarnation that are missing, ``first`` to ``last`` inclusive."""
+    """Missing events of one incarnation, ``first`` to ``last`` inclusive."""
 
     process: str
     incarnation: str
@@ -59,7 +59,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MissingCause:
-    """Report an event whose cause was not gathered."""
+    """Event whose cause is not among the collected events."""
 
     event: EventId
     cause: Cause
@@ -67,7 +67,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AmbiguousCause:
-    """Report a cause that fits several incarnations and the one that was taken."""
+    """Cause that matches several incarnations, and the incarnation that was assumed."""
 
     event: EventId
     cause: Cause
@@ -76,14 +76,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Cycle:
-    """Report an event that was let through although its causes wait for it."""
+    """Event that was emitted before its causes because they depend on it."""
 
     event: EventId
 
 
 @dataclass(frozen=True, slots=True)
 class ConflictingCopies:
-    """Report one event of which two sources tell different things."""
+    """Event of which two sources hold different copies."""
 
     event: EventId
 
@@ -92,7 +92,7 @@
 
 
 def explain_fault(fault: Fault) -> str:
-    """Write a fault as one line."""
+    """Return a one-line description of a fault."""
     match fault:
         case Unreadable(source, line, detail):
             return f"{source}:{line}: unreadable event: {detail}"
@@ -102,8 +102,8 @@
             return f"{event}: its cause {cause.process}#{cause.sequence} is missing"
         case AmbiguousCause(event, cause, chosen):
             location = f"{cause.process}#{cause.sequence}"
-            return f"{event}: its cause {location} fits several incarnations, took {chosen}"
+            return f"{event}: its cause {location} matches several incarnations, assumed {chosen}"
         case Cycle(event):
-            return f"{event}: waits for events that wait for it"
+            return f"{event}: is part of a cycle of causes"
         case ConflictingCopies(event):
-            return f"{event}: two sources differ, the first was kept"
+            return f"{event}: sources hold different copies, kept one of them"
--- a/toucanpin/timeline/filters.py
+++ b/toucanpin/timeline/filters.py
@@ -1,8 +1,8 @@
 """
-Filters
-=======
+Event filters
+=============
 
-The events that concern one request, job, host, bundle or task.
+Select the events that concern one request, job, host, bundle or task.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Filter:
-    """Name what events must concern; an empty field asks for nothing."""
+    """Criteria that an event must meet; an empty field matches every event."""
 
     request: str = ""
     job: str = ""
@@ -27,7 +27,7 @@
     kind: str = ""
 
     def accepts(self, event: Event) -> bool:
-        """Tell whether an event concerns everything that is named."""
+        """Return whether an event meets every criterion."""
         exact = (
             ("request", self.request),
             ("job", self.job),
@@ -47,10 +47,10 @@
 
 
 def _concerns_host(event: Event, host: str) -> bool:
-    """Tell whether an event happened on a host or is about it."""
+    """Return whether an event happened on a host or concerns it."""
     return event.ids.get("host") == host or event.process.split("/", 1)[0] == host
 
 
 def _has_kind(event: Event, kind: str) -> bool:
-    """Tell whether an event is of a kind or of its family, as ``task.placed`` is of ``task``."""
+    """Return whether an event is of a kind or family, as ``task.placed`` is of ``task``."""
     return event.kind == kind or event.kind.startswith(f"{kind}.")
--- a/toucanpin/timeline/lanes.py
+++ b/toucanpin/timeline/lanes.py
@@ -1,9 +1,9 @@
 """
-Lanes
-=====
+Lane diagram
+============
 
-A time line as a picture: one lane for each process, one mark for each event, a line from each
-cause.  The picture needs no other file and no script.
+Render a timeline as SVG or HTML: one lane for each process, one mark for each event, one line
+from each cause to its effect.  The document is self-contained and has no script.
 """
 
 from __future__ import annotations
@@ -17,6 +17,7 @@
 
 __all__ = ["render_html", "render_svg"]
 
+# Sizes in pixels.
 NAME_WIDTH = 170
 EVENT_SPACING = 22
 LANE_HEIGHT = 44
@@ -26,7 +27,7 @@
 
 
 def render_svg(events: Iterable[Event]) -> str:
-    """Draw the events, which must be in causal order, as one SVG document."""
+    """Return an SVG document of the events, which must be in causal order."""
     ordered = tuple(events)
     lanes = {name: index for index, name in enumerate(sorted({event.process for event in ordered}))}
     width = NAME_WIDTH + EVENT_SPACING * (len(ordered) + 1) + MARGIN
@@ -52,8 +53,8 @@
     return ElementTree.tostring(root, encoding="unicode")
 
 
-def render_html(events: Iterable[Event], title: str = "Time line") -> str:
-    """Show the picture and the same events as text on one page."""
+def render_html(events: Iterable[Event], title: str = "Timeline") -> str:
+    """Return an HTML page with the diagram and the same events as text."""
     ordered = tuple(events)
     text = "\n".join(render_text(ordered))
     return (
@@ -65,7 +66,7 @@
 
 
 def _compute_points(ordered: tuple[Event, ...], lanes: dict[str, int]) -> list[tuple[int, int]]:
-    """Give each event its point."""
+    """Return the coordinates of each event."""
     return [
         (NAME_WIDTH + EVENT_SPACING * (order + 1), _compute_lane_y(lanes[event.process]))
         for order, event in enumerate(ordered)
@@ -73,12 +74,12 @@
 
 
 def _compute_lane_y(index: int) -> int:
-    """Return the height of a lane's line."""
+    """Return the vertical position of a lane's line."""
     return MARGIN + LANE_HEIGHT * index + LANE_HEIGHT // 2
 
 
 def _draw_lane(root: ElementTree.Element, name: str, index: int, width: int) -> None:
-    """Draw one process's line and name."""
+    """Draw the line and the name of one process."""
     y = str(_compute_lane_y(index))
     ends = {"x1": str(NAME_WIDTH), "y1": y, "x2": str(width - MARGIN), "y2": y}
     ElementTree.SubElement(root, "line", {**ends, "stroke": "#cccccc"})
@@ -89,7 +90,7 @@
 def _draw_causes(
     root: ElementTree.Element, ordered: tuple[Event, ...], points: list[tuple[int, int]]
 ) -> None:
-    """Draw a line from each cause that is in the picture, to the event that it led to."""
+    """Draw a line from each cause in the diagram to its effect."""
     drawn: dict[tuple[str, int], tuple[int, int]] = {}
     for event, (x, y) in zip(ordered, points, strict=True):
         for cause in event.causes:
@@ -101,7 +102,7 @@
 
 
 def _draw_mark(root: ElementTree.Element, event: Event, x: int, y: int, colour: str) -> None:
-    """Draw one event, whose words show under the pointer."""
+    """Draw the mark of one event, with its description as a tooltip."""
     shape = {"cx": str(x), "cy": str(y), "r": str(MARK_RADIUS), "fill": colour}
     mark = ElementTree.SubElement(root, "circle", shape)
     tooltip = ElementTree.SubElement(mark, "title")
@@ -109,16 +110,16 @@
 
 
 def _assign_colours(ordered: tuple[Event, ...]) -> dict[str, str]:
-    """Give each family of kinds its colour."""
+    """Return a colour for each family of event kinds."""
     families = sorted({_get_family(event) for event in ordered})
     return {family: COLOURS[index % len(COLOURS)] for index, family in enumerate(families)}
 
 
 def _get_family(event: Event) -> str:
-    """Return the part of a kind before its first dot."""
+    """Return the part of an event's kind before the first dot."""
     return event.kind.split(".", 1)[0]
 
 
 def _replace_unprintable(text: str) -> str:
-    """Replace what XML can't hold; the library escapes the rest."""
+    """Replace unprintable characters, not all of which XML allows; the library escapes markup."""
     return "".join(char if char.isprintable() else "\N{REPLACEMENT CHARACTER}" for char in text)
--- a/toucanpin/timeline/merge.py
+++ b/toucanpin/timeline/merge.py
@@ -1,12 +1,12 @@
 """
-Merge
-=====
+Causal merge
+============
 
-The events of many processes in one causal order.
+Merge the events of many processes into one causal order.
 
-An event comes after its causes and after its own process's earlier events.  Wall clocks of
-different hosts disagree, so they only choose among events that nothing else orders.  The same
-events give the same order, whatever order they were gathered in.
+An event comes after its causes and after the earlier events of its process.  Wall clocks of
+different hosts disagree, so they only break ties between causally unrelated events.  The result
+doesn't depend on the order in which the events were collected.
 """
 
 from __future__ import annotations
@@ -36,12 +36,12 @@
 
 
 def identify(event: Event) -> EventId:
-    """Name an event."""
+    """Return the identifier of an event."""
     return EventId(event.process, event.incarnation, event.sequence)
 
 
 def skip_unreadable(items: Iterable[Event | Unreadable], report: ReportFault) -> Iterator[Event]:
-    """Yield the events and report the lines that held none."""
+    """Yield the events and report the unreadable lines."""
     for item in items:
         match item:
             case Unreadable():
@@ -51,7 +51,7 @@
 
 
 def merge(events: Iterable[Event], report: ReportFault) -> Iterator[Event]:
-    """Yield every event once, in causal order, and report what is wrong with them."""
+    """Yield every event once, in causal order, and report faults."""
     unique = _deduplicate(events, report)
     sequences_by_process = _group_sequences(unique)
     _report_gaps(sequences_by_process, report)
@@ -60,8 +60,8 @@
 
 
 def _deduplicate(events: Iterable[Event], report: ReportFault) -> dict[EventId, Event]:
-    """Keep one copy of each event."""
-    # The arrival order decides nothing: of two differing copies the smaller text is kept.
+    """Return one copy of each event."""
+    # Of two different copies the one with the smaller repr is kept, whichever was read first.
     unique: dict[EventId, Event] = {}
     differing: set[EventId] = set()
     for event in events:
@@ -76,7 +76,7 @@
 
 
 def _group_sequences(unique: dict[EventId, Event]) -> dict[str, dict[str, list[int]]]:
-    """Give, for each process, its incarnations in order and their sequence numbers."""
+    """Return the sequence numbers by process and incarnation, incarnations in order."""
     sequences: dict[str, dict[str, list[int]]] = defaultdict(lambda: defaultdict(list))
     for event_id in sorted(unique):
         sequences[event_id.process][event_id.incarnation].append(event_id.sequence)
@@ -94,8 +94,8 @@
 def _make_incarnation_key(
     process: str, incarnation: str, found: dict[str, list[int]], unique: dict[EventId, Event]
 ) -> tuple[int, float, str]:
-    """Rank one incarnation among those of its process."""
-    # Incarnations are counted upwards, so numbers order them exactly; the clock helps with others.
+    """Return the sort key of an incarnation among those of its process."""
+    # Numeric incarnations increase; others are ordered by the wall clock of their first event.
     if all(each.isascii() and each.isdigit() for each in found):
         return int(incarnation), 0.0, incarnation
     first = unique[EventId(process, incarnation, found[incarnation][0])]
@@ -118,7 +118,7 @@
     sequences_by_process: dict[str, dict[str, list[int]]],
     report: ReportFault,
 ) -> dict[EventId, set[EventId]]:
-    """Give, for each event, the events that must come before it."""
+    """Return the direct predecessors of each event."""
     parents: dict[EventId, set[EventId]] = {event_id: set() for event_id in unique}
     for process, incarnations in sequences_by_process.items():
         history = [
@@ -143,7 +143,7 @@
     sequences_by_process: dict[str, dict[str, list[int]]],
     report: ReportFault,
 ) -> EventId | None:
-    """Return the event that a cause points at; of a lost one, its last known predecessor."""
+    """Return the event that a cause refers to or, if it is missing, its last known predecessor."""
     incarnations = sequences_by_process.get(cause.process, {})
     candidates = [
         incarnation
@@ -167,7 +167,7 @@
 
 
 def _find_predecessor(cause: Cause, incarnations: dict[str, list[int]]) -> EventId | None:
-    """Return the newest known event before a lost one of a certain incarnation."""
+    """Return the last known event before a missing one in the same incarnation."""
     sequences = incarnations.get(cause.incarnation, [])
     index = bisect_left(sequences, cause.sequence)
     if index == 0:
@@ -181,7 +181,7 @@
     parents: dict[EventId, set[EventId]],
     report: ReportFault,
 ) -> Iterator[Event]:
-    """Yield events whose predecessors were yielded, the earliest by wall clock first."""
+    """Yield the events in topological order, ties broken by wall clock."""
     children: dict[EventId, list[EventId]] = defaultdict(list)
     waiting = {event_id: len(before) for event_id, before in parents.items()}
     for event_id, before in parents.items():
@@ -209,6 +209,6 @@
 
 
 def _rank(event: Event, sequences_by_process: dict[str, dict[str, list[int]]]) -> _Rank:
-    """Rank an event among those that nothing else orders."""
+    """Return the sort key of an event among causally unrelated ones."""
     incarnation = list(sequences_by_process[event.process]).index(event.incarnation)
     return event.wall, event.process, incarnation, event.sequence
--- a/toucanpin/timeline/recorder.py
+++ b/toucanpin/timeline/recorder.py
@@ -1,8 +1,8 @@
 """
-Recorder
-========
+Event recorder
+==============
 
-The bounded buffer of one process's events.
+A bounded in-memory buffer of the events of one process.
 """
 
 from __future__ import annotations
@@ -17,12 +17,12 @@
 
 __all__ = ["DEFAULT_CAPACITY", "Excerpt", "Recorder"]
 
-DEFAULT_CAPACITY = 20_000
+DEFAULT_CAPACITY = 20_000  # events
 
 
 @dataclass(frozen=True, slots=True)
 class Excerpt:
-    """Hold consecutive events and how many asked for before them were already dropped."""
+    """Consecutive events, and how many requested ones before them had been dropped."""
 
     events: tuple[Event, ...]
     missed: int
@@ -30,16 +30,16 @@
 
 class Recorder:
     """
-    Keep the newest events of one incarnation; safe to use from any thread.
+    Thread-safe buffer of the newest events of one incarnation of a process.
 
     Parameters
     ----------
     process, incarnation
-        Name the life of the process that the events belong to.
+        Process, and its incarnation, that the events belong to.
     monotonic, wall
-        Read the clocks, in seconds.
+        Clocks, in seconds.
     capacity
-        Bound the number of events kept; the oldest are dropped and counted.
+        Maximum number of events; when it is exceeded, the oldest are dropped and counted.
     """
 
     __slots__ = (
@@ -74,12 +74,12 @@
 
     @property
     def process(self) -> str:
-        """Name the process."""
+        """Return the name of the process."""
         return self._process
 
     @property
     def incarnation(self) -> str:
-        """Name the life of the process."""
+        """Return the incarnation of the process."""
         return self._incarnation
 
     @property
@@ -90,12 +90,12 @@
 
     @property
     def dropped(self) -> int:
-        """Count the events that the buffer had no room to keep."""
+        """Return the number of events dropped because the buffer was full."""
         with self._lock:
             return self._last_sequence - len(self._events)
 
     def observe(self, cause: Cause) -> None:
-        """Let the next event come after an event of another process, named by a message."""
+        """Make an event of another process, referenced by a message, a cause of the next event."""
         if cause.sequence == 0 or cause.process == self._process:
             return
         with self._lock:
@@ -108,8 +108,8 @@
         self, kind: str, ids: dict[str, str], detail: str = "", causes: tuple[Cause, ...] = ()
     ) -> Event:
         """Append one event; the first of an incarnation has sequence number 1."""
-        # The clocks are read under the lock: otherwise two threads could record a later reading
-        # under a lower sequence number, and the process's own order would contradict its clock.
+        # The clocks are read under the lock: otherwise the later of two readings could get the
+        # lower sequence number, and the sequence would contradict the clock.
         with self._lock:
             self._last_sequence += 1
             observed = tuple(self._pending_causes.values())
@@ -129,7 +129,7 @@
             return event
 
     def read_after(self, sequence: int, limit: int | None = None) -> Excerpt:
-        """Return the events after a sequence number, the oldest ``limit`` of them if given."""
+        """Return the events after a sequence number, at most the oldest ``limit`` of them."""
         with self._lock:
             first = self._last_sequence - len(self._events) + 1
             wanted = max(sequence, 0) + 1
@@ -140,5 +140,5 @@
 
 
 def _is_newer(cause: Cause, known: Cause) -> bool:
-    """Say whether a cause is news; of two lives of a process the one heard last counts."""
+    """Return whether a cause is new; another incarnation supersedes the known one."""
     return cause.incarnation != known.incarnation or cause.sequence > known.sequence
--- a/toucanpin/timeline/tests/test_merge.py
+++ b/toucanpin/timeline/tests/test_merge.py
@@ -25,26 +25,26 @@
 
 
 def merge_all(events):
-    """Merge and return the order and the faults."""
+    """Return the processes and sequence numbers in merged order, and the faults."""
     faults: list[Fault] = []
     order = list(merge(events, faults.append))
     return [(event.process, event.sequence) for event in order], faults
 
 
 class MergeTest(unittest.TestCase):
-    def test_cause_goes_first_although_its_clock_is_ahead(self):
+    def test_cause_precedes_its_effect_although_its_clock_is_ahead(self):
         sent = make_event("a", 1, wall=50.0)
         received = make_event("b", 1, wall=10.0, causes=[Cause("a", 1)])
         order, faults = merge_all([received, sent])
         self.assertEqual(order, [("a", 1), ("b", 1)])
         self.assertEqual(faults, [])
 
-    def test_clock_that_steps_back_does_not_turn_a_process_around(self):
+    def test_backward_clock_step_does_not_reorder_a_process(self):
         events = [make_event("a", 1, 10.0), make_event("a", 2, 5.0), make_event("b", 1, 7.0)]
         order, _ = merge_all(events)
         self.assertEqual(order, [("b", 1), ("a", 1), ("a", 2)])
 
-    def test_next_life_of_a_process_comes_after_the_last(self):
+    def test_incarnations_are_ordered_by_number(self):
         events = [
             make_event("a", 1, 3.0, incarnation="10"),
             make_event("a", 1, 9.0, incarnation="9"),
@@ -52,7 +52,7 @@
         merged = list(merge(events, self.fail))
         self.assertEqual([event.incarnation for event in merged], ["9", "10"])
 
-    def test_missing_cause_and_gap_are_reported_and_the_rest_is_told(self):
+    def test_missing_cause_and_gap_are_reported_and_other_events_kept(self):
         events = [make_event("a", 1, 1.0), make_event("b", 1, 0.0, [Cause("a", 2, "1")])]
         events.append(make_event("a", 4, 5.0))
         order, faults = merge_all(events)
@@ -60,7 +60,7 @@
         self.assertIn(MissingCause(EventId("b", "1", 1), Cause("a", 2, "1")), faults)
         self.assertIn(Gap("a", "1", 2, 3), faults)
 
-    def test_cycle_is_reported_and_every_event_told_once(self):
+    def test_cycle_is_reported_and_every_event_yielded_once(self):
         events = [
             make_event("a", 1, 1.0, [Cause("b", 1)]),
             make_event("b", 1, 2.0, [Cause("a", 1)]),
@@ -70,7 +70,7 @@
         self.assertEqual(order, [("a", 1), ("b", 1), ("c", 1)])
         self.assertEqual(faults, [Cycle(EventId("a", "1", 1))])
 
-    def test_event_that_two_sources_tell_stands_once(self):
+    def test_event_of_two_sources_is_yielded_once(self):
         event = make_event("a", 1, 1.0)
         self.assertEqual(merge_all([event, event]), ([("a", 1)], []))
         other = make_event("a", 1, 1.0, kind="y")
@@ -79,7 +79,7 @@
         self.assertEqual(one_way, other_way)
         self.assertEqual(merge_all([event, other])[1], [ConflictingCopies(EventId("a", "1", 1))])
 
-    def test_cause_without_life_takes_the_newest_that_the_clock_allows(self):
+    def test_cause_without_incarnation_means_the_newest_not_after_its_effect(self):
         events = [
             make_event("a", 1, 1.0, incarnation="1"),
             make_event("a", 1, 5.0, incarnation="2"),
--- a/toucanpin/timeline/tests/test_recorder.py
+++ b/toucanpin/timeline/tests/test_recorder.py
@@ -10,18 +10,18 @@
 
 
 def make_recorder(capacity=4):
-    """Make a recorder whose clocks count."""
+    """Make a recorder whose monotonic clock advances by 1 s with each reading."""
     ticks = itertools.count()
     return Recorder("a/control", "1", lambda: float(next(ticks)), lambda: 0.0, capacity)
 
 
 class RecorderTest(unittest.TestCase):
-    def test_numbers_start_at_one(self):
+    def test_sequence_numbers_start_at_one(self):
         recorder = make_recorder()
         self.assertEqual(recorder.record("process.started", {}).sequence, 1)
         self.assertEqual(recorder.last_sequence, 1)
 
-    def test_full_buffer_drops_the_oldest_and_counts_them(self):
+    def test_full_buffer_drops_and_counts_the_oldest(self):
         recorder = make_recorder(capacity=4)
         for _ in range(7):
             recorder.record("x", {})
@@ -30,7 +30,7 @@
         self.assertEqual(excerpt.missed, 2)
         self.assertEqual(recorder.dropped, 3)
 
-    def test_reads_after_a_number_and_up_to_a_limit(self):
+    def test_reads_after_a_sequence_number_up_to_a_limit(self):
         recorder = make_recorder(capacity=10)
         for _ in range(6):
             recorder.record("x", {})
@@ -39,7 +39,7 @@
         self.assertEqual(recorder.read_after(6).events, ())
         self.assertEqual(recorder.read_after(99).events, ())
 
-    def test_the_next_event_comes_after_what_a_message_named(self):
+    def test_observed_cause_is_attached_to_the_next_event_only(self):
         recorder = make_recorder()
         recorder.observe(Cause("b/control", 7, "1"))
         recorder.observe(Cause("b/control", 5, "1"))
@@ -49,21 +49,21 @@
         recorder.observe(Cause("b/control", 7, "1"))
         self.assertEqual(recorder.record("z", {}).causes, ())
 
-    def test_a_new_life_of_a_process_counts_anew(self):
+    def test_lower_sequence_number_of_another_incarnation_is_a_new_cause(self):
         recorder = make_recorder()
         recorder.observe(Cause("b/control", 7, "1"))
         recorder.record("x", {})
         recorder.observe(Cause("b/control", 2, "2"))
         self.assertEqual(recorder.record("y", {}).causes, (Cause("b/control", 2, "2"),))
 
-    def test_later_change_of_the_ids_does_not_change_the_event(self):
+    def test_event_copies_its_ids(self):
         ids = {"job": "a"}
         event = make_recorder().record("x", ids)
         ids["job"] = "b"
         self.assertEqual(event.ids, {"job": "a"})
 
-    def test_threads_get_distinct_numbers_in_the_order_of_the_clock(self):
-        # The interpreter is told to switch threads as often as it can: without the lock two
+    def test_sequence_and_clock_agree_between_threads(self):
+        # Switching threads as often as possible exposes clocks that are read outside the lock: two
         # threads then read the clock in one order and record in the other.
         self.addCleanup(sys.setswitchinterval, sys.getswitchinterval())
         sys.setswitchinterval(1e-6)
--- a/toucanpin/timeline/tests/test_views.py
+++ b/toucanpin/timeline/tests/test_views.py
@@ -1,4 +1,4 @@
-"""Tests of codec, filters, text and lanes."""
+"""Tests of the codec, the filters and the renderers of timelines."""
 
 import unittest
 import xml.etree.ElementTree as ElementTree
@@ -25,12 +25,12 @@
 
 
 class CodecTest(unittest.TestCase):
-    def test_lines_give_back_the_events(self):
+    def test_events_round_trip(self):
         body = b"".join(encode_lines([PLACED, ANSWERED]))
         self.assertEqual(body.count(b"\n"), 2)
         self.assertEqual(list(decode_lines("x", body)), [PLACED, ANSWERED])
 
-    def test_line_cut_by_a_death_is_named_and_the_rest_kept(self):
+    def test_unreadable_lines_are_located_and_other_events_kept(self):
         lines = list(encode_lines([PLACED, ANSWERED]))
         body = lines[0] + b"\xff\n" + lines[1] + lines[0][:20]
         first, bad, second, cut = decode_lines("store/x", body)
@@ -41,7 +41,7 @@
 
 
 class FilterTest(unittest.TestCase):
-    def test_each_field_narrows(self):
+    def test_each_criterion_selects(self):
         both = [PLACED, ANSWERED]
         cases = {
             Filter(): both,
@@ -62,7 +62,7 @@
 
 
 class TextTest(unittest.TestCase):
-    def test_one_line_for_each_event_whatever_a_caller_wrote(self):
+    def test_one_line_for_each_event_despite_control_characters(self):
         lines = list(render_text([PLACED, ANSWERED]))
         self.assertEqual(len(lines), 2)
         self.assertTrue(lines[1].startswith("     1.500  entry-b/request"))
@@ -72,7 +72,7 @@
 
 
 class LanesTest(unittest.TestCase):
-    def test_picture_has_a_lane_for_each_process_and_escapes_words(self):
+    def test_diagram_has_a_lane_for_each_process_and_escapes_text(self):
         root = ElementTree.fromstring(render_svg([PLACED, ANSWERED]))
         space = "{http://www.w3.org/2000/svg}"
         self.assertEqual(
@@ -82,13 +82,13 @@
         self.assertEqual(len(root.findall(f"{space}circle")), 2)
         self.assertEqual(len(root.findall(f"{space}line")), 3)
 
-    def test_page_holds_no_foreign_markup(self):
+    def test_page_escapes_markup_of_callers(self):
         page = render_html([PLACED, ANSWERED], title="a < b")
         self.assertNotIn("<script>", page)
         self.assertIn("a &lt; b", page)
         self.assertIn("&lt;script&gt;", page)
 
-    def test_empty_time_line_is_a_picture_too(self):
+    def test_empty_timeline_is_valid_svg(self):
         ElementTree.fromstring(render_svg([]))
 
 
--- a/toucanpin/timeline/text.py
+++ b/toucanpin/timeline/text.py
@@ -1,8 +1,8 @@
 """
-Text
-====
+Plain-text timeline
+===================
 
-A time line as plain text, one line for each event.
+Render a timeline as text, one line for each event.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 def render_text(events: Iterable[Event]) -> Iterator[str]:
-    """Yield one line for each event; times are in seconds after the first event's wall clock."""
+    """Yield one line for each event, with its wall-clock time in seconds since the first event."""
     origin: float | None = None
     for event in events:
         origin = event.wall if origin is None else origin
@@ -23,7 +23,7 @@
 
 
 def describe(event: Event) -> str:
-    """Write what happened, to what, and what it followed."""
+    """Return the kind of an event, its ids, its detail and its causes as text."""
     ids = (f"{key}={_escape(value)}" for key, value in sorted(event.ids.items()))
     causes = (f"<- {_format_cause(cause)}" for cause in event.causes)
     detail = (_escape(event.detail),) if event.detail else ()
@@ -31,12 +31,12 @@
 
 
 def _format_cause(cause: Cause) -> str:
-    """Write where a cause is found."""
+    """Return a cause as ``process@incarnation#sequence``."""
     incarnation = f"@{cause.incarnation}" if cause.incarnation else ""
     return f"{cause.process}{incarnation}#{cause.sequence}"
 
 
 def _escape(text: str) -> str:
-    """Escape what could be taken for another line or a terminal's control sequence."""
-    # Details hold words of callers; a newline in one could forge an event for whoever reads on.
+    """Escape line breaks, terminal control sequences and other unprintable characters."""
+    # Details contain text of callers, in which a line break could forge an event.
     return "".join(char if char.isprintable() else repr(char)[1:-1] for char in text)
