--- a/toucanpin/daemon/decisions.py
+++ b/toucanpin/daemon/decisions.py
@@ -1,8 +1,8 @@
 """
-Driving of decisions
-====================
+Execution of decisions
+======================
 
-Carry out the actions of a placement decision with real ports.
+Runs placement decisions by performing their actions.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 def run_decision(decision: Decision[T], perform: Callable[[Action], object]) -> T:
-    """Run a decision to its end."""
+    """Run a decision to its end with ``perform`` and return its result."""
     try:
         action = next(decision)
         while True:
@@ -31,7 +31,7 @@
 
 
 def perform_table_action(table: Table, action: Action) -> object:
-    """Carry out an action that concerns the table alone."""
+    """Perform an action that needs the table only."""
     match action:
         case Commit(transaction):
             return table.commit(transaction)
@@ -39,4 +39,4 @@
             return table.read(key)
         case Scan(prefix, after):
             return table.scan(prefix, after)
-    raise TypeError(f"not an action on the table: {action!r}")
+    raise TypeError(f"action must be Commit, Read or Scan, got {action!r}")
--- a/toucanpin/daemon/drains.py
+++ b/toucanpin/daemon/drains.py
@@ -1,9 +1,9 @@
 """
-Drains of a process
-===================
+Drained hosts
+=============
 
-Show the platform's host list with the hosts that operators drain marked as leaving, and let
-operators begin and end drains.
+Marks the hosts that operators drain as leaving in the platform's host list, and lets operators
+start and end drains over HTTP.
 """
 
 from __future__ import annotations
@@ -38,18 +38,18 @@
 
 
 class DrainedHosts:
-    """List the platform's hosts, those that operators drain as leaving."""
+    """Host list in which the drained hosts are marked as leaving."""
 
     __slots__ = ("_drains", "_hosts", "_table")
 
     def __init__(self, hosts: HostList, table: Table) -> None:
-        """Read hosts from the platform's list and drains from the table."""
+        """Initialize with the platform's host list and the table that stores the drains."""
         self._hosts = hosts
         self._table = table
         self._drains: tuple[DrainRow, ...] = ()
 
     def hosts(self) -> Result[tuple[ListedHost, ...], StoreFault]:
-        """Read the whole list."""
+        """Return the platform's hosts, or why they could not be read."""
         match self._hosts.hosts():
             case Result(tag="ok", ok=listed):
                 drained = frozenset(drain.host for drain in self.drains())
@@ -58,19 +58,19 @@
                 return failed
 
     def drains(self) -> tuple[DrainRow, ...]:
-        """Read the drains; while the table is out, those that were known stay in force."""
+        """Return the drains; while the table is unavailable, the last known ones."""
         match self._table.scan(DRAIN_PREFIX):
             case Result(tag="ok", ok=rows):
                 self._drains = read_drains(rows)
             case Result(error=fault):
-                log.warning("drains not read: {}", fault, extra={"event": "drains.stale"})
+                log.warning("drains could not be read: {}", fault, extra={"event": "drains.stale"})
         return self._drains
 
 
 def make_drain_app(
     drained: DrainedHosts, hosts: HostListCache, table: Table, events: EventSink
 ) -> WsgiApp:
-    """Build the application: GET lists drains, PUT and DELETE of a host's path change them."""
+    """Return the application that lists drains (GET) and starts (PUT) or ends (DELETE) one."""
 
     def serve(environ: dict[str, Any], start: StartResponse) -> Iterable[bytes]:
         """Answer one request."""
@@ -79,28 +79,28 @@
             case "GET" if not name:
                 return answer_json(start, drained.drains())
             case "PUT" if name:
-                return change(environ, start, name, wanted=True)
+                return change(environ, start, name, drain=True)
             case "DELETE" if name:
-                return change(environ, start, name, wanted=False)
+                return change(environ, start, name, drain=False)
         detail = f"use GET {DRAIN_PATH}, PUT or DELETE {DRAIN_PATH}/HOST"
         return answer_refusal(start, Refusal(Verdict.NOT_RUN, Reason.BAD_REQUEST, detail))
 
     def change(
-        environ: dict[str, Any], start: StartResponse, name: str, wanted: bool
+        environ: dict[str, Any], start: StartResponse, name: str, drain: bool
     ) -> Iterable[bytes]:
-        """Begin or end a drain."""
-        if wanted and name not in {host.name for host in hosts.all()}:
+        """Start or end the drain of a host."""
+        if drain and name not in {host.name for host in hosts.all()}:
             detail = f"the platform lists no host {name!r}"
             return answer_refusal(start, Refusal(Verdict.NOT_RUN, Reason.NOT_FOUND, detail))
         row = DrainRow(name, environ.get("toucanpin.operator", ""), time.time())
         outcome = run_decision(
-            set_drain(row, wanted), lambda action: perform_table_action(table, action)
+            set_drain(row, drain), lambda action: perform_table_action(table, action)
         )
         match outcome:
             case Result(tag="ok", ok=changed):
-                kind = "host.drain" if wanted else "host.undrain"
+                kind = "host.drain" if drain else "host.undrain"
                 events.record(kind, {"host": name}, row.operator)
-                return answer_json(start, {"host": name, "drain": wanted, "changed": changed})
+                return answer_json(start, {"host": name, "drain": drain, "changed": changed})
             case Result(error=refusal):
                 return answer_refusal(start, refusal)
 
--- a/toucanpin/daemon/hosts.py
+++ b/toucanpin/daemon/hosts.py
@@ -1,8 +1,9 @@
 """
-Host list of a process
+Cache of the host list
 ======================
 
-Keep the newest host list that the platform gave; it is a hint that lags both ways.
+Keeps the newest host list of the platform.  The list is only a hint: it may still contain hosts
+that are gone and lack hosts that are up.
 """
 
 from __future__ import annotations
@@ -21,39 +22,39 @@
 
 
 class HostListCache:
-    """Read the host list again and again and show the newest."""
+    """Cache of the platform's host list, refreshed periodically."""
 
-    __slots__ = ("_every", "_halt", "_hosts", "_port", "_thread")
+    __slots__ = ("_hosts", "_period", "_source", "_stopping", "_thread")
 
-    def __init__(self, port: HostList, every: float) -> None:
-        """Prepare to read ``port`` every so many seconds."""
-        self._port = port
-        self._every = every
+    def __init__(self, source: HostList, period: float) -> None:
+        """Initialize to read ``source`` every ``period`` seconds."""
+        self._source = source
+        self._period = period
         self._hosts: tuple[ListedHost, ...] | None = None
-        self._halt = threading.Event()
+        self._stopping = threading.Event()
         self._thread = threading.Thread(target=self._run, name="hosts", daemon=True)
 
     def start(self) -> None:
-        """Start reading."""
+        """Start the thread that refreshes the list."""
         self._thread.start()
 
     def stop(self, grace: float) -> None:
-        """Stop reading."""
-        self._halt.set()
+        """Stop the thread that refreshes the list."""
+        self._stopping.set()
         self._thread.join(grace)
 
     def is_known(self) -> bool:
-        """Say whether the list was read at least once."""
+        """Return whether the list was read at least once."""
         return self._hosts is not None
 
     def hosts(self) -> Result[tuple[ListedHost, ...], StoreFault]:
-        """Return the newest list, so that other parts of this process need not read it again."""
+        """Return the newest list, or a fault if none was read yet."""
         if self._hosts is None:
             return Error(Unavailable("the host list was not read yet"))
         return Ok(self._hosts)
 
     def all(self) -> tuple[ListedHost, ...]:
-        """Return the newest list, empty while none is known."""
+        """Return the newest list, empty if none was read yet."""
         return self._hosts or ()
 
     def workers(self) -> tuple[ListedHost, ...]:
@@ -65,20 +66,22 @@
         return tuple(host for host in self.all() if host.role is HostRole.INSTANCE)
 
     def entry_names(self) -> frozenset[str]:
-        """Return the names of the listed entry hosts, empty while none are known."""
+        """Return the names of the listed entry hosts, empty if no list was read yet."""
         return frozenset(host.name for host in self.all() if host.role is HostRole.ENTRY)
 
     def _run(self) -> None:
-        """Read until halted."""
+        """Refresh the list each period until stopped."""
         while True:
-            self._read()
-            if self._halt.wait(self._every):
+            self._refresh()
+            if self._stopping.wait(self._period):
                 return
 
-    def _read(self) -> None:
-        """Read once; a failed read keeps the older list, which is a hint anyway."""
-        match self._port.hosts():
+    def _refresh(self) -> None:
+        """Read the list once; a failed read keeps the old list, which is only a hint anyway."""
+        match self._source.hosts():
             case Result(tag="ok", ok=hosts):
                 self._hosts = hosts
             case Result(error=fault):
-                log.warning("host list not read: {}", fault, extra={"event": EventId.HOSTS_STALE})
+                log.warning(
+                    "host list could not be read: {}", fault, extra={"event": EventId.HOSTS_STALE}
+                )
--- a/toucanpin/daemon/main.py
+++ b/toucanpin/daemon/main.py
@@ -2,7 +2,7 @@
 Daemon
 ======
 
-The command ``toucanpind``: read settings, compose the parts, run until told to end.
+Implements the command ``toucanpind``, which runs one process until it is told to stop.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 __all__ = ["main"]
 
-EXIT_SETTINGS = 2
+EXIT_INVALID_SETTINGS = 2
 EXIT_FORCED = 70
 
 log = logbook.Logger("toucanpin.main")
@@ -44,7 +44,7 @@
     """
     Run one process of the system: a request role or a control role.
 
-    SIGTERM drains and ends, a second one ends at once, SIGHUP re-reads the log level.
+    SIGTERM drains and stops, a second one exits at once, SIGHUP re-reads the log level.
 
     \b
     Examples:
@@ -56,7 +56,7 @@
         daemon = compose(settings, file.parent)
     except SettingsError as error:
         click.echo(str(error), err=True)
-        raise SystemExit(EXIT_SETTINGS) from error
+        raise SystemExit(EXIT_INVALID_SETTINGS) from error
     if check_config:
         click.echo(f"{file}: good")
         return
@@ -66,27 +66,27 @@
 
 
 def _run(daemon: Daemon, settings: Settings, file: Path, handler: logbook.Handler) -> None:
-    """Run a composed daemon until a signal ends it."""
-    ending = threading.Event()
-
-    def end(number: int, frame: object) -> None:
-        """Drain at the first signal and end at once at the second."""
-        if ending.is_set():
-            # An operator who asks twice does not want to wait any longer.  Raising would not do:
-            # the interpreter joins the threads of pools at its end, and one may wait for a peer.
+    """Run the daemon until SIGTERM or SIGINT."""
+    stopping = threading.Event()
+
+    def handle_stop(number: int, frame: object) -> None:
+        """Drain at the first signal and exit at once at the second."""
+        if stopping.is_set():
+            # Raising SystemExit would not exit at once: the interpreter joins the threads of pools
+            # at exit, and one of them may be waiting for a peer.
             os._exit(EXIT_FORCED)
-        ending.set()
+        stopping.set()
 
-    def reread(number: int, frame: object) -> None:
-        """Take over the log level that the file names now."""
+    def handle_hangup(number: int, frame: object) -> None:
+        """Apply the current log level of the settings file."""
         _reread_log_level(file, handler)
 
-    signal.signal(signal.SIGTERM, end)
-    signal.signal(signal.SIGINT, end)
-    signal.signal(signal.SIGHUP, reread)
+    signal.signal(signal.SIGTERM, handle_stop)
+    signal.signal(signal.SIGINT, handle_stop)
+    signal.signal(signal.SIGHUP, handle_hangup)
     daemon.start()
     log.info("started", extra={"event": EventId.STARTED, "version": __version__})
-    while not ending.wait(timeout=1.0):
+    while not stopping.wait(timeout=1.0):
         pass
     log.info("draining", extra={"event": EventId.DRAINING})
     daemon.stop(settings.requests.drain_ms / 1_000)
@@ -94,14 +94,18 @@
 
 
 def _reread_log_level(file: Path, handler: logbook.Handler) -> None:
-    """Set the log level from the file, or keep the older one if the file is at fault."""
+    """Set the log level from the file, or keep the current one if the file is invalid."""
     try:
         level = read_settings(file).log.level
     except SettingsError as error:
-        log.error("settings not taken: {}", error, extra={"event": EventId.SETTINGS_FAULT})
+        log.error(
+            "invalid settings, log level unchanged: {}",
+            error,
+            extra={"event": EventId.SETTINGS_FAULT},
+        )
         return
     set_log_level(handler, level)
-    log.info("log level is {}", level, extra={"event": EventId.SETTINGS_REREAD})
+    log.info("log level set to {}", level, extra={"event": EventId.SETTINGS_REREAD})
 
 
 if __name__ == "__main__":
--- a/toucanpin/daemon/parts.py
+++ b/toucanpin/daemon/parts.py
@@ -1,9 +1,8 @@
 """
-Seams between the parts of the daemon
-=====================================
+Interfaces between the parts of the daemon
+==========================================
 
-The narrow interfaces through which the parts of one process see each other.  The composition root
-connects them.
+Protocols through which the parts of one process use each other.
 """
 
 from __future__ import annotations
@@ -21,37 +20,37 @@
 
 
 class Part(Protocol):
-    """Run threads or sockets of one concern."""
+    """Part of a process that owns threads or sockets."""
 
     def start(self) -> None:
         """Start and return at once."""
         ...
 
     def stop(self, grace: float) -> None:
-        """Finish what is in flight within ``grace`` seconds and release everything."""
+        """Finish work in flight within ``grace`` seconds and release all resources."""
         ...
 
 
 class EventSink(Protocol):
-    """Take the events of this process."""
+    """Recorder of the events of this process."""
 
     def record(
         self, kind: str, ids: dict[str, str], detail: str = "", causes: tuple[Cause, ...] = ()
     ) -> Event:
-        """Append one event to the time line."""
+        """Append one event to the timeline and return it."""
         ...
 
 
 class BundleView(Protocol):
-    """Show the bundle in force in this process."""
+    """Read access to the bundle in force in this process."""
 
     def current(self) -> Bundle | None:
-        """Return the bundle in force, None while it isn't known."""
+        """Return the bundle in force, None while it is unknown."""
         ...
 
 
 class MembershipView(Protocol):
-    """Show the processes that this one believes to be there."""
+    """Read access to the members known to this process."""
 
     def members(self) -> tuple[Member, ...]:
         """Return every known member, this process included."""
--- a/toucanpin/daemon/root.py
+++ b/toucanpin/daemon/root.py
@@ -2,7 +2,7 @@
 Composition root
 ================
 
-The one place that knows every part of a process and connects them.
+Builds and connects all parts of one process.
 """
 
 from __future__ import annotations
@@ -49,18 +49,18 @@
 
 __all__ = ["Daemon", "compose"]
 
-MILLISECONDS = 1_000
+MS_PER_S = 1_000
 CONTROL_ROLE = "control"
 REQUEST_ROLE = "request"
 
 
 class Daemon:
-    """Own the parts of one process, in the order in which they start."""
+    """Parts of one process, started in order and stopped in reverse order."""
 
     __slots__ = ("_metrics", "_parts")
 
     def __init__(self, parts: tuple[Part, ...], metrics: Metrics) -> None:
-        """Take the parts in starting order."""
+        """Initialize with the parts in the order in which they start."""
         self._parts = parts
         self._metrics = metrics
 
@@ -70,7 +70,7 @@
             part.start()
 
     def stop(self, grace: float) -> None:
-        """Stop every part, the last started first, within ``grace`` seconds in all."""
+        """Stop all parts in reverse order within ``grace`` seconds in total."""
         deadline = time.monotonic() + grace
         for part in reversed(self._parts):
             part.stop(max(0.1, deadline - time.monotonic()))
@@ -79,52 +79,58 @@
 
 def compose(settings: Settings, folder: Path) -> Daemon:
     """
-    Build the parts of one process; files in the settings are relative to ``folder``.
+    Build the parts of one process.
+
+    Relative file names in the settings are resolved against ``folder``.
 
     Raises
     ------
     SettingsError
-        If a key, ring or operators' file can't be used.
+        If a key file, a key ring or the operators' file can't be used.
     """
     return _Composition(settings, folder).build()
 
 
 class _Composition:
-    """Hold the parts while they are being connected."""
+    """Builder of the parts of one process."""
 
     def __init__(self, settings: Settings, folder: Path) -> None:
-        """Build what every role needs."""
+        """Build the parts that every role needs."""
         self.settings = settings
         self.folder = folder
         process = settings.process
         self.name = f"{process.host}/{process.role}"
         incarnation = begin_incarnation(time.time())
-        self.life = get_process_incarnation(incarnation)
+        self.process_incarnation = get_process_incarnation(incarnation)
         self.metrics = Metrics(process, settings.telemetry)
-        self.recorder = Recorder(self.name, str(self.life), time.monotonic, time.time)
-        self._connect_platform()
-        self._join_members(incarnation)
+        self.recorder = Recorder(
+            self.name, str(self.process_incarnation), time.monotonic, time.time
+        )
+        self._build_platform()
+        self._build_membership(incarnation)
         self.gossip.set_entry_hosts(self.hosts.entry_names)
-        self.root = _read_ring(folder / settings.keys.ring_file)
+        self.root_ring = _read_key_ring(folder / settings.keys.ring_file)
         client = InnerClient(self.gossip.identity, self.peer_keys)
-        self.bundles = BundleReplicator(self.gossip, self.table, client, self.root, self.recorder)
-        term = settings.control.authority_ms / MILLISECONDS
+        self.bundles = BundleReplicator(
+            self.gossip, self.table, client, self.root_ring, self.recorder
+        )
+        term = settings.control.authority_ms / MS_PER_S
         self.standstill = StandstillCalls(self.gossip, client, term)
         self.roles: list[Part] = []
         self.handlers: dict[type, Handler] = dict(self.bundles.handlers())
 
-    def _connect_platform(self) -> None:
-        """Build the adapters of the platform."""
+    def _build_platform(self) -> None:
+        """Build the clients of the platform's services."""
         platform = self.settings.platform
-        timeout = platform.timeout_ms / MILLISECONDS
+        timeout = platform.timeout_ms / MS_PER_S
         self.table = HttpTable(platform.table, self.name, timeout)
         self.objects = HttpObjectStore(platform.objects, self.name, timeout)
-        listed = HttpHostList(platform.hosts, self.name, timeout)
-        self.host_list = DrainedHosts(listed, self.table)
-        self.hosts = HostListCache(self.host_list, platform.hosts_every_ms / MILLISECONDS)
+        platform_hosts = HttpHostList(platform.hosts, self.name, timeout)
+        self.host_list = DrainedHosts(platform_hosts, self.table)
+        self.hosts = HostListCache(self.host_list, platform.hosts_every_ms / MS_PER_S)
 
-    def _join_members(self, incarnation: int) -> None:
-        """Build the membership."""
+    def _build_membership(self, incarnation: int) -> None:
+        """Build the membership gossip."""
         settings = self.settings
         inner = parse_endpoint(settings.listen.inner)
         self.peer_keys = load_peer_keys(self.folder / settings.peers.key_file)
@@ -144,19 +150,19 @@
             process.deployment,
             tuple((seed.address, seed.port) for seed in seeds),
             self.peer_keys,
-            Timing(interval=settings.peers.heartbeat_ms / MILLISECONDS),
+            Timing(interval=settings.peers.heartbeat_ms / MS_PER_S),
             self.recorder,
             lambda: self.recorder.last_sequence,
-            self._hear,
+            self._observe_message,
         )
 
-    def _hear(self, envelope: Envelope) -> None:
-        """Let what this process records next come after what the sender had recorded."""
-        life = str(get_process_incarnation(envelope.incarnation))
-        self.recorder.observe(Cause(envelope.sender, envelope.event, life))
+    def _observe_message(self, envelope: Envelope) -> None:
+        """Order the next events of this process after those that the sender had recorded."""
+        incarnation = str(get_process_incarnation(envelope.incarnation))
+        self.recorder.observe(Cause(envelope.sender, envelope.event, incarnation))
 
     def build(self) -> Daemon:
-        """Connect the parts of the role and return them in starting order."""
+        """Build the role's parts and return the daemon."""
         match self.settings.process.role:
             case "request":
                 self._build_front()
@@ -168,9 +174,11 @@
         )
         streamer = TimelineStreamer(self.recorder, self.objects, random.Random())
         operators = Operators(
-            parse_endpoint(self.settings.listen.operators), self._guard(), self._find_tls()
+            parse_endpoint(self.settings.listen.operators),
+            self._mount_operators_apps(),
+            self._resolve_tls(),
         )
-        self._measure()
+        self._register_gauges()
         parts: tuple[Part, ...] = (
             streamer,
             operators,
@@ -183,14 +191,14 @@
         return Daemon(parts, self.metrics)
 
     def _build_front(self) -> None:
-        """Build the request role."""
+        """Build the front of the request role."""
         settings = self.settings
         callers: Endpoint = parse_endpoint(settings.listen.callers or "")
         jobs = JobsApp(self.table, self.objects, self.hosts.all, self.bundles)
         front = Front(
             FrontSettings(
                 self.name,
-                str(self.life),
+                str(self.process_incarnation),
                 settings.process.site,
                 callers.address,
                 callers.port,
@@ -208,43 +216,45 @@
         self.roles.append(front)
 
     def _build_control(self) -> None:
-        """Build the control role."""
-        times = self.settings.control
+        """Build the controller of the control role."""
+        control_settings = self.settings.control
         control = Control(
             self.name,
-            self.life,
+            self.process_incarnation,
             self.table,
-            HttpWorkers(self.name, self.settings.platform.timeout_ms / MILLISECONDS),
+            HttpWorkers(self.name, self.settings.platform.timeout_ms / MS_PER_S),
             self.hosts,
             self.gossip,
             self.bundles,
             self.recorder,
             self.standstill.ask_peers,
             LeaseTerms(
-                lease=times.lease_ms / MILLISECONDS,
-                authority=times.authority_ms / MILLISECONDS,
-                max_authority=times.hold_ms / MILLISECONDS,
+                lease=control_settings.lease_ms / MS_PER_S,
+                authority=control_settings.authority_ms / MS_PER_S,
+                max_authority=control_settings.hold_ms / MS_PER_S,
             ),
-            turn_period=times.turn_ms / MILLISECONDS,
+            turn_period=control_settings.turn_ms / MS_PER_S,
         )
         self.handlers[Standstill] = self.standstill.make_handler(control.answer_standstill)
         self.front = None
         self.control = control
         self.roles.append(control)
 
-    def _find_tls(self) -> Tls:
-        """Return the files for operators' TLS, found from the settings' folder."""
+    def _resolve_tls(self) -> Tls:
+        """Return the TLS files of the operators' HTTP, resolved against the settings' folder."""
         tls = self.settings.tls
         if tls.certificate is None or tls.key is None:
             return tls
         return Tls(certificate=str(self.folder / tls.certificate), key=str(self.folder / tls.key))
 
-    def _guard(self) -> dict[str, WsgiApp]:
-        """Mount the operators' applications, behind their tokens if any are set."""
+    def _mount_operators_apps(self) -> dict[str, WsgiApp]:
+        """Return the operators' applications by path, guarded by tokens if operators are set."""
         apps = {
-            "/": make_page_app(self._read_page),
-            **make_probe_apps(self._find_unready, self._show_state),
-            **make_bundle_apps(self.bundles, self.gossip, self.table, self.root, self.recorder),
+            "/": make_page_app(self._build_page),
+            **make_probe_apps(self._list_unready_reasons, self._get_state),
+            **make_bundle_apps(
+                self.bundles, self.gossip, self.table, self.root_ring, self.recorder
+            ),
             **make_view_apps(self.gossip, self.hosts),
             DRAIN_PATH: make_drain_app(self.host_list, self.hosts, self.table, self.recorder),
             "/metrics": self.metrics.serve,
@@ -255,8 +265,8 @@
         operators = read_operators(self.folder / self.settings.access.operators_file)
         return {"/": guard_app(mount_apps(apps), operators, self.recorder)}
 
-    def _find_unready(self) -> tuple[str, ...]:
-        """Return why this process does not take work, empty if it does."""
+    def _list_unready_reasons(self) -> tuple[str, ...]:
+        """Return the reasons why this process is not ready, empty if it is."""
         reasons = []
         readiness = self.bundles.readiness()
         if not readiness.ready:
@@ -269,30 +279,30 @@
             reasons.append("control: no authority from the table")
         return tuple(reasons)
 
-    def _show_state(self) -> ProcessState:
-        """Return the state of this process."""
+    def _get_state(self) -> ProcessState:
+        """Return the state that operators are shown."""
         process = self.settings.process
         return ProcessState(
             self.name,
             process.site,
             process.role,
-            str(self.life),
+            str(self.process_incarnation),
             __version__,
             self.gossip.own.bundle,
-            self._find_unready(),
+            self._list_unready_reasons(),
         )
 
-    def _read_page(self) -> Page:
-        """Return what the status page shows."""
+    def _build_page(self) -> Page:
+        """Return the content of the status page."""
         cells = (
             None
             if self.control is None
             else summarize_cells(tuple(self.control.state.cells.values()))
         )
-        return Page(self._show_state(), self.gossip.members(), self.hosts.all(), cells)
+        return Page(self._get_state(), self.gossip.members(), self.hosts.all(), cells)
 
-    def _measure(self) -> None:
-        """Register the gauges that read the parts when they are asked."""
+    def _register_gauges(self) -> None:
+        """Register the instruments that read the parts at each collection."""
         meter = self.metrics.meter
         meter.create_observable_gauge(
             "toucanpin.bundle.version",
@@ -317,15 +327,15 @@
         )
 
     def _count_requests(self, options: CallbackOptions) -> list[Observation]:
-        """Observe the requests by outcome, none in the control role."""
+        """Return the number of requests by outcome, none in the control role."""
         if self.front is None:
             return []
         counts = dict(self.front.counts)
         return [Observation(count, {"outcome": name}) for name, count in counts.items()]
 
 
-def _read_ring(path: Path) -> KeyRing:
-    """Read the key ring that is trusted at the start."""
+def _read_key_ring(path: Path) -> KeyRing:
+    """Read the key ring that is trusted at start."""
     result = parse_ring(path.read_text(encoding="utf-8"), str(path))
     if result.is_error():
         raise SettingsError((f"{path}: {result.error}",))
--- a/toucanpin/daemon/standstill.py
+++ b/toucanpin/daemon/standstill.py
@@ -2,7 +2,8 @@
 Standstill promises between processes
 =====================================
 
-Carry an owner's question to its roster, and the roster's promises back, by the inner protocol.
+Asks the control processes on an owner's roster, over the inner protocol, for a standstill: a
+promise not to fence the owner for one term.
 """
 
 from __future__ import annotations
@@ -22,17 +23,17 @@
 
 __all__ = ["StandstillCalls"]
 
-CALL_SECONDS = 0.5
+CALL_TIMEOUT_S = 0.5
 MAX_CALLS = 16
 
 
 class StandstillCalls:
-    """Ask the control processes of a roster for their promises."""
+    """Client and handler of requests for standstill promises."""
 
     __slots__ = ("_client", "_gossip", "_pool", "_term")
 
     def __init__(self, gossip: Gossip, client: InnerClient, term: float) -> None:
-        """Ask over the inner protocol for promises that last ``term`` seconds."""
+        """Initialize for promises that last ``term`` seconds."""
         self._term = term
         self._gossip = gossip
         self._client = client
@@ -46,16 +47,16 @@
         return frozenset(peer for peer, promised in zip(peers, answers, strict=True) if promised)
 
     def make_handler(self, answer: Callable[[ControllerId], bool]) -> Handler:
-        """Build the handler that answers other processes."""
+        """Return the handler of other processes' requests."""
         term = self._term
 
         def handle(envelope: Envelope, message: Standstill) -> StandstillAnswer:
-            """Answer one question."""
-            # The question speaks for its sender only: a process can't ask in another's name.
+            """Answer one request."""
+            # A process may only ask for a promise to itself.
             if message.owner != envelope.sender:
                 return StandstillAnswer(False, f"{envelope.sender} is not {message.owner}")
-            # A promise shorter than the asker's term would end while it still grants leases, and a
-            # taker could then start the same task elsewhere.
+            # A promise shorter than the sender's term would end while the sender still grants
+            # leases, and a process that takes over could then start the same task elsewhere.
             if message.seconds > term:
                 return StandstillAnswer(False, f"terms differ: {message.seconds} s, here {term} s")
             promised = answer(
@@ -66,12 +67,12 @@
         return handle
 
     def _ask(self, holder: ControllerId, peer: ControllerId) -> bool:
-        """Ask one life of a peer; a later life of the same name made no promise for it."""
-        member = self._find(peer)
+        """Ask one peer; a promise by another incarnation of the same process does not count."""
+        member = self._find_member(peer)
         if member is None:
             return False
-        question = Standstill(holder.process, self._term)
-        match self._client.call(member, question, CALL_SECONDS):
+        request = Standstill(holder.process, self._term)
+        match self._client.call(member, request, CALL_TIMEOUT_S):
             case Result(tag="ok", ok=received):
                 match received.message:
                     case StandstillAnswer(promised=promised):
@@ -80,8 +81,8 @@
                         ) == (peer.incarnation)
         return False
 
-    def _find(self, peer: ControllerId) -> Member | None:
-        """Find the member that is the peer."""
+    def _find_member(self, peer: ControllerId) -> Member | None:
+        """Return the member with the peer's name and incarnation, None if there is none."""
         for member in self._gossip.members():
             if member.name == peer.process and member.process_incarnation == peer.incarnation:
                 return member
