--- a/toucanpin/daemon/gossip.py
+++ b/toucanpin/daemon/gossip.py
@@ -1,8 +1,8 @@
 """
-Heartbeats of a process
-=======================
+Gossip of a process
+===================
 
-Drive the view of the members with UDP heartbeats and a timer.
+Keeps the view of the members up to date by exchanging heartbeats over UDP.
 """
 
 from __future__ import annotations
@@ -46,10 +46,10 @@
 
 class Gossip:
     """
-    Tell the other processes that this one is there, and show which of them are.
+    Membership of this process: sends heartbeats and tracks the other members.
 
-    Listeners get each heartbeat's sender and, in milliseconds, how long ago the table confirmed
-    its bundle.  ``identity`` stamps every message of this process.
+    Listeners receive the sender of each heartbeat and the time in milliseconds since the table
+    confirmed the sender's bundle.  ``identity`` fills the envelope of every message sent.
     """
 
     def __init__(
@@ -61,7 +61,7 @@
         timing: Timing | None = None,
         events: EventSink | None = None,
         event_sequence: Callable[[], int] = _get_no_event,
-        hear: Callable[[Envelope], None] = _ignore_message,
+        on_message: Callable[[Envelope], None] = _ignore_message,
     ) -> None:
         self._timing = timing or Timing()
         self._view = View(own, self._timing, time.monotonic())
@@ -82,7 +82,7 @@
             lambda: self._view.own.incarnation,
             lambda: self._view.own.bundle,
             event_sequence,
-            hear,
+            on_message,
         )
 
     @property
@@ -92,7 +92,7 @@
 
     @property
     def sent_bytes(self) -> int:
-        """Return the bytes of all heartbeats sent so far."""
+        """Return the number of bytes of all heartbeats sent so far."""
         return 0 if self._socket is None else self._socket.sent_bytes
 
     def members(self) -> tuple[Member, ...]:
@@ -101,20 +101,20 @@
             return self._view.members()
 
     def count_reachable(self) -> tuple[int, int]:
-        """Return how many other members are heard, and how many should be."""
+        """Return the numbers of other members that are reachable and that should be."""
         with self._lock:
             return self._view.count_reachable()
 
     def add_listener(self, listener: HeartbeatListener) -> None:
-        """Call ``listener`` on each heartbeat, on the thread of the heartbeats."""
+        """Call ``listener`` for each heartbeat, on the gossip thread."""
         self._listeners.append(listener)
 
     def set_entry_hosts(self, entry_hosts: Callable[[], frozenset[str]]) -> None:
-        """Ask for the names of the platform's entry hosts at each round, empty while unknown."""
+        """Set the function that returns the entry hosts' names, empty while they are unknown."""
         self._entry_hosts = entry_hosts
 
     def announce_bundle(self, bundle: int) -> None:
-        """Stamp the version of the bundle in force on every message, and tell it at once."""
+        """Put the bundle's version into all further messages, and send a round if it is new."""
         with self._lock:
             changed = bundle != self._view.own.bundle
             self._view.set_bundle(bundle)
@@ -122,14 +122,14 @@
             self._send_round()
 
     def start(self) -> None:
-        """Bind the port and exchange heartbeats until stopped."""
+        """Bind the port and start the gossip thread."""
         own = self._view.own
         self._socket = DatagramSocket(own.address, own.port, self.identity, self._keys)
         self._thread = threading.Thread(target=self._run, name="gossip", daemon=True)
         self._thread.start()
 
     def stop(self, grace: float) -> None:
-        """Tell the members that this process leaves, and release the port."""
+        """Announce to the members that this process is leaving, and release the port."""
         self._stopping.set()
         if self._thread is not None:
             self._thread.join(grace)
@@ -144,30 +144,30 @@
         due = time.monotonic()
         while not self._stopping.is_set():
             now = time.monotonic()
-            # A fault in one heartbeat must not end this thread: the process would go silent, be
-            # removed by all others and never notice.
+            # An exception in one heartbeat must not end this thread: the process would send no more
+            # heartbeats and be removed by all others without noticing.
             try:
                 if now >= due:
                     due = now + self._get_round_delay()
-                    self._tick(now)
+                    self._run_round(now)
                 self._receive(due - now)
             except Exception:
                 _log.exception("heartbeat failed")
 
     def _get_round_delay(self) -> float:
-        # Rounds begin at whole intervals of the wall clock, in all processes at nearly one time.
-        # Heartbeats then come in bursts, which cost much less than one by one, when each wakes
-        # a cold thread.  Clocks that differ only lose that.
+        # Rounds start at multiples of the interval on the wall clock, so nearly at the same time in
+        # all processes.  Heartbeats then arrive in bursts, which is much cheaper than waking the
+        # idle thread for each one.  Different clocks only lose this advantage.
         interval = self._timing.interval
         wait = interval - time.time() % interval
         return wait if wait > interval / 2 else wait + interval
 
-    def _tick(self, now: float) -> None:
-        listed = self._entry_hosts()
+    def _run_round(self, now: float) -> None:
+        entry_hosts = self._entry_hosts()
         with self._lock:
             changes = self._view.tick(now)
-            self._view.mark_delisted(listed)
-        self._report(changes)
+            self._view.mark_delisted(entry_hosts)
+        self._report_changes(changes)
         self._send_round()
 
     def _receive(self, timeout: float) -> None:
@@ -175,27 +175,27 @@
         received = None if channel is None else channel.receive(min(timeout, RECEIVE_TIMEOUT_S))
         if received is None or not isinstance(received.message, Heartbeat):
             return
-        beat = _to_beat(received.envelope, received.message)
+        beat = _decode_beat(received.envelope, received.message)
         now = time.monotonic()
         with self._lock:
             changes = self._view.receive(beat, now)
-            owed = self._view.needs_answer(beat, now)
-            answers = self._view.list_answers(beat.sender.member.name) if owed else ()
+            needs_answer = self._view.needs_answer(beat, now)
+            answers = self._view.list_answers(beat.sender.member.name) if needs_answer else ()
             digest = self._view.digest()
-        self._report(changes)
-        self._answer(beat.sender.member, digest, answers)
-        self._notify(beat.sender.member, received)
+        self._report_changes(changes)
+        self._send_answers(beat.sender.member, digest, answers)
+        self._notify_listeners(beat.sender.member, received)
 
-    def _notify(self, member: Member, received: Received) -> None:
+    def _notify_listeners(self, member: Member, received: Received) -> None:
         if member.name == self._view.own.name or not isinstance(received.message, Heartbeat):
             return
         for listener in self._listeners:
             listener(member, received.message.confirmed_age)
 
-    def _answer(self, member: Member, digest: int, records: tuple[Record, ...]) -> None:
+    def _send_answers(self, member: Member, digest: int, records: tuple[Record, ...]) -> None:
         endpoints = ((member.address, member.port),)
         for start in range(0, len(records), MAX_RECORDS):
-            self._send(endpoints, digest, records[start : start + MAX_RECORDS])
+            self._send_records(endpoints, digest, records[start : start + MAX_RECORDS])
 
     def _send_round(self) -> None:
         with self._lock:
@@ -204,9 +204,9 @@
             known = self._view.endpoints()
         endpoints = [(member.address, member.port) for member in targets]
         endpoints += [seed for seed in self._seeds if seed not in known]
-        self._send(tuple(endpoints), beat.digest, beat.records)
+        self._send_records(tuple(endpoints), beat.digest, beat.records)
 
-    def _send(
+    def _send_records(
         self, endpoints: tuple[tuple[str, int], ...], digest: int, records: tuple[Record, ...]
     ) -> None:
         channel = self._socket
@@ -219,19 +219,19 @@
             own.standing is Standing.LEAVING,
             digest,
             self.get_confirmed_age_ms(),
-            tuple(_to_wire(record) for record in records),
+            tuple(_encode_record(record) for record in records),
         )
         try:
             channel.send(heartbeat, endpoints)
         except WireError:
             if len(records) <= 1:
                 raise
-            # Long names make a datagram too large for all of its records.
+            # With long names the records may exceed the maximum size of a datagram.
             half = len(records) // 2
-            self._send(endpoints, digest, records[:half])
-            self._send(endpoints, digest, records[half:])
+            self._send_records(endpoints, digest, records[:half])
+            self._send_records(endpoints, digest, records[half:])
 
-    def _report(self, changes: tuple[Change, ...]) -> None:
+    def _report_changes(self, changes: tuple[Change, ...]) -> None:
         for change in changes:
             member = change.member
             _log.info("member {} {} ({})", member.name, change.kind.value, member.incarnation)
@@ -240,13 +240,13 @@
                 self._events.record(f"member.{change.kind.value}", {"host": member.host}, detail)
 
 
-def _split(name: str) -> tuple[str, str]:
+def _split_name(name: str) -> tuple[str, str]:
     host, _, role = name.partition("/")
     return host, role
 
 
-def _to_beat(envelope: Envelope, heartbeat: Heartbeat) -> Beat:
-    host, role = _split(envelope.sender)
+def _decode_beat(envelope: Envelope, heartbeat: Heartbeat) -> Beat:
+    host, role = _split_name(envelope.sender)
     member = Member(
         envelope.sender,
         host,
@@ -258,16 +258,18 @@
         Standing.LEAVING if heartbeat.leaving else Standing.ALIVE,
         envelope.bundle,
     )
-    records = tuple(_to_record(record) for record in heartbeat.records if _is_known(record))
+    records = tuple(
+        _decode_record(record) for record in heartbeat.records if _has_known_standing(record)
+    )
     return Beat(Record(member, envelope.sequence), heartbeat.digest, records)
 
 
-def _is_known(record: MemberRecord) -> bool:
+def _has_known_standing(record: MemberRecord) -> bool:
     return record.standing in {standing.value for standing in Standing}
 
 
-def _to_record(record: MemberRecord) -> Record:
-    host, role = _split(record.name)
+def _decode_record(record: MemberRecord) -> Record:
+    host, role = _split_name(record.name)
     member = Member(
         record.name,
         host,
@@ -282,7 +284,7 @@
     return Record(member, record.sequence)
 
 
-def _to_wire(record: Record) -> MemberRecord:
+def _encode_record(record: Record) -> MemberRecord:
     member = record.member
     return MemberRecord(
         member.name,
