--- a/toucanpin/daemon/access.py
+++ b/toucanpin/daemon/access.py
@@ -1,9 +1,9 @@
 """
-Operators' access
-=================
+Access control for operators
+============================
 
-Who may read, submit, cancel and drain: operators prove who they are by a token whose digest stands
-in a file, and every change that they ask for becomes an event.
+Operators authenticate by a token whose digest is stored in a file, and need a role to read, submit,
+cancel or drain.  Every change that they request is recorded as an event.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 
 
 class OperatorRole(enum.Enum):
-    """Name what an operator may do."""
+    """Permission of an operator."""
 
     READ = "read"
     SUBMIT = "submit"
@@ -40,7 +40,7 @@
 
 
 class Operator(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Describe one operator; the token itself is never stored."""
+    """One operator; the token itself is never stored."""
 
     name: str
     token_sha256: Annotated[str, msgspec.Meta(pattern="^[0-9a-f]{64}$")]
@@ -48,7 +48,7 @@
 
 
 class _OperatorsFile(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Hold the operators' file."""
+    """Content of the operators' file."""
 
     operator: tuple[Operator, ...]
 
@@ -60,7 +60,7 @@
     Raises
     ------
     SettingsError
-        If it can't be read, or a name or token stands twice.
+        If the file can't be read or is malformed, or a name or token appears twice.
     """
     try:
         table = tomllib.loads(path.read_text(encoding="utf-8"))
@@ -71,12 +71,12 @@
         values = [getattr(operator, key) for operator in operators]
         duplicates = sorted({value for value in values if values.count(value) > 1})
         if duplicates:
-            raise SettingsError((f"{path}: {key} {duplicates[0]!r} stands twice",))
+            raise SettingsError((f"{path}: {key} {duplicates[0]!r} appears twice",))
     return operators
 
 
 def guard_app(app: WsgiApp, operators: tuple[Operator, ...], events: EventSink) -> WsgiApp:
-    """Build an application that lets only known operators with the needed role through."""
+    """Return an application that admits only known operators with the required role."""
 
     def check(environ: dict[str, Any], start: StartResponse) -> Iterable[bytes]:
         """Check one request."""
@@ -99,11 +99,12 @@
 
 
 def _find_operator(header: str, operators: tuple[Operator, ...]) -> Operator | None:
-    """Find the operator whose token a header carries."""
+    """Return the operator whose token the header contains, None if there is none."""
     if not header.startswith(BEARER_PREFIX):
         return None
     digest = hashlib.sha256(header.removeprefix(BEARER_PREFIX).strip().encode()).hexdigest()
-    # Every digest is compared in constant time, so the answer's delay tells nothing of a token.
+    # All digests are compared, each in constant time, so that the duration of the check reveals
+    # nothing about a token.
     matches = [
         operator for operator in operators if hmac.compare_digest(operator.token_sha256, digest)
     ]
@@ -111,7 +112,7 @@
 
 
 def _find_required_role(method: str, path: str) -> OperatorRole:
-    """Say which role a request needs."""
+    """Return the role that a request requires."""
     if method in READ_METHODS:
         return OperatorRole.READ
     if path.startswith("/v1/drain"):
@@ -124,7 +125,7 @@
 def _record_change(
     environ: dict[str, Any], operator: Operator, allowed: bool, events: EventSink
 ) -> None:
-    """Record who asked for which change."""
+    """Record which operator requested which change."""
     if environ["REQUEST_METHOD"] in READ_METHODS:
         return
     kind = "operator.allowed" if allowed else "operator.refused"
@@ -133,5 +134,5 @@
 
 
 def _refuse(reason: Reason, detail: str) -> Refusal:
-    """Refuse before anything ran."""
+    """Return a refusal of a request that did not run."""
     return Refusal(Verdict.NOT_RUN, reason, detail)
--- a/toucanpin/daemon/attempts.py
+++ b/toucanpin/daemon/attempts.py
@@ -2,8 +2,8 @@
 Attempts
 ========
 
-Makes the attempts of one request, two beside each other where its path asks for a hedge.  One
-thread waits for both, so a request that isn't hedged pays for no other thread.
+Makes the attempts of one request, two at the same time if its path asks for a hedge.  One thread
+waits for both, so that hedging needs no additional threads.
 """
 
 from __future__ import annotations
@@ -21,12 +21,12 @@
 
 class Attempts:
     """
-    Keep the exchanges of one request that go on, by instance.
+    Exchanges of one request that are in progress, by instance.
 
     Parameters
     ----------
-    outgoing : what is sent
-    find : forwarder of an instance
+    outgoing : request that is sent
+    find : function that returns the forwarder of an instance
     """
 
     __slots__ = ("_outgoing", "_find", "_running")
@@ -37,9 +37,9 @@
         self._running: dict[str, Exchange] = {}
 
     def forward(self, action: Forward) -> Any:
-        """Make the first attempt; return its outcome, or AttemptPending at the given instant."""
+        """Make the first attempt; return its outcome, or AttemptPending at ``pending_at``."""
         forwarder = self._find(action.instance)
-        # A body that streams can't be sent a second time.
+        # A streamed body can't be sent a second time, so such a request is never hedged.
         if action.pending_at is None or self._outgoing.remaining_body is not None:
             return forwarder.forward(self._outgoing, action.deadline, action.fresh_connection)
         begun = forwarder.begin(self._outgoing, action.deadline, action.fresh_connection)
@@ -51,7 +51,7 @@
         return self._finish(action.instance)
 
     def hedge(self, action: Hedge) -> AttemptEnded:
-        """Begin a second attempt; return the first end of both."""
+        """Begin a second attempt; return the end of whichever attempt ends first."""
         forwarder = self._find(action.instance)
         begun = forwarder.begin(self._outgoing, action.deadline, False)
         if not isinstance(begun, Exchange):
@@ -60,14 +60,14 @@
         return self.wait()
 
     def wait(self) -> AttemptEnded:
-        """Return the next end of an attempt."""
+        """Wait until an attempt ends and return its end."""
         soonest = min(self._running, key=lambda name: self._running[name].deadline)
-        # At its deadline an attempt ends too: reading its answer then times out.
+        # At its deadline an attempt ends as well, because reading its answer times out then.
         instance = self._wait(self._running[soonest].deadline) or soonest
         return AttemptEnded(instance, self._finish(instance))
 
     def cancel(self) -> ActionDone:
-        """Close what goes on."""
+        """Cancel the attempts in progress."""
         while self._running:
             _, exchange = self._running.popitem()
             exchange.forwarder.cancel(exchange)
@@ -78,7 +78,7 @@
         return exchange.forwarder.finish(exchange)
 
     def _wait(self, until: float) -> str | None:
-        """Wait for an answer to begin; return its instance, None if none did."""
+        """Wait for an answer to begin; return its instance, or None if none did in time."""
         names = {exchange.socket.fileno(): name for name, exchange in self._running.items()}
         poll = select.poll()
         for number in names:
--- a/toucanpin/daemon/bundle_apps.py
+++ b/toucanpin/daemon/bundle_apps.py
@@ -1,8 +1,9 @@
 """
-Operators' HTTP for bundles
-===========================
+HTTP interface of bundles
+=========================
 
-Submit a signed bundle, and show what is in force, what was before and where it is in force.
+The WSGI applications with which operators submit a signed bundle and see the bundle in force, the
+history of versions and the version in force in each process.
 """
 
 from __future__ import annotations
@@ -60,7 +61,7 @@
 
 
 class SubmitRequest(msgspec.Struct, frozen=True):
-    """Ask for a signed bundle to be accepted on top of the expected version."""
+    """Request to accept a signed bundle as the successor of version ``expected``."""
 
     expected: int
     signed: SignedBundle
@@ -68,10 +69,10 @@
 
 class SubmitAnswer(msgspec.Struct, frozen=True):
     """
-    Say what became of a submission.
+    Outcome of a submission.
 
     ``outcome`` is accepted, refused, conflict, unavailable or uncertain; ``version``, ``digest``
-    and ``operator`` are of the accepted bundle, of the winner in a conflict.
+    and ``operator`` describe the accepted bundle or, after a conflict, the one accepted instead.
     """
 
     outcome: str
@@ -85,7 +86,7 @@
 
 
 class VersionEntry(msgspec.Struct, frozen=True):
-    """Show one accepted version; ``accepted_at`` is in seconds of the wall clock."""
+    """One accepted version; ``accepted_at`` is in seconds of the wall clock."""
 
     version: int
     digest: str
@@ -94,13 +95,13 @@
 
 
 class History(msgspec.Struct, frozen=True):
-    """List accepted versions, the newest first."""
+    """Accepted versions, newest first."""
 
     versions: tuple[VersionEntry, ...]
 
 
 class ProcessForce(msgspec.Struct, frozen=True):
-    """Show which version one process says that it has in force."""
+    """Version that a process reports to have in force."""
 
     name: str
     site: str
@@ -109,7 +110,7 @@
 
 
 class Force(msgspec.Struct, frozen=True):
-    """Show the version in force here and in every process that is there."""
+    """Version in force in this process and in every member that is not gone."""
 
     version: int
     everywhere: bool
@@ -123,7 +124,7 @@
     root: KeyRing,
     events: EventSink | None = None,
 ) -> dict[str, WsgiApp]:
-    """Build the applications by path."""
+    """Return the applications by path."""
     apps = _BundleApps(bundles, gossip, table, root, events)
     return {
         "/v1/bundle": apps.serve_bundle,
@@ -133,7 +134,7 @@
 
 
 class _BundleApps:
-    """Serve operators' requests on bundles."""
+    """Applications that serve operators' requests about bundles."""
 
     def __init__(
         self,
@@ -150,7 +151,7 @@
         self._events = events
 
     def serve_bundle(self, environ: dict[str, Any], start: StartResponse) -> Iterable[bytes]:
-        """Show the bundle in force, or take a submission."""
+        """Show the bundle in force, or accept a submission."""
         match environ["REQUEST_METHOD"]:
             case "GET":
                 return answer_json(start, self._bundles.status())
@@ -167,7 +168,7 @@
         return answer_json(start, History(tuple(self._list_versions(int(text)))))
 
     def serve_force(self, environ: dict[str, Any], start: StartResponse) -> Iterable[bytes]:
-        """Show where which version is in force."""
+        """Show which version is in force in each process."""
         processes = tuple(
             ProcessForce(m.name, m.site, m.standing.value, m.bundle)
             for m in self._gossip.members()
--- a/toucanpin/daemon/caller_answer.py
+++ b/toucanpin/daemon/caller_answer.py
@@ -2,8 +2,8 @@
 Answers to callers
 ==================
 
-Writes an instance's answer, or a refusal, to a caller's connection.  An answer that is cut on its
-way ends the connection without its terminator, so it can't look whole.
+Writes an instance's answer, or a refusal, to a caller's connection.  If an answer breaks off, the
+connection is closed without the terminator, so that the caller can't take it for complete.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from typing import Any
 
 from toucanpin.daemon.caller_server import encode_refusal
-from toucanpin.daemon.forwarder import UpstreamCutError
+from toucanpin.daemon.forwarder import TruncatedAnswerError
 from toucanpin.daemon.web import STATUS_OF_REASON
 from toucanpin.requests.messages import Response
 from toucanpin.verdict import Reason, Refusal, Verdict
@@ -35,7 +35,7 @@
 
 
 def write_refusal(req: Any, refusal: Refusal, closing: bool) -> bool:
-    """Write a refusal; return False if the caller was gone."""
+    """Write a refusal; return False if the caller has disconnected."""
     body = encode_refusal(refusal)
     head = [
         f"HTTP/1.1 {STATUS_LINES[refusal.reason]}",
@@ -50,7 +50,7 @@
 
 
 def write_response(req: Any, response: Response, closing: bool) -> bool:
-    """Write an instance's answer; return False if it was cut."""
+    """Write an instance's answer; return False if it could not be sent completely."""
     if response.remaining_body is None:
         return _write_head(req, _make_head(req, response, False), response.body, closing)
     chunked = not any(name.lower() == "content-length" for name, _ in response.headers)
@@ -105,8 +105,9 @@
         for piece in response.remaining_body:
             if not _write(req, _frame(piece, chunked)):
                 return False
-    except UpstreamCutError:
-        # No last chunk, or fewer bytes than Content-Length: the caller sees that it is cut.
+    except TruncatedAnswerError:
+        # Without the last chunk, or with fewer bytes than Content-Length, the caller detects that
+        # the answer is incomplete.
         return False
     return not chunked or _write(req, b"0\r\n\r\n")
 
--- a/toucanpin/daemon/caller_input.py
+++ b/toucanpin/daemon/caller_input.py
@@ -1,10 +1,10 @@
 """
-Input of callers
-================
+Parsing of callers' input
+=========================
 
-What a caller may send: strict request heads and bodies.  Two parsers that read one request
-differently are how requests are smuggled past a balancer, so whatever can be read in two ways is
-refused, and its connection closed.
+Strict parsing of request heads and bodies.  If a balancer and this process read one request
+differently, another request can be smuggled past the balancer; ambiguous input is therefore refused
+and its connection closed.
 """
 
 from __future__ import annotations
@@ -34,15 +34,15 @@
 
 
 class BodyTooLargeError(Exception):
-    """Report a body above its limit."""
+    """Raised if a body is larger than its limit."""
 
 
 class InvalidBodyError(Exception):
-    """Report a caller that closed or broke the framing in the middle of its body."""
+    """Raised if a body ends early or its chunked framing is invalid."""
 
 
 def read_headers(rfile: Any, protocol: bytes, method: bytes) -> dict[bytes, bytes]:
-    """Read a header block; raise ValueError with the reason if it isn't plain and unambiguous."""
+    """Read a header block; raise ValueError with the reason if it is malformed or ambiguous."""
     headers: dict[bytes, bytes] = {}
     count = 0
     while (line := rfile.readline()) != b"\r\n":
@@ -94,7 +94,7 @@
 
 
 class ChunkedBody:
-    """Read a chunked body with strict framing and without trailers, up to a limit."""
+    """Reader of a chunked body with strict framing and without trailers, up to ``limit`` bytes."""
 
     def __init__(self, rfile: Any, limit: int) -> None:
         self._rfile = rfile
@@ -104,7 +104,7 @@
         self.closed = False
 
     def read(self, size: int | None = None) -> bytes:
-        """Read up to ``size`` bytes, fewer only at the end."""
+        """Return ``size`` bytes, fewer only at the end of the body."""
         parts: list[bytes] = []
         wanted = self._limit + 1 if size is None or size < 0 else size
         while wanted > 0 and not self.closed:
@@ -121,7 +121,7 @@
         return b"".join(parts)
 
     def readline(self, size: int | None = None) -> bytes:
-        """Read one line, for mounted applications."""
+        """Return one line, as WSGI requires of the input of mounted applications."""
         line = bytearray()
         while (size is None or size < 0 or len(line) < size) and not line.endswith(b"\n"):
             byte = self.read(1)
@@ -145,7 +145,7 @@
         return True
 
     def _read_line_end(self) -> None:
-        # Trailers are refused with this as well: left unread, they would be taken for the next
-        # request of the connection.
+        # This check refuses trailers too: unread trailers would be parsed as the next request of
+        # the connection.
         if self._rfile.read(2) != b"\r\n":
             raise InvalidBodyError("a chunk does not end where its size says")
--- a/toucanpin/daemon/caller_reader.py
+++ b/toucanpin/daemon/caller_reader.py
@@ -2,8 +2,8 @@
 Reader of a caller's connection
 ===============================
 
-A buffered reader over a socket that can be filled without waiting, so that one thread can collect
-the heads of many connections, and whose lines are found by one search each.
+A buffered reader over a socket that can be filled without blocking, so that one thread can receive
+the heads of many connections.  Each line is found by a single search of the buffer.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 class CallerReader:
-    """Read bytes and lines of one connection."""
+    """Reader of the bytes and lines of one connection."""
 
     __slots__ = ("_sock", "_buffer", "_start", "ended", "closed", "bytes_read")
 
@@ -30,11 +30,11 @@
         self.bytes_read = 0
 
     def has_data(self) -> bool:
-        """Say whether anything is buffered."""
+        """Return whether any data is buffered."""
         return self._start < len(self._buffer)
 
     def receive_head(self, limit: int) -> bool:
-        """Take in what has arrived; say whether a whole head, too much or the end is there."""
+        """Receive without blocking; return whether a head, over ``limit`` bytes or the end came."""
         if self._has_head(limit):
             return True
         try:
@@ -49,7 +49,7 @@
         return self.ended or self._has_head(limit)
 
     def readline(self, size: int | None = None) -> bytes:
-        """Read up to and with the next newline, ``size`` bytes or the end."""
+        """Return the data up to and including the next newline, ``size`` bytes or the end."""
         while True:
             found = self._buffer.find(b"\n", self._start)
             end = len(self._buffer) if found < 0 else found + 1
@@ -62,7 +62,7 @@
             return line
 
     def read(self, size: int | None = None) -> bytes:
-        """Read ``size`` bytes, fewer only at the end; all that follows if None."""
+        """Return ``size`` bytes, fewer only at the end; everything up to the end if None."""
         missing = len(self._buffer) - self._start
         if size is not None and missing >= size:
             data = self._buffer[self._start : self._start + size]
@@ -81,7 +81,7 @@
         return b"".join(parts)
 
     def close(self) -> None:
-        """Drop what is buffered."""
+        """Drop the buffered data."""
         self.closed = True
         self._buffer, self._start = b"", 0
 
--- a/toucanpin/daemon/caller_request.py
+++ b/toucanpin/daemon/caller_request.py
@@ -2,8 +2,8 @@
 Requests of callers
 ===================
 
-Turns a parsed HTTP request for ``/v1/services/<service>/<path>`` into what decisions need and what
-is sent to an instance, or into a refusal.
+Turns a parsed HTTP request for ``/v1/services/<service>/<path>`` into the data for decisions and
+the request for an instance, or into a refusal.
 """
 
 from __future__ import annotations
@@ -44,7 +44,7 @@
 
 
 class IncomingRequest(msgspec.Struct):
-    """Hold one request for a service; ``rest_begun`` once its body can't be sent again."""
+    """A request for a service; ``body_consumed`` is set once its body can't be sent again."""
 
     request: Request
     outgoing: OutgoingRequest
@@ -54,12 +54,12 @@
 def make_caller_fault(
     reason: Reason, detail: str, verdict: Verdict = Verdict.NOT_RUN
 ) -> CallerFaultError:
-    """Make the error of a request that is at fault itself."""
+    """Return the error for an invalid request."""
     return CallerFaultError(Refusal(verdict, reason, detail))
 
 
 def split_target(uri: bytes) -> tuple[str, str]:
-    """Split a request's target into the service's name and the target at the instance."""
+    """Split a request target into the service's name and the target for the instance."""
     name, slash, path = uri[len(SERVICES_PREFIX) :].partition(b"/")
     if not slash:
         name, mark, query = name.partition(b"?")
@@ -68,7 +68,7 @@
 
 
 def read_request(req: Any, service: Service, target: str, arrived: float) -> IncomingRequest:
-    """Read the head and the first part of the body; raise CallerFaultError if at fault."""
+    """Read headers and the first part of the body; raise CallerFaultError if they are invalid."""
     headers: dict[bytes, bytes] = req.inheaders
     if METHOD_PATTERN.fullmatch(req.method) is None:
         raise make_caller_fault(Reason.BAD_REQUEST, "the method is not accepted")
@@ -145,7 +145,7 @@
 
 
 def _read_first_part(req: Any, length: int, limit: int) -> tuple[bytes, bool]:
-    """Read the first part of a body; return it and whether it is the whole body."""
+    """Return the first part of a body and whether it is the whole body."""
     try:
         body = req.rfile.read(MAX_BUFFERED_BYTES if not length else min(length, MAX_BUFFERED_BYTES))
     except BodyTooLargeError as error:
@@ -188,7 +188,7 @@
 
 
 class _RemainingBody:
-    """Read the part of a body that follows its first, once."""
+    """Reader of the remaining part of a body; it can be called only once."""
 
     __slots__ = ("_req", "_incoming", "_left", "_bytes_allowed")
 
@@ -199,11 +199,11 @@
         self._bytes_allowed = bytes_allowed
 
     def __call__(self) -> Iterator[bytes]:
-        """Yield the pieces; raise CallerFaultError if the caller breaks off."""
+        """Yield the pieces; raise CallerFaultError if the body is incomplete or too large."""
         self._incoming.body_consumed = True
-        known = self._left > 0
-        while not known or self._left > 0:
-            piece = self._read(known)
+        sized = self._left > 0
+        while not sized or self._left > 0:
+            piece = self._read(sized)
             if not piece:
                 break
             self._left -= len(piece)
@@ -211,14 +211,14 @@
             if self._bytes_allowed < 0:
                 raise self._make_fault(Reason.TOO_LARGE, "the body is too large")
             yield piece
-        if known and self._left > 0:
+        if sized and self._left > 0:
             raise self._make_fault(
                 Reason.BAD_REQUEST, "the body is shorter than its Content-Length"
             )
 
-    def _read(self, known: bool) -> bytes:
+    def _read(self, sized: bool) -> bytes:
         self._req.conn.socket.deadline = self._incoming.request.deadline
-        size = min(self._left, READ_SIZE_BYTES) if known else READ_SIZE_BYTES
+        size = min(self._left, READ_SIZE_BYTES) if sized else READ_SIZE_BYTES
         try:
             return self._req.rfile.read(size)
         except BodyTooLargeError as error:
--- a/toucanpin/daemon/caller_server.py
+++ b/toucanpin/daemon/caller_server.py
@@ -1,9 +1,9 @@
 """
-Server for callers
-==================
+HTTP server for callers
+=======================
 
-A cheroot server with strict input, JSON refusals and no thread held by a caller that has not sent
-its whole request head yet.
+A cheroot server that parses input strictly and refuses in JSON.  A caller occupies a thread only
+once its whole request head has arrived.
 """
 
 from __future__ import annotations
@@ -52,7 +52,7 @@
 
 
 def encode_refusal(refusal: Refusal) -> bytes:
-    """Encode the JSON body of a refusal."""
+    """Return the JSON body of a refusal."""
     body: dict[str, Any] = {
         "verdict": refusal.verdict.value,
         "reason": refusal.reason.value,
@@ -64,14 +64,14 @@
 
 
 class CallerRequest(server.HTTPRequest):
-    """Parse one request strictly; answer malformed ones as JSON and close."""
+    """Request that is parsed strictly; a malformed one is refused in JSON."""
 
     rfile: Any
     server: Any
     conn: Any
 
     def read_request_headers(self) -> bool:
-        """Read the header block, refuse what is ambiguous, then let cheroot apply it."""
+        """Read the headers, refuse ambiguous ones, then let cheroot process them."""
         if TARGET_PATTERN.fullmatch(self.uri) is None:
             self.simple_response("400 Bad Request", "the target has characters not accepted")
             return False
@@ -83,7 +83,7 @@
         return into
 
     def parse_request(self) -> None:
-        """Parse within the time for a head, then allow the time for a body."""
+        """Parse the head within its timeout, then set the timeout for the body."""
         self.conn.socket.deadline = time.monotonic() + HEAD_TIMEOUT_S
         super().parse_request()
         self.conn.socket.deadline = time.monotonic() + BODY_TIMEOUT_S
@@ -106,13 +106,13 @@
 
     @property
     def body_is_read(self) -> bool:
-        """Say whether the connection stands at the start of the next request."""
+        """Whether the whole body was read, so that the connection can be reused."""
         if self.chunked_read:
             return bool(self.rfile.closed)
         return self.rfile.remaining == 0
 
     def simple_response(self, status: Any, msg: str = "") -> None:
-        """Refuse a malformed request as not run and close its connection."""
+        """Refuse a request, as not run unless ``status`` is 5xx, and close its connection."""
         self.close_connection = True
         code = int(str(status)[:3])
         reason = REASON_OF_STATUS.get(code, Reason.BAD_REQUEST)
@@ -130,7 +130,7 @@
 
 
 class CallerConnection(server.HTTPConnection):
-    """Serve one caller's connection under deadlines."""
+    """Connection of one caller, with a deadline on every operation."""
 
     RequestHandlerClass = CallerRequest
     rfile: Any
@@ -143,13 +143,13 @@
         self.deferred = False
 
     def has_head(self, limit: int) -> bool:
-        """Say whether a thread can read a whole head, or its failure, without waiting."""
+        """Return whether a thread can read a whole head, or the error, without blocking."""
         return self.rfile.receive_head(limit)
 
     def close(self) -> None:
-        """Close, after reading what the caller sent meanwhile."""
-        # Closing with unread input makes the kernel reset the connection, and the caller may
-        # lose the refusal that was just written.
+        """Close after reading the data that has arrived meanwhile."""
+        # Closing with unread input makes the kernel reset the connection, and the caller may lose
+        # the refusal that was just written.
         with contextlib.suppress(OSError):
             self.socket.shutdown(socket.SHUT_WR)
             self.socket.settimeout(0)
@@ -158,7 +158,7 @@
 
 
 class CallerServer(wsgi.Server):
-    """Accept callers; hand a connection to a thread only once a whole head has arrived."""
+    """Server that passes a connection to a thread only once a whole request head has arrived."""
 
     ConnectionClass = CallerConnection
 
@@ -197,7 +197,7 @@
         self._parked_thread.start()
 
     def stop(self) -> None:
-        """Stop accepting, finish what is in flight and close."""
+        """Stop accepting, finish the requests in flight and close."""
         self._closing.set()
         self._has_parked.set()
         super().stop()
@@ -205,7 +205,7 @@
             self._parked.popleft().close()
 
     def process_conn(self, conn: Any) -> None:
-        """Queue a connection for a thread, or park it until its head is whole."""
+        """Queue a connection for a thread, or park it until its head is complete."""
         if conn.has_head(self.max_request_header_size):
             super().process_conn(conn)
             return
@@ -220,8 +220,8 @@
             self._refuse_timed_out(self._parked.popleft())
 
     def _check_parked(self) -> None:
-        # A thread that read a trickling head itself would be lost to other callers for as long;
-        # a few hundred such callers would take them all.
+        # If threads read the heads themselves, a few hundred callers that send theirs slowly would
+        # occupy all of them.
         while not self._closing.wait(PARKED_CHECK_PERIOD_S):
             if not self._parked:
                 self._wait_for_parked()
@@ -240,7 +240,7 @@
     def _wait_for_parked(self) -> None:
         """Wait until a connection is parked."""
         self._has_parked.clear()
-        # One that was parked just before the flag was cleared is seen here, later ones set it.
+        # A connection parked just before the flag was cleared is seen here; later ones set it.
         if not self._parked and not self._closing.is_set():
             self._has_parked.wait()
 
@@ -251,7 +251,7 @@
         conn.close()
 
     def error_log(self, msg: str = "", level: int = 20, traceback: bool = False) -> None:
-        """Log what cheroot reports."""
+        """Log a message of cheroot."""
         if traceback:
             log.warn("{}", msg, exc_info=True)
         else:
--- a/toucanpin/daemon/claimer.py
+++ b/toucanpin/daemon/claimer.py
@@ -2,7 +2,7 @@
 Claimer
 =======
 
-The thread that inserts claim rows, many in one transaction, and tells the waiting requests.
+The thread that inserts claim rows, many in one transaction, and notifies the waiting requests.
 """
 
 from __future__ import annotations
@@ -39,7 +39,7 @@
 
 
 class _Waiter:
-    """Let one request wait for its claim."""
+    """Request that waits for its claim."""
 
     __slots__ = ("claim", "done", "outcome", "timed_out")
 
@@ -56,8 +56,8 @@
 
     Parameters
     ----------
-    table : the platform's table
-    process : name of this process, the prefix of its tokens
+    table : table that stores the claims
+    process : name of this process, used as a prefix of its tokens
     clock : monotonic clock in seconds
     """
 
@@ -68,8 +68,8 @@
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
         self._table = table
-        # Equal tokens would let two processes both believe that a row is theirs; a random part
-        # keeps them apart even if names and incarnations are set up wrongly.
+        # With equal tokens two processes could both take one row for their own.  The random part
+        # keeps tokens apart even if names and incarnations are configured wrongly.
         self._token_prefix = f"{process}:{secrets.token_hex(8)}"
         self._clock = clock
         self._changed = threading.Condition()
@@ -84,14 +84,14 @@
         self._thread.start()
 
     def stop(self) -> None:
-        """Release what is to be released and end the thread."""
+        """Process the pending claims and releases and end the thread."""
         with self._changed:
             self._stopping = True
             self._changed.notify()
         self._thread.join(JOIN_TIMEOUT_S)
 
     def claim(self, request_id: str, deadline: float) -> Claimed | NotClaimed:
-        """Insert the claim of a request id, waiting until the deadline at the longest."""
+        """Insert the claim of a request id; give up waiting for it at the deadline."""
         with self._changed:
             pending = prepare_claim(request_id, self._make_token())
             waiter = _Waiter(pending)
@@ -113,7 +113,7 @@
         return NotClaimed(now, refusal)
 
     def release(self, claim: HeldClaim) -> None:
-        """Delete a claim row soon; its request certainly did not run."""
+        """Queue a claim row for deletion; its request must not have run."""
         with self._changed:
             self._releases.append(claim)
             self._changed.notify()
@@ -144,7 +144,9 @@
                 if releases:
                     self._delete(releases)
             except Exception:
-                log.exception("claims failed")
+                log.exception(
+                    "failed to process {} claims and {} releases", len(batch), len(releases)
+                )
                 self._fail(batch)
 
     def _take_batch(self) -> list[_Waiter]:
@@ -175,7 +177,7 @@
                 outcome = outcomes[waiter.claim.token]
                 waiter.outcome = outcome
                 if waiter.timed_out and isinstance(outcome, HeldClaim):
-                    # Its request was answered as not run; the caller may come back with the id.
+                    # The request was answered as not run, so the caller may retry with the same id.
                     self._releases.append(outcome)
                 waiter.done.set()
 
@@ -191,5 +193,5 @@
         writes = tuple(Write(claim.key, claim.version, None) for claim in releases)
         result = self._table.commit(Transaction(self._next_token(), writes))
         if result.is_error():
-            # The ids stay claimed until their bucket ends: callers must use new ones.
-            log.warn("{} claims could not be released: {}", len(writes), result.error)
+            # These ids stay claimed until their rows are swept; callers must use new ids.
+            log.warn("failed to release {} claims: {}", len(writes), result.error)
--- a/toucanpin/daemon/deadline_socket.py
+++ b/toucanpin/daemon/deadline_socket.py
@@ -2,7 +2,7 @@
 Sockets with a deadline
 =======================
 
-A socket whose every operation ends by one instant, however slowly the peer sends byte after byte.
+A socket whose operations all end by one deadline, however slowly the peer sends.
 """
 
 from __future__ import annotations
@@ -18,10 +18,10 @@
 
 class DeadlineSocket(socket.socket):
     """
-    Limit the sum of all waits by ``deadline`` (monotonic seconds) in place of each wait.
+    Socket whose operations time out at ``deadline``, in seconds of the monotonic clock.
 
-    A plain timeout starts afresh with every byte, so a peer that trickles would hold its thread
-    for as long as it likes.
+    A plain timeout starts anew with every operation, so a peer that sends byte after byte could
+    occupy its thread without limit.
     """
 
     __slots__ = ("deadline",)
@@ -38,7 +38,7 @@
         self.settimeout(remaining)
 
     def recv_into(self, *args: Any, **kwargs: Any) -> int:
-        """Receive by the deadline."""
+        """Receive into a buffer, as ``socket.recv_into``, by the deadline."""
         self._set_timeout()
         return super().recv_into(*args, **kwargs)
 
@@ -48,18 +48,18 @@
         return super().recv(size)
 
     def send(self, *args: Any, **kwargs: Any) -> int:
-        """Send what fits by the deadline."""
+        """Send, as ``socket.send``, by the deadline."""
         self._set_timeout()
         return super().send(*args, **kwargs)
 
     def sendall(self, *args: Any, **kwargs: Any) -> None:
-        """Send all by the deadline."""
+        """Send all data, as ``socket.sendall``, by the deadline."""
         self._set_timeout()
         super().sendall(*args, **kwargs)
 
 
 def wrap_socket(sock: socket.socket, deadline: float) -> DeadlineSocket:
-    """Turn a plain socket into one with a deadline; the plain one is used up."""
+    """Return a socket with a deadline that takes over the descriptor of ``sock``."""
     timed = DeadlineSocket(sock.family, sock.type, sock.proto, fileno=sock.detach())
     timed.deadline = deadline
     return timed
--- a/toucanpin/daemon/endpoint.py
+++ b/toucanpin/daemon/endpoint.py
@@ -2,7 +2,8 @@
 Endpoints
 =========
 
-An address and port of a listener or a peer, given by IP number as the platform prescribes.
+The address and port of a listener or a peer, given as an IP address because the platform
+prescribes it.
 """
 
 from __future__ import annotations
@@ -17,13 +18,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
-    """Name one TCP or UDP port at an IP number."""
+    """A TCP or UDP port at an IPv4 address."""
 
     address: str
     port: int
 
     def __str__(self) -> str:
-        """Write the endpoint as settings do."""
+        """Return the endpoint as it is written in settings."""
         return f"{self.address}:{self.port}"
 
 
@@ -34,7 +35,7 @@
     Raises
     ------
     ValueError
-        If the address is not an IPv4 number or the port is not between 1 and 65535.
+        If the address is not an IPv4 address or the port is not between 1 and 65535.
     """
     address, _, port = text.rpartition(":")
     ipaddress.IPv4Address(address)
--- a/toucanpin/daemon/forwarder.py
+++ b/toucanpin/daemon/forwarder.py
@@ -2,8 +2,8 @@
 Forwarder
 =========
 
-Sends one attempt of a request to one instance by urllib3's connections, and says exactly how far
-it came: before the first byte, after it, or to a whole answer.
+Sends one attempt of a request to one instance over urllib3's connections.  The outcome tells
+whether the attempt ended before its first byte was sent, after that, or with a complete answer.
 """
 
 from __future__ import annotations
@@ -31,36 +31,36 @@
 )
 from toucanpin.verdict import Refusal
 
-__all__ = ["CallerFaultError", "Exchange", "Forwarder", "OutgoingRequest", "UpstreamCutError"]
+__all__ = ["CallerFaultError", "Exchange", "Forwarder", "OutgoingRequest", "TruncatedAnswerError"]
 
 CONNECT_TIMEOUT_S = 0.5
-MAX_BUFFERED_BYTES = 65_536
+MAX_BUFFERED_BYTES = 65_536  # of a body; what follows is streamed
 READ_SIZE_BYTES = 65_536
-STREAM_READ_TIMEOUT_S = 10.0
-MAX_FRESH_IDLE_S = 1.0
+STREAM_READ_TIMEOUT_S = 10.0  # for each piece of a streamed answer
+MAX_FRESH_IDLE_S = 1.0  # for requests that need a fresh connection
 MAX_IDLE_S = 20.0
 LAST_CHUNK = b"0\r\n\r\n"
 ForwardOutcome = Refused | Interrupted | TimedOut | Responded | CallerFailed
 
 
 class CallerFaultError(Exception):
-    """Report that the caller's body can't be read on; carries the refusal."""
+    """Raised if a caller's request is invalid or its body can't be read; carries the refusal."""
 
     def __init__(self, refusal: Refusal) -> None:
         super().__init__(refusal.detail)
         self.refusal = refusal
 
 
-class UpstreamCutError(Exception):
-    """Report that a streamed answer ended early."""
+class TruncatedAnswerError(Exception):
+    """Raised if the answer of an instance ends early while it is being streamed."""
 
 
 class OutgoingRequest(msgspec.Struct, frozen=True):
     """
-    Hold what is sent to an instance.
+    Request as it is sent to an instance.
 
-    ``headers`` are all but the deadline; ``rest`` yields the part of the body that follows
-    ``body``, None if there is none.
+    ``headers`` are all headers except for the deadline.  ``remaining_body`` returns an iterator
+    over the part that follows ``body``; None if ``body`` is the whole body.
     """
 
     method: str
@@ -72,7 +72,7 @@
 
 
 class _Connection(HTTPConnection):
-    """Know whether anything was written, and limit the whole exchange by one deadline."""
+    """Connection that knows if anything was written and has one deadline for a whole exchange."""
 
     response_class = InstanceAnswer
     written = False
@@ -87,7 +87,7 @@
         return self.deadline_sock
 
     def begin_exchange(self, deadline: float) -> None:
-        """Begin an exchange that ends by the deadline."""
+        """Prepare for an exchange that must end by the deadline."""
         self.written = False
         self.buffered_head = []
         self.deadline = deadline
@@ -95,9 +95,9 @@
             self.deadline_sock.deadline = deadline
 
     def send(self, data: Any) -> None:
-        """Write to the instance; from the first call on the request may run."""
+        """Write to the instance; once anything was written, the request may run."""
         if self.sock is None:
-            # The library would open another connection here, in the middle of a request.
+            # http.client would open another connection here, in the middle of a request.
             raise http.client.NotConnected()
         if self.buffered_head is not None:
             self.buffered_head.append(data)
@@ -106,7 +106,7 @@
         self.deadline_sock.sendall(data)
 
     def flush_head(self, body: bytes) -> None:
-        """Write the gathered head and the first part of the body together."""
+        """Send the buffered head and the first part of the body in one write."""
         head, self.buffered_head = self.buffered_head or [], None
         self.send(b"".join((*head, body)))
 
@@ -118,7 +118,7 @@
 
 
 class Exchange(msgspec.Struct, frozen=True, eq=False):
-    """Hold one attempt whose request was sent and whose answer wasn't read yet."""
+    """Attempt whose request was sent and whose answer has not been read yet."""
 
     forwarder: Forwarder
     connection: _Connection
@@ -126,12 +126,12 @@
 
     @property
     def socket(self) -> socket.socket:
-        """Return the socket that becomes readable when the answer begins, or breaks off."""
+        """Socket that becomes readable when the answer begins or the connection ends."""
         return self.connection.deadline_sock
 
     @property
     def deadline(self) -> float:
-        """Return the instant by which the answer must be there."""
+        """Instant by which the answer must have arrived, in seconds of the monotonic clock."""
         return self.connection.deadline
 
 
@@ -141,7 +141,7 @@
 
     Parameters
     ----------
-    address, port : where the instance listens
+    address, port : IP address and port of the instance
     clock : monotonic clock in seconds
     """
 
@@ -158,18 +158,18 @@
 
     @property
     def open_connections(self) -> int:
-        """Count the connections to the instance, in use and idle."""
+        """Number of open connections to the instance, both in use and idle."""
         return self._open
 
     def forward(self, outgoing: OutgoingRequest, deadline: float, fresh: bool) -> ForwardOutcome:
-        """Make one attempt."""
+        """Make one attempt; ``fresh`` forbids connections that were idle for long."""
         begun = self.begin(outgoing, deadline, fresh)
         return self.finish(begun) if isinstance(begun, Exchange) else begun
 
     def begin(
         self, outgoing: OutgoingRequest, deadline: float, fresh: bool
     ) -> Exchange | Refused | Interrupted | TimedOut | CallerFailed:
-        """Send the request; the exchange that is returned must be finished or cancelled."""
+        """Send the request; a returned exchange must be passed to ``finish`` or ``cancel``."""
         try:
             connection = self._checkout(deadline, fresh)
         except (OSError, HTTPError) as error:
@@ -184,7 +184,7 @@
         return exchange
 
     def finish(self, exchange: Exchange) -> ForwardOutcome:
-        """Read the answer's head and first part."""
+        """Read the head of the answer and the first part of its body."""
         started = False
         try:
             head = exchange.connection.read_head()
@@ -194,16 +194,15 @@
             return self._classify_failure(exchange, error, started)
 
     def cancel(self, exchange: Exchange) -> None:
-        """Close the connection; the answer that may still come dies with it."""
+        """Close the connection, so that a late answer is lost with it."""
         self._discard(exchange.connection)
 
     def _classify_failure(
         self, exchange: Exchange, error: BaseException, started: bool = False
     ) -> Refused | Interrupted | TimedOut | CallerFailed:
-        """Give up the connection and say how far the attempt came."""
+        """Close the connection and return the outcome of a failed attempt."""
         connection = exchange.connection
-        # A late answer dies with its connection: were the connection used again, the next caller
-        # would receive this one's answer.
+        # If the connection were reused, a late answer would reach the next caller.
         self._discard(connection)
         match error:
             case CallerFaultError():
@@ -220,7 +219,7 @@
         raise error
 
     def close_idle(self, include_recent: bool = False) -> None:
-        """Close connections that were idle for long or exceed the limit."""
+        """Close idle connections: old ones, those above the limit, and recent ones on request."""
         now = self._clock()
         with self._lock:
             old = [c for c in self._idle if include_recent or c.idle_since + MAX_IDLE_S < now]
@@ -236,8 +235,8 @@
         now = self._clock()
         oldest = now - (MAX_FRESH_IDLE_S if fresh else MAX_IDLE_S)
         while (connection := self._pop_idle()) is not None:
-            # A readable idle connection was closed by its peer, or holds an answer that nobody
-            # asked for; neither may carry a request.
+            # A readable idle connection was closed by its peer or holds unsolicited data; neither
+            # may carry a request.
             if connection.idle_since >= oldest and connection.is_connected:
                 connection.begin_exchange(deadline)
                 return connection
@@ -293,15 +292,15 @@
 
     def _receive(self, connection: _Connection, head: InstanceAnswer) -> Responded:
         body = head.read(MAX_BUFFERED_BYTES)
-        whole = head.isclosed() and not head.length
-        if not whole and len(body) < MAX_BUFFERED_BYTES:
+        complete = head.isclosed() and not head.length
+        if not complete and len(body) < MAX_BUFFERED_BYTES:
             raise http.client.IncompleteRead(body)
         headers = head.select_headers()
         verdict = head.headers_by_name.get("toucanpin-verdict", "")
-        not_run = whole and head.status == 503 and verdict == "not-run"
+        not_run = complete and head.status == 503 and verdict == "not-run"
         draining = not_run and head.headers_by_name.get("toucanpin-reason", "") == "draining"
         remaining_body = None
-        if whole:
+        if complete:
             self._release(connection, head.will_close)
         else:
             remaining_body = self._stream(connection, head)
@@ -317,7 +316,7 @@
             self._checkin(connection)
 
     def _stream(self, connection: _Connection, head: InstanceAnswer) -> Iterator[bytes]:
-        """Yield the rest of a large answer; raise UpstreamCutError if it ends early."""
+        """Yield the remaining body of an answer; raise TruncatedAnswerError if it ends early."""
         finished = False
         try:
             while not head.isclosed():
@@ -327,10 +326,10 @@
                     break
                 yield piece
             if head.length:
-                raise UpstreamCutError("the answer is shorter than its Content-Length")
+                raise TruncatedAnswerError("the answer is shorter than its Content-Length")
             finished = True
         except (OSError, http.client.HTTPException, ValueError) as error:
-            raise UpstreamCutError(f"the instance broke off: {_describe(error)}") from error
+            raise TruncatedAnswerError(f"the instance broke off: {_describe(error)}") from error
         finally:
             head.close()
             if finished:
--- a/toucanpin/daemon/front.py
+++ b/toucanpin/daemon/front.py
@@ -1,8 +1,8 @@
 """
-Front
-=====
+Front end for callers
+=====================
 
-Answers callers: drives the path of each request with real sockets, threads and clocks.
+Accepts callers' requests and runs the path of each one with real sockets, threads and clocks.
 """
 
 from __future__ import annotations
@@ -58,8 +58,8 @@
 
 TICK_PERIOD_S = 0.05
 DRAIN_POLL_PERIOD_S = 0.02
-DRAIN_IDLE_S = 0.3
-RESERVED_THREADS = 8
+DRAIN_IDLE_S = 0.3  # time without a new request before a draining front closes
+RESERVED_THREADS = 8  # not counted on for requests in flight or queued
 FORWARDED_EVENT, HEDGED_EVENT = "request.forwarded", "request.hedged"
 NO_BUNDLE = Refusal(
     Verdict.NOT_RUN, Reason.NOT_READY, "this process does not know the bundle in force yet", 1.0
@@ -78,12 +78,13 @@
 @dataclass(frozen=True, slots=True)
 class FrontSettings:
     """
-    Set up a front.
+    Settings of a front.
 
-    ``name`` is this process's name among the members (``<host>/request``), ``incarnation`` this
-    life of it; times are in seconds, sizes in bytes.  ``linger`` is how long a draining front
-    still takes what the balancer sends, ``settle`` how long shares of slots wait for others; None
-    for the time in which members learn of each other plus each service's deadline.
+    ``name`` is this process's name among the members (``<host>/request``), ``incarnation`` tells
+    its restarts apart; times are in seconds, sizes in bytes.  ``linger`` is how long a draining
+    front still accepts requests from the balancer.  ``share_hold`` is how long this process waits
+    before it uses slots that another process may still be using; None stands for the time in which
+    members learn of each other plus each service's deadline.
     """
 
     name: str
@@ -105,13 +106,13 @@
     Parameters
     ----------
     settings : names, limits and times
-    bundle : the bundle in force
-    hosts : the platform's list as last read
-    members : the processes believed to be there; its request processes share the slots
-    table : where claims stand
+    bundle : source of the bundle in force
+    hosts : function that returns the platform's host list as last read
+    members : source of the known members; the request processes among them share the slots
+    table : table that stores the claims of request ids
     events : time line of this process
     mounts : applications by path prefix, such as ``/v1/jobs``; they see the whole ``PATH_INFO``
-    rng : source of randomness of decisions
+    rng : random generator for routing and admission
     """
 
     def __init__(
@@ -162,18 +163,18 @@
 
     @property
     def port(self) -> int:
-        """Return the port that callers use."""
+        """Port on which callers are served."""
         return int(self._server.bind_addr[1])
 
     @property
     def ready(self) -> bool:
-        """Say whether a balancer should send callers here."""
+        """Whether a balancer should send requests to this process."""
         bundle_known = self._bundle.current() is not None
         shares_known = self._upstreams.knows_shares(time.monotonic())
         return bundle_known and shares_known and not self._draining
 
     def start(self) -> None:
-        """Bind and start serving."""
+        """Bind the port and start serving."""
         self._upstreams.refresh(time.monotonic())
         self._claimer.start()
         self._sweeper.start()
@@ -183,10 +184,10 @@
 
     def stop(self, grace: float) -> None:
         """
-        Stop without cutting off a request: not ready at once, closed when nothing is in flight.
+        Stop once every request in flight has been answered, at the latest after ``grace`` seconds.
 
-        The balancer notices late, so requests are still taken for the lingering time; each answer
-        then ends its connection.
+        The process reports at once that it is not ready.  The balancer notices with a delay, so
+        requests are still accepted for the lingering time; each answer then closes its connection.
         """
         self._draining = True
         started_at = time.monotonic()
@@ -216,7 +217,7 @@
                 for service, instance in self._upstreams.take_ejected():
                     self._events.record("instance.ejected", {"host": instance}, service)
             except Exception:
-                log.exception("refreshing instances failed")
+                log.exception("failed to refresh the instances of the services")
 
     def _make_gateway(self, req: Any) -> Any:
         if req.uri.startswith(SERVICES_PREFIX):
@@ -224,7 +225,7 @@
         return wsgi.Gateway_10(req)
 
     def serve(self, req: Any) -> None:
-        """Answer one request for a service."""
+        """Answer one request for a service; called by the server's threads."""
         with self._count_lock:
             self._in_flight += 1
             self._last_request = time.monotonic()
@@ -233,7 +234,7 @@
         except CallerFaultError as fault:
             self._refuse(req, fault.refusal, "")
         except Exception:
-            log.exception("a request failed")
+            log.exception("failed to answer a request for a service")
             if req.sent_headers:
                 req.close_connection = True
             else:
@@ -264,7 +265,7 @@
         self._run_path(req, incoming, entry)
 
     def _run_path(self, req: Any, incoming: IncomingRequest, entry: ServiceEntry) -> None:
-        """Take the steps of a path: decisions under the service's lock, the rest outside it."""
+        """Run a request path: decisions under the service's lock, actions outside it."""
         request = incoming.request
         path = serve_request(request, entry.state)
         attempts = Attempts(incoming.outgoing, entry.forwarders.__getitem__)
@@ -310,10 +311,10 @@
         return WaitEnded(time.monotonic())
 
     def _relay(self, req: Any, response: Response, request_id: str) -> ActionDone:
-        whole = write_response(req, response, self._draining)
-        self._count("relayed" if whole else "cut")
+        complete = write_response(req, response, self._draining)
+        self._count("relayed" if complete else "cut")
         self._record_event("request.answered", request_id, str(response.status))
-        return ActionDone(time.monotonic(), not whole)
+        return ActionDone(time.monotonic(), not complete)
 
     def _attempt(self, incoming: IncomingRequest, attempts: Attempts, action: Any) -> Any:
         match action:
@@ -337,7 +338,7 @@
             self.counts[name] += 1
 
     def _record_event(self, kind: str, request_id: str, detail: str) -> None:
-        """Record a step of a request that its caller has named."""
+        """Record an event of a request whose caller gave it an id."""
         if request_id:
             self._events.record(kind, {"request": request_id}, detail)
 
@@ -350,7 +351,7 @@
 
 
 class _ServiceGateway:
-    """Hand a request for a service to the front, past WSGI's environment."""
+    """Pass a request for a service to the front without building a WSGI environment."""
 
     __slots__ = ("_front", "_req")
 
--- a/toucanpin/daemon/jobs_app.py
+++ b/toucanpin/daemon/jobs_app.py
@@ -2,7 +2,7 @@
 HTTP interface of jobs
 ======================
 
-The WSGI application below ``/v1/jobs`` and ``/v1/standing``, JSON in and out.
+The WSGI application below ``/v1/jobs`` and ``/v1/standing``, which reads and writes JSON.
 """
 
 from __future__ import annotations
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """Hold one HTTP answer."""
+    """One HTTP answer."""
 
     status: HTTPStatus
     body: bytes
@@ -51,7 +51,7 @@
 
 
 class RefusedError(Exception):
-    """Carry a refusal to the one place that answers with it."""
+    """Raised if a request is refused; carries the refusal."""
 
     def __init__(self, refusal: Refusal) -> None:
         super().__init__(refusal.detail)
@@ -59,7 +59,7 @@
 
 
 class JobsApp:
-    """Answer for jobs and standing tasks; ``hosts`` gives the newest host list that is known."""
+    """Application for jobs and standing tasks; ``hosts`` returns the newest known host list."""
 
     def __init__(
         self,
@@ -68,7 +68,6 @@
         hosts: Callable[[], tuple[ListedHost, ...]],
         bundle: BundleView,
     ) -> None:
-        """Connect the ports."""
         self._table = table
         self._objects = objects
         self._hosts = hosts
@@ -112,7 +111,7 @@
         raise RefusedError(Refusal(Verdict.NOT_RUN, Reason.NOT_FOUND, detail))
 
     def _run(self, decision: Decision[Result[Any, Refusal]]) -> Any:
-        """Run a decision on the table, and raise its refusal."""
+        """Run a decision on the table and return its value; raise RefusedError if it refuses."""
         outcome = run_decision(decision, lambda action: perform_table_action(self._table, action))
         if outcome.is_error():
             raise RefusedError(outcome.error)
@@ -143,13 +142,13 @@
         return make_reply(self._run(list_jobs(JobFilter(**texts, limit=int(limit)))))
 
     def _cancel(self, job: str) -> Reply:
-        """Cancel a job; one that ended first is shown with its end and a conflict."""
+        """Cancel a job; if it has ended otherwise, answer 409 with its status."""
         status: JobStatus = self._run(cancel_job(job))
         code = HTTPStatus.OK if status.state == "cancelled" else HTTPStatus.CONFLICT
         return Reply(code, msgspec.json.encode(status))
 
     def _read_result(self, job: str) -> Reply:
-        """Return the result's bytes, or the state of a job that has none."""
+        """Answer with the bytes of the result, or with the status of a job that has none."""
         status: JobStatus = self._run(read_status(job))
         if status.state in ("queued", "running"):
             return Reply(HTTPStatus.ACCEPTED, msgspec.json.encode(status))
@@ -170,12 +169,12 @@
 
 
 def make_reply(value: Any) -> Reply:
-    """Answer with a value in JSON."""
+    """Return a reply with a value in JSON."""
     return Reply(HTTPStatus.OK, msgspec.json.encode(value))
 
 
 def read_body(environ: dict[str, Any], limit: int) -> bytes:
-    """Read a request's body, which must say its length."""
+    """Return a request's body; raise RefusedError if its length is missing or above ``limit``."""
     length = environ.get("CONTENT_LENGTH") or ""
     if not length.isdecimal():
         detail = "Content-Length is needed"
--- a/toucanpin/daemon/sweeper.py
+++ b/toucanpin/daemon/sweeper.py
@@ -2,7 +2,7 @@
 Sweeper
 =======
 
-The thread that deletes this process's part of the old claim rows, at an even, low rate.
+The thread that deletes the expired claim rows of this process's partitions at a low, even rate.
 """
 
 from __future__ import annotations
@@ -35,7 +35,7 @@
 
 
 class Sweeper:
-    """Sweep this process's part of the old claims."""
+    """Delete the expired claims of this process's partitions."""
 
     def __init__(
         self,
@@ -62,7 +62,7 @@
         self._thread.join(JOIN_TIMEOUT_S)
 
     def sweep(self, prefix: str) -> int:
-        """Sweep one part now and return how many rows were deleted."""
+        """Sweep one partition and return the number of deleted rows."""
         steps = sweep_partition(prefix, self._ages, self._clock, self._make_token)
         reply: Any = None
         while True:
@@ -89,12 +89,12 @@
                 self._sweep_or_log(prefix)
 
     def _sweep_or_log(self, prefix: str) -> None:
-        """Sweep one part, if any; a fault leaves it for the next time."""
+        """Sweep a partition, if any; after a failure it is left for the next round."""
         try:
             if prefix:
                 self.sweep(prefix)
         except Exception:
-            log.exception("sweeping old claims failed")
+            log.exception("failed to sweep expired claims with prefix {}", prefix)
 
     def _list_members(self) -> tuple[str, ...]:
         return tuple(
--- a/toucanpin/daemon/tests/certificates.py
+++ b/toucanpin/daemon/tests/certificates.py
@@ -1,4 +1,4 @@
-"""Certificates that are made while a test runs."""
+"""Certificates generated for tests."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def write_certificate(folder: Path, name: str, address: str) -> tuple[Path, Path]:
-    """Write a certificate for an address that vouches for itself, and its key; return both."""
+    """Write a self-signed certificate for an address and its key; return the paths of both."""
     key = ec.generate_private_key(ec.SECP256R1())
     subject = x509.Name([x509.NameAttribute(NameOID.COMMON_NAME, name)])
     now = datetime.datetime.now(datetime.UTC)
--- a/toucanpin/daemon/tests/entry_hosts.py
+++ b/toucanpin/daemon/tests/entry_hosts.py
@@ -1,4 +1,4 @@
-"""Real request processes before real instances, a balancer and callers that load them."""
+"""Real request processes and instances, with a balancer and callers that generate load."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
     write_settings,
 )
 
-__all__ = ["CallResult", "Balancer", "EntryHosts", "Load", "call", "wait_until"]
+__all__ = ["Balancer", "CallResult", "EntryHosts", "Load", "call", "wait_until"]
 
 ROLE = "request"
 TEST_TIMEOUT_S = 30.0
@@ -44,17 +44,17 @@
 
 
 def wait_until(condition: Callable[[], bool], description: str) -> None:
-    """Wait for a condition; fail if it doesn't hold within a generous bound."""
+    """Wait for a condition; fail if it doesn't hold within ``TEST_TIMEOUT_S``."""
     deadline = time.monotonic() + TEST_TIMEOUT_S
     while not condition():
         if time.monotonic() > deadline:
-            raise AssertionError(f"never happened: {description}")
+            raise AssertionError(f"not within {TEST_TIMEOUT_S} s: {description}")
         _NEVER_SET.wait(POLL_PERIOD_S)
 
 
 @dataclass(frozen=True, slots=True)
 class CallResult:
-    """Hold what a caller saw; ``status`` is 0 if its connection broke, ``whole`` a right answer."""
+    """Result of a call; ``status`` is 0 after a connection error, ``correct`` a right answer."""
 
     number: int
     entry: str
@@ -65,7 +65,7 @@
 
 
 def call(entry: Entry, question) -> CallResult:
-    """Ask one entry host once, on a connection of its own."""
+    """Send one request to an entry host, on a new connection."""
     connection = http.client.HTTPConnection(entry.address, CALLERS_PORT, timeout=TEST_TIMEOUT_S)
     headers = {"Toucanpin-Request-Id": f"request-{question.number}", "Connection": "close"}
     target = f"/v1/services/{SERVICE}{question.path}"
@@ -86,7 +86,7 @@
 
 
 class EntryHosts:
-    """Start the platform, two instances and three request processes."""
+    """The platform, two instances and three entry hosts with their request processes."""
 
     def __init__(self) -> None:
         self._folder = tempfile.TemporaryDirectory()
@@ -95,7 +95,7 @@
         self.launcher = Launcher(self.folder)
 
     def start(self) -> None:
-        """Start everything and wait until every entry host is ready."""
+        """Start all processes and wait until every entry host is ready."""
         make_keys(self.folder)
         write_settings(self.topology, self.folder)
         start_surroundings(self.topology, self.launcher)
@@ -105,24 +105,24 @@
             self.wait_ready(entry)
 
     def close(self) -> None:
-        """End every process, the entry hosts without their drain."""
+        """End all processes, the entry hosts without draining."""
         for entry in self.topology.entries:
             self.kill(entry)
         self.launcher.end_all()
         self._folder.cleanup()
 
     def wait_ready(self, entry: Entry) -> None:
-        """Wait until an entry host takes callers."""
+        """Wait until an entry host is ready."""
         self.launcher.wait_ready(f"{entry.name}-{ROLE}", f"{entry.operators(ROLE)}/readyz")
 
     def replace(self, entry: Entry) -> int:
-        """End an entry host gracefully and start it again; return the exit code of the old."""
+        """Stop an entry host gracefully and restart it; return its exit code."""
         code = self.launcher.end(f"{entry.name}-{ROLE}")
         self.restart(entry)
         return code
 
     def restart(self, entry: Entry) -> None:
-        """Start an entry host's process and wait until it takes callers."""
+        """Start an entry host's process and wait until it is ready."""
         path = settings_path(self.folder, entry, ROLE)
         self.launcher.start(
             f"{entry.name}-{ROLE}", "toucanpin.daemon.main", ["--config", str(path)]
@@ -130,7 +130,7 @@
         self.wait_ready(entry)
 
     def kill(self, entry: Entry) -> None:
-        """End an entry host by SIGKILL."""
+        """Kill an entry host with SIGKILL."""
         self.launcher.kill(f"{entry.name}-{ROLE}")
 
     def signal(self, entry: Entry, number: signal.Signals) -> None:
@@ -138,14 +138,14 @@
         self.launcher.send_signal(f"{entry.name}-{ROLE}", number)
 
     def list_gone_hosts(self, observer: Entry) -> set[str]:
-        """Return the entry hosts that one doesn't count among the members any more."""
+        """Return the entry hosts that ``observer`` considers gone."""
         answer = urllib3.request("GET", f"{observer.operators(ROLE)}/v1/members", timeout=5.0)
         members = msgspec.json.decode(answer.data)
         present = {member["host"] for member in members if member["standing"] != "gone"}
         return {entry.name for entry in self.topology.entries} - present
 
     def count_executions(self) -> Counter[str]:
-        """Return how often each request ran, over all instances."""
+        """Return how often each request ran on all instances together."""
         totals: Counter[str] = Counter()
         for instance in self.topology.instances:
             answer = urllib3.request("GET", f"{instance.control}/executions", timeout=5.0)
@@ -153,7 +153,7 @@
         return totals
 
     def count_over_slots(self) -> int:
-        """Return how often an instance had more requests than slots."""
+        """Return how often an instance received more requests than it has slots."""
         answers = (
             urllib3.request("GET", f"{instance.control}/counts", timeout=5.0)
             for instance in self.topology.instances
@@ -162,7 +162,7 @@
 
 
 class Balancer:
-    """Send callers to the ready host with the fewest of them; readiness is learnt late."""
+    """Balancer that chooses the ready host with the fewest calls; it polls readiness."""
 
     def __init__(self, entries: tuple[Entry, ...]) -> None:
         self._ready: dict[Entry, bool] = dict.fromkeys(entries, True)
@@ -180,7 +180,7 @@
             thread.join()
 
     def acquire(self) -> Entry | None:
-        """Choose a host, None if none is ready."""
+        """Return the host for a call, None if no host is ready."""
         with self._lock:
             ready = [entry for entry, is_ready in self._ready.items() if is_ready]
             if not ready:
@@ -190,7 +190,7 @@
             return chosen
 
     def release(self, entry: Entry) -> None:
-        """Count a caller as gone."""
+        """Count a call as ended."""
         with self._lock:
             self._busy[entry] -= 1
 
@@ -204,7 +204,7 @@
 
 
 class Load:
-    """Keep callers asking, one request after another each, until stopped."""
+    """Callers that each send one request after another until stopped."""
 
     def __init__(
         self, balancer: Balancer, numbers: itertools.count, make_question: Callable, callers: int
@@ -219,9 +219,9 @@
             thread.start()
 
     def wait_for(self, count: int, entry: Entry | None = None) -> None:
-        """Wait for so many more right answers, of one entry host or of all."""
+        """Wait for ``count`` more correct answers, of one entry host or of all."""
         before = self._count_right(entry)
-        wait_until(lambda: self._count_right(entry) >= before + count, "right answers")
+        wait_until(lambda: self._count_right(entry) >= before + count, "correct answers")
 
     def _count_right(self, entry: Entry | None) -> int:
         return sum(
@@ -230,7 +230,7 @@
         )
 
     def stop(self) -> list[CallResult]:
-        """Stop after the requests in flight and return what callers saw."""
+        """Stop after the requests in flight and return the results."""
         self._stopped.set()
         for thread in self._threads:
             thread.join()
--- a/toucanpin/daemon/tests/front_harness.py
+++ b/toucanpin/daemon/tests/front_harness.py
@@ -1,4 +1,4 @@
-"""Fakes and real sockets around a front: scripted instances, a table in memory, raw callers."""
+"""Test environment of a front: scripted instances, an in-memory table and raw HTTP callers."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 class ScriptedInstance:
-    """Serve raw bytes: ``script(number, request, sock)`` answers and returns True to keep open."""
+    """Instance whose ``script(number, request, sock)`` answers; True keeps the connection."""
 
     def __init__(self, script: Callable[[int, bytes, socket.socket], bool]) -> None:
         self.script = script
@@ -62,14 +62,14 @@
                     return
 
     def close(self) -> None:
-        """Refuse connections from now on."""
+        """Stop listening, so that new connections are refused."""
         with suppress(OSError):
             self._listener.shutdown(socket.SHUT_RDWR)
         self._listener.close()
 
 
 def read_message(sock: socket.socket) -> bytes:
-    """Read one request with a Content-Length or without a body; empty at the end."""
+    """Read one request with a Content-Length or without a body; return b"" at the end."""
     data = b""
     while b"\r\n\r\n" not in data:
         piece = sock.recv(65536)
@@ -90,24 +90,24 @@
 
 
 def answer(body: bytes, status: str = "200 OK", extra: str = "") -> bytes:
-    """Write an answer with a Content-Length."""
+    """Return an answer with a Content-Length."""
     return f"HTTP/1.1 {status}\r\nContent-Length: {len(body)}\r\n{extra}\r\n".encode() + body
 
 
 def echo(number: int, request: bytes, sock: socket.socket) -> bool:
-    """Answer with the target of the request and its body."""
+    """Answer with the target and the body of the request."""
     target = request.split(b" ", 2)[1]
     sock.sendall(answer(target + b"|" + request.partition(b"\r\n\r\n")[2]))
     return True
 
 
 def reset(sock: socket.socket) -> None:
-    """Close so that the peer sees a reset."""
+    """Make the close of a socket reset its connection."""
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\x01\0\0\0\0\0\0\0")
 
 
 class FakeTable:
-    """Keep rows in memory; ``fault`` is told of the next commits' faults in turn."""
+    """Table in memory; ``faults`` lists the faults of the next commits, ``down`` one that lasts."""
 
     def __init__(self) -> None:
         self.rows: dict[str, Row] = {}
@@ -163,7 +163,7 @@
 
 
 class FakeView:
-    """Show a fixed bundle and fixed members, and take events."""
+    """View of a given bundle and given members, and sink of events."""
 
     def __init__(self, bundle: Bundle | None, names: tuple[str, ...]) -> None:
         self.bundle = bundle
@@ -186,7 +186,7 @@
 
 
 def make_front(ports, table=None, service=None, mounts=None, remote=(), **settings):
-    """Start a front before instances on the given ports, those of ``far`` at another site."""
+    """Start a front for instances on ``ports`` of its own site and ``remote`` of another site."""
     names = ("e1/request",)
     service = service or Service(SERVICE, deadline_ms=5_000)
     view = FakeView(Bundle("test", 1, (service,)), names)
@@ -211,7 +211,7 @@
 
 
 class Reply:
-    """Hold what a caller received: status, headers, body and whether the body was whole."""
+    """Answer as a caller received it; ``complete`` tells whether the body was complete."""
 
     def __init__(self, raw: bytes) -> None:
         head, _, rest = raw.partition(b"\r\n\r\n")
@@ -221,10 +221,10 @@
         pairs = [line.split(": ", 1) for line in lines[1:]]
         self.headers = {name.lower(): value for name, value in pairs}
         if self.headers.get("transfer-encoding") == "chunked":
-            self.body, self.whole = _join_chunks(rest)
+            self.body, self.complete = _join_chunks(rest)
         else:
             length = int(self.headers.get("content-length", 0))
-            self.body, self.whole = rest[:length], len(rest) >= length
+            self.body, self.complete = rest[:length], len(rest) >= length
 
     @property
     def verdict(self):
@@ -251,12 +251,12 @@
 
 
 def call(front: Front, path: str, method: str = "GET", body: bytes = b"", **headers) -> Reply:
-    """Send one request on a connection of its own and read all that comes back."""
+    """Send one request on a new connection and return the answer."""
     return Reply(send_raw(front, make_request(path, method, body, **headers)))
 
 
 def make_request(path: str, method: str = "GET", body: bytes = b"", **headers) -> bytes:
-    """Write one request that ends its connection."""
+    """Return the bytes of one request that closes its connection."""
     lines = [f"{method} /v1/services/{SERVICE}{path} HTTP/1.1", "Host: x", "Connection: close"]
     lines += [f"{name.replace('_', '-')}: {value}" for name, value in headers.items()]
     if body:
@@ -265,7 +265,7 @@
 
 
 def send_raw(front: Front, data: bytes, half_close: bool = False) -> bytes:
-    """Send bytes on a new connection and read to its end."""
+    """Send bytes on a new connection and return all that is received."""
     with socket.create_connection(("127.0.0.1", front.port), TEST_TIMEOUT_S) as sock:
         sock.sendall(data)
         if half_close:
@@ -274,7 +274,7 @@
 
 
 def read_to_end(sock: socket.socket) -> bytes:
-    """Read until the peer ends the connection."""
+    """Return all data up to the end of the connection."""
     pieces = []
     with suppress(ConnectionResetError):
         while piece := sock.recv(65536):
--- a/toucanpin/daemon/tests/test_access.py
+++ b/toucanpin/daemon/tests/test_access.py
@@ -1,4 +1,4 @@
-"""Tests of operators' access."""
+"""Tests of access control for operators."""
 
 import hashlib
 import random
@@ -38,11 +38,11 @@
         self.served.append(environ["PATH_INFO"])
         return answer_text(start, "served")
 
-    def test_lets_probes_through_without_a_token(self):
+    def test_probes_need_no_token(self):
         self.path.write_text(write_operator("ada", "t1", ["read"]))
         self.assertEqual(self.ask("GET", "/readyz"), "200 OK")
 
-    def test_refuses_a_change_by_a_reader_and_records_it(self):
+    def test_change_by_reader_is_refused_and_recorded(self):
         self.path.write_text(write_operator("ada", "t1", ["read"]))
         self.assertEqual(self.ask("GET", "/v1/bundle", "t1"), "200 OK")
         self.assertEqual(self.ask("POST", "/v1/bundle", "t1"), "403 Forbidden")
@@ -51,10 +51,11 @@
         self.assertEqual(event.kind, "operator.refused")
         self.assertEqual(event.detail, "ada: POST /v1/bundle")
 
-    def test_refuses_every_wrong_token(self):
+    def test_wrong_tokens_are_refused(self):
         """
-        The operator sees 401 and nothing is served: a guess, a cut or an empty token arrives, its
-        digest matches none in the file.  Fixed seed, so that a failure repeats.
+        Guessed, truncated and empty tokens are answered with 401 and reach no application.
+
+        The seed is fixed, so that a failure can be reproduced.
         """
         self.path.write_text(write_operator("ada", "right-token", ["read"]))
         chooser = random.Random(3)
@@ -64,10 +65,10 @@
         self.assertEqual(self.ask("GET", "/v1/bundle"), "401 Unauthorized")
         self.assertEqual(self.served, [])
 
-    def test_refuses_a_file_with_a_token_twice(self):
+    def test_file_with_duplicate_token_is_refused(self):
         first = write_operator("ada", "t1", ["read"])
         self.path.write_text(first + write_operator("bob", "t1", ["read"]))
-        with self.assertRaisesRegex(SettingsError, "stands twice"):
+        with self.assertRaisesRegex(SettingsError, "appears twice"):
             read_operators(self.path)
 
 
--- a/toucanpin/daemon/tests/test_cuts.py
+++ b/toucanpin/daemon/tests/test_broken_connections.py
@@ -1,4 +1,4 @@
-"""Tests of connections to instances that break at every stage of a request."""
+"""Tests of connections to instances that fail at any stage of a request."""
 
 import socket
 import threading
@@ -29,7 +29,7 @@
 HEADED = b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\nX-Last: 1\r\n\r\n"
 
 
-class CutAnswerTest(unittest.TestCase):
+class TruncatedAnswerTest(unittest.TestCase):
     def forward(self, outgoing, script):
         instance = ScriptedInstance(script)
         self.addCleanup(instance.close)
@@ -37,13 +37,12 @@
         self.addCleanup(forwarder.close_idle, True)
         return forwarder.forward(outgoing, time.monotonic() + 5.0, False)
 
-    def test_takes_no_cut_answer_for_a_whole_one(self):
+    def test_truncated_answer_is_not_accepted(self):
         """
-        The caller must see a 502, never a shortened answer.
+        An answer that ends early, after any byte, by FIN or RST, must give the caller a 502.
 
-        The instance sends the first n bytes of its answer and ends the connection, for every n,
-        once with FIN and once with RST.  A library that takes the end of the connection for the
-        end of headers or of the last chunk would hand on a partial answer as whole.
+        http.client takes the end of the connection for the end of the headers or of the last
+        chunk, and would pass on the partial answer as complete.
         """
         for outgoing, full in ((POST, SIZED), (POST, CHUNKED), (POST, EMPTY), (HEAD, HEADED)):
             for cut in range(len(full)):
@@ -63,12 +62,12 @@
 
         return send
 
-    def test_refuses_answers_whose_end_can_not_be_told(self):
+    def test_answer_with_ambiguous_end_is_not_accepted(self):
         """
-        The caller must see a 502, not a body that may be half.
+        An answer whose end is unknown or ambiguous must give the caller a 502.
 
-        The instance ends its body by closing, gives two lengths or both length and chunks, or
-        sends an interim status; where the answer ends can't be told or can be told in two ways.
+        The instance ends its body by closing, sends two lengths, a length and chunks, or an interim
+        status.  Such a body may be truncated without notice.
         """
         heads = (
             b"HTTP/1.1 200 OK\r\n\r\nhalf",
@@ -84,12 +83,12 @@
                 outcome = self.forward(GET, self.cutter(head, None, False))
                 self.assertIsInstance(outcome, Interrupted)
 
-    def test_says_not_run_only_before_the_first_byte(self):
+    def test_attempt_is_refused_only_before_its_first_byte(self):
         """
-        A refused connection is not run; a reset while the request is written may have run.
+        After a refused connection the request did not run; after a reset it may have run.
 
-        The instance of the second case takes some bytes of a long body and resets.  It may have
-        acted on the head alone.
+        The second instance resets after some bytes of a long request.  It may have acted on the
+        head alone.
         """
         listener = socket.create_server(("127.0.0.1", 0))
         port = listener.getsockname()[1]
@@ -125,13 +124,12 @@
         self.addCleanup(front.stop, 1.0)
         return front
 
-    def test_gives_no_caller_the_late_answer_to_another(self):
+    def test_late_answer_does_not_reach_another_caller(self):
         """
         The second caller gets a 504 in time, the third its own answer.
 
-        The instance answers the first request, holds the second until its caller has given up and
-        a third request comes, and sends the second answer then.  Were the connection used again,
-        the third caller would be handed the second one's answer.
+        The instance delays the second answer until that caller has timed out and the third request
+        arrives.  If the connection were reused, the third caller would get the second answer.
         """
         given_up = threading.Event()
 
@@ -148,12 +146,12 @@
         self.assertEqual((late.status, late.verdict), (504, "may-have-run"))
         self.assertEqual(call(front, "/three").body, b"/three|")
 
-    def test_says_may_have_run_when_a_reused_connection_ends_without_an_answer(self):
+    def test_request_may_have_run_if_reused_connection_ends(self):
         """
-        The caller is told "may have run", and the instance sees the request once.
+        The caller is told "may have run", and the instance receives the request once.
 
-        The instance reads the second request of a kept connection and closes.  From here it looks
-        like a connection that was closed while idle, the classic false "not run".
+        The instance reads the second request of a reused connection and closes it.  To the front
+        this looks like a connection closed while idle, on which the request would not have run.
         """
         front = self.start(lambda number, request, sock: number == 1 and echo(1, request, sock))
         self.assertEqual(call(front, "/", "POST", b"1").status, 200)
@@ -161,12 +159,12 @@
         self.assertEqual((reply.status, reply.verdict), (502, "may-have-run"))
         self.assertEqual(len(self.instance.requests), 2)
 
-    def test_opens_a_new_connection_after_the_instance_closed_the_idle_one(self):
+    def test_closed_idle_connection_is_replaced(self):
         """
         Both callers get their answers.
 
-        The instance closes the connection after the first answer without saying so beforehand;
-        the front sees that it is readable and doesn't write the second request into it.
+        The instance closes the connection after the first answer without announcing it.  The front
+        notices that the idle connection is readable and sends the second request on a new one.
         """
         closed = threading.Event()
 
@@ -182,12 +180,12 @@
         self.assertEqual(call(front, "/", "POST", b"2").status, 200)
         self.assertEqual(self.instance.connections, 2)
 
-    def test_sends_non_idempotent_requests_only_on_fresh_connections(self):
+    def test_non_idempotent_request_needs_fresh_connection(self):
         """
-        The request goes out on a new connection and is not lost.
+        After seconds of idling, a non-idempotent request is sent on a new connection.
 
-        After seconds of idling, the instance's close may be on its way as the front writes; an
-        idempotent request would be retried, a non-idempotent one could only be given up.
+        The instance may close an idle connection while the front writes to it; an idempotent
+        request would then be retried, a non-idempotent one would fail.
         """
         instance = ScriptedInstance(echo)
         self.addCleanup(instance.close)
@@ -206,12 +204,12 @@
         forwarder.forward(POST, clock() + 5.0, True)
         self.assertEqual(instance.connections, 2)
 
-    def test_shows_a_cut_stream_as_cut(self):
+    def test_truncated_stream_is_visible_to_the_caller(self):
         """
-        The caller's connection ends without the last chunk, or short of its Content-Length.
+        The caller's connection ends without the last chunk or before the Content-Length.
 
-        The instance has sent more than the front reads beforehand, so the head is out, and then
-        breaks off.  A clean end would make the part look whole.
+        The instance breaks off after more data than the front buffers, when the head has been sent
+        to the caller already.  With a regular end, the partial answer would look complete.
         """
         piece = b"186a0\r\n" + b"y" * 100_000 + b"\r\n"
         starts = (
@@ -220,9 +218,9 @@
         )
         for start in starts:
             with self.subTest(start=start[:60]):
-                front = self.start(CutAnswerTest.cutter(start, None, False))
+                front = self.start(TruncatedAnswerTest.cutter(start, None, False))
                 reply = call(front, "/")
-                self.assertEqual((reply.status, reply.whole), (200, False))
+                self.assertEqual((reply.status, reply.complete), (200, False))
 
 
 if __name__ == "__main__":
--- a/toucanpin/daemon/tests/test_entry_hosts.py
+++ b/toucanpin/daemon/tests/test_entry_hosts.py
@@ -1,4 +1,4 @@
-"""Tests of failures of real entry hosts under load."""
+"""Tests of failing and restarting entry hosts, with real processes under load."""
 
 import itertools
 import signal
@@ -35,7 +35,7 @@
         return load
 
     def check_executions(self, results):
-        """Check that nothing non-idempotent ran twice, and what was told ran as told."""
+        """Check that no non-idempotent request ran twice and that all verdicts were true."""
         ran = self.hosts.count_executions()
         for result in results:
             count = ran[f"request-{result.number}"]
@@ -47,12 +47,12 @@
                 self.assertLessEqual(count, 1, result)
         self.assertEqual(self.hosts.count_over_slots(), 0)
 
-    def test_a_runs_one_id_once_through_two_entry_hosts(self):
+    def test_a_duplicate_through_two_entry_hosts_runs_once(self):
         """
-        One caller gets the answer, the other a 409 "may have run"; the instances run it once.
+        One caller gets the answer, the other a 409 "may have run"; the request runs once.
 
         A balancer sends one non-idempotent request through two entry hosts at the same time.  Only
-        the claim row in the platform's table can tell them apart.
+        the claim row in the platform's table prevents a second execution.
         """
         entries = self.hosts.topology.entries
         for at in range(DUPLICATE_REQUESTS):
@@ -71,12 +71,12 @@
             self.assertEqual(results[1].verdict, "may-have-run")
             self.check_executions(results)
 
-    def test_b_loses_no_request_while_all_entry_hosts_are_replaced(self):
+    def test_b_rolling_restart_of_entry_hosts_loses_no_request(self):
         """
-        Every caller gets its right answer, though each entry host ends and starts again meanwhile.
+        Every caller gets the correct answer while each entry host is restarted in turn.
 
-        A host that is told to end says first that it isn't ready, serves on while the balancer
-        learns of it and finishes what it has; a new one says that it is ready only with its slots.
+        A stopping host first reports that it isn't ready, serves until the balancer has noticed and
+        finishes the requests in flight; a new one reports ready only once it knows its slots.
         """
         load = self.load()
         for entry in self.hosts.topology.entries:
@@ -87,14 +87,14 @@
         self.assertEqual([result for result in results if not result.correct][:5], [])
         self.check_executions(results)
 
-    def test_c_answers_truly_while_one_entry_host_is_killed_and_one_frozen(self):
+    def test_c_verdicts_are_true_while_hosts_are_killed_and_frozen(self):
         """
-        Callers get right answers or verdicts, but for those whose host is killed.
+        Only callers of the killed host see a broken connection; all other answers are true.
 
-        One host is killed and another is stopped at the same time.  Both are given up by the third,
-        which takes over their slots; the stopped one then wakes, with old shares and old requests.
-        Those who saw a broken connection ask again under the same id elsewhere, as do some whom the
-        killed host had answered; its claims outlive it.
+        One host is killed and another is stopped by SIGSTOP.  The third considers both gone and
+        takes over their slots; then the stopped one resumes with outdated shares and requests.
+        Callers with a broken connection repeat their requests on another host, and so do some that
+        the killed host had answered: its claims must still prevent a second execution.
         """
         awake, frozen, killed = self.hosts.topology.entries
         load = self.load()
@@ -103,7 +103,7 @@
         self.hosts.signal(frozen, signal.SIGSTOP)
         self.addCleanup(self.hosts.signal, frozen, signal.SIGCONT)
         both = {frozen.name, killed.name}
-        wait_until(lambda: self.hosts.list_gone_hosts(awake) == both, "both hosts given up")
+        wait_until(lambda: self.hosts.list_gone_hosts(awake) == both, "both hosts considered gone")
         load.wait_for(ANSWERS_PER_PHASE, awake)
         self.hosts.signal(frozen, signal.SIGCONT)
         load.wait_for(ANSWERS_PER_PHASE, frozen)
--- a/toucanpin/daemon/tests/test_front.py
+++ b/toucanpin/daemon/tests/test_front.py
@@ -1,4 +1,4 @@
-"""Tests of the front with real sockets: whole answers, verdicts and streams."""
+"""Tests of the front with real sockets: answers, verdicts and streams."""
 
 import unittest
 from random import Random
@@ -28,7 +28,7 @@
         self.addCleanup(front.stop, 1.0)
         return front
 
-    def test_relays_target_body_and_remaining_time(self):
+    def test_target_body_and_remaining_time_are_relayed(self):
         front = self.start(echo)
         reply = call(front, "/a%20b?c=d", "POST", b"x" * 70_000, Toucanpin_Deadline_Ms="900")
         self.assertEqual((reply.status, reply.body), (200, b"/a%20b?c=d|" + b"x" * 70_000))
@@ -37,7 +37,7 @@
         self.assertLessEqual(limit, 900)
         self.assertNotIn(b"Connection", head)
 
-    def test_streams_a_large_answer(self):
+    def test_large_answer_is_streamed(self):
         def send(number, request, sock):
             sock.sendall(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
             for _ in range(40):
@@ -46,9 +46,9 @@
             return True
 
         reply = call(self.start(send), "/")
-        self.assertEqual((reply.status, len(reply.body), reply.whole), (200, 400_000, True))
+        self.assertEqual((reply.status, len(reply.body), reply.complete), (200, 400_000, True))
 
-    def test_refuses_an_unknown_service_and_an_unknown_path(self):
+    def test_unknown_service_and_path_are_refused(self):
         front = self.start(echo)
         lines = b" HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"
         for path in (b"/v1/services/none/x", b"/elsewhere"):
@@ -56,24 +56,24 @@
             self.assertIn(b" 404 ", reply)
             self.assertIn(b'"verdict":"not-run"', reply)
 
-    def test_is_not_ready_before_a_bundle_is_known(self):
+    def test_not_ready_without_bundle(self):
         front = self.start(echo)
         front._bundle.bundle = None
         reply = call(front, "/")
         self.assertEqual((reply.status, reply.verdict, reply.reason), (503, "not-run", "not-ready"))
         self.assertIn("retry-after", reply.headers)
 
-    def test_is_not_ready_for_a_service_that_a_new_bundle_just_brought(self):
+    def test_not_ready_for_service_without_entry(self):
         front = self.start(echo)
         front._upstreams.find = lambda name: None
         self.assertEqual(call(front, "/").reason, "not-ready")
 
-    def test_is_not_ready_before_the_services_of_its_bundle_are_set_up(self):
+    def test_not_ready_before_services_are_set_up(self):
         """
-        A balancer sends nothing to a process that would refuse all of it.
+        A new process must not report ready while it would refuse every request.
 
-        A process that just started learns of the bundle, and only at its next refresh of the
-        services in it.  Between the two it has none whose slots it would have to know.
+        It learns of the bundle first and sets up the services at its next refresh.  In between
+        there is no service whose shares of slots could be unknown.
         """
         bundle = Bundle("test", 1, (Service(SERVICE),))
         view = FakeView(None, ("e1/request",))
@@ -87,7 +87,7 @@
         upstreams.refresh(1.2)
         self.assertTrue(upstreams.knows_shares(1.2))
 
-    def test_hands_other_paths_to_mounted_applications(self):
+    def test_other_paths_go_to_mounted_applications(self):
         def app(environ, start_response):
             start_response("200 OK", [("Content-Length", "2")])
             return [environ["wsgi.input"].read(2)]
@@ -97,7 +97,7 @@
         reply = send_raw(front, data + b"Content-Length: 2\r\n\r\nhi")
         self.assertTrue(reply.endswith(b"\r\n\r\nhi"))
 
-    def test_answers_pipelined_requests_in_order(self):
+    def test_pipelined_requests_are_answered_in_order(self):
         front = self.start(echo)
         lines = b" HTTP/1.1\r\nHost: x\r\n"
         target = b"GET /v1/services/verify/"
@@ -108,7 +108,7 @@
         self.assertLess(raw.index(b"/1|"), raw.index(b"/2|"))
         self.assertEqual(raw.count(b"200 OK"), 2)
 
-    def test_refuses_a_body_above_the_limit(self):
+    def test_body_above_the_limit_is_refused(self):
         front = self.start(echo, service=Service(SERVICE, max_body=100))
         reply = call(front, "/", "POST", b"x" * 101)
         self.assertEqual((reply.status, reply.verdict), (413, "not-run"))
@@ -117,7 +117,7 @@
         self.assertIn(b" 413 ", send_raw(front, chunked))
         self.assertEqual(self.instances[0].requests, [])
 
-    def test_streams_a_chunked_request_body(self):
+    def test_chunked_request_body_is_streamed(self):
         received = []
 
         def take(number, request, sock):
@@ -135,7 +135,7 @@
         self.assertIn(b"200 OK", send_raw(front, data))
         self.assertEqual(received, [200_000])
 
-    def test_claims_a_request_id_once(self):
+    def test_request_id_is_claimed_once(self):
         table = FakeTable()
         front = self.start(echo, table=table)
         first = call(front, "/", "POST", Toucanpin_Request_Id="r1")
--- a/toucanpin/daemon/tests/test_front_safety.py
+++ b/toucanpin/daemon/tests/test_front_safety.py
@@ -1,4 +1,4 @@
-"""Tests of the front's promises: at most once by id, draining, retries over real connections."""
+"""Tests of the front's guarantees: one execution per id, safe retries and draining."""
 
 import socket
 import threading
@@ -20,13 +20,13 @@
 
 
 def find_closed_port() -> int:
-    """Find a port on which nothing listens."""
+    """Return a port on which nothing listens."""
     with socket.create_server(("127.0.0.1", 0)) as listener:
         return listener.getsockname()[1]
 
 
 def start_thread(target, *arguments) -> threading.Thread:
-    """Start one thread."""
+    """Start a thread."""
     thread = threading.Thread(target=target, args=arguments)
     thread.start()
     return thread
@@ -43,12 +43,12 @@
         self.addCleanup(instance.close)
         return instance
 
-    def test_runs_one_id_once_through_two_fronts(self):
+    def test_duplicate_through_two_fronts_runs_once(self):
         """
-        One caller gets the answer, the other a 409 "may have run"; the instance runs it once.
+        One caller gets the answer, the other a 409 "may have run"; the request runs once.
 
         A balancer sends the same non-idempotent request through two entry hosts at once.  Only the
-        claim row in the table that both share can tell them apart.
+        claim row in their common table prevents a second execution.
         """
         instance = self.instance()
         table = FakeTable()
@@ -63,11 +63,11 @@
             self.assertEqual(replies[1].verdict, "may-have-run")
         self.assertEqual(len(instance.requests), 10)
 
-    def test_runs_nothing_with_an_id_while_the_table_is_down(self):
+    def test_requests_with_id_do_not_run_without_the_table(self):
         """
-        The caller is told "not run" at once and when to come back; other requests go on.
+        The caller is told "not run" and when to retry; requests without an id are served.
 
-        Without the table nobody can know whether the id came through another entry host.
+        Without the table it is unknown whether the id came through another entry host too.
         """
         instance = self.instance()
         table = FakeTable()
@@ -82,11 +82,11 @@
         table.faults = []
         self.assertEqual(call(front, "/", "POST", Toucanpin_Request_Id="r1").status, 200)
 
-    def test_reads_back_a_claim_whose_answer_was_lost(self):
+    def test_claim_with_lost_answer_is_read_back(self):
         """
-        The caller gets its answer, and the id is taken.
+        The caller gets its answer, and a second request with the id is a duplicate.
 
-        The claim's write takes effect but its answer is lost; its row holds this request's token.
+        The claim is written but the table's answer is lost; the row has this request's token.
         """
         instance = self.instance()
         table = FakeTable()
@@ -96,12 +96,11 @@
         self.assertEqual(call(front, "/", "POST", Toucanpin_Request_Id="r1").status, 409)
         self.assertEqual(len(instance.requests), 1)
 
-    def test_frees_the_id_of_a_request_that_did_not_run(self):
+    def test_id_of_request_that_did_not_run_is_released(self):
         """
-        The caller comes back with the same id and is served.
+        A retry with the same id is served after the only instance answered "not run".
 
-        The only instance says that it didn't run the request.  Were its claim kept, the caller
-        who was told "not run" would be refused as a duplicate when coming back.
+        If the claim were kept, the retry would be refused as a duplicate.
         """
         instance = self.instance(
             lambda number, request, sock: sock.sendall(NOT_RUN if number == 1 else answer(b"ok"))
@@ -116,12 +115,12 @@
         restarted = self.start(instance.port, table=table)
         self.assertEqual(call(restarted, "/", "POST", Toucanpin_Request_Id="r1").status, 200)
 
-    def test_retries_a_non_idempotent_request_only_if_it_did_not_run(self):
+    def test_non_idempotent_request_is_retried_only_if_not_run(self):
         """
-        The caller gets its answer from another instance, or is told what is known.
+        The caller gets its answer from another instance, or "may have run".
 
-        One instance refuses connections, or answers "not run": another one may run the request.
-        If it resets after the request was written, nobody else may.
+        If an instance refuses connections or answers "not run", another one may run the request.
+        If it closes the connection after the request was written, no other instance may.
         """
         good = self.instance()
         full = self.instance(lambda number, request, sock: sock.sendall(NOT_RUN) is None)
@@ -138,11 +137,11 @@
         self.assertEqual({reply.verdict for reply in told}, {"may-have-run"})
         self.assertEqual(len(good.requests) - before + len(broken.requests), 8)
 
-    def test_tells_the_truth_when_a_later_attempt_did_not_run(self):
+    def test_verdict_covers_all_attempts(self):
         """
-        The caller is told "may have run", though the last attempt certainly did not run.
+        The caller is told "may have run", although the last attempt did not run.
 
-        The instance near breaks off after the request was written, the far one refuses it.
+        The local instance breaks off after the request was written, the remote one refuses it.
         """
         broken = self.instance(lambda number, request, sock: False)
         full = self.instance(lambda number, request, sock: sock.sendall(NOT_RUN) is None)
@@ -151,11 +150,11 @@
         self.assertEqual((len(broken.requests), len(full.requests)), (1, 1))
         self.assertEqual(reply.verdict, "may-have-run")
 
-    def test_finishes_what_is_in_flight_when_stopped(self):
+    def test_stop_waits_for_requests_in_flight(self):
         """
-        The caller gets its whole answer, and the front closes only then.
+        The caller gets its answer, and the front closes only then.
 
-        The front is told to stop while the instance still works on a request.
+        The front is stopped while the instance still works on a request.
         """
         reached, go_on = threading.Event(), threading.Event()
 
@@ -179,12 +178,12 @@
         with self.assertRaises(ConnectionRefusedError):
             socket.create_connection(("127.0.0.1", front.port), 1.0)
 
-    def test_loses_no_request_while_fronts_are_replaced_one_by_one(self):
+    def test_rolling_restart_loses_no_request(self):
         """
-        Every caller gets its whole answer.
+        Every caller gets its answer while three fronts are replaced in turn under load.
 
-        Three fronts are stopped and replaced in turn under load.  The balancer before them notices
-        late that one isn't ready any more and sends it more requests, each on a new connection.
+        The balancer notices with a delay that a front isn't ready any more and meanwhile sends it
+        further requests, each on a new connection.
         """
         instance = self.instance()
         fronts = [make_front([instance.port], linger=0.3) for _ in range(3)]
@@ -224,11 +223,12 @@
                 asker.result()
         self.assertEqual(wrong, [])
 
-    def test_refuses_at_once_what_would_wait_beyond_its_deadline(self):
+    def test_request_is_refused_at_once_if_queue_is_full(self):
         """
-        The late callers get 503 "not run" with Retry-After while the slots are still taken.
+        A further caller gets 503 "not run" with Retry-After while the slots are still occupied.
 
-        Two slots, both held; the queue holds two more.  Nothing is held back until its deadline.
+        Two requests occupy both slots and two more fill the queue.  A request that can't be queued
+        must not wait until its deadline.
         """
         held, go_on = threading.Semaphore(0), threading.Event()
 
--- a/toucanpin/daemon/tests/test_hedging.py
+++ b/toucanpin/daemon/tests/test_hedging.py
@@ -17,7 +17,7 @@
 
 
 class HeldInstances:
-    """Serve from two instances; whichever gets a held target first keeps it until it is closed."""
+    """Two instances; the first to get a held target does not answer until the front closes."""
 
     def __init__(self) -> None:
         self.closed = [threading.Event() for _ in range(HELD_REQUESTS)]
@@ -33,7 +33,7 @@
         if not held:
             sock.sendall(answer(target))
             return True
-        # Nothing more is sent on this connection, so this ends when the front closes it.
+        # The front sends nothing more on this connection, so recv returns when the front closes it.
         if sock.recv(1) == b"":
             self.closed[int(target[6:])].set()
         sock.sendall(answer(b"late"))
@@ -50,12 +50,12 @@
         for _ in range(100):
             self.front._upstreams.find(SERVICE).state.attempt_timing.observe(OBSERVED_LATENCY_S)
 
-    def test_answers_each_caller_once_with_its_own_answer(self):
+    def test_hedged_caller_gets_its_own_answer(self):
         """
-        Each caller gets the answer to its own request, whole, from the second instance asked.
+        Each caller gets the answer to its own request from the second instance.
 
-        The first instance asked is silent until its connection is closed, and answers then.  On a
-        connection used again, that late answer would reach the next caller.
+        The first instance answers only after its connection was closed.  If the connection were
+        reused, that late answer would reach the next caller.
         """
         for number in range(HELD_REQUESTS):
             target = f"/held/{number}"
@@ -66,12 +66,12 @@
             self.assertEqual(after.body, f"/after/{number}".encode())
         self.assertEqual(self.front.counts["hedges"], HELD_REQUESTS)
 
-    def test_gives_up_the_connections_of_cancelled_attempts(self):
+    def test_cancelled_attempts_release_their_connections(self):
         """
-        After hedges the front holds no more connections than it did, all of them idle.
+        After hedged requests all open connections of the front are idle.
 
-        A cancelled attempt that kept its place in the count would use up the instance's share of
-        connections, until the front refuses everything.
+        If a cancelled attempt stayed in the count of connections, the limit of the instance would
+        be used up, and the front would refuse every request.
         """
         for number in range(HELD_REQUESTS):
             call(self.front, f"/held/{number}")
--- a/toucanpin/daemon/tests/test_hostile_callers.py
+++ b/toucanpin/daemon/tests/test_hostile_callers.py
@@ -13,14 +13,14 @@
     send_raw,
 )
 
-MAX_CALLS = 400  # of a caller that comes back until it is served
+MAX_CALLS = 400  # attempts of a caller that repeats its request until it is served
 TARGET = b"/v1/services/verify/"
 CHUNKED = b"Transfer-Encoding: chunked\r\n"
 SMUGGLED = b"GET /v1/services/verify/smuggled HTTP/1.1\r\nHost: x\r\n\r\n"
 
 
 def post(lines: bytes, body: bytes = b"", protocol: bytes = b"HTTP/1.1") -> bytes:
-    """Write a POST with the given raw header lines."""
+    """Return a POST with the given raw header lines."""
     return b"POST " + TARGET + b" " + protocol + b"\r\nHost: x\r\n" + lines + b"\r\n" + body
 
 
@@ -80,12 +80,12 @@
         self.addCleanup(front.stop, 1.0)
         return front
 
-    def test_refuses_input_that_can_be_read_in_two_ways(self):
+    def test_ambiguous_input_is_refused(self):
         """
-        The sender gets one 4xx with its verdict and a closed connection; the instance gets nothing.
+        The sender gets one 4xx answer and a closed connection; the instance receives nothing.
 
-        A balancer before the front and the front may read such input differently; the part that
-        one of them takes for a body could be run as a request of somebody else.
+        The balancer and the front may parse such input differently, so that a part that one of them
+        takes for a body could run as another caller's request.
         """
         front = self.start()
         for name, data in AMBIGUOUS.items():
@@ -98,12 +98,12 @@
         self.assertEqual(self.instance.requests, [])
         self.assertEqual(call(front, "/after").status, 200)
 
-    def test_serves_others_while_slow_heads_trickle(self):
+    def test_slow_heads_do_not_block_other_callers(self):
         """
-        The other caller is served at once; the slow ones hold no thread.
+        Another caller is served at once while twenty callers have sent half a head each.
 
-        Twenty callers send half a head each and stop, with two threads in the front.  A front
-        that gives each connection a thread would be full of them until their timeouts.
+        The front has two threads.  If each connection occupied a thread, the front would be blocked
+        until the slow callers time out.
         """
         front = self.start(threads=2)
         with ExitStack() as stack:
@@ -116,13 +116,13 @@
             slow[0].sendall(b"st: x\r\nConnection: close\r\n\r\n")
             self.assertIn(b"/slow|", read_to_end(slow[0]))
 
-    def test_survives_callers_that_leave(self):
+    def test_disconnected_callers_release_their_slots(self):
         """
-        The next caller is served, though there is one slot and the caller before left.
+        The next caller is served after twelve callers closed before their answers were written.
 
-        The first caller closes before its answer is written.  If its slot weren't given back, no
-        later one would ever be served.  On a busy machine these requests take long, and the next
-        caller may be told first that its deadline can't be met; that is no lost slot.
+        If their slots weren't released, no later caller would be served.  On a busy machine these
+        requests take long, and the next caller may first be refused because its deadline can't be
+        met; that does not mean that a slot was lost.
         """
         front = self.start()
         for _ in range(12):
--- a/toucanpin/daemon/upstream_answer.py
+++ b/toucanpin/daemon/upstream_answer.py
@@ -2,7 +2,7 @@
 Answers of instances
 ====================
 
-The library's reader of answers, with a strict head and no tolerance for ends that come early.
+http.client's reader of answers, with strict parsing and without tolerance for truncated answers.
 """
 
 from __future__ import annotations
@@ -41,18 +41,19 @@
 
 class InstanceAnswer(http.client.HTTPResponse):
     """
-    Read one answer and accept only one whose end can't be mistaken.
+    Answer of an instance, accepted only if its end is unambiguous.
 
-    The library takes the end of a connection for the end of the headers, of the trailers, of a
-    chunk's size and of a body without a length.  Each would let a cut answer pass for a whole one.
-    ``named`` holds the headers by lower-case name, ``lines`` in the order received.
+    http.client takes the end of the connection for the end of the headers, the trailers, a chunk's
+    size or a body without a length.  A truncated answer would then pass for a complete one.
+    ``headers_by_name`` maps lower-case names to values, ``header_lines`` lists the headers in the
+    order received.
     """
 
     headers_by_name: dict[str, str]
     header_lines: list[tuple[str, str]]
 
     def begin(self) -> None:
-        """Read the head; raise ValueError if it is malformed, ConnectionError if it is cut."""
+        """Read the head; raise ValueError if it is malformed, ConnectionError if truncated."""
         line = self._read_line()
         match = STATUS_LINE_PATTERN.fullmatch(line)
         if match is None:
@@ -64,7 +65,7 @@
         self._apply_framing()
 
     def select_headers(self) -> tuple[tuple[str, str], ...]:
-        """Return the headers that concern the caller."""
+        """Return the headers that are passed on to the caller."""
         connection = self.headers_by_name.get("connection")
         dropped = HOP_BY_HOP
         if connection is not None:
--- a/toucanpin/daemon/upstreams.py
+++ b/toucanpin/daemon/upstreams.py
@@ -2,8 +2,8 @@
 Upstreams
 =========
 
-Keeps, for each service of the bundle, its decisions' state, the lock around it and the connections
-to its instances, refreshed from bundle, host list and membership.
+Keeps the decision state, its lock and the connections to the instances of each service, and
+refreshes them from the bundle, the host list and the membership.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 
 
 class ServiceEntry:
-    """Hold one service: state, lock, forwarders by instance and the threads that wait."""
+    """One service: state, lock, forwarders by instance and the events of waiting threads."""
 
     __slots__ = ("state", "lock", "forwarders", "_events")
 
@@ -41,14 +41,14 @@
         self._events: dict[Ticket, threading.Event] = {}
 
     def add_waiter(self, ticket: Ticket) -> threading.Event:
-        """Make the event that ends a ticket's wait; call with the lock held."""
+        """Return the event that is set when a ticket is settled; call with the lock held."""
         event = self._events[ticket] = threading.Event()
         if ticket.settled:
             event.set()
         return event
 
     def wake(self) -> None:
-        """Wake the threads whose tickets were settled; call with the lock held."""
+        """Wake the threads whose tickets have been settled; call with the lock held."""
         settled = self.state.settled_tickets
         while settled:
             event = self._events.get(settled.pop())
@@ -56,13 +56,19 @@
                 event.set()
 
     def remove_waiter(self, ticket: Ticket) -> None:
-        """Drop a ticket's event."""
+        """Remove a ticket's event."""
         with self.lock:
             self._events.pop(ticket, None)
 
 
 class Upstreams:
-    """Keep the entries of all services up to date."""
+    """
+    Entries of all services, kept up to date.
+
+    ``share_hold`` is the time in seconds before slots that another process may still be using are
+    used; None derives it from each service's deadline.  ``max_requests`` is the number of requests
+    that the process can keep at one time, in flight and queued.
+    """
 
     def __init__(
         self,
@@ -92,23 +98,24 @@
 
     def knows_shares(self, now: float, service: Service | None = None) -> bool:
         """
-        Say whether this process knows its shares of slots as of now, of one service or of all.
+        Return whether this process knows its current shares of slots, of one service or of all.
 
-        After a pause it doesn't until the next refresh: the shares that it remembers may be in use
-        by others.
+        After a pause it doesn't until the next refresh: other processes may have taken over the
+        shares that it remembers.
         """
         if now - self._refreshed > MAX_UPDATE_GAP_S:
             return False
         bundle = self._bundle.current()
         if bundle is None or (bundle.services and not self._entries):
-            # The bundle is known a moment before its services are: with none to ask about, a
-            # process that had just started would call itself ready and refuse what it is sent.
+            # A new process learns of the bundle shortly before its services are set up.  Without
+            # this check it would report itself ready while there is no service to check, and refuse
+            # every request.
             return False
         services = (service,) if service else bundle.services
         return all(self._slot_shares.owns_any_after(self._compute_hold(each)) for each in services)
 
     def tick(self, now: float) -> None:
-        """Grant what time has freed, and refresh when it is time to."""
+        """Grant slots that have become available, and refresh once per period."""
         if now - self._refreshed >= REFRESH_PERIOD_S:
             self.refresh(now)
         for entry in list(self._entries.values()):
@@ -117,7 +124,7 @@
                 entry.wake()
 
     def take_ejected(self) -> list[tuple[str, str]]:
-        """Return service and instance of each ejection since the last call."""
+        """Return service and instance of each ejection since the previous call."""
         taken: list[tuple[str, str]] = []
         for name, entry in list(self._entries.items()):
             with entry.lock:
@@ -127,7 +134,7 @@
         return taken
 
     def refresh(self, now: float) -> None:
-        """Read bundle, host list and membership and apply them."""
+        """Apply the current bundle, host list and membership."""
         self._refreshed = now
         names = tuple(
             member.name
@@ -149,7 +156,7 @@
             _close(entry)
 
     def close(self) -> None:
-        """Close all connections."""
+        """Close all idle connections and keep none that are returned later."""
         for entry in self._entries.values():
             _close(entry)
 
