--- a/benchmarks/bundles.py
+++ b/benchmarks/bundles.py
@@ -94,7 +94,7 @@
     """
     names = tuple(f"h{index}/request" for index in range(PROCESSES))
     timing = ReplicationTiming(poll_period=way.poll)
-    cluster = Cluster(names, timing=timing, stamps=way.stamps, push=way.push, interval=INTERVAL)
+    cluster = Cluster(names, timing=timing, heartbeats=way.stamps, push=way.push, interval=INTERVAL)
     cluster.cut = lambda sender, receiver: cluster.random.random() < LOSS
     cluster.accept(make_record(1), names[0])
     cluster.run(5)
--- a/toucanpin/bundles/tests/cluster.py
+++ b/toucanpin/bundles/tests/cluster.py
@@ -38,8 +38,8 @@
     name: str
     replica: BundleReplica
     table: MemoryTable
-    stamps: dict[str, int] = field(default_factory=dict)
-    heard: dict[str, float] = field(default_factory=dict)
+    peer_versions: dict[str, int] = field(default_factory=dict)
+    heard_at: dict[str, float] = field(default_factory=dict)
     history: list[tuple[float, int]] = field(default_factory=list)
     served: list[tuple[float, int]] = field(default_factory=list)
     frozen: bool = False
@@ -48,14 +48,14 @@
 
 
 class Cluster:
-    """Simulated processes; ``stamps`` and ``push`` can be disabled to measure polling alone."""
+    """Simulated processes; ``heartbeats`` and ``push`` can be disabled to measure polling alone."""
 
     def __init__(
         self,
         names: tuple[str, ...],
         seed: int = 1,
         timing: ReplicationTiming | None = None,
-        stamps: bool = True,
+        heartbeats: bool = True,
         push: bool = True,
         interval: float = 0.5,
         delay: float = 0.001,
@@ -66,7 +66,7 @@
         self.line = Line(lambda: self.now, self.plan)
         self.random = random.Random(seed)
         self.timing = timing or ReplicationTiming()
-        self.stamps = stamps
+        self.heartbeats = heartbeats
         self.push = push
         self.interval = interval
         self.delay = delay
@@ -135,8 +135,8 @@
     def is_ready(self, name: str) -> bool:
         """Return whether a process may serve."""
         process = self.processes[name]
-        reached = sum(self.now - at < 2.0 for at in process.heard.values())
-        return process.replica.readiness(reached, len(process.heard), self.now).ready
+        reached = sum(self.now - at < 2.0 for at in process.heard_at.values())
+        return process.replica.readiness(reached, len(process.heard_at), self.now).ready
 
     def serve(self, name: str) -> int:
         """Return the version that a process would serve a request with, 0 for none."""
@@ -164,8 +164,8 @@
         self._schedule(TICK, process, lambda: self._tick(process))
 
     def _list_peers(self, process: Process) -> tuple[Peer, ...]:
-        if self.stamps:
-            return tuple(Peer(name, version) for name, version in process.stamps.items())
+        if self.heartbeats:
+            return tuple(Peer(name, version) for name, version in process.peer_versions.items())
         return tuple(Peer(name, 0) for name in self.processes if name != process.name)
 
     def _heartbeat_round(self, process: Process) -> None:
@@ -173,7 +173,7 @@
         self._schedule(self.interval, process, lambda: self._heartbeat_round(process))
 
     def _send_heartbeats(self, process: Process) -> None:
-        if not self.stamps:
+        if not self.heartbeats:
             return
         age = process.replica.confirmed_age(self.now)
         version = process.replica.version
@@ -189,8 +189,8 @@
         self, sender: str, receiver: Process, version: int, age: float | None
     ) -> Callable[[], None]:
         def receive() -> None:
-            receiver.stamps[sender] = version
-            receiver.heard[sender] = self.now
+            receiver.peer_versions[sender] = version
+            receiver.heard_at[sender] = self.now
             seen = receiver.replica.highest_seen
             # A request may arrive after the view was updated but before the replica is.
             self._record_version(receiver)
--- a/toucanpin/bundles/tests/test_rollback.py
+++ b/toucanpin/bundles/tests/test_rollback.py
@@ -199,7 +199,7 @@
         self.cluster.accept(make_record(2), FIRST)
         self.cluster.run(300)
         process = self.cluster.processes[SECOND]
-        process.heard = dict.fromkeys(process.heard, self.cluster.now)
+        process.heard_at = dict.fromkeys(process.heard_at, self.cluster.now)
         woken = self.cluster.now
         self.assertEqual(self.cluster.serve(SECOND), 0)
         self.cluster.resume(SECOND)
