--- a/toucanpin/cli/tests/test_access.py
+++ b/toucanpin/cli/tests/test_access.py
@@ -15,7 +15,7 @@
 from toucanpin.cli.http import request
 from toucanpin.cli.main import main
 from toucanpin.daemon.endpoint import Endpoint
-from toucanpin.daemon.operators import Operators
+from toucanpin.daemon.operators import OperatorsInterface
 from toucanpin.daemon.settings import Tls
 from toucanpin.daemon.tests.certificates import write_certificate
 
@@ -35,7 +35,7 @@
 
     def serve(self, tls=None):
         """Serve operators on a free port and return the port."""
-        server = Operators(Endpoint(ADDRESS, 0), {"/": self.answer}, tls)
+        server = OperatorsInterface(Endpoint(ADDRESS, 0), {"/": self.answer}, tls)
         server.start()
         self.addCleanup(server.stop, 5.0)
         return server.port
--- a/toucanpin/cli/tests/test_bundle.py
+++ b/toucanpin/cli/tests/test_bundle.py
@@ -13,7 +13,7 @@
 from toucanpin.cli.exits import ExitCode
 from toucanpin.cli.files import read_signed
 from toucanpin.daemon.endpoint import Endpoint
-from toucanpin.daemon.operators import Operators
+from toucanpin.daemon.operators import OperatorsInterface
 from toucanpin.daemon.tests.bundle_nodes import Node, Platform, wait_until
 
 TEXT = 'deployment = "swan"\nversion = {version}\n[[services]]\nname = "{service}"\n'
@@ -113,7 +113,7 @@
         self.node = Node(platform, 0).start()
         self.addCleanup(self.node.stop)
         address = platform.address(0)
-        server = Operators(Endpoint(address, OPERATORS_PORT), self.node.apps)
+        server = OperatorsInterface(Endpoint(address, OPERATORS_PORT), self.node.apps)
         server.start()
         self.addCleanup(server.stop, 5.0)
         self.url = f"http://{address}:{OPERATORS_PORT}"
--- a/toucanpin/daemon/logs.py
+++ b/toucanpin/daemon/logs.py
@@ -2,7 +2,7 @@
 Logs
 ====
 
-Structured logs of a process: one line each, with an event id, as JSON or for people.
+Formats the log of a process as one line for each record, with an event id, as JSON or as text.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 class EventId:
-    """Name the kinds of log lines, so that scripts can rely on them."""
+    """Stable identifiers of log events, for scripts that read the log."""
 
     STARTED = "process.started"
     STOPPED = "process.stopped"
@@ -30,7 +30,7 @@
 
 
 def make_log_handler(log: Log, process: Process, stream: TextIO = sys.stderr) -> logbook.Handler:
-    """Build the handler that writes this process's log."""
+    """Return the handler that writes this process's log."""
     handler = logbook.StreamHandler(stream, level=log.level.upper())
     name = f"{process.host}/{process.role}"
     match log.format:
@@ -42,17 +42,17 @@
 
 
 def set_log_level(handler: logbook.Handler, level: str) -> None:
-    """Change the lowest level that a handler writes."""
+    """Set the lowest level that a handler writes."""
     handler.level = logbook.lookup_level(level.upper())
 
 
 def _read_event_id(record: logbook.LogRecord) -> str:
-    """Return the record's event id, or its channel where a library wrote it."""
+    """Return the record's event id, or one with its channel if it has none."""
     return record.extra.get("event") or f"library.{record.channel}"
 
 
 def _format_json(record: logbook.LogRecord, process: str) -> str:
-    """Write a record as one JSON line."""
+    """Return a record as one JSON line."""
     fields = {
         "time": record.time.isoformat(),
         "level": record.level_name.lower(),
@@ -68,7 +68,7 @@
 
 
 def _format_text(record: logbook.LogRecord, process: str) -> str:
-    """Write a record as one line for people."""
+    """Return a record as one line of text."""
     pairs = [f"{key}={value}" for key, value in record.extra.items() if key != "event"]
     parts = [
         record.time.strftime("%H:%M:%S.%f")[:-3],
--- a/toucanpin/daemon/metrics.py
+++ b/toucanpin/daemon/metrics.py
@@ -2,7 +2,8 @@
 Metrics
 =======
 
-OpenTelemetry instruments of a process, readable over HTTP and pushed by OTLP if a collector is set.
+Provides the OpenTelemetry meter of a process.  Metrics are served over HTTP, and pushed by OTLP if
+a collector is set.
 """
 
 from __future__ import annotations
@@ -29,12 +30,12 @@
 
 
 class Metrics:
-    """Own the meter of this process and show what it measured."""
+    """Meter of this process and its exporters."""
 
     __slots__ = ("_provider", "_reader", "meter")
 
     def __init__(self, process: Process, telemetry: Telemetry) -> None:
-        """Build the meter, with a push to the collector if one is set."""
+        """Create the meter, with a push to the collector if one is set."""
         self._reader = InMemoryMetricReader()
         readers: list[MetricReader] = [self._reader]
         if telemetry.collector is not None:
@@ -46,11 +47,11 @@
         self.meter: Meter = self._provider.get_meter("toucanpin")
 
     def serve(self, environ: dict[str, Any], start: StartResponse) -> Iterable[bytes]:
-        """Answer with every metric in the Prometheus text form."""
+        """Serve every metric in the Prometheus text format."""
         return answer_text(start, self.render_text(), content_type="text/plain; version=0.0.4")
 
     def render_text(self) -> str:
-        """Write every metric in the Prometheus text form."""
+        """Return every metric in the Prometheus text format."""
         data = self._reader.get_metrics_data()
         if data is None:
             return ""
@@ -63,13 +64,13 @@
         return "".join(f"{line}\n" for metric in metrics for line in _render_metric(metric))
 
     def stop(self) -> None:
-        """Push what is left and stop."""
+        """Push the remaining data and shut down."""
         self._provider.shutdown()
 
 
 def _make_push_reader(telemetry: Telemetry) -> MetricReader:
-    """Build the reader that pushes to the collector."""
-    # The exporter loads protobuf and requests, which a process without a collector does not need.
+    """Return the reader that pushes to the collector."""
+    # Imported late: a process without a collector does not need protobuf and requests.
     from opentelemetry.exporter.otlp.proto.http.metric_exporter import OTLPMetricExporter
 
     exporter = OTLPMetricExporter(endpoint=f"{telemetry.collector}/v1/metrics")
--- a/toucanpin/daemon/operators.py
+++ b/toucanpin/daemon/operators.py
@@ -1,8 +1,8 @@
 """
-Operators' HTTP
+OperatorsInterface' HTTP
 ===============
 
-Probes, metrics, state and whatever the composition root mounts, on an address of its own.
+Serves the operators' applications, such as probes, metrics and state, on an endpoint of its own.
 """
 
 from __future__ import annotations
@@ -21,15 +21,15 @@
 from toucanpin.daemon.web import StartResponse, answer_json, answer_text, mount_apps
 from toucanpin.exception import SettingsError
 
-__all__ = ["Operators", "Probe", "ProcessState", "make_probe_apps"]
+__all__ = ["OperatorsInterface", "ProcessState", "ReadinessCheck", "make_probe_apps"]
 
-THREADS = 4
+SERVER_THREADS = 4
 
-Probe = Callable[[], tuple[str, ...]]
+ReadinessCheck = Callable[[], tuple[str, ...]]
 
 
 class ProcessState(msgspec.Struct, frozen=True):
-    """Show one process to operators; ``not_ready`` gives the reasons, empty if it is ready."""
+    """State of one process; ``not_ready`` holds the reasons, empty if the process is ready."""
 
     process: str
     site: str
@@ -40,65 +40,67 @@
     not_ready: tuple[str, ...]
 
 
-class Operators:
-    """Serve operators."""
+class OperatorsInterface:
+    """HTTP server for operators."""
 
     __slots__ = ("_server", "_thread")
 
     def __init__(
         self, endpoint: Endpoint, apps: Mapping[str, WsgiApp], tls: Tls | None = None
     ) -> None:
-        """Prepare to serve the mounted applications, over TLS if a certificate is set."""
+        """Initialize with applications by path prefix, served over TLS if a certificate is set."""
         self._server = OperatorsServer(
-            (endpoint.address, endpoint.port), mount_apps(apps), numthreads=THREADS
+            (endpoint.address, endpoint.port), mount_apps(apps), numthreads=SERVER_THREADS
         )
         if tls is not None and tls.certificate is not None:
-            self._server.ssl_adapter = _make_adapter(tls)
+            self._server.ssl_adapter = _make_tls_adapter(tls)
         self._server.server_name = f"toucanpind/{__version__}"
         self._thread = threading.Thread(target=self._server.serve, name="operators", daemon=True)
 
     @property
     def port(self) -> int:
-        """Return the port that is bound, which differs from the setting if that is 0."""
+        """Return the bound port, which the kernel has chosen if the setting is 0."""
         port: int = self._server.bind_addr[1]
         return port
 
     def start(self) -> None:
-        """Bind and serve."""
+        """Bind the port and start serving."""
         self._server.prepare()
         self._thread.start()
 
     def stop(self, grace: float) -> None:
-        """Finish what is in flight and close."""
+        """Finish requests in flight within ``grace`` seconds and close."""
         self._server.shutdown_timeout = grace
         self._server.stop()
         self._thread.join(grace)
 
 
-def _make_adapter(tls: Tls) -> DeferredHandshakeAdapter:
-    """Load the certificate and its key."""
+def _make_tls_adapter(tls: Tls) -> DeferredHandshakeAdapter:
+    """Return an adapter with the certificate and its key, or raise if they can't be used."""
     try:
         return DeferredHandshakeAdapter(tls.certificate, tls.key)
     except (OSError, ValueError) as error:
         raise SettingsError((f"tls: certificate or key can't be used: {error}",)) from error
 
 
-def make_probe_apps(not_ready: Probe, state: Callable[[], ProcessState]) -> dict[str, WsgiApp]:
-    """Build the applications that answer liveness, readiness and state."""
+def make_probe_apps(
+    not_ready: ReadinessCheck, state: Callable[[], ProcessState]
+) -> dict[str, WsgiApp]:
+    """Return the applications that serve liveness, readiness and state, by path."""
 
     def serve_live(environ: dict[str, Any], start: StartResponse) -> Iterable[bytes]:
-        """Answer that the process runs."""
+        """Serve the liveness probe."""
         return answer_text(start, "live\n")
 
     def serve_ready(environ: dict[str, Any], start: StartResponse) -> Iterable[bytes]:
-        """Answer whether the process takes work, and why not."""
+        """Serve the readiness probe, with the reasons if the process is not ready."""
         reasons = not_ready()
         if reasons:
             return answer_text(start, "\n".join(reasons) + "\n", status=503)
         return answer_text(start, "ready\n")
 
     def serve_state(environ: dict[str, Any], start: StartResponse) -> Iterable[bytes]:
-        """Answer who this process is and how it is."""
+        """Serve the state of this process."""
         return answer_json(start, state())
 
     return {"/livez": serve_live, "/readyz": serve_ready, "/v1/process": serve_state}
--- a/toucanpin/daemon/operators_server.py
+++ b/toucanpin/daemon/operators_server.py
@@ -2,8 +2,8 @@
 Server for operators
 ====================
 
-A cheroot server whose threads are only given connections on which a request has begun, with TLS if
-a certificate is set.
+A cheroot server, with TLS if a certificate is set, whose threads only handle connections on which a
+request has started.
 """
 
 from __future__ import annotations
@@ -22,115 +22,115 @@
 
 __all__ = ["DeferredHandshakeAdapter", "OperatorsServer"]
 
-HANDSHAKE_SECONDS = 10.0
-MAX_WAITING = 512
-LEFTOVER_BYTES = 1 << 16
-PLAIN_HTTP = "HTTP_REQUEST"
-PLAIN_TEXT = (
+HANDSHAKE_TIMEOUT_S = 10.0
+MAX_IDLE_CONNECTIONS = 512
+MAX_DISCARDED_BYTES = 1 << 16
+PLAIN_HTTP_REASON = "HTTP_REQUEST"
+PLAIN_HTTP_BODY = (
     b"The client sent a plain HTTP request, but this server only speaks HTTPS on this port.\n"
 )
-PLAIN_ANSWER = (
+PLAIN_HTTP_RESPONSE = (
     b"HTTP/1.1 400 Bad Request\r\nContent-Type: text/plain\r\nConnection: close\r\n"
-    b"Content-Length: %d\r\n\r\n%b" % (len(PLAIN_TEXT), PLAIN_TEXT)
+    b"Content-Length: %d\r\n\r\n%b" % (len(PLAIN_HTTP_BODY), PLAIN_HTTP_BODY)
 )
 
 log = logbook.Logger("toucanpin.operators")
 
 
-class Progress(enum.Enum):
-    """Say how far a connection is."""
+class ConnectionState(enum.Enum):
+    """State of a connection."""
 
     WAITING = enum.auto()
-    BEGUN = enum.auto()
+    READY = enum.auto()
     FAILED = enum.auto()
 
 
 class DeferredHandshakeAdapter(BuiltinSSLAdapter):
-    """Wrap accepted sockets and leave the handshake for later."""
+    """TLS adapter that does not wait for the handshake when a connection is accepted."""
 
     def wrap(self, sock: socket.socket) -> tuple[ssl.SSLSocket, dict[str, Any]]:
-        """Wrap a socket without waiting for its peer."""
-        # cheroot shakes hands on the accepting thread: one peer that said nothing kept everybody
-        # out for as long as the server's timeout.
+        """Wrap a socket without starting the handshake."""
+        # cheroot does the handshake on the accepting thread: one silent peer blocked all new
+        # connections for as long as the server's timeout.
         wrapped = self.context.wrap_socket(sock, server_side=True, do_handshake_on_connect=False)
         return wrapped, {}
 
 
 class OperatorsConnection(server.HTTPConnection):
-    """Serve one operator's connection."""
+    """Connection of one operator."""
 
     rfile: Any
     socket: Any
     ssl_env: dict[str, Any]
 
-    def __init__(self, owner: Any, sock: socket.socket, makefile: Any = MakeFile) -> None:
-        super().__init__(owner, sock, makefile)
-        self._deadline = time.monotonic() + HANDSHAKE_SECONDS
-        self._shaken = not isinstance(sock, ssl.SSLSocket)
-        self._seen = False
-
-    def advance(self, adapter: DeferredHandshakeAdapter | None, timeout: float) -> Progress:
-        """Go as far as is possible with the bytes that are there."""
-        if not self._seen:
-            self._seen = True
-            return Progress.WAITING
-        if self._shaken or adapter is None:
-            return Progress.BEGUN
-        progress = self._shake_hands()
+    def __init__(self, http_server: Any, sock: socket.socket, makefile: Any = MakeFile) -> None:
+        super().__init__(http_server, sock, makefile)
+        self._deadline = time.monotonic() + HANDSHAKE_TIMEOUT_S
+        self._handshake_done = not isinstance(sock, ssl.SSLSocket)
+        self._registered = False
+
+    def advance(self, adapter: DeferredHandshakeAdapter | None, timeout: float) -> ConnectionState:
+        """Advance as far as the received bytes allow, and return the state."""
+        if not self._registered:
+            self._registered = True
+            return ConnectionState.WAITING
+        if self._handshake_done or adapter is None:
+            return ConnectionState.READY
+        state = self._continue_handshake()
         self.socket.settimeout(timeout)
-        if progress is Progress.BEGUN:
-            self._shaken = True
+        if state is ConnectionState.READY:
+            self._handshake_done = True
             self.ssl_env = adapter.get_environ(self.socket)
-            # The selector sees only bytes that TLS hasn't taken from the kernel yet.
-            return Progress.BEGUN if self.socket.pending() else Progress.WAITING
-        return progress
+            # The selector doesn't see bytes that TLS has already read from the kernel.
+            return ConnectionState.READY if self.socket.pending() else ConnectionState.WAITING
+        return state
 
-    def _shake_hands(self) -> Progress:
-        """Do what can be done of the handshake without waiting."""
+    def _continue_handshake(self) -> ConnectionState:
+        """Continue the handshake without blocking."""
         if time.monotonic() > self._deadline:
-            return Progress.FAILED
+            return ConnectionState.FAILED
         self.socket.settimeout(0.0)
         try:
             self.socket.do_handshake()
         except ssl.SSLWantReadError:
-            return Progress.WAITING
+            return ConnectionState.WAITING
         except (OSError, ValueError) as error:
             log.debug("handshake with {} failed: {}", self.remote_addr, error)
-            if getattr(error, "reason", "") == PLAIN_HTTP:
-                self._answer_plain()
-            return Progress.FAILED
-        return Progress.BEGUN
+            if getattr(error, "reason", "") == PLAIN_HTTP_REASON:
+                self._respond_in_plain_http()
+            return ConnectionState.FAILED
+        return ConnectionState.READY
 
-    def _answer_plain(self) -> None:
-        """Tell a peer that speaks plain HTTP, beneath TLS, what this port speaks."""
+    def _respond_in_plain_http(self) -> None:
+        """Send an error in plain HTTP to a peer that doesn't speak TLS."""
         with contextlib.suppress(OSError):
             raw = socket.socket(fileno=self.socket.detach())
             self.socket = raw
             raw.settimeout(0.0)
-            raw.send(PLAIN_ANSWER)
+            raw.send(PLAIN_HTTP_RESPONSE)
             raw.shutdown(socket.SHUT_WR)
-            # Unread input makes the kernel reset the connection, and the answer may be lost.
-            raw.recv(LEFTOVER_BYTES)
+            # With unread input the kernel resets the connection, and the response may be lost.
+            raw.recv(MAX_DISCARDED_BYTES)
 
 
 class OperatorsServer(wsgi.Server):
-    """Hand a connection to a thread once its handshake is done and its request has begun."""
+    """Server that queues a connection for a thread once its request has started."""
 
     ConnectionClass = OperatorsConnection
-    keep_alive_conn_limit = MAX_WAITING
+    keep_alive_conn_limit = MAX_IDLE_CONNECTIONS
 
     def process_conn(self, conn: Any) -> None:
-        """Queue a connection for a thread, or leave it to the selector."""
+        """Queue a connection for a thread, return it to the selector, or close it."""
         match conn.advance(self.ssl_adapter, self.timeout):
-            case Progress.BEGUN:
+            case ConnectionState.READY:
                 super().process_conn(conn)
-            case Progress.WAITING if self.can_add_keepalive_connection:
+            case ConnectionState.WAITING if self.can_add_keepalive_connection:
                 self.put_conn(conn)
             case _:
                 conn.close()
 
     def error_log(self, msg: str = "", level: int = 20, traceback: bool = False) -> None:
-        """Log what cheroot reports."""
+        """Log a message of cheroot."""
         if traceback:
             log.warning("{}", msg, exc_info=True)
         else:
--- a/toucanpin/daemon/page.py
+++ b/toucanpin/daemon/page.py
@@ -2,7 +2,7 @@
 Status page
 ===========
 
-One read-only page of HTML that shows a process and what it knows, for people with a browser.
+Renders one read-only HTML page with the state of a process, its members, cells and hosts.
 """
 
 from __future__ import annotations
@@ -27,20 +27,22 @@
 
 PAGE_PATH = "/"
 READ_METHODS = ("GET", "HEAD")
-REFRESH_SECONDS = 5
+REFRESH_PERIOD_S = 5
 STYLE = (
     "body{font:15px sans-serif;margin:2em;max-width:75em}"
     "table{border-collapse:collapse;margin-bottom:1em}"
     "th,td{text-align:left;padding:.15em 1em .15em 0;border-bottom:1px solid #ccc}"
     ".bad{color:#a00;font-weight:bold}"
 )
-# Names on the page come from other processes and the platform.  Should one ever get past the
-# escaping, the browser still runs no script and fetches nothing.
-POLICY = "default-src 'none'; style-src 'unsafe-inline'; base-uri 'none'; form-action 'none'"
+# Names on the page come from other processes and the platform.  If one were ever not escaped, the
+# browser would still run no script and fetch nothing.
+CONTENT_SECURITY_POLICY = (
+    "default-src 'none'; style-src 'unsafe-inline'; base-uri 'none'; form-action 'none'"
+)
 
 
 class OwnedCell(msgspec.Struct, frozen=True):
-    """Show one cell that this process owns."""
+    """Summary of one cell that this process owns."""
 
     name: str
     epoch: int
@@ -50,7 +52,7 @@
 
 
 class Page(msgspec.Struct, frozen=True):
-    """Hold what the page shows; ``cells`` is None in a process that owns none by its role."""
+    """Content of the page; ``cells`` is None if the role of the process owns no cells."""
 
     state: ProcessState
     members: tuple[Member, ...]
@@ -59,29 +61,29 @@
 
 
 def summarize_cells(cells: Iterable[Cell]) -> tuple[OwnedCell, ...]:
-    """Show owned cells by name."""
-    shown = (
+    """Return summaries of cells, sorted by name."""
+    summaries = (
         OwnedCell(
             cell.name, cell.row.epoch, len(cell.row.workers), len(cell.row.tasks), len(cell.queue)
         )
         for cell in cells
     )
-    return tuple(sorted(shown, key=lambda cell: cell.name))
+    return tuple(sorted(summaries, key=lambda cell: cell.name))
 
 
-def make_page_app(read: Callable[[], Page]) -> WsgiApp:
-    """Build the application that answers the page at ``/`` and nothing else."""
+def make_page_app(get_page: Callable[[], Page]) -> WsgiApp:
+    """Return the application that serves the page at ``/`` and refuses all else."""
 
     def serve(environ: dict[str, Any], start: StartResponse) -> Iterable[bytes]:
-        """Answer one request."""
+        """Serve one request."""
         if environ["PATH_INFO"] != PAGE_PATH or environ["REQUEST_METHOD"] not in READ_METHODS:
             detail = f"nothing is served at {environ['PATH_INFO']!r}; GET {PAGE_PATH} is the page"
             return answer_refusal(start, Refusal(Verdict.NOT_RUN, Reason.NOT_FOUND, detail))
-        body = render_page(read()).encode()
+        body = render_page(get_page()).encode()
         headers = [
             ("Content-Type", "text/html; charset=utf-8"),
             ("Content-Length", str(len(body))),
-            ("Content-Security-Policy", POLICY),
+            ("Content-Security-Policy", CONTENT_SECURITY_POLICY),
             ("Cache-Control", "no-store"),
         ]
         start(f"{http.HTTPStatus.OK.value} {http.HTTPStatus.OK.phrase}", headers)
@@ -91,12 +93,12 @@
 
 
 def render_page(page: Page) -> str:
-    """Write the page."""
+    """Return the page as HTML."""
     title = f"toucanpin {page.state.process}"
     return "".join(
         (
             '<!doctype html><html lang="en"><head><meta charset="utf-8">',
-            f'<meta http-equiv="refresh" content="{REFRESH_SECONDS}">',
+            f'<meta http-equiv="refresh" content="{REFRESH_PERIOD_S}">',
             f"<title>{html.escape(title)}</title><style>{STYLE}</style></head><body>",
             f"<h1>{html.escape(title)}</h1>",
             *_render_process(page.state),
@@ -110,7 +112,7 @@
 
 
 def _render_process(state: ProcessState) -> Iterator[str]:
-    """Write who this process is and whether it is ready."""
+    """Yield the identity and the readiness of the process."""
     columns = ("site", "role", "incarnation", "program", "bundle")
     row = (state.site, state.role, state.incarnation, state.version, state.bundle)
     yield from _render_table("Process", columns, [row])
@@ -123,7 +125,7 @@
 
 
 def _render_counts(page: Page) -> Iterator[str]:
-    """Write how many there are of everything."""
+    """Yield the counts of members, hosts, cells and tasks."""
     counts = Counter(f"members {member.standing.value}" for member in page.members)
     counts.update(f"hosts {host.role.value}" for host in page.hosts)
     counts["hosts leaving or drained"] = sum(host.leaving for host in page.hosts)
@@ -134,36 +136,39 @@
 
 
 def _render_members(members: tuple[Member, ...]) -> Iterator[str]:
-    """Write the processes of the system and their bundles."""
-    rows = sorted((it.name, it.site, it.standing.value, it.bundle) for it in members)
+    """Yield the processes of the system and their bundles."""
+    rows = sorted(
+        (member.name, member.site, member.standing.value, member.bundle) for member in members
+    )
     yield from _render_table("Members", ("name", "site", "standing", "bundle"), rows)
 
 
 def _render_cells(cells: tuple[OwnedCell, ...] | None) -> Iterator[str]:
-    """Write the cells that this process owns, nothing if its role owns none."""
+    """Yield the cells that this process owns, nothing if its role owns none."""
     if cells is not None:
         columns = OwnedCell.__struct_fields__
         yield from _render_table("Cells owned", columns, map(msgspec.structs.astuple, cells))
 
 
 def _render_hosts(hosts: tuple[ListedHost, ...]) -> Iterator[str]:
-    """Write the platform's hosts."""
+    """Yield the platform's hosts."""
     columns = ("name", "role", "site", "rack", "service", "state")
     rows = sorted(
-        (it.name, it.role.value, it.site, it.rack, it.service, _name_state(it)) for it in hosts
+        (host.name, host.role.value, host.site, host.rack, host.service, _describe_state(host))
+        for host in hosts
     )
     yield from _render_table("Hosts", columns, rows)
 
 
-def _name_state(host: ListedHost) -> str:
-    """Name a host's state; a drained host is shown to every part as leaving."""
+def _describe_state(host: ListedHost) -> str:
+    """Return a host's state; the host list marks drained hosts as leaving."""
     return "leaving or drained" if host.leaving else "in use"
 
 
 def _render_table(
     title: str, columns: Iterable[str], rows: Iterable[Iterable[Any]]
 ) -> Iterator[str]:
-    """Write a heading and a table, every cell escaped."""
+    """Yield a heading and a table with all values escaped."""
     yield f"<h2>{html.escape(title)}</h2><table><tr>"
     yield from (f"<th>{html.escape(column)}</th>" for column in columns)
     yield "</tr>"
--- a/toucanpin/daemon/root.py
+++ b/toucanpin/daemon/root.py
@@ -26,7 +26,7 @@
 from toucanpin.daemon.hosts import HostListCache
 from toucanpin.daemon.jobs_app import JobsApp
 from toucanpin.daemon.metrics import Metrics
-from toucanpin.daemon.operators import Operators, ProcessState, make_probe_apps
+from toucanpin.daemon.operators import OperatorsInterface, ProcessState, make_probe_apps
 from toucanpin.daemon.page import Page, make_page_app, summarize_cells
 from toucanpin.daemon.parts import Part, WsgiApp
 from toucanpin.daemon.settings import Settings, Tls
@@ -173,7 +173,7 @@
             inner.address, inner.port, self.gossip.identity, self.peer_keys, self.handlers
         )
         streamer = TimelineStreamer(self.recorder, self.objects, random.Random())
-        operators = Operators(
+        operators = OperatorsInterface(
             parse_endpoint(self.settings.listen.operators),
             self._mount_operators_apps(),
             self._resolve_tls(),
--- a/toucanpin/daemon/settings.py
+++ b/toucanpin/daemon/settings.py
@@ -2,8 +2,8 @@
 Settings of a process
 =====================
 
-Every setting with its type, unit, limits, default and meaning.  ``toucanpin config explain``
-prints this module's knowledge; ``settings_reader`` checks a file against it.
+Defines every setting with its type, unit, limits, default and meaning.  The definitions are printed
+by ``toucanpin config explain``, and ``settings_reader`` checks a file against them.
 """
 
 from __future__ import annotations
@@ -35,9 +35,9 @@
 
 
 class Process(msgspec.Struct, frozen=True, kw_only=True):
-    """Who this process is."""
+    """Identity of this process."""
 
-    deployment: Annotated[Name, Meta(description="the deployment whose bundles it takes")]
+    deployment: Annotated[Name, Meta(description="deployment whose bundles this process applies")]
     host: Annotated[Name, Meta(description="name of this entry host")]
     site: Annotated[Name, Meta(description="data centre of this entry host")]
     role: Annotated[
@@ -46,23 +46,23 @@
 
 
 class Listen(msgspec.Struct, frozen=True, kw_only=True):
-    """Where this process listens."""
+    """Endpoints on which this process listens."""
 
     operators: Annotated[EndpointText, Meta(description="HTTP for operators, metrics and probes")]
-    inner: Annotated[EndpointText, Meta(description="inner protocol, TCP and UDP on one number")]
+    inner: Annotated[EndpointText, Meta(description="inner protocol, TCP and UDP on the same port")]
     callers: Annotated[
-        EndpointText | None, Meta(description="HTTP for callers; the request role needs it")
+        EndpointText | None, Meta(description="HTTP for callers; required by the request role")
     ] = None
 
 
 class Platform(msgspec.Struct, frozen=True, kw_only=True):
-    """Where the platform's services are."""
+    """Endpoints and timings of the platform's services."""
 
     table: Annotated[Url, Meta(description="transactional table service")]
     objects: Annotated[Url, Meta(description="object store")]
     hosts: Annotated[Url, Meta(description="host list")]
     timeout_ms: Annotated[
-        Milliseconds, Meta(description="longest wait for one answer", extra={"unit": "ms"})
+        Milliseconds, Meta(description="timeout of one request", extra={"unit": "ms"})
     ] = 2_000
     hosts_every_ms: Annotated[
         Milliseconds, Meta(description="time between reads of the host list", extra={"unit": "ms"})
@@ -70,7 +70,7 @@
 
 
 class Peers(msgspec.Struct, frozen=True, kw_only=True):
-    """How processes of the system find and trust each other."""
+    """Discovery and authentication of the other processes of the system."""
 
     key_file: Annotated[str, Meta(description="file with the keys of the inner protocol")]
     seeds: Annotated[
@@ -82,13 +82,13 @@
 
 
 class Keys(msgspec.Struct, frozen=True, kw_only=True):
-    """What signatures of bundles are trusted."""
+    """Keys that are trusted to sign bundles."""
 
-    ring_file: Annotated[str, Meta(description="key ring that is trusted at the start")]
+    ring_file: Annotated[str, Meta(description="key ring that is trusted at start")]
 
 
 class Control(msgspec.Struct, frozen=True, kw_only=True):
-    """Times of the control role."""
+    """Durations of the control role."""
 
     turn_ms: Annotated[
         Milliseconds, Meta(description="time between turns of placement", extra={"unit": "ms"})
@@ -101,7 +101,10 @@
     ] = 10_000
     hold_ms: Annotated[
         Milliseconds,
-        Meta(description="wait of a taker that no roster names", extra={"unit": "ms"}),
+        Meta(
+            description="wait before a takeover by a process that is not on the owner's roster",
+            extra={"unit": "ms"},
+        ),
     ] = 2_100_000
 
 
@@ -109,27 +112,30 @@
     """Limits of the request role."""
 
     threads: Annotated[
-        int, Meta(ge=1, le=1_024, description="callers' requests served at one time")
+        int, Meta(ge=1, le=1_024, description="callers' requests served concurrently")
     ] = 64
     drain_ms: Annotated[
         Milliseconds,
-        Meta(description="longest wait for requests in flight at the end", extra={"unit": "ms"}),
+        Meta(
+            description="longest wait for requests in flight when the process stops",
+            extra={"unit": "ms"},
+        ),
     ] = 30_000
 
 
 class Log(msgspec.Struct, frozen=True, kw_only=True):
-    """What is logged and how."""
+    """Level and format of the log."""
 
     level: Annotated[
         Literal["debug", "info", "warning", "error"], Meta(description="lowest level written")
     ] = "info"
-    format: Annotated[
-        Literal["json", "text"], Meta(description="JSON lines, or lines for people")
-    ] = "json"
+    format: Annotated[Literal["json", "text"], Meta(description="JSON lines, or lines of text")] = (
+        "json"
+    )
 
 
 class Telemetry(msgspec.Struct, frozen=True, kw_only=True):
-    """Where metrics go besides the operators' HTTP."""
+    """Push of metrics, in addition to the operators' HTTP."""
 
     collector: Annotated[Url | None, Meta(description="OTLP collector, none if unset")] = None
     every_ms: Annotated[
@@ -139,9 +145,9 @@
 
 class Tls(msgspec.Struct, frozen=True, kw_only=True):
     """
-    Certificate for operators' HTTP; plain HTTP if unset.
+    Certificate of the operators' HTTP; plain HTTP if unset.
 
-    Callers' TLS ends at the platform's balancer.
+    The platform's load balancer terminates the TLS of callers.
     """
 
     certificate: Annotated[
@@ -153,7 +159,7 @@
 
 
 class Access(msgspec.Struct, frozen=True, kw_only=True):
-    """Who may operate this process."""
+    """Operators who may access this process."""
 
     operators_file: Annotated[
         str | None, Meta(description="operators, digests of their tokens, roles; open if unset")
@@ -161,7 +167,7 @@
 
 
 class Settings(msgspec.Struct, frozen=True, kw_only=True):
-    """Hold all settings of one process."""
+    """All settings of one process."""
 
     process: Process
     listen: Listen
--- a/toucanpin/daemon/settings_reader.py
+++ b/toucanpin/daemon/settings_reader.py
@@ -1,8 +1,8 @@
 """
-Reading of settings
-===================
+Reader of settings
+==================
 
-Check a settings file whole and report every fault with its file, key, value and what is allowed.
+Checks a whole settings file and reports every fault with its file, key, value and allowed range.
 """
 
 from __future__ import annotations
@@ -24,18 +24,18 @@
 
 __all__ = ["check_secret_file", "read_settings"]
 
-POLLS_BEFORE_LAPSE = 2
-MILLISECONDS = 1_000
+POLLS_BEFORE_EXPIRY = 2
+MS_PER_S = 1_000
 
 
 def read_settings(path: Path) -> Settings:
     """
-    Read and check one settings file.
+    Return the settings of one file, after checking all of them.
 
     Raises
     ------
     SettingsError
-        If anything in it can't be used; it carries one line for each fault.
+        If the file can't be read or used, with one line for each fault.
     """
     try:
         table = tomllib.loads(path.read_text(encoding="utf-8"))
@@ -43,33 +43,33 @@
         raise SettingsError((f"{path}: can't be read: {error.strerror}",)) from error
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
         raise SettingsError((f"{path}: is not TOML: {error}",)) from error
-    faults = list(_check_shape(table))
+    faults = list(_check_schema(table))
     if faults:
         raise SettingsError(tuple(f"{path}: {fault}" for fault in faults))
     settings = msgspec.convert(table, Settings)
-    faults = list(_check_sense(settings, path.parent))
+    faults = list(_check_consistency(settings, path.parent))
     if faults:
         raise SettingsError(tuple(f"{path}: {fault}" for fault in faults))
     return settings
 
 
 def check_secret_file(path: Path) -> str | None:
-    """Return what is wrong with the file of a secret, None if nothing is."""
+    """Return why the file of a secret can't be used, None if it can."""
     try:
         mode = path.stat().st_mode
     except OSError as error:
         return f"{path} can't be read: {error.strerror}"
-    # A key that others can read may have been copied; refusing it makes the operator replace it.
+    # A secret that others can read may have been copied; the operator has to replace it.
     if mode & (stat.S_IRWXG | stat.S_IRWXO):
-        return f"{path} is open to others (mode {stat.S_IMODE(mode):04o}); allowed is 0600 or 0400"
+        return f"{path} is open to others (mode {stat.S_IMODE(mode):04o}); it must be 0600 or 0400"
     return None
 
 
-def _check_shape(table: dict[str, Any]) -> Iterator[str]:
-    """Yield the faults of names, types and limits, section by section."""
+def _check_schema(table: dict[str, Any]) -> Iterator[str]:
+    """Yield the faults in names, types and limits, section by section."""
     sections = {field.name: field for field in msgspec.structs.fields(Settings)}
     for name in table.keys() - sections.keys():
-        yield _name_unknown(name, list(sections))
+        yield _describe_unknown_key(name, list(sections))
     for name, section in sections.items():
         if name not in table:
             if section.required:
@@ -82,10 +82,10 @@
 
 
 def _check_section(name: str, kind: Any, values: dict[str, Any]) -> Iterator[str]:
-    """Yield the faults of one section."""
+    """Yield the faults in one section."""
     keys = {field.name: field for field in msgspec.structs.fields(kind)}
     for key in sorted(values.keys() - keys.keys()):
-        yield _name_unknown(f"{name}.{key}", [f"{name}.{known}" for known in keys])
+        yield _describe_unknown_key(f"{name}.{key}", [f"{name}.{known}" for known in keys])
     for key, field in keys.items():
         if key not in values:
             if field.required:
@@ -97,74 +97,74 @@
             yield f"{name}.{key}: {values[key]!r} is not allowed: {error}"
 
 
-def _name_unknown(key: str, known: list[str]) -> str:
-    """Describe an unknown key, with the nearest known one."""
-    near = difflib.get_close_matches(key, known, n=1)
-    hint = f"; did you mean {near[0]}?" if near else f"; known are {', '.join(sorted(known))}"
+def _describe_unknown_key(key: str, known: list[str]) -> str:
+    """Return the fault of an unknown key, with the most similar known key."""
+    similar = difflib.get_close_matches(key, known, n=1)
+    hint = f"; did you mean {similar[0]}?" if similar else f"; known are {', '.join(sorted(known))}"
     return f"{key}: is not a setting{hint}"
 
 
-def _check_sense(settings: Settings, folder: Path) -> Iterator[str]:
-    """Yield the faults that only show between several settings or on this machine."""
+def _check_consistency(settings: Settings, folder: Path) -> Iterator[str]:
+    """Yield the faults in combinations of settings and in the files that they name."""
     yield from _check_endpoints(settings)
-    yield from _check_times(settings)
+    yield from _check_durations(settings)
     yield from _check_files(settings, folder)
 
 
 def _check_endpoints(settings: Settings) -> Iterator[str]:
-    """Yield endpoints that can't be, are missing or clash."""
+    """Yield the faults of endpoints that are invalid, missing or in conflict."""
     listen = settings.listen
     if settings.process.role == "request" and listen.callers is None:
         yield "listen.callers: is missing; the request role needs it"
-    named = [
+    endpoints = [
         ("listen.operators", listen.operators),
         ("listen.inner", listen.inner),
         *([("listen.callers", listen.callers)] if listen.callers else []),
     ]
-    seen: dict[str, str] = {}
-    for key, text in named:
+    listeners: dict[str, str] = {}
+    for key, text in endpoints:
         yield from _check_endpoint(key, text)
-        if text in seen:
-            yield f"{key}: {text!r} clashes with {seen[text]}; each listener needs its own"
-        seen[text] = key
+        if text in listeners:
+            yield f"{key}: {text!r} clashes with {listeners[text]}; each listener needs its own"
+        listeners[text] = key
     for seed in settings.peers.seeds:
         yield from _check_endpoint("peers.seeds", seed)
 
 
 def _check_endpoint(key: str, text: str) -> Iterator[str]:
-    """Yield why an endpoint can't be, if so."""
+    """Yield why an endpoint is invalid, if it is."""
     try:
         parse_endpoint(text)
     except ValueError as error:
         yield f"{key}: {text!r} is not allowed: {error}"
 
 
-def _check_times(settings: Settings) -> Iterator[str]:
-    """Yield times that defeat each other."""
+def _check_durations(settings: Settings) -> Iterator[str]:
+    """Yield the faults of durations that contradict each other."""
     control = settings.control
-    terms = LeaseTerms(authority=control.authority_ms / MILLISECONDS)
-    shortest = int(
-        (terms.takeover_after + POLLS_BEFORE_LAPSE * ControlOptions().poll) * MILLISECONDS
+    terms = LeaseTerms(authority=control.authority_ms / MS_PER_S)
+    min_lease_ms = int(
+        (terms.takeover_after + POLLS_BEFORE_EXPIRY * ControlOptions().poll) * MS_PER_S
     )
-    if control.lease_ms < shortest:
+    if control.lease_ms < min_lease_ms:
         yield (
             f"control.lease_ms: {control.lease_ms} ends before a dead owner is replaced; with "
-            f"control.authority_ms = {control.authority_ms} allowed is {shortest} or more"
+            f"control.authority_ms = {control.authority_ms} it must be at least {min_lease_ms}"
         )
     if control.authority_ms < control.lease_ms:
         yield (
             f"control.authority_ms: {control.authority_ms} is shorter than control.lease_ms; "
-            f"allowed is {control.lease_ms} or more"
+            f"it must be at least {control.lease_ms}"
         )
     if control.hold_ms < control.authority_ms:
         yield (
             f"control.hold_ms: {control.hold_ms} is shorter than control.authority_ms; "
-            f"allowed is {control.authority_ms} or more"
+            f"it must be at least {control.authority_ms}"
         )
 
 
 def _check_files(settings: Settings, folder: Path) -> Iterator[str]:
-    """Yield files that are missing or open to others."""
+    """Yield the faults of files that are missing or readable by others."""
     fault = check_secret_file(folder / settings.peers.key_file)
     if fault:
         yield f"peers.key_file: {fault}"
@@ -172,7 +172,7 @@
         yield f"keys.ring_file: {settings.keys.ring_file!r} is not a file"
     tls = settings.tls
     if (tls.certificate is None) != (tls.key is None):
-        yield "tls: certificate and key are needed together"
+        yield "tls: certificate and key must be set together"
     if tls.key is not None:
         fault = check_secret_file(folder / tls.key)
         if fault:
--- a/toucanpin/daemon/tests/test_operators.py
+++ b/toucanpin/daemon/tests/test_operators.py
@@ -5,7 +5,7 @@
 from pathlib import Path
 
 from toucanpin.daemon.endpoint import Endpoint
-from toucanpin.daemon.operators import Operators
+from toucanpin.daemon.operators import OperatorsInterface
 from toucanpin.daemon.root import compose
 from toucanpin.daemon.settings import Tls
 from toucanpin.daemon.settings_reader import read_settings
@@ -79,7 +79,7 @@
         _, other = write_certificate(self.folder, "other", ADDRESS)
         tls = Tls(certificate=str(self.certificate), key=str(other))
         with self.assertRaisesRegex(SettingsError, "tls: certificate or key can't be used"):
-            Operators(Endpoint(ADDRESS, 0), {}, tls)
+            OperatorsInterface(Endpoint(ADDRESS, 0), {}, tls)
 
 
 if __name__ == "__main__":
--- a/toucanpin/daemon/tests/test_timeline.py
+++ b/toucanpin/daemon/tests/test_timeline.py
@@ -135,10 +135,10 @@
         recorder, objects = make_recorder(capacity=6_000), FakeObjects()
         streamer = TimelineStreamer(recorder, objects, random.Random(1), period=3_600.0)
         streamer.start()
-        for _ in range(timeline.BATCH_EVENTS + 5):
+        for _ in range(timeline.MAX_BATCH_EVENTS + 5):
             recorder.record("x", {})
         streamer.stop(grace=30.0)
-        self.assertEqual(len(objects.read()), timeline.BATCH_EVENTS + 5)
+        self.assertEqual(len(objects.read()), timeline.MAX_BATCH_EVENTS + 5)
 
     def test_stop_in_an_outage_does_not_wait_for_the_store(self):
         recorder, objects = make_recorder(), FakeObjects(*["away"] * 1_000)
--- a/toucanpin/daemon/timeline.py
+++ b/toucanpin/daemon/timeline.py
@@ -1,9 +1,9 @@
 """
-Time line of the daemon
-=======================
+Timeline of the daemon
+======================
 
-Let others fetch this process's events over HTTP and stream them to the object store, where they
-outlive the process.
+Serves the events of this process over HTTP and streams them to the object store, where they outlive
+the process.
 """
 
 from __future__ import annotations
@@ -25,9 +25,9 @@
 
 __all__ = ["TimelineStreamer", "make_object_name", "make_timeline_app"]
 
-DEFAULT_PERIOD = 2.0
-LONGEST_DELAY = 60.0
-BATCH_EVENTS = 2_000
+SEND_PERIOD_S = 2.0
+MAX_DELAY_S = 60.0
+MAX_BATCH_EVENTS = 2_000
 _JITTER = 0.2
 _MAX_SEQUENCE_DIGITS = 18
 
@@ -35,13 +35,13 @@
 
 
 def make_timeline_app(recorder: Recorder) -> WsgiApp:
-    """Return the application that answers ``GET /v1/timeline?after=N`` with JSON lines."""
+    """Return the application that serves ``GET /v1/timeline?after=N`` as JSON lines."""
 
     def answer(environ: dict[str, Any], start_response: Callable[..., Any]) -> Iterable[bytes]:
-        """Answer one request."""
+        """Serve one request."""
         if environ.get("REQUEST_METHOD", "GET") not in ("GET", "HEAD"):
             return _refuse(start_response, "405 Method Not Allowed", "only GET is answered here")
-        after = _read_after(environ.get("QUERY_STRING", ""))
+        after = _parse_after(environ.get("QUERY_STRING", ""))
         if after is None:
             return _refuse(start_response, "400 Bad Request", "after is not a whole number >= 0")
         excerpt = recorder.read_after(after)
@@ -58,7 +58,7 @@
 
 
 def make_object_name(recorder: Recorder, first: int) -> str:
-    """Name the object that holds events from ``first`` on; names sort as their numbers do."""
+    """Return the name of the object that holds events from ``first`` on; names sort by number."""
     return f"timeline/{recorder.process}/{recorder.incarnation}/{first:012d}"
 
 
@@ -66,8 +66,8 @@
     """
     Send new events to the object store every ``period`` seconds, and the last ones when stopped.
 
-    While the store is away the recorder's bounded buffer holds what fits; older events are lost,
-    which the missing sequence numbers show.
+    While the store is unavailable, events stay in the recorder's bounded buffer.  If it
+    overflows, the oldest events are lost, which shows as a gap in the sequence numbers.
     """
 
     __slots__ = (
@@ -86,7 +86,7 @@
         recorder: Recorder,
         objects: ObjectStore,
         random_source: random.Random,
-        period: float = DEFAULT_PERIOD,
+        period: float = SEND_PERIOD_S,
     ) -> None:
         self._recorder = recorder
         self._objects = objects
@@ -103,21 +103,21 @@
         return self._sent
 
     def start(self) -> None:
-        """Start sending and return at once."""
+        """Start the thread that sends events."""
         self._thread.start()
 
     def stop(self, grace: float) -> None:
-        """Send what is left within ``grace`` seconds."""
+        """Send the remaining events within ``grace`` seconds."""
         self._stopping.set()
         self._thread.join(grace)
 
     def send(self) -> bool:
-        """Send one batch and tell whether the store is known to hold it (or none was due)."""
-        excerpt = self._recorder.read_after(self._sent, limit=BATCH_EVENTS)
+        """Send one batch; return whether the store is known to hold it, or none was due."""
+        excerpt = self._recorder.read_after(self._sent, limit=MAX_BATCH_EVENTS)
         if not excerpt.events:
             return True
-        # After a lost answer the next batch starts at the same event, so it replaces the object
-        # under the same name with itself or a longer one: no event is lost, none is told twice.
+        # After a lost answer the next batch starts at the same event, so it overwrites the object
+        # of that name with the same or more events: no event is lost or stored twice.
         name = make_object_name(self._recorder, excerpt.events[0].sequence)
         stored = self._objects.put(name, b"".join(encode_lines(excerpt.events)))
         if stored.is_error():
@@ -132,21 +132,21 @@
         return True
 
     def choose_delay(self) -> float:
-        """Return the seconds until the next batch, longer with each failure in a row."""
-        doubled = self._period * 2.0 ** min(self._failures, 10)
-        spread = 1.0 + _JITTER * (2.0 * self._random.random() - 1.0)
-        return min(doubled, LONGEST_DELAY) * spread
+        """Return the seconds until the next batch, with exponential back-off after failures."""
+        delay = self._period * 2.0 ** min(self._failures, 10)
+        jitter = 1.0 + _JITTER * (2.0 * self._random.random() - 1.0)
+        return min(delay, MAX_DELAY_S) * jitter
 
     def run(self) -> None:
-        """Send until stopped, then send what is left as long as the store takes it."""
+        """Send periodically until stopped, then send the rest until the store fails."""
         while not self._stopping.wait(self.choose_delay()):
             self.send()
         while self._sent < self._recorder.last_sequence and self.send():
             pass
 
 
-def _read_after(query: str) -> int | None:
-    """Read the sequence number of a query, 0 if it has none, None if it can't be read."""
+def _parse_after(query: str) -> int | None:
+    """Return the sequence number of a query, 0 if it has none, None if it is invalid."""
     text = parse_qs(query, keep_blank_values=True).get("after", ["0"])[-1]
     if not (text.isascii() and text.isdigit() and len(text) <= _MAX_SEQUENCE_DIGITS):
         return None
@@ -154,7 +154,7 @@
 
 
 def _refuse(start_response: Callable[..., Any], status: str, detail: str) -> Iterable[bytes]:
-    """Answer with a refusal."""
+    """Respond with a refusal."""
     body = msgspec.json.encode(Refusal(Verdict.NOT_RUN, Reason.BAD_REQUEST, detail))
     headers = [("Content-Type", "application/json"), ("Content-Length", str(len(body)))]
     start_response(status, headers)
--- a/toucanpin/daemon/views.py
+++ b/toucanpin/daemon/views.py
@@ -1,8 +1,8 @@
 """
-Operators' views
-================
+Views for operators
+===================
 
-Show the members and the listed hosts as this process sees them.
+Serves the members and the listed hosts that this process knows.
 """
 
 from __future__ import annotations
@@ -18,14 +18,14 @@
 
 
 def make_view_apps(members: MembershipView, hosts: HostListCache) -> dict[str, WsgiApp]:
-    """Build the applications by path."""
+    """Return the applications by path."""
 
     def serve_members(environ: dict[str, Any], start: StartResponse) -> Iterable[bytes]:
-        """List the processes of the system."""
+        """Serve the processes of the system."""
         return answer_json(start, members.members())
 
     def serve_hosts(environ: dict[str, Any], start: StartResponse) -> Iterable[bytes]:
-        """List the platform's hosts."""
+        """Serve the platform's hosts."""
         return answer_json(start, hosts.all())
 
     return {"/v1/members": serve_members, "/v1/hosts": serve_hosts}
--- a/toucanpin/daemon/web.py
+++ b/toucanpin/daemon/web.py
@@ -1,9 +1,9 @@
 """
-Small web applications
-======================
+Helpers for WSGI applications
+=============================
 
-What the operators' and callers' WSGI applications share: answers as JSON, refusals with their
-verdict, and mounting by path prefix.
+Provides responses in JSON and text, responses to refused requests, and the mounting of applications
+by path prefix.
 """
 
 from __future__ import annotations
@@ -50,7 +50,7 @@
 def answer_json(
     start: StartResponse, value: Any, status: int = 200, headers: Mapping[str, str] | None = None
 ) -> Iterable[bytes]:
-    """Answer with a value as JSON."""
+    """Respond with a value as JSON."""
     return _answer(start, status, msgspec.json.encode(value), "application/json", headers or {})
 
 
@@ -60,12 +60,12 @@
     status: int = 200,
     content_type: str = "text/plain; charset=utf-8",
 ) -> Iterable[bytes]:
-    """Answer with text."""
+    """Respond with text."""
     return _answer(start, status, text.encode(), content_type, {})
 
 
 def answer_refusal(start: StartResponse, refusal: Refusal) -> Iterable[bytes]:
-    """Answer with a refusal: its verdict, reason and, where it helps, when to come back."""
+    """Respond with a refusal: its verdict, its reason and, if known, when to retry."""
     headers = {
         "Toucanpin-Verdict": refusal.verdict.value,
         "Toucanpin-Reason": refusal.reason.value,
@@ -82,11 +82,11 @@
 
 
 def mount_apps(apps: Mapping[str, WsgiApp]) -> WsgiApp:
-    """Build an application that hands each request to the longest mounted prefix of its path."""
+    """Return an application that dispatches each request by the longest matching path prefix."""
     prefixes = sorted(apps, key=len, reverse=True)
 
     def dispatch(environ: dict[str, Any], start: StartResponse) -> Iterable[bytes]:
-        """Find the application of one request."""
+        """Dispatch one request."""
         path = environ["PATH_INFO"]
         for prefix in prefixes:
             if path == prefix or path.startswith(prefix.rstrip("/") + "/"):
@@ -100,10 +100,10 @@
 def _answer(
     start: StartResponse, status: int, body: bytes, content_type: str, headers: Mapping[str, str]
 ) -> Iterable[bytes]:
-    """Answer with bytes of a known length."""
-    line = f"{status} {http.HTTPStatus(status).phrase}"
+    """Respond with bytes."""
+    status_line = f"{status} {http.HTTPStatus(status).phrase}"
     start(
-        line,
+        status_line,
         [("Content-Type", content_type), ("Content-Length", str(len(body))), *headers.items()],
     )
     return [body]
