--- a/toucanpin/cli/__init__.py
+++ b/toucanpin/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' command-line tool."""
+"""Command-line tool for operators."""
--- a/toucanpin/cli/access.py
+++ b/toucanpin/cli/access.py
@@ -2,8 +2,7 @@
 Access to processes
 ===================
 
-Where operators' HTTP is, with which token it is asked and which certificates are trusted: the same
-options for every command.
+Command-line options for the URLs, the token and the trusted certificates, shared by all commands.
 """
 
 from __future__ import annotations
@@ -43,23 +42,23 @@
 
 @dataclass(slots=True)
 class Access:
-    """Hold what a command was told about reaching processes; the token is never shown."""
+    """URLs, token and trusted certificates of a command; its repr omits the token."""
 
     urls: list[str] = field(default_factory=list)
     token: str = field(default="", repr=False)
     ca: Path | None = None
 
     def make_headers(self, url: str) -> dict[str, str]:
-        """Return the headers that prove who asks, none for any but operators' HTTP."""
-        # The token went to a callers' HTTP or a platform's service otherwise, whose logs may show
-        # it and whose keepers could then submit bundles.
+        """Return the authorization headers; none if the URL isn't of an operators' HTTP API."""
+        # Other services, such as callers' HTTP API or the platform, may log the token, and whoever
+        # reads it there could submit bundles.
         if self.token and any(url.startswith(f"{operators_url}/") for operators_url in self.urls):
             return {"Authorization": f"Bearer {self.token}"}
         return {}
 
 
 def get_access() -> Access:
-    """Return the access of the command that runs."""
+    """Return the access of the running command."""
     context = click.get_current_context(silent=True)
     if context is None:
         return Access()
@@ -68,7 +67,7 @@
 
 
 def add_operators_url(url: str) -> str:
-    """Check the URL of an operators' HTTP and let it have the token."""
+    """Normalize the URL of an operators' HTTP API and allow sending the token to it."""
     url = _normalize_url(url)
     get_access().urls.append(url)
     return url
@@ -77,54 +76,54 @@
 def _check_operators_url(
     context: click.Context, parameter: click.Parameter, value: str | None
 ) -> str | None:
-    """Check the URL if one is given."""
+    """Normalize the URL of an operators' HTTP API if one is given."""
     return None if value is None else add_operators_url(value)
 
 
 def _check_callers_url(context: click.Context, parameter: click.Parameter, value: str) -> str:
-    """Check the URL of a callers' HTTP, which gets no token."""
+    """Normalize the URL of a callers' HTTP API, which gets no token."""
     return _normalize_url(value)
 
 
 def _normalize_url(url: str) -> str:
-    """Refuse what is no URL and drop the slash at its end."""
+    """Return a URL without trailing slashes; raise if its scheme is not HTTP or HTTPS."""
     if not url.startswith(("http://", "https://")):
         raise click.BadParameter(f"{url!r} must begin with http:// or https://")
     return url.rstrip("/")
 
 
 def _load_token(context: click.Context, parameter: click.Parameter, value: Path | None) -> None:
-    """Read the token from the file, or else from the environment."""
+    """Read the token from the file if one is given, else from the environment."""
     get_access().token = _read_token_variable() if value is None else _read_token_file(value)
 
 
 def _read_token_variable() -> str:
-    """Read the token from the environment, empty if there is none."""
+    """Return the token from the environment, empty if there is none."""
     token = os.environ.get(TOKEN_VARIABLE, "")
     return _check_token(token, TOKEN_VARIABLE) if token else ""
 
 
 def _read_token_file(path: Path) -> str:
-    """Read a token's file, refused if others can open it."""
+    """Return the token from a file; raise if group or others can access it."""
     fault = check_secret_file(path)
     if fault:
         raise click.BadParameter(fault)
     try:
         token = path.read_text(encoding="utf-8").strip()
     except (OSError, UnicodeDecodeError) as error:
-        raise click.BadParameter(f"{path}: can't be read as text") from error
+        raise click.BadParameter(f"{path}: can't be read as UTF-8 text") from error
     return _check_token(token, str(path))
 
 
 def _check_token(token: str, source: str) -> str:
-    """Refuse a token that no header can carry, without showing it."""
+    """Return a token; raise, without showing it, if it can't be sent in a header."""
     if not _TOKEN_PATTERN.fullmatch(token):
-        raise click.BadParameter(f"{source}: no token; allowed are visible ASCII characters")
+        raise click.BadParameter(f"{source}: invalid token; allowed are visible ASCII characters")
     return token
 
 
 def _set_ca(context: click.Context, parameter: click.Parameter, value: Path | None) -> None:
-    """Keep the file of trusted certificates."""
+    """Store the path of the trusted certificates."""
     get_access().ca = value
 
 
@@ -133,7 +132,7 @@
     type=click.Path(path_type=Path),
     callback=_load_token,
     expose_value=False,
-    help=f"File with the operator's token, for its owner only; else {TOKEN_VARIABLE} is taken.",
+    help=f"File with the operator's token, mode 0600 or 0400; {TOKEN_VARIABLE} if not given.",
 )
 
 ca_option = click.option(
@@ -142,12 +141,12 @@
     type=click.Path(exists=True, dir_okay=False, path_type=Path),
     callback=_set_ca,
     expose_value=False,
-    help="File with the certificates (PEM) that https:// is checked against.",
+    help="File of trusted certificates (PEM) for https:// URLs.",
 )
 
 
 def _make_url_option(required: bool) -> Callable[[Command], Command]:
-    """Make the options ``--operators``, ``--token-file`` and ``--ca``; the URL is an argument."""
+    """Make a decorator that adds ``--operators`` (as ``url``), ``--token-file`` and ``--ca``."""
     operators = click.option(
         "--operators",
         "url",
@@ -155,7 +154,7 @@
         required=required,
         metavar="URL",
         callback=_check_operators_url,
-        help="Operators' HTTP of any process, such as http://127.0.1.1:9080.",
+        help="Operators' HTTP API of any process, such as http://127.0.1.1:9080.",
     )
 
     def add(command: Command) -> Command:
@@ -170,7 +169,7 @@
 
 
 def _make_callers_option(name: str) -> Callable[[Command], Command]:
-    """Make the option ``--callers`` whose URL is the argument ``name``."""
+    """Make the option ``--callers``, passed to the command as the argument ``name``."""
     return click.option(
         "--callers",
         name,
@@ -178,7 +177,7 @@
         required=True,
         metavar="URL",
         callback=_check_callers_url,
-        help="Callers' HTTP of any entry host, such as http://127.0.1.1:8080.",
+        help="Callers' HTTP API of any entry host, such as http://127.0.1.1:8080.",
     )
 
 
--- a/toucanpin/cli/config.py
+++ b/toucanpin/cli/config.py
@@ -1,8 +1,8 @@
 """
-Commands on settings
-====================
+Settings commands
+=================
 
-Check a settings file and explain every setting.
+Check settings files and list all settings.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 
 class Explanation(msgspec.Struct, frozen=True):
-    """Explain one setting."""
+    """Unit, default and meaning of one setting."""
 
     key: str
     unit: str
@@ -36,7 +36,7 @@
 @click.group()
 def config() -> None:
     """
-    Check and explain settings.
+    Check settings files and explain settings.
 
     \b
     Examples:
@@ -48,7 +48,7 @@
 @config.command()
 @click.argument("file", type=click.Path(path_type=Path))
 def check(file: Path) -> None:
-    """Check FILE whole and print every fault."""
+    """Check a settings FILE and report all faults."""
     try:
         read_settings(file)
     except SettingsError as error:
@@ -66,7 +66,7 @@
 
 
 def _explain_settings() -> Iterator[Explanation]:
-    """Yield every setting of every section."""
+    """Yield the explanations of all settings."""
     for section in msgspec.structs.fields(Settings):
         for field in msgspec.structs.fields(section.type):
             meta = tuple(_find_metadata(field.type))
@@ -79,7 +79,7 @@
 
 
 def _find_metadata(kind: Any) -> Iterator[msgspec.Meta]:
-    """Yield what is said of a type, outermost first."""
+    """Yield the metadata of a type, outermost first."""
     if get_origin(kind) is None:
         return
     for part in reversed(get_args(kind)):
@@ -90,7 +90,7 @@
 
 
 def _format_default(field: msgspec.structs.FieldInfo) -> str:
-    """Write a setting's default as the file would."""
+    """Return a setting's default as text."""
     if field.required:
         return "(required)"
     if field.default is None:
--- a/toucanpin/cli/drain.py
+++ b/toucanpin/cli/drain.py
@@ -1,8 +1,8 @@
 """
-Commands for drains
-===================
+Drain commands
+==============
 
-Take hosts out of use and back, whatever the platform's list says of them.
+Take hosts out of use and return them, independently of the platform's host list.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 @click.group()
 def drain() -> None:
     """
-    Drain hosts: nothing new is sent there, tasks are checkpointed and moved.
+    Drain hosts: they get no new work, and their tasks are checkpointed and moved.
 
     \b
     Examples:
@@ -38,7 +38,7 @@
 @url_option
 @output_option
 def begin(host: str, url: str, form: str) -> None:
-    """Begin to drain HOST."""
+    """Start draining HOST."""
     _change("PUT", host, url, form)
 
 
@@ -47,7 +47,7 @@
 @url_option
 @output_option
 def end(host: str, url: str, form: str) -> None:
-    """End the drain of HOST."""
+    """Stop draining HOST."""
     _change("DELETE", host, url, form)
 
 
@@ -55,14 +55,14 @@
 @url_option
 @output_option
 def list_(url: str, form: str) -> None:
-    """List the drained hosts."""
+    """List the hosts being drained."""
     found = request_json("GET", f"{url}/v1/drain")
     rows = ((one["host"], one["operator"], time.ctime(one["since"])) for one in found)
     show(form, COLUMNS, rows, found)
 
 
 def _change(method: str, host: str, url: str, form: str) -> None:
-    """Change a drain and show the outcome."""
+    """Start or stop a drain and show the outcome."""
     answer = request_json(method, f"{url}/v1/drain/{urllib.parse.quote(host, safe='')}")
     columns = ("host", "drain", "changed")
     show(form, columns, [tuple(answer[column] for column in columns)], answer)
--- a/toucanpin/cli/exits.py
+++ b/toucanpin/cli/exits.py
@@ -2,7 +2,7 @@
 Exit codes
 ==========
 
-Codes that scripts can rely on.
+Exit codes of the commands, which scripts can rely on.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 class ExitCode(enum.IntEnum):
-    """Say how a command ended."""
+    """Exit code of a command."""
 
     DONE = 0
     REFUSED = 1
--- a/toucanpin/cli/explain.py
+++ b/toucanpin/cli/explain.py
@@ -2,7 +2,7 @@
 Command ``explain``
 ===================
 
-Tell what became of a job or of a worker, from the logs of all processes.
+Show what happened to a job or worker, from the logs of all hosts.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 __all__ = ["LogLine", "explain", "parse_lines", "select_lines"]
 
-# What surrounds a story: it concerns every job of a cell or host, whatever the id asked for.
+# Events that affect all jobs of a cell or host, shown whichever identifier is asked for.
 BACKGROUND_EVENTS = (
     "cell.taken",
     "cell.lost",
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LogLine:
-    """Hold one log line; ``clock`` is the table's, in ms, which all hosts share."""
+    """One log line; ``clock`` is the table's clock, in ms, which all hosts share."""
 
     clock: int
     time: str
@@ -43,7 +43,7 @@
 
 
 def parse_lines(lines: Iterable[str]) -> Iterator[LogLine]:
-    """Yield the log lines among others, whatever a collector has put before them."""
+    """Yield the log lines, skipping other text and the prefixes that log collectors add."""
     for text in lines:
         start = text.find("{")
         if start < 0:
@@ -64,10 +64,10 @@
 
 def select_lines(lines: Iterable[LogLine], identifier: str, background: bool) -> list[LogLine]:
     """
-    Return the lines about a job or worker in their order.
+    Return the lines that concern a job or worker, in order.
 
-    Hosts' times of day differ and jump, so the table's clock orders them; lines of before it was
-    known come by time.
+    The table's clock orders them, since the hosts' wall clocks differ and jump.  Lines logged
+    before a host knew the table's clock have clock 0 and are ordered by wall clock.
     """
     found = sorted(lines, key=lambda line: (line.clock, line.time))
     about = [line for line in found if _concerns(line, identifier)]
@@ -103,19 +103,23 @@
   toucanpin explain 5c0e7a21d94b36f8 --json *.log""")
 @click.argument("identifier")
 @click.argument("files", nargs=-1, type=click.File("r"), required=True)
-@click.option("--background/--no-background", default=True, help="Show takeovers and restarts.")
-@click.option("--json", "as_json", is_flag=True, help="Print one JSON object a line.")
+@click.option(
+    "--background/--no-background",
+    default=True,
+    help="Show takeovers, restarts and outages of the store.",
+)
+@click.option("--json", "as_json", is_flag=True, help="Print one JSON object per line.")
 def explain(identifier: str, files: tuple[IO[str], ...], background: bool, as_json: bool) -> None:
     """
-    Tell the story of a job or worker from the logs of all hosts.
+    Show what happened to a job or worker, from the logs of all hosts.
 
     IDENTIFIER is the id of a job, a task (job.occurrence.step.index) or a worker; FILES are logs of
-    entry hosts, - for standard input.  Times count from the first line, on the table's clock.
+    entry hosts, - for standard input.  Times are seconds since the first line by the table's clock.
     """
     lines = (line for file in files for line in parse_lines(file))
     selected = select_lines(lines, identifier, background)
     if not selected:
-        click.echo(f"no line is about {identifier}", err=True)
+        click.echo(f"no log line concerns {identifier}", err=True)
         raise SystemExit(ExitCode.REFUSED)
     start_clock = next((line.clock for line in selected if line.clock), 0)
     for line in selected:
--- a/toucanpin/cli/keys.py
+++ b/toucanpin/cli/keys.py
@@ -2,7 +2,7 @@
 Private keys of operators
 =========================
 
-Make, write and read the Ed25519 key files with which operators sign.
+Create and read the Ed25519 key files with which operators sign.
 """
 
 from __future__ import annotations
@@ -25,20 +25,20 @@
 
 @dataclass(frozen=True, slots=True)
 class PrivateKey:
-    """Hold one private key and the id that key rings know it by."""
+    """Private key and its id in key rings."""
 
     id: str
     key: Ed25519PrivateKey = field(repr=False)
 
 
 def create_key(key_id: str, path: Path) -> Result[PrivateKey, str]:
-    """Write a new private key to a file that only its owner can open, and that wasn't there."""
+    """Write a new private key to a new file that only its owner can access."""
     if not _KEY_ID_PATTERN.fullmatch(key_id):
         return Error(f"key id {key_id!r}: allowed are 1 to 63 of a-z, 0-9, '.', '_' and '-'")
     key = Ed25519PrivateKey.generate()
     text = f'id = "{key_id}"\nprivate = "{key.private_bytes_raw().hex()}"\n'
     try:
-        # The mode is given at creation: a file that is narrowed afterwards was open for a moment.
+        # The mode is set at creation: with a later chmod others could open the file in between.
         descriptor = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_EXCL, OWNER_ONLY_MODE)
         with os.fdopen(descriptor, "w", encoding="utf-8") as file:
             file.write(text)
@@ -48,23 +48,23 @@
 
 
 def load_key(path: Path) -> Result[PrivateKey, str]:
-    """Read a private key; no fault holds any of the file's content."""
+    """Read a private key; errors never contain any of the file's content."""
     try:
         mode = path.stat().st_mode
         if mode & (stat.S_IRWXG | stat.S_IRWXO):
-            return Error(f"{path}: others can open it; allow its owner only (chmod 600)")
+            return Error(f"{path}: accessible to group or others; set its mode to 0600")
         document = tomllib.loads(path.read_text(encoding="utf-8"))
         key = Ed25519PrivateKey.from_private_bytes(bytes.fromhex(document["private"]))
         key_id = document["id"]
     except OSError as error:
         return Error(f"{path}: {error.strerror}")
     except (KeyError, TypeError, ValueError):
-        return Error(f"{path}: not a private key; allowed is a file made by 'bundle keys new'")
+        return Error(f"{path}: not a private key file, as 'bundle keys new' writes it")
     if not isinstance(key_id, str) or not _KEY_ID_PATTERN.fullmatch(key_id):
-        return Error(f"{path}: its key id can't be used")
+        return Error(f"{path}: invalid key id; allowed are 1 to 63 of a-z, 0-9, '.', '_' and '-'")
     return Ok(PrivateKey(key_id, key))
 
 
 def encode_public_key(key: PrivateKey) -> str:
-    """Return the public key as key rings hold it."""
+    """Return the public key in hexadecimal, as in key rings."""
     return key.key.public_key().public_bytes_raw().hex()
--- a/toucanpin/cli/losses.py
+++ b/toucanpin/cli/losses.py
@@ -2,7 +2,7 @@
 Command ``losses``
 ==================
 
-Sum up from the logs of all processes where the time of jobs went.
+Sum up the task time of jobs by queue and cause, from the logs of all hosts.
 """
 
 from __future__ import annotations
@@ -22,12 +22,12 @@
 __all__ = ["Losses", "losses", "sum_losses"]
 
 LATE_STATE = "late"
-REASON_NOT_LOGGED = "reason not logged"  # its line was dropped
+REASON_NOT_LOGGED = "reason not logged"  # the log line was dropped
 
 
 @dataclass(slots=True)
 class Losses:
-    """Hold, for one queue, what became of its jobs and the task-seconds by cause."""
+    """Ended jobs of a queue by state, and its task-seconds by cause."""
 
     jobs: Counter[str] = field(default_factory=Counter)
     seconds: dict[str, float] = field(default_factory=lambda: defaultdict(float))
@@ -36,7 +36,7 @@
     )
 
     def add(self, cause: str, seconds: float, clock: int) -> None:
-        """Count task-seconds that ended at a moment of the table's clock, in ms, as they passed."""
+        """Add task-seconds that ended at ``clock``, in ms, to the seconds in which they passed."""
         self.seconds[cause] += seconds
         end = clock / 1_000
         start = end - seconds
@@ -47,10 +47,10 @@
 
 def sum_losses(lines: Iterable[LogLine]) -> dict[str, Losses]:
     """
-    Return by queue where the time of its tasks went.
+    Return the losses of each queue.
 
-    A wait counts if its task gets a place, a run if it ends, each in the seconds that it took; a
-    run that is stopped counts under the reason of the stop.
+    A wait counts once its task is placed, a run once it ends, each over the seconds that it took.
+    A stopped run counts under the reason of the stop.
     """
     found: dict[str, Losses] = defaultdict(Losses)
     starts: dict[tuple[str, int], tuple[int, str]] = {}
@@ -83,7 +83,7 @@
 
 
 def _count_dropped(lines: Iterable[LogLine]) -> int:
-    """Return how many lines the hosts have dropped; each tells its own count so far."""
+    """Return how many lines all hosts have dropped; each logs its running total."""
     by_host: dict[str, int] = {}
     for line in lines:
         if line.event == "log.dropped":
@@ -124,28 +124,30 @@
   journalctl -u toucanpin -o cat | toucanpin losses - --by-second
   toucanpin losses entry-*.log --plot losses.svg""")
 @click.argument("files", nargs=-1, type=click.File("r"), required=True)
-@click.option("--by-second", is_flag=True, help="Also the three largest causes of each second.")
+@click.option(
+    "--by-second", is_flag=True, help="Also list the three largest causes of each second."
+)
 @click.option(
     "--plot",
     type=click.File("w", encoding="utf-8", lazy=True),
     metavar="FILE.svg",
-    help="Also draw each queue's seconds by cause over the day; needs matplotlib.",
+    help="Also plot the task-seconds of each queue by cause over time; needs matplotlib.",
 )
 def losses(files: tuple[IO[str], ...], by_second: bool, plot: IO[str] | None) -> None:
     """
-    Sum up where jobs' time went, by queue and cause, from the logs of all hosts.
+    Sum up the task time of jobs by queue and cause, from the logs of all hosts.
 
     FILES are logs of entry hosts, - for standard input.  Times are task-seconds.
     """
     lines = [line for file in files for line in parse_lines(file)]
     found = sum_losses(lines)
     if not found:
-        click.echo("no line tells of a task", err=True)
+        click.echo("no log line concerns a task", err=True)
         raise SystemExit(ExitCode.REFUSED)
     for text in _format_table(found, by_second):
         click.echo(text)
     dropped = _count_dropped(lines)
     if dropped:
-        click.echo(f"{dropped} lines were dropped under load: the sums cover a part", err=True)
+        click.echo(f"{dropped} lines were dropped under load: the sums are incomplete", err=True)
     if plot is not None:
         _write_plot(found, plot)
--- a/toucanpin/cli/losses_plot.py
+++ b/toucanpin/cli/losses_plot.py
@@ -1,8 +1,8 @@
 """
-Plot of where jobs' time went
-=============================
+Plot of losses
+==============
 
-Draw by queue how many tasks were in each state over the day.
+Plot the task-seconds of each queue by cause over time.
 """
 
 from __future__ import annotations
@@ -16,16 +16,16 @@
 BySecond = Mapping[int, Mapping[str, float]]
 Causes = Mapping[str, Mapping[int, float]]
 
-MAX_CAUSES_SHOWN = 9  # causes of a queue that are drawn alone
+MAX_CAUSES_SHOWN = 9  # per queue; the others are summed up as OTHER_CAUSES
 OTHER_CAUSES = "other"
 PALETTE = "tab20"
 OTHER_COLOUR = "lightgrey"
-WIDTH_INCHES = 11.0  # inches
-QUEUE_HEIGHT_INCHES = 3.2  # inches a queue
+WIDTH_INCHES = 11.0
+QUEUE_HEIGHT_INCHES = 3.2
 
 
 def rank_causes(by_second: BySecond) -> dict[str, dict[int, float]]:
-    """Return the seconds of each cause over the day, the largest first and small ones as one."""
+    """Return the time series of each cause, largest first, small causes summed up as one."""
     seconds: dict[str, dict[int, float]] = {}
     for second, causes in by_second.items():
         for cause, value in causes.items():
@@ -41,9 +41,9 @@
 
 def draw_losses(by_queue: Mapping[str, BySecond]) -> str:
     """
-    Return the picture as SVG, ImportError without matplotlib.
+    Return the plot as SVG; raise ImportError without matplotlib.
 
-    It isn't imported with the module, since installations don't have it.
+    Matplotlib isn't imported with the module because it is an optional dependency.
     """
     import matplotlib
     from matplotlib.figure import Figure
@@ -58,16 +58,16 @@
     for axis, (queue, causes) in zip(axes, shown.items(), strict=False):
         _draw_queue(axis, causes, colours, range(first, last + 2))
         axis.set_title(queue, loc="left")
-    axes[-1].set_xlabel("seconds since the first that is told of")
+    axes[-1].set_xlabel("seconds since the first logged task")
     content = io.StringIO()
-    # The same logs give the same bytes, and words stay words.
+    # A fixed salt and no date make the output reproducible; text stays text, not paths.
     with matplotlib.rc_context({"svg.hashsalt": "toucanpin", "svg.fonttype": "none"}):
         figure.savefig(content, format="svg", metadata={"Date": None})
     return content.getvalue()
 
 
 def _choose_colours(queues: Iterable[Causes], palette: Any) -> dict[str, Any]:
-    """Return a colour for each cause, the same in all queues."""
+    """Return the colour of each cause, the same in all queues."""
     causes = dict.fromkeys(cause for queue in queues for cause in queue if cause != OTHER_CAUSES)
     chosen = {cause: palette(number % palette.N) for number, cause in enumerate(causes)}
     return chosen | {OTHER_CAUSES: OTHER_COLOUR}
@@ -83,5 +83,5 @@
     rows = [[seconds.get(second, 0.0) for second in span] for seconds in causes.values()]
     own = [colours[cause] for cause in causes]
     axis.stackplot(since, rows, labels=list(causes), colors=own, step="post")
-    axis.set_ylabel("task-seconds a second")
+    axis.set_ylabel("task-seconds per second")
     axis.legend(fontsize=8, loc="upper left", bbox_to_anchor=(1.0, 1.0))
--- a/toucanpin/cli/main.py
+++ b/toucanpin/cli/main.py
@@ -1,8 +1,8 @@
 """
-Operators' tool
-===============
+Command ``toucanpin``
+=====================
 
-The command ``toucanpin``; each group of commands stands in a module of its own.
+Entry point of the operators' tool; each command or group of commands is defined in its own module.
 """
 
 from __future__ import annotations
--- a/toucanpin/cli/output.py
+++ b/toucanpin/cli/output.py
@@ -1,8 +1,8 @@
 """
-Output of the tool
+Output of commands
 ==================
 
-Tables for people and JSON for scripts; colour only on a terminal.
+Print tables, or JSON for scripts; colour only on a terminal.
 """
 
 from __future__ import annotations
@@ -18,11 +18,11 @@
 
 __all__ = ["OutputFormat", "output_option", "show"]
 
-NON_TERMINAL_WIDTH = 200
+NON_TERMINAL_WIDTH = 200  # columns
 
 
 class OutputFormat(enum.Enum):
-    """Name the forms of output."""
+    """Output format."""
 
     TABLE = "table"
     JSON = "json"
@@ -34,7 +34,7 @@
     type=click.Choice([form.value for form in OutputFormat]),
     default=OutputFormat.TABLE.value,
     show_default=True,
-    help="Readable table, or JSON for scripts.",
+    help="Table for reading, or JSON for scripts.",
 )
 
 
--- a/toucanpin/cli/signing.py
+++ b/toucanpin/cli/signing.py
@@ -1,8 +1,8 @@
 """
-Commands for signing
-====================
+Signing commands
+================
 
-Make keys, and sign bundles and key rings with them.
+Create private keys, and sign bundles and key rings with them.
 """
 
 from __future__ import annotations
@@ -35,7 +35,7 @@
     multiple=True,
     required=True,
     type=click.Path(path_type=Path),
-    help="Private key file; give it again for each further signer.",
+    help="Private key file; repeat for each signer.",
 )
 out_option = click.option(
     "--out", required=True, type=click.Path(path_type=Path), help="File to write."
@@ -50,7 +50,7 @@
     "ring_files",
     multiple=True,
     type=existing_file,
-    help="Signed key ring to carry along, made by 'keys sign'.",
+    help="Signed key ring to include, written by 'keys sign'; repeatable.",
 )
 @optional_url_option
 @out_option
@@ -84,7 +84,7 @@
 
 @click.group()
 def keys() -> None:
-    """Make keys of signers and sign key rings."""
+    """Create private keys and sign key rings."""
 
 
 @keys.command("new")
@@ -92,7 +92,7 @@
 @out_option
 def create(key_id: str, out: Path) -> None:
     """
-    Make a private key, and print what a key ring needs of it.
+    Create a private key and print its entry for a key ring.
 
     \b
     Example:
@@ -111,7 +111,7 @@
 @out_option
 def sign_next(file: Path, key_files: tuple[Path, ...], out: Path) -> None:
     """
-    Sign a new key ring with keys of the ring before it.
+    Sign a new key ring with keys of its predecessor.
 
     \b
     Example:
--- a/toucanpin/cli/status.py
+++ b/toucanpin/cli/status.py
@@ -1,8 +1,8 @@
 """
-Commands on the state of a deployment
-=====================================
+Status commands
+===============
 
-Show the processes that one process knows, the platform's hosts, and what looks wrong.
+Show the known processes and the platform's hosts, and diagnose problems.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 
 
 class Finding(msgspec.Struct, frozen=True):
-    """Hold one thing that the doctor found; ``remedy`` is empty if all is well."""
+    """Result of one check; ``remedy`` is empty if it passed."""
 
     file: str
     check: str
@@ -43,7 +43,7 @@
 @output_option
 def status(url: str, form: str) -> None:
     """
-    Show the processes of the system as one of them sees them.
+    Show the processes of the deployment as one of them knows them.
 
     \b
     Example:
@@ -60,7 +60,7 @@
 @output_option
 def hosts(url: str, form: str) -> None:
     """
-    Show the hosts that the platform lists, which lag behind reality.
+    Show the platform's list of hosts, which may be out of date.
 
     \b
     Example:
@@ -78,14 +78,14 @@
 @output_option
 def doctor(files: tuple[Path, ...], form: str) -> None:
     """
-    Check settings FILES and the processes behind them, and say what to do.
+    Check settings FILES and the processes that use them, and suggest remedies.
 
     \b
     Example:
       toucanpin doctor /etc/toucanpin/*.toml
     """
     findings = [finding for file in files for finding in _check_file(file)]
-    columns = ("file", "check", "finding", "what to do")
+    columns = ("file", "check", "finding", "remedy")
     rows = (msgspec.structs.astuple(finding) for finding in findings)
     show(form, columns, rows, findings)
     if any(finding.remedy for finding in findings):
@@ -93,12 +93,12 @@
 
 
 def _check_file(file: Path) -> Iterator[Finding]:
-    """Yield what one settings file and its process show."""
+    """Yield the findings on a settings file, its process and its platform."""
     try:
         settings = read_settings(file)
     except SettingsError as error:
         for fault in error.faults:
-            yield Finding(str(file), "settings", fault, "mend the file, then start the process")
+            yield Finding(str(file), "settings", fault, "correct the file, then start the process")
         return
     yield Finding(str(file), "settings", "good")
     yield from _check_process(file, settings)
@@ -106,7 +106,7 @@
 
 
 def _check_process(file: Path, settings: Settings) -> Iterator[Finding]:
-    """Yield what the process says of itself."""
+    """Yield the findings on the readiness of a process."""
     scheme = "http" if settings.tls.certificate is None else "https"
     url = f"{scheme}://{settings.listen.operators}"
     match _probe(f"{url}/readyz"):
@@ -114,23 +114,25 @@
             yield Finding(str(file), "ready", "ready")
         case Result(tag="ok", ok=answer):
             reasons = answer.body.decode(errors="replace").strip().replace("\n", "; ")
-            remedy = "wait; if it stays, check the table and the peers"
+            remedy = "wait; if it persists, check the table and the peers"
             yield Finding(str(file), "ready", reasons, remedy)
         case Result(error=fault):
-            yield Finding(str(file), "process", fault.detail, "start it; read its log; see --ca")
+            yield Finding(
+                str(file), "process", fault.detail, "start the process; read its log; see --ca"
+            )
 
 
 def _check_platform(file: Path, settings: Settings) -> Iterator[Finding]:
-    """Yield whether the platform's services can be reached from here."""
+    """Yield the findings on whether the platform's services can be reached from here."""
     platform = settings.platform
     for name, url in (("table", platform.table), ("objects", platform.objects)):
         match _probe(url):
             case Result(tag="ok"):
                 yield Finding(str(file), name, "reached")
             case Result(error=fault):
-                yield Finding(str(file), name, fault.detail, "check the platform's service")
+                yield Finding(str(file), name, fault.detail, "check this service of the platform")
 
 
 def _probe(url: str) -> Result[Answer, RequestFailure]:
-    """Ask a URL and wait a short time only."""
+    """Send a GET request with a short timeout."""
     return send("GET", url, timeout=PROBE_TIMEOUT_S)
--- a/toucanpin/cli/timeline.py
+++ b/toucanpin/cli/timeline.py
@@ -2,7 +2,7 @@
 Command ``timeline``
 ====================
 
-Gather the events of many processes, merge them and show them.
+Collect the events of all processes, merge them and show them.
 """
 
 from __future__ import annotations
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FetchFailure:
-    """Report a source that could not be read."""
+    """Source of events that could not be read."""
 
     source: str
     detail: str
@@ -46,7 +46,7 @@
 
 
 def fetch_process(url: str) -> Iterator[Item]:
-    """Yield the events that one process still holds."""
+    """Yield the events that a process still has in memory."""
     address = url.rstrip("/")
     address = address if address.endswith(TIMELINE_PATH) else address + TIMELINE_PATH
     match send("GET", address):
@@ -59,7 +59,7 @@
 
 
 def fetch_objects(objects: ObjectStore, prefix: str = OBJECT_PREFIX) -> Iterator[Item]:
-    """Yield the events that processes, lost ones too, left in the object store."""
+    """Yield the events that processes, including lost ones, wrote to the object store."""
     listed = objects.names(prefix)
     if listed.is_error():
         yield FetchFailure(prefix, str(listed.error))
@@ -77,7 +77,7 @@
 def _check_sources(
     context: click.Context, parameter: click.Parameter, values: tuple[str, ...]
 ) -> tuple[str, ...]:
-    """Check the URLs of the processes."""
+    """Normalize the URLs of the processes and allow sending the token to them."""
     return tuple(add_operators_url(value) for value in values)
 
 
@@ -93,28 +93,30 @@
     multiple=True,
     metavar="URL",
     callback=_check_sources,
-    help="Ask this process; repeatable.",
+    help="Read the events of this process; repeatable.",
 )
 @token_option
 @ca_option
-@click.option("--store", metavar="URL", help="Read what processes left in this object store.")
-@click.option("--request", default="", help="Show only this request.")
-@click.option("--job", default="", help="Show only this job.")
-@click.option("--host", default="", help="Show only what happened on this host or is about it.")
-@click.option("--bundle", default="", help="Show only this version of the bundle.")
-@click.option("--task", default="", help="Show only this task.")
-@click.option("--kind", default="", help="Show only this kind of event, or family of kinds.")
+@click.option(
+    "--store", metavar="URL", help="Read the events that processes wrote to this object store."
+)
+@click.option("--request", default="", help="Show only events of this request.")
+@click.option("--job", default="", help="Show only events of this job.")
+@click.option("--host", default="", help="Show only events on this host or about it.")
+@click.option("--bundle", default="", help="Show only events of this bundle version.")
+@click.option("--task", default="", help="Show only events of this task.")
+@click.option("--kind", default="", help="Show only events of this kind or family of kinds.")
 @click.option(
     "--output",
     type=click.Choice(["text", "json"]),
     default="text",
     show_default=True,
-    help="Print a readable line or a JSON line for each event.",
+    help="Print each event as a line of text or JSON.",
 )
 @click.option(
     "--picture",
     type=click.Path(dir_okay=False, writable=True, path_type=Path),
-    help="Write lanes to this .svg or .html file instead of printing.",
+    help="Write a lane diagram to this .svg or .html file instead of printing.",
 )
 def timeline(
     urls: tuple[str, ...],
@@ -129,14 +131,16 @@
     picture: Path | None,
 ) -> None:
     """
-    Show what happened, over all processes and in causal order.
+    Show the events of all processes in causal order.
 
-    Exits with 4 if a source could not be read; what the others told is still shown.
+    Exits with 4 if a source could not be read; the events of the others are still shown.
     """
     if not urls and store is None:
-        raise click.UsageError("name at least one --from or --store")
+        raise click.UsageError("at least one --from URL or a --store URL is required")
     if picture is not None and picture.suffix not in (".svg", ".html"):
-        raise click.BadParameter("must end in .svg or .html", param_hint="--picture")
+        raise click.BadParameter(
+            f"{str(picture)!r} must end in .svg or .html", param_hint="--picture"
+        )
     failures: list[FetchFailure] = []
     items = _collect_failures(_fetch_all(urls, store), failures)
     merged = merge(skip_unreadable(items, _print_fault), _print_fault)
@@ -149,7 +153,7 @@
 
 
 def _fetch_all(urls: tuple[str, ...], store: str | None) -> Iterator[Item]:
-    """Yield what every source tells."""
+    """Yield the events of all sources."""
     for url in urls:
         yield from fetch_process(url)
     if store is not None:
@@ -157,14 +161,14 @@
 
 
 def _open_objects(url: str) -> ObjectStore:
-    """Reach an object store."""
+    """Return a client of an object store."""
     return HttpObjectStore(url, client="toucanpin")
 
 
 def _collect_failures(
     items: Iterable[Item], failures: list[FetchFailure]
 ) -> Iterator[Event | Unreadable]:
-    """Pass on what was read and collect the sources that were not."""
+    """Yield what was read; append the sources that could not be read to ``failures``."""
     for item in items:
         match item:
             case FetchFailure():
@@ -174,12 +178,12 @@
 
 
 def _print_fault(fault: Fault) -> None:
-    """Print a fault of the time line beside it."""
+    """Print a fault of the timeline to standard error."""
     click.echo(explain_fault(fault), err=True)
 
 
 def _output_events(events: Iterable[Event], output: str, picture: Path | None) -> None:
-    """Print the events or draw them."""
+    """Print the events or write the lane diagram."""
     if picture is not None:
         draw = render_svg if picture.suffix == ".svg" else render_html
         picture.write_text(draw(events), encoding="utf-8")
--- a/toucanpin/cli/top.py
+++ b/toucanpin/cli/top.py
@@ -1,8 +1,8 @@
 """
-Live view
-=========
+Command ``top``
+===============
 
-Show processes, standing tasks and jobs, again and again.
+Show processes, standing tasks and jobs, refreshed periodically.
 """
 
 from __future__ import annotations
@@ -30,11 +30,15 @@
 
 @click.command()
 @both_urls_option
-@click.option("--every", type=float, default=1.0, show_default=True, help="Seconds.")
-@click.option("--rounds", type=int, help="End after so many pictures.")
+@click.option(
+    "--every", type=float, default=1.0, show_default=True, help="Seconds between refreshes."
+)
+@click.option(
+    "--rounds", type=int, help="Stop after showing this many times; endless if not given."
+)
 def top(url: str, callers: str, every: float, rounds: int | None) -> None:
     """
-    Watch processes, standing tasks and jobs until Ctrl-C.
+    Show processes, standing tasks and jobs, refreshed until Ctrl-C.
 
     \b
     Example:
@@ -48,7 +52,7 @@
 
 
 def _count_rounds(rounds: int | None) -> Iterator[int]:
-    """Yield the numbers of the rounds after the first, without end if none is given."""
+    """Yield the numbers of the rounds after the first, endlessly if ``rounds`` is None."""
     done = 1
     while rounds is None or done < rounds:
         yield done
@@ -56,7 +60,7 @@
 
 
 def _draw(url: str, callers: str) -> RenderableType:
-    """Read everything once and draw it."""
+    """Fetch everything once and return the tables."""
     members = read(f"{url}/v1/members", list[Member])
     standing = read(f"{callers}/v1/standing", list[StandingStatus])
     jobs = read(f"{callers}/v1/jobs?limit=10000", list[JobStatus])
@@ -71,7 +75,7 @@
 
 
 def _make_table(columns: Sequence[str], rows: Sequence[Sequence[object]]) -> Table:
-    """Make one table."""
+    """Make a table."""
     table = Table(*columns, box=None, pad_edge=False)
     for row in rows:
         table.add_row(*(str(cell) for cell in row))
