--- a/toucanpin/daemon/front.py
+++ b/toucanpin/daemon/front.py
@@ -59,7 +59,7 @@
 TICK_PERIOD_S = 0.05
 DRAIN_POLL_PERIOD_S = 0.02
 DRAIN_IDLE_S = 0.3  # time without a new request before a draining front closes
-RESERVED_THREADS = 8  # not counted on for requests in flight or queued
+RESERVED_THREADS = 8  # in addition to those for requests in flight and queued
 FORWARDED_EVENT, HEDGED_EVENT = "request.forwarded", "request.hedged"
 NO_BUNDLE = Refusal(
     Verdict.NOT_RUN, Reason.NOT_READY, "this process does not know the bundle in force yet", 1.0
--- a/toucanpin/daemon/tests/entry_hosts.py
+++ b/toucanpin/daemon/tests/entry_hosts.py
@@ -220,10 +220,10 @@
 
     def wait_for(self, count: int, entry: Entry | None = None) -> None:
         """Wait for ``count`` more correct answers, of one entry host or of all."""
-        before = self._count_right(entry)
-        wait_until(lambda: self._count_right(entry) >= before + count, "correct answers")
+        before = self._count_correct(entry)
+        wait_until(lambda: self._count_correct(entry) >= before + count, "correct answers")
 
-    def _count_right(self, entry: Entry | None) -> int:
+    def _count_correct(self, entry: Entry | None) -> int:
         return sum(
             result.correct and (entry is None or result.entry == entry.name)
             for result in list(self.results)
--- a/toucanpin/daemon/tests/test_broken_connections.py
+++ b/toucanpin/daemon/tests/test_broken_connections.py
@@ -20,13 +20,13 @@
 GET = OutgoingRequest("GET", "/", (("Host", "x"),), b"")
 HEAD = OutgoingRequest("HEAD", "/", (("Host", "x"),), b"")
 
-SIZED = answer(b"0123456789", extra="X-Last: 1\r\n")
-CHUNKED = (
+SIZED_ANSWER = answer(b"0123456789", extra="X-Last: 1\r\n")
+CHUNKED_ANSWER = (
     b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
     b"00a\r\n0123456789\r\n05\r\nabcde\r\n0\r\n\r\n"
 )
-EMPTY = b"HTTP/1.1 204 No Content\r\nX-First: 1\r\nX-Last: 1\r\n\r\n"
-HEADED = b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\nX-Last: 1\r\n\r\n"
+EMPTY_ANSWER = b"HTTP/1.1 204 No Content\r\nX-First: 1\r\nX-Last: 1\r\n\r\n"
+HEAD_ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\nX-Last: 1\r\n\r\n"
 
 
 class TruncatedAnswerTest(unittest.TestCase):
@@ -44,19 +44,28 @@
         http.client takes the end of the connection for the end of the headers or of the last
         chunk, and would pass on the partial answer as complete.
         """
-        for outgoing, full in ((POST, SIZED), (POST, CHUNKED), (POST, EMPTY), (HEAD, HEADED)):
-            for cut in range(len(full)):
-                for hard in (False, True):
-                    with self.subTest(answer=full[:40], cut=cut, hard=hard):
-                        outcome = self.forward(outgoing, self.cutter(full, cut, hard))
+        for outgoing, full in (
+            (POST, SIZED_ANSWER),
+            (POST, CHUNKED_ANSWER),
+            (POST, EMPTY_ANSWER),
+            (HEAD, HEAD_ANSWER),
+        ):
+            for length in range(len(full)):
+                for with_reset in (False, True):
+                    with self.subTest(answer=full[:40], length=length, with_reset=with_reset):
+                        outcome = self.forward(
+                            outgoing, self.make_truncating_script(full, length, with_reset)
+                        )
                         self.assertIsInstance(outcome, Interrupted)
-            self.assertIsInstance(self.forward(outgoing, self.cutter(full, None, False)), Responded)
+            self.assertIsInstance(
+                self.forward(outgoing, self.make_truncating_script(full, None, False)), Responded
+            )
 
     @staticmethod
-    def cutter(full, cut, hard):
+    def make_truncating_script(full, length, with_reset):
         def send(number, request, sock):
-            sock.sendall(full[:cut])
-            if hard:
+            sock.sendall(full[:length])
+            if with_reset:
                 reset(sock)
             return False
 
@@ -80,7 +89,7 @@
         )
         for head in heads:
             with self.subTest(head=head):
-                outcome = self.forward(GET, self.cutter(head, None, False))
+                outcome = self.forward(GET, self.make_truncating_script(head, None, False))
                 self.assertIsInstance(outcome, Interrupted)
 
     def test_attempt_is_refused_only_before_its_first_byte(self):
@@ -131,18 +140,18 @@
         The instance delays the second answer until that caller has timed out and the third request
         arrives.  If the connection were reused, the third caller would get the second answer.
         """
-        given_up = threading.Event()
+        timed_out = threading.Event()
 
         def hold(number, request, sock):
             if number == 2:
-                given_up.wait(10.0)
+                timed_out.wait(10.0)
                 sock.recv(1, socket.MSG_PEEK)
             return echo(number, request, sock)
 
         front = self.start(hold)
         self.assertEqual(call(front, "/one").body, b"/one|")
         late = call(front, "/two", "POST", Toucanpin_Deadline_Ms="100")
-        given_up.set()
+        timed_out.set()
         self.assertEqual((late.status, late.verdict), (504, "may-have-run"))
         self.assertEqual(call(front, "/three").body, b"/three|")
 
@@ -218,7 +227,7 @@
         )
         for start in starts:
             with self.subTest(start=start[:60]):
-                front = self.start(TruncatedAnswerTest.cutter(start, None, False))
+                front = self.start(TruncatedAnswerTest.make_truncating_script(start, None, False))
                 reply = call(front, "/")
                 self.assertEqual((reply.status, reply.complete), (200, False))
 
--- a/toucanpin/daemon/tests/test_front_safety.py
+++ b/toucanpin/daemon/tests/test_front_safety.py
@@ -55,10 +55,10 @@
         fronts = [self.start(instance.port, table=table) for _ in range(2)]
         for number in range(10):
             with ThreadPoolExecutor(2) as pool:
-                ask = lambda front, number=number: call(  # noqa: E731
+                send = lambda front, number=number: call(  # noqa: E731
                     front, "/", "POST", Toucanpin_Request_Id=f"r{number}"
                 )
-                replies = sorted(pool.map(ask, fronts), key=lambda reply: reply.status)
+                replies = sorted(pool.map(send, fronts), key=lambda reply: reply.status)
             self.assertEqual([reply.status for reply in replies], [200, 409])
             self.assertEqual(replies[1].verdict, "may-have-run")
         self.assertEqual(len(instance.requests), 10)
@@ -132,9 +132,9 @@
         before = len(good.requests)
         front = self.start(broken.port, good.port)
         replies = [call(front, "/", "POST", b"x") for _ in range(8)]
-        told = [reply for reply in replies if reply.status == 502]
-        self.assertTrue(told)
-        self.assertEqual({reply.verdict for reply in told}, {"may-have-run"})
+        failed = [reply for reply in replies if reply.status == 502]
+        self.assertTrue(failed)
+        self.assertEqual({reply.verdict for reply in failed}, {"may-have-run"})
         self.assertEqual(len(good.requests) - before + len(broken.requests), 8)
 
     def test_verdict_covers_all_attempts(self):
@@ -190,11 +190,11 @@
         targets = list(fronts)
         done = threading.Event()
         wrong = []
-        asked = [0] * 4
+        sent = [0] * 4
 
-        def ask(number):
+        def send(number):
             while not done.is_set():
-                count = asked[number]
+                count = sent[number]
                 front = targets[(count + number) % len(targets)]
                 path = f"/{number}/{count}"
                 try:
@@ -203,24 +203,24 @@
                     raw = repr(error).encode()
                 if not raw.endswith(f"\r\n\r\n{path}|x".encode()):
                     wrong.append(raw)
-                asked[number] += 1
+                sent[number] += 1
 
         with ThreadPoolExecutor(4) as pool:
-            askers = [pool.submit(ask, number) for number in range(4)]
+            senders = [pool.submit(send, number) for number in range(4)]
             for number, front in enumerate(fronts):
                 replacement = make_front([instance.port])
                 self.addCleanup(replacement.stop, 1.0)
                 stopping = start_thread(front.stop, 5.0)
                 while front.ready:
                     pass
-                before = list(asked)
-                while any(now < then + 4 for now, then in zip(asked, before, strict=True)):
+                before = list(sent)
+                while any(now < then + 4 for now, then in zip(sent, before, strict=True)):
                     done.wait(0.001)
                 targets[number] = replacement
                 stopping.join()
             done.set()
-            for asker in askers:
-                asker.result()
+            for sender in senders:
+                sender.result()
         self.assertEqual(wrong, [])
 
     def test_request_is_refused_at_once_if_queue_is_full(self):
@@ -242,7 +242,7 @@
         front = self.start(instance.port, service=service, threads=20)
         entry = front._upstreams.find(SERVICE)
         with ThreadPoolExecutor(4) as pool:
-            asked = [pool.submit(call, front, "/a") for _ in range(4)]
+            sent = [pool.submit(call, front, "/a") for _ in range(4)]
             held.acquire()
             held.acquire()
             while len(entry.state.admission) < 2:
@@ -252,7 +252,7 @@
             self.assertEqual(reply.verdict, "not-run")
             self.assertIn("retry-after", reply.headers)
             go_on.set()
-            self.assertEqual([future.result().status for future in asked], [200] * 4)
+            self.assertEqual([future.result().status for future in sent], [200] * 4)
 
 
 if __name__ == "__main__":
