--- a/toucanpin/cli/completion.py
+++ b/toucanpin/cli/completion.py
@@ -27,8 +27,8 @@
     Example:
       eval "$(toucanpin completion bash)"
     """
-    kind = get_completion_class(shell)
-    if kind is None:
+    completion_class = get_completion_class(shell)
+    if completion_class is None:
         fail(f"no completion for shell {shell!r}", ExitCode.USAGE)
     root = context.find_root().command
-    click.echo(kind(root, {}, "toucanpin", "_TOUCANPIN_COMPLETE").source())
+    click.echo(completion_class(root, {}, "toucanpin", "_TOUCANPIN_COMPLETE").source())
--- a/toucanpin/cli/config.py
+++ b/toucanpin/cli/config.py
@@ -69,20 +69,20 @@
     """Yield the explanations of all settings."""
     for section in msgspec.structs.fields(Settings):
         for field in msgspec.structs.fields(section.type):
-            meta = tuple(_find_metadata(field.type))
+            metadata = tuple(_find_metadata(field.type))
             yield Explanation(
                 f"{section.name}.{field.name}",
-                next((found.extra["unit"] for found in meta if found.extra), ""),
+                next((found.extra["unit"] for found in metadata if found.extra), ""),
                 _format_default(field),
-                next((found.description for found in meta if found.description), ""),
+                next((found.description for found in metadata if found.description), ""),
             )
 
 
-def _find_metadata(kind: Any) -> Iterator[msgspec.Meta]:
+def _find_metadata(annotation: Any) -> Iterator[msgspec.Meta]:
     """Yield the metadata of a type, outermost first."""
-    if get_origin(kind) is None:
+    if get_origin(annotation) is None:
         return
-    for part in reversed(get_args(kind)):
+    for part in reversed(get_args(annotation)):
         if isinstance(part, msgspec.Meta):
             yield part
         else:
--- a/toucanpin/cli/losses.py
+++ b/toucanpin/cli/losses.py
@@ -52,7 +52,7 @@
     A wait counts once its task is placed, a run once it ends, each over the seconds that it took.
     A stopped run counts under the reason of the stop.
     """
-    found: dict[str, Losses] = defaultdict(Losses)
+    losses_by_queue: dict[str, Losses] = defaultdict(Losses)
     starts: dict[tuple[str, int], tuple[int, str]] = {}
     reasons: dict[str, str] = {}
     for line in sorted(lines, key=lambda line: line.clock):
@@ -63,7 +63,7 @@
                 starts[fields["task"], int(fields["attempt"])] = (line.clock, queue)
                 waited = float(fields.get("waited", 0.0))
                 if waited > 0:
-                    found[queue].add(f"wait: {fields.get('why', '')}", waited, line.clock)
+                    losses_by_queue[queue].add(f"wait: {fields.get('why', '')}", waited, line.clock)
             case "task.stopping":
                 reasons.setdefault(fields["task"], str(fields.get("reason", "")))
             case "task.ended":
@@ -73,13 +73,13 @@
                     continue
                 end = str(fields.get("end", ""))
                 cause = f"stopped: {reason}" if end == "stopped" else f"run: {end}"
-                found[start[1]].add(cause, (line.clock - start[0]) / 1_000, line.clock)
+                losses_by_queue[start[1]].add(cause, (line.clock - start[0]) / 1_000, line.clock)
             case "job.ended":
                 state = str(fields.get("state", ""))
                 late = float(fields.get("late", 0.0)) > 0
-                kind = LATE_STATE if late and state == "completed" else state
-                found[str(fields.get("queue", ""))].jobs[kind] += 1
-    return dict(found)
+                outcome = LATE_STATE if late and state == "completed" else state
+                losses_by_queue[str(fields.get("queue", ""))].jobs[outcome] += 1
+    return dict(losses_by_queue)
 
 
 def _count_dropped(lines: Iterable[LogLine]) -> int:
@@ -91,9 +91,9 @@
     return sum(by_host.values())
 
 
-def _format_table(found: dict[str, Losses], by_second: bool) -> Iterable[str]:
-    for queue, lost in sorted(found.items()):
-        jobs = ", ".join(f"{count} {kind}" for kind, count in sorted(lost.jobs.items()))
+def _format_table(losses_by_queue: dict[str, Losses], by_second: bool) -> Iterable[str]:
+    for queue, lost in sorted(losses_by_queue.items()):
+        jobs = ", ".join(f"{count} {outcome}" for outcome, count in sorted(lost.jobs.items()))
         yield f"{queue}: jobs {jobs or 'none ended'}"
         total = sum(lost.seconds.values()) or 1.0
         for cause, seconds in _sort_causes(lost.seconds):
@@ -105,9 +105,9 @@
                 yield f"    second {second}: {worst}"
 
 
-def _write_plot(found: dict[str, Losses], plot: IO[str]) -> None:
+def _write_plot(losses_by_queue: dict[str, Losses], plot: IO[str]) -> None:
     try:
-        svg = draw_losses({queue: lost.by_second for queue, lost in found.items()})
+        svg = draw_losses({queue: lost.by_second for queue, lost in losses_by_queue.items()})
     except ImportError:
         click.echo("--plot needs matplotlib: install the extra 'dev'", err=True)
         raise SystemExit(ExitCode.REFUSED) from None
@@ -140,14 +140,14 @@
     FILES are logs of entry hosts, - for standard input.  Times are task-seconds.
     """
     lines = [line for file in files for line in parse_lines(file)]
-    found = sum_losses(lines)
-    if not found:
+    losses_by_queue = sum_losses(lines)
+    if not losses_by_queue:
         click.echo("no log line concerns a task", err=True)
         raise SystemExit(ExitCode.REFUSED)
-    for text in _format_table(found, by_second):
+    for text in _format_table(losses_by_queue, by_second):
         click.echo(text)
     dropped = _count_dropped(lines)
     if dropped:
         click.echo(f"{dropped} lines were dropped under load: the sums are incomplete", err=True)
     if plot is not None:
-        _write_plot(found, plot)
+        _write_plot(losses_by_queue, plot)
--- a/toucanpin/cli/losses_plot.py
+++ b/toucanpin/cli/losses_plot.py
@@ -33,9 +33,9 @@
     ranked = sorted(seconds, key=lambda cause: (-sum(seconds[cause].values()), cause))
     shown = {cause: seconds[cause] for cause in ranked[:MAX_CAUSES_SHOWN]}
     for cause in ranked[MAX_CAUSES_SHOWN:]:
-        rest = shown.setdefault(OTHER_CAUSES, {})
+        others = shown.setdefault(OTHER_CAUSES, {})
         for second, value in seconds[cause].items():
-            rest[second] = rest.get(second, 0.0) + value
+            others[second] = others.get(second, 0.0) + value
     return shown
 
 
@@ -58,7 +58,7 @@
     for axis, (queue, causes) in zip(axes, shown.items(), strict=False):
         _draw_queue(axis, causes, colours, range(first, last + 2))
         axis.set_title(queue, loc="left")
-    axes[-1].set_xlabel("seconds since the first logged task")
+    axes[-1].set_xlabel("seconds since the first wait or run")
     content = io.StringIO()
     # A fixed salt and no date make the output reproducible; text stays text, not paths.
     with matplotlib.rc_context({"svg.hashsalt": "toucanpin", "svg.fonttype": "none"}):
--- a/toucanpin/timeline/merge.py
+++ b/toucanpin/timeline/merge.py
@@ -155,11 +155,11 @@
         return _find_predecessor(cause, incarnations)
     if len(candidates) == 1:
         return EventId(cause.process, candidates[0], cause.sequence)
-    own = unique[event_id].wall
+    wall = unique[event_id].wall
     earlier = [
         incarnation
         for incarnation in candidates
-        if unique[EventId(cause.process, incarnation, cause.sequence)].wall <= own
+        if unique[EventId(cause.process, incarnation, cause.sequence)].wall <= wall
     ]
     chosen = earlier[-1] if earlier else candidates[0]
     report(AmbiguousCause(event_id, cause, chosen))
