--- a/toucanpin/daemon/tests/bundle_nodes.py
+++ b/toucanpin/daemon/tests/bundle_nodes.py
@@ -1,4 +1,4 @@
-"""Processes in threads that spread bundles over sockets of the loopback network."""
+"""Nodes that replicate bundles over sockets of the loopback network."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 class Platform:
-    """Keep the table that the nodes of one test share, and the addresses that they get."""
+    """Table and addresses that the nodes of one test share."""
 
     def __init__(self) -> None:
         self.core = TableCore()
@@ -49,7 +49,7 @@
 
 
 class Node:
-    """Run the parts of one process that concern bundles."""
+    """Parts of one process that replicate bundles."""
 
     def __init__(self, platform: Platform, index: int, incarnation: int = 1_000) -> None:
         host = f"h{index}"
@@ -74,25 +74,25 @@
         self.apps = make_bundle_apps(self.bundles, self.gossip, table, ROOT)
 
     def start(self) -> Node:
-        """Start every part."""
+        """Start all parts."""
         self.server.start()
         self.gossip.start()
         self.bundles.start()
         return self
 
     def stop(self) -> None:
-        """Stop every part and say farewell."""
+        """Stop all parts and announce that this process is leaving."""
         self.bundles.stop(TEST_TIMEOUT_S)
         self.gossip.stop(TEST_TIMEOUT_S)
         self.server.stop(TEST_TIMEOUT_S)
 
     def version(self) -> int:
-        """Return the version that this process serves by, 0 for none."""
+        """Return the version in force in this process, 0 for none."""
         current = self.bundles.current()
         return 0 if current is None else current.version
 
     def request(self, method: str, path: str, body: bytes = b"") -> tuple[int, Any]:
-        """Ask the operators' application and return the status and the JSON."""
+        """Call the operators' application; return the status and the decoded JSON."""
         statuses: list[str] = []
         path, _, query = path.partition("?")
         environ = {
@@ -107,7 +107,7 @@
 
 
 def wait_until(condition: Callable[[], bool]) -> bool:
-    """Wait until a condition holds, with a patience that only a fault exhausts."""
+    """Wait until a condition holds; return False after a timeout."""
     deadline = time.monotonic() + TEST_TIMEOUT_S
     pause = threading.Event()
     while not condition():
--- a/toucanpin/daemon/tests/test_bundle_spread.py
+++ b/toucanpin/daemon/tests/test_bundle_spread.py
@@ -1,4 +1,4 @@
-"""Tests of the spread of bundles between processes over sockets."""
+"""Tests of the replication of bundles between processes over sockets."""
 
 import unittest
 
@@ -12,11 +12,11 @@
 
 
 def make_body(version, service="changeover", expected=None):
-    before = version - 1 if expected is None else expected
-    return msgspec.json.encode(SubmitRequest(before, make_signed(version, service)))
+    expected_version = version - 1 if expected is None else expected
+    return msgspec.json.encode(SubmitRequest(expected_version, make_signed(version, service)))
 
 
-class SpreadTest(unittest.TestCase):
+class BundleSpreadTest(unittest.TestCase):
     def setUp(self):
         self.platform = Platform()
         self.nodes = [self.start(index) for index in range(3)]
@@ -35,8 +35,8 @@
 
     def assert_in_force(self, version, nodes=None):
         nodes = nodes or self.nodes
-        reached = wait_until(lambda: all(node.version() == version for node in nodes))
-        self.assertTrue(reached, [node.bundles.readiness() for node in nodes])
+        in_force = wait_until(lambda: all(node.version() == version for node in nodes))
+        self.assertTrue(in_force, [node.bundles.readiness() for node in nodes])
 
     def submit(self, node, version, service="changeover", expected=None):
         return node.request("POST", "/v1/bundle", make_body(version, service, expected))
@@ -47,12 +47,13 @@
         self.assert_in_force(1)
         self.assertTrue(wait_until(self.everywhere))
         _, history = self.nodes[2].request("GET", "/v1/bundle/history?limit=5")
-        self.assertEqual([it["operator"] for it in history["versions"]], ["alice"])
+        self.assertEqual([entry["operator"] for entry in history["versions"]], ["alice"])
 
-    def test_the_table_goes_down_right_after_acceptance(self):
+    def test_bundle_spreads_while_the_table_is_down(self):
         """
-        The table takes the bundle and then answers nobody.  The accepting process hands it on, and
-        all three serve by it.
+        The table goes down right after it has accepted a bundle.
+
+        The accepting process pushes the bundle to its peers, and all three put it in force.
         """
         self.submit(self.nodes[0], 1)
         self.assert_in_force(1)
@@ -61,25 +62,27 @@
         self.platform.plan.rules = (Rule(Effect.DOWN),)
         self.assert_in_force(2)
 
-    def test_a_replaced_host_on_the_same_address(self):
+    def test_replaced_host_with_lower_incarnation_rejoins(self):
         """
-        A host is replaced; the new one has the name, the address and an older clock.  It serves
-        nothing until it knows version 1, and the others take it for the member that it is.
+        A host is replaced by one with the same name and address and a lower incarnation.
+
+        It puts version 1 in force, and the other processes see it alive, since it raises its
+        incarnation above that of its predecessor.
         """
         self.submit(self.nodes[0], 1)
         self.assert_in_force(1)
         self.nodes[2].stop()
-        replaced = self.start(2, incarnation=5)
-        self.assert_in_force(1, [replaced])
+        replacement = self.start(2, incarnation=5)
+        self.assert_in_force(1, [replacement])
 
         def is_back():
             members = {m.name: m for m in self.nodes[0].gossip.members()}
-            return members[replaced.name].standing is Standing.ALIVE
+            return members[replacement.name].standing is Standing.ALIVE
 
         self.assertTrue(wait_until(is_back))
-        self.assertGreater(replaced.gossip.own.incarnation, 1_000)
+        self.assertGreater(replacement.gossip.own.incarnation, 1_000)
 
-    def test_operators_learn_why(self):
+    def test_responses_to_operators_state_the_outcome(self):
         self.submit(self.nodes[0], 1)
         status, answer = self.submit(self.nodes[1], 1, "other")
         self.assertEqual((status, answer["operator"], answer["verdict"]), (409, "alice", "not-run"))
--- a/toucanpin/daemon/tests/test_control.py
+++ b/toucanpin/daemon/tests/test_control.py
@@ -1,4 +1,4 @@
-"""Tests of the control role's shell with ports in memory and real threads."""
+"""Tests of the control role with platform services in memory and real threads."""
 
 import io
 import json
@@ -26,7 +26,7 @@
 
 
 class Platform:
-    """Hold the cores behind the ports and serve as the views of the other parts."""
+    """Platform services in memory, and stand-ins for the other parts of the process."""
 
     def __init__(self) -> None:
         line = Line(time.monotonic)
@@ -39,31 +39,31 @@
         self.host = ListedHost("w0", HostRole.WORKER, "s", "r", "127.0.0.1", 1, size=size)
         standing = (StandingTask("enc", "t", "encoder", 1, 100),)
         self.bundle = Bundle("test", 1, standing=standing)
-        self.noted: dict[str, threading.Event] = {}
+        self.recorded: dict[str, threading.Event] = {}
 
     def hosts(self):
-        """Serve as the host list."""
+        """Return the host list."""
         return Ok((self.host,))
 
     def members(self):
-        """Serve as the membership."""
+        """Return the members."""
         return (Member("e0/control", "e0", "s", "control", make_incarnation(1), "127.0.0.1", 1),)
 
     def current(self):
-        """Serve as the bundle in force."""
+        """Return the bundle in force."""
         return self.bundle
 
     def record(self, kind, ids, detail="", causes=()):
-        """Serve as the time line."""
-        self.noted.setdefault(kind, threading.Event()).set()
+        """Record an event of the timeline."""
+        self.recorded.setdefault(kind, threading.Event()).set()
         return Event("e0/control", "1", 1, 0.0, 0.0, kind, ids, detail, causes)
 
     def wait(self, kind: str) -> bool:
-        """Wait for an event."""
-        return self.noted.setdefault(kind, threading.Event()).wait(TEST_TIMEOUT_S)
+        """Wait until an event of the kind was recorded."""
+        return self.recorded.setdefault(kind, threading.Event()).wait(TEST_TIMEOUT_S)
 
     def control(self) -> Control:
-        """Build the part under test."""
+        """Return the part under test."""
         return Control(
             "e0/control",
             1,
@@ -79,14 +79,14 @@
 
 
 class Caller:
-    """Call the WSGI application."""
+    """Client of the jobs application."""
 
     def __init__(self, platform: Platform) -> None:
         self.app = JobsApp(platform.table, platform.objects, lambda: (platform.host,), platform)
 
     def call(self, method: str, path: str, body: bytes = b"", key: str = "", query: str = ""):
-        """Return status, headers and body."""
-        answered: list = []
+        """Send a request; return the status, headers and body of the response."""
+        response: list = []
         environ = {
             "REQUEST_METHOD": method,
             "PATH_INFO": path,
@@ -96,22 +96,22 @@
             "wsgi.input": io.BytesIO(body),
         }
         body = b"".join(
-            self.app(environ, lambda status, headers: answered.extend((status, headers)))
+            self.app(environ, lambda status, headers: response.extend((status, headers)))
         )
-        return int(answered[0].split()[0]), dict(answered[1]), body
+        return int(response[0].split()[0]), dict(response[1]), body
 
 
 def describe_job(**fields) -> bytes:
-    """Return the JSON of a submission."""
+    """Return the submission of a job as JSON."""
     job = {"kind": "k", "team": "t", "processors": 1, "memory": 100, **fields}
     return json.dumps(job).encode()
 
 
 class ControlTest(unittest.TestCase):
-    """Run the whole path by threads."""
+    """Tests of the control role with its threads."""
 
-    def test_job_and_standing_task_by_http_and_threads(self):
-        """A job that came by HTTP is run to its result, and stopping releases everything."""
+    def test_runs_submitted_job_and_standing_task(self):
+        """A job submitted over HTTP is run to its result; stopping releases cell and authority."""
         platform = Platform()
         caller = Caller(platform)
         status, headers, body = caller.call("POST", "/v1/jobs", describe_job(), "key")
@@ -131,14 +131,15 @@
         authority = decode(platform.core.scan("plan/control/")[0].value, AuthorityRow)
         self.assertTrue(authority.released)
 
-    def test_policy_of_interference_is_the_default(self):
+    def test_interference_aware_policy_is_the_default(self):
         """
-        The operator reads on the time line that an encoder uses three times what it declared: the
-        control role learns from reports without being told which policy to use.
+        A task uses three times the CPU that it declared, and an event says so.
+
+        Without a policy given, the control role must learn the usage of tasks from the reports.
         """
         platform = Platform()
-        greedy = StandingTask("enc", "t", "encoder", 1, 100, payload='{"use": 3.0}')
-        platform.bundle = Bundle("test", 1, standing=(greedy,))
+        overusing = StandingTask("enc", "t", "encoder", 1, 100, payload='{"use": 3.0}')
+        platform.bundle = Bundle("test", 1, standing=(overusing,))
         control = platform.control()
         control.start()
         self.assertTrue(platform.wait("task.outgrown"))
@@ -146,36 +147,37 @@
 
 
 class SilentWorkers:
-    """Answer for one worker at once and for the other only when told."""
+    """Workers that answer at once, except one that answers only after ``release``."""
 
     def __init__(self) -> None:
         self.release = threading.Event()
 
     def poll(self, host, poll):
-        """Wait if this is the silent worker."""
+        """Return a report, after ``release`` if the worker is the silent one."""
         if host.name == "silent":
             self.release.wait(TEST_TIMEOUT_S)
         return Ok(Report(host.name, "1", 1, poll.epoch, True, False, Size(1, 1), ()))
 
 
 class PollPoolTest(unittest.TestCase):
-    """Poll workers of which one is silent."""
+    """Tests of the pool of polls with one silent worker."""
 
     def poll(self, pool, epoch):
-        """Poll both workers; return who answered."""
+        """Poll both workers; return which of them answered."""
         size = Size(1, 1)
         hosts = [
-            ListedHost(it, HostRole.WORKER, "s", "r", "127.0.0.1", 1, size=size)
-            for it in ("quick", "silent")
+            ListedHost(name, HostRole.WORKER, "s", "r", "127.0.0.1", 1, size=size)
+            for name in ("quick", "silent")
         ]
-        polls = tuple(WorkerPoll(it, Poll(epoch, "", 0, ())) for it in hosts)
-        return [it.is_ok() for it in pool.poll_all(polls)]
+        polls = tuple(WorkerPoll(host, Poll(epoch, "", 0, ())) for host in hosts)
+        return [outcome.is_ok() for outcome in pool.poll_all(polls)]
 
-    def test_silent_worker_holds_up_nobody(self):
+    def test_silent_worker_does_not_delay_others(self):
         """
-        The quick worker's report is there while the silent one's poll is still under way.  The late
-        report answers a later poll, but never one of another epoch: to accept an old epoch says
-        nothing about refusing an owner that came in between.
+        The quick worker's report is returned while the poll of the silent one is pending.
+
+        The late report answers a later poll of the same epoch, but not one of another epoch: that a
+        worker accepted an old epoch doesn't show that it would refuse an owner of a later one.
         """
         for epoch, late in ((1, True), (2, False)):
             with self.subTest(epoch=epoch):
@@ -188,10 +190,10 @@
 
 
 class JobsAppTest(unittest.TestCase):
-    """Call the interface of jobs without any control process."""
+    """Tests of the jobs application without a control process."""
 
-    def test_same_key_finds_the_same_job(self):
-        """A repeated submission gets the first job, another under its key a conflict."""
+    def test_repeated_key_returns_the_same_job(self):
+        """A repeated submission returns the first job; a different one with its key conflicts."""
         caller = Caller(Platform())
         first = caller.call("POST", "/v1/jobs", describe_job(), "key")
         self.assertEqual(caller.call("POST", "/v1/jobs", describe_job(), "key")[2], first[2])
@@ -200,7 +202,7 @@
         self.assertEqual(len(json.loads(caller.call("GET", "/v1/jobs")[2])), 1)
 
     def test_refusals_carry_verdict_and_reason(self):
-        """Bad input, unknown jobs and jobs that never fit are told so at once."""
+        """Invalid input, unknown jobs and jobs that never fit are refused at once."""
         caller = Caller(Platform())
         cases = (
             (("POST", "/v1/jobs", b"{", "key"), 400, "bad-request"),
@@ -220,7 +222,7 @@
                 self.assertEqual(answer[1]["Toucanpin-Verdict"], "not-run")
 
     def test_cancel_of_a_waiting_job(self):
-        """A cancelled job shows so, also to a second cancel, and has no result."""
+        """A waiting job can be cancelled, also twice, and has no result."""
         caller = Caller(Platform())
         path = caller.call("POST", "/v1/jobs", describe_job(), "key")[1]["Location"]
         self.assertEqual(caller.call("DELETE", path)[0], 200)
--- a/toucanpin/daemon/tests/test_gossip.py
+++ b/toucanpin/daemon/tests/test_gossip.py
@@ -1,4 +1,4 @@
-"""Tests of heartbeats over sockets."""
+"""Tests of gossip over sockets."""
 
 import itertools
 import os
@@ -31,28 +31,30 @@
     def assert_soon(self, condition):
         self.assertTrue(wait_until(condition))
 
-    def test_many_members_of_long_names_find_each_other(self):
+    def test_members_with_long_names_find_each_other(self):
         """
-        Names of 63 letters make a datagram of eight records larger than allowed.  They are sent in
-        parts; before, the thread of the heartbeats ended and the process went silent.
+        With names of 63 letters, eight records exceed the maximum size of a datagram.
+
+        They must be sent in several datagrams.  The error once ended the gossip thread, so that the
+        process sent no more heartbeats.
         """
-        all_of_them = [self.start(index, f"{index}{'x' * 62}") for index in range(12)]
-        self.assert_soon(lambda: all(len(each.members()) == 12 for each in all_of_them))
+        members = [self.start(index, f"{index}{'x' * 62}") for index in range(12)]
+        self.assert_soon(lambda: all(len(each.members()) == 12 for each in members))
 
-    def test_leaving_is_told(self):
+    def test_stopped_member_is_seen_as_leaving(self):
         first, second = self.start(0, "a"), self.start(1, "b")
         self.assert_soon(lambda: len(first.members()) == 2)
         second.stop(TEST_TIMEOUT_S)
         self.assert_soon(lambda: first.members()[1].standing is Standing.LEAVING)
 
     def test_a_failing_listener_does_not_silence_the_process(self):
-        """A part that listens to heartbeats raises; the others must go on hearing this process."""
+        """A listener raises at each heartbeat; the process must keep sending its own."""
         first, second = self.start(0, "a"), self.start(1, "b")
         heard = []
 
         def fail(member, age):
             heard.append(member.name)
-            raise RuntimeError("a fault of a listener")
+            raise RuntimeError("listener failed")
 
         first.add_listener(fail)
         self.assert_soon(lambda: len(heard) > 3)
--- a/toucanpin/daemon/tests/test_main.py
+++ b/toucanpin/daemon/tests/test_main.py
@@ -1,4 +1,4 @@
-"""Tests of the daemon as a process: settings, signals and the end."""
+"""Tests of the daemon as a process: settings, signals and exit."""
 
 import os
 import secrets
@@ -39,7 +39,7 @@
 id = "ada"
 public = "{public}"
 """
-END_SECONDS = 30
+EXIT_TIMEOUT_S = 30
 
 
 class DaemonTest(unittest.TestCase):
@@ -65,8 +65,8 @@
         process = subprocess.Popen(
             [*command, *arguments], stdout=subprocess.PIPE, stderr=subprocess.PIPE, text=True
         )
-        # A daemon that never says what a test waits for is ended, so that the test fails.
-        watchdog = threading.Timer(END_SECONDS, process.kill)
+        # Kills a daemon that never logs the expected event, so that the test fails.
+        watchdog = threading.Timer(EXIT_TIMEOUT_S, process.kill)
         watchdog.start()
         self.addCleanup(process.communicate)
         self.addCleanup(process.kill)
@@ -76,13 +76,14 @@
     def wait_for(self, process, event):
         records = (msgspec.json.decode(line) for line in process.stderr)
         if not any(record["event"] == event for record in records):
-            self.fail(f"the daemon ended without {event}")
+            self.fail(f"the daemon exited without logging {event}")
 
-    def test_starts_without_its_platform_rereads_its_log_level_and_drains(self):
+    def test_starts_without_platform_rereads_log_level_and_drains(self):
         """
-        An operator starts a control role while the platform is away, changes the log level, sends
-        SIGHUP, then SIGTERM.  Each step is told in the log by its event id, and the process ends
-        with code 0 although it never reached the table.
+        A control role starts while the platform is down, rereads its log level twice and drains.
+
+        Each step is logged with its event id, and the process exits with code 0 although it never
+        reached the table.
         """
         process = self.start()
         self.wait_for(process, "process.started")
@@ -95,36 +96,37 @@
         process.send_signal(signal.SIGTERM)
         self.wait_for(process, "process.draining")
         self.wait_for(process, "process.stopped")
-        self.assertEqual(process.wait(END_SECONDS), 0)
+        self.assertEqual(process.wait(EXIT_TIMEOUT_S), 0)
 
-    def test_a_faulty_file_at_sighup_changes_nothing(self):
+    def test_invalid_file_at_sighup_is_ignored(self):
         process = self.start()
         self.wait_for(process, "process.started")
         self.file.write_text("[process")
         process.send_signal(signal.SIGHUP)
         self.wait_for(process, "settings.fault")
         process.send_signal(signal.SIGTERM)
-        self.assertEqual(process.wait(END_SECONDS), 0)
+        self.assertEqual(process.wait(EXIT_TIMEOUT_S), 0)
 
-    def test_a_second_sigterm_ends_at_once(self):
+    def test_second_sigterm_exits_at_once(self):
         """
-        An operator sends SIGTERM, the process drains, and a second SIGTERM ends it with a code of
-        its own, whatever its threads wait for.
+        A second SIGTERM while the process drains makes it exit at once with code 70.
+
+        It must not wait for its threads.  If draining finishes first, the code is 0.
         """
         process = self.start()
         self.wait_for(process, "process.started")
         process.send_signal(signal.SIGTERM)
         self.wait_for(process, "process.draining")
         process.send_signal(signal.SIGTERM)
-        self.assertIn(process.wait(END_SECONDS), (0, 70))
+        self.assertIn(process.wait(EXIT_TIMEOUT_S), (0, 70))
 
-    def test_check_config_says_good_or_names_every_fault(self):
+    def test_check_config_reports_success_or_faults(self):
         process = self.start("--check-config")
-        self.assertIn("good", process.communicate(timeout=END_SECONDS)[0])
+        self.assertIn("good", process.communicate(timeout=EXIT_TIMEOUT_S)[0])
         self.assertEqual(process.returncode, 0)
         self.file.write_text(self.file.read_text().replace('role = "control"', 'role = "boss"'))
         process = self.start("--check-config")
-        printed = process.communicate(timeout=END_SECONDS)[1]
+        printed = process.communicate(timeout=EXIT_TIMEOUT_S)[1]
         self.assertEqual(process.returncode, 2)
         self.assertIn("process.role: 'boss' is not allowed", printed)
         self.assertNotIn("Traceback", printed)
--- a/toucanpin/daemon/tests/test_metrics.py
+++ b/toucanpin/daemon/tests/test_metrics.py
@@ -1,4 +1,4 @@
-"""Tests of metrics: the text form, and the push to a collector."""
+"""Tests of metrics: the text format and the push to a collector."""
 
 import threading
 import unittest
@@ -13,15 +13,15 @@
 
 
 class Collector(HTTPServer):
-    """Keep what is pushed, as an OTLP collector does."""
+    """OTLP collector that stores the pushed requests."""
 
     def __init__(self):
-        super().__init__(("127.0.0.1", 0), Push)
+        super().__init__(("127.0.0.1", 0), PushHandler)
         self.pushed = []
 
 
-class Push(BaseHTTPRequestHandler):
-    """Take one push."""
+class PushHandler(BaseHTTPRequestHandler):
+    """Handler of one push."""
 
     server: Collector
 
@@ -37,7 +37,7 @@
 
 
 class MetricsTest(unittest.TestCase):
-    def test_writes_counters_and_gauges_as_text(self):
+    def test_renders_counters_and_gauges_as_text(self):
         metrics = Metrics(PROCESS, Telemetry())
         self.addCleanup(metrics.stop)
         metrics.meter.create_observable_gauge(
@@ -49,7 +49,7 @@
         self.assertIn("toucanpin_members{} 3", lines)
         self.assertIn('toucanpin_requests{outcome="relayed"} 2', lines)
 
-    def test_pushes_to_a_collector_and_once_more_at_the_end(self):
+    def test_stop_pushes_to_the_collector(self):
         server = Collector()
         thread = threading.Thread(target=server.serve_forever, daemon=True)
         thread.start()
--- a/toucanpin/daemon/tests/test_operators.py
+++ b/toucanpin/daemon/tests/test_operators.py
@@ -1,4 +1,4 @@
-"""Tests of how operators' HTTP gets its certificate."""
+"""Tests of the certificate of the operators' HTTP."""
 
 import tempfile
 import unittest
@@ -63,19 +63,20 @@
         self.write("ring.toml", RING)
         return compose(read_settings(self.write("control.toml", SETTINGS)), self.folder)
 
-    def test_files_are_found_beside_the_settings(self):
+    def test_files_are_resolved_against_the_settings_folder(self):
         self.assertIsNotNone(self.compose())
 
-    def test_a_certificate_that_is_not_there_stops_the_start(self):
+    def test_missing_certificate_prevents_the_start(self):
         """
-        The settings ask for TLS and the certificate is missing.  The process doesn't start: plain
-        HTTP in its place would carry tokens in clear text.
+        The settings ask for TLS, but the certificate file is missing.
+
+        The process must not start: a fallback to plain HTTP would send tokens in clear text.
         """
         self.certificate.unlink()
         with self.assertRaisesRegex(SettingsError, "tls: certificate or key can't be used"):
             self.compose()
 
-    def test_a_key_of_another_certificate_is_refused(self):
+    def test_key_of_another_certificate_is_refused(self):
         _, other = write_certificate(self.folder, "other", ADDRESS)
         tls = Tls(certificate=str(self.certificate), key=str(other))
         with self.assertRaisesRegex(SettingsError, "tls: certificate or key can't be used"):
--- a/toucanpin/daemon/tests/test_page.py
+++ b/toucanpin/daemon/tests/test_page.py
@@ -9,13 +9,13 @@
 from toucanpin.platform.ports import HostRole, ListedHost
 
 HOSTILE = "<script src=//x>&\"'</td><img onerror=alert(1)>"
-VOID = ("meta",)
+VOID_TAGS = ("meta",)
 TEXT_TAGS = ("h1", "h2", "p", "ul", "li", "table", "tr", "th", "td")
 ALLOWED = {"html", "head", "meta", "title", "style", "body", *TEXT_TAGS}
 
 
-class Reader(HTMLParser):
-    """Collect the tags, attributes and text of a page, and check that tags nest."""
+class PageParser(HTMLParser):
+    """Parser that collects tags, attributes and texts, and checks that tags are nested."""
 
     def __init__(self):
         super().__init__()
@@ -27,7 +27,7 @@
     def handle_starttag(self, tag, attrs):
         self.tags.append(tag)
         self.attributes.extend(attrs)
-        if tag not in VOID:
+        if tag not in VOID_TAGS:
             self.open.append(tag)
 
     def handle_endtag(self, tag):
@@ -39,7 +39,7 @@
 
 
 def read_page(page):
-    reader = Reader()
+    reader = PageParser()
     reader.feed(render_page(page))
     reader.close()
     return reader
@@ -56,10 +56,11 @@
 
 
 class PageTest(unittest.TestCase):
-    def test_hostile_names_stay_text(self):
+    def test_hostile_names_are_escaped(self):
         """
-        A host, a member, a cell or a reason is named like a piece of HTML, by a faulty platform or
-        a faulty peer.  The operator's browser shows the name; it becomes no tag and no attribute.
+        A faulty platform or peer uses names of hosts, members or cells that contain HTML.
+
+        The browser must show them as text and not interpret them as tags or attributes.
         """
         cell = OwnedCell(HOSTILE, 3, 8, 21, 4)
         reader = read_page(make_page(HOSTILE, (HOSTILE,), (cell,)))
@@ -71,7 +72,7 @@
             {"lang", "charset", "http-equiv", "content", "class"},
         )
 
-    def test_shows_what_the_process_knows(self):
+    def test_shows_readiness_members_cells_and_hosts(self):
         cell = OwnedCell("malaga/r1", 3, 8, 21, 4)
         reader = read_page(make_page(not_ready=("bundle: not known",), cells=(cell,)))
         for text in ("not ready", "bundle: not known", "suspect", "6", "leaving or drained"):
@@ -94,7 +95,7 @@
         body = b"".join(app(environ, lambda *answer: answers.append(answer)))
         return answers[0][0], dict(answers[0][1]), body
 
-    def test_the_browser_is_told_to_fetch_and_run_nothing(self):
+    def test_content_security_policy_forbids_scripts(self):
         status, headers, body = self.ask("GET", "/")
         self.assertEqual(status, "200 OK")
         self.assertEqual(int(headers["Content-Length"]), len(body))
@@ -102,7 +103,7 @@
         self.assertNotIn("script-src", headers["Content-Security-Policy"])
 
     def test_other_paths_and_changes_are_refused(self):
-        """The page is mounted at the root, which would else answer for every unknown path."""
+        """The page is mounted at the root, so it receives the requests for all unknown paths."""
         for method, path in (("GET", "/v1/unknown"), ("GET", "/index.html"), ("POST", "/")):
             self.assertEqual(self.ask(method, path)[0], "404 Not Found", (method, path))
 
--- a/toucanpin/daemon/tests/test_settings_reader.py
+++ b/toucanpin/daemon/tests/test_settings_reader.py
@@ -1,4 +1,4 @@
-"""Tests of reading settings."""
+"""Tests of the reader of settings."""
 
 import tempfile
 import unittest
@@ -7,7 +7,7 @@
 from toucanpin.daemon.settings_reader import read_settings
 from toucanpin.exception import SettingsError
 
-GOOD = """
+VALID_SETTINGS = """
 [process]
 deployment = "swan-coast"
 host = "entry-a"
@@ -28,7 +28,7 @@
 """
 
 
-class ReadingTest(unittest.TestCase):
+class SettingsReaderTest(unittest.TestCase):
     def setUp(self):
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
@@ -48,45 +48,47 @@
             self.read(text)
         return raised.exception.faults
 
-    def test_reads_a_good_file_with_defaults(self):
-        settings = self.read(GOOD)
+    def test_reads_a_valid_file_with_defaults(self):
+        settings = self.read(VALID_SETTINGS)
         self.assertEqual(settings.process.site, "welshpool")
         self.assertEqual(settings.control.lease_ms, 6_000)
 
     def test_reports_every_fault_at_once_with_file_key_and_value(self):
-        text = GOOD.replace('role = "request"', 'role = "boss"').replace("[keys]", "[kees]")
+        text = VALID_SETTINGS.replace('role = "request"', 'role = "boss"').replace(
+            "[keys]", "[kees]"
+        )
         faults = self.faults(text)
         self.assertEqual(len(faults), 3)
         self.assertTrue(all("entry.toml" in fault for fault in faults))
         self.assertTrue(any("process.role: 'boss'" in fault for fault in faults))
         self.assertTrue(any("kees" in fault and "keys" in fault for fault in faults))
 
-    def test_names_the_nearest_key_for_a_misspelt_one(self):
-        faults = self.faults(GOOD + "[control]\nlease_s = 4\n")
+    def test_suggests_the_most_similar_key(self):
+        faults = self.faults(VALID_SETTINGS + "[control]\nlease_s = 4\n")
         self.assertIn("control.lease_s", faults[0])
         self.assertIn("did you mean control.lease_ms?", faults[0])
 
     def test_refuses_clashing_listeners(self):
-        faults = self.faults(GOOD.replace("127.0.1.1:9080", "127.0.1.1:8080"))
+        faults = self.faults(VALID_SETTINGS.replace("127.0.1.1:9080", "127.0.1.1:8080"))
         self.assertIn("clashes with", faults[0])
 
     def test_refuses_a_request_role_without_callers(self):
-        faults = self.faults(GOOD.replace('callers = "127.0.1.1:8080"', ""))
+        faults = self.faults(VALID_SETTINGS.replace('callers = "127.0.1.1:8080"', ""))
         self.assertIn("listen.callers", faults[0])
 
-    def test_refuses_impossible_ports(self):
-        faults = self.faults(GOOD.replace("127.0.1.1:7070", "127.0.1.1:70700"))
+    def test_refuses_invalid_ports(self):
+        faults = self.faults(VALID_SETTINGS.replace("127.0.1.1:7070", "127.0.1.1:70700"))
         self.assertIn("70700", faults[0])
 
     def test_refuses_a_lease_that_ends_before_a_dead_owner_is_replaced(self):
-        faults = self.faults(GOOD + "[control]\nlease_ms = 3500\n")
+        faults = self.faults(VALID_SETTINGS + "[control]\nlease_ms = 3500\n")
         self.assertIn("control.lease_ms", faults[0])
 
     def test_refuses_a_key_file_that_others_can_read(self):
         self.key.chmod(0o644)
-        self.assertIn("0644", self.faults(GOOD)[0])
+        self.assertIn("0644", self.faults(VALID_SETTINGS)[0])
 
-    def test_reports_a_file_that_is_not_toml_or_not_there(self):
+    def test_reports_a_file_that_is_invalid_or_missing(self):
         self.assertIn("is not TOML", self.faults("[process")[0])
         with self.assertRaises(SettingsError):
             read_settings(self.folder / "absent.toml")
--- a/toucanpin/daemon/tests/test_timeline.py
+++ b/toucanpin/daemon/tests/test_timeline.py
@@ -1,4 +1,4 @@
-"""Tests of the daemon's time line."""
+"""Tests of the daemon's timeline."""
 
 import itertools
 import random
@@ -15,32 +15,32 @@
 
 
 def make_recorder(capacity=100):
-    """Make a recorder with clocks that count."""
-    ticks = itertools.count()
-    return Recorder("entry-a/control", "7", lambda: float(next(ticks)), lambda: 0.0, capacity)
+    """Return a recorder whose monotonic clock advances by one at each read."""
+    clock = itertools.count()
+    return Recorder("entry-a/control", "7", lambda: float(next(clock)), lambda: 0.0, capacity)
 
 
 def read_sequences(body):
-    """Return the numbers of the events in a body."""
+    """Return the sequence numbers of the events in a body."""
     return [item.sequence for item in decode_lines("x", body) if isinstance(item, Event)]
 
 
 class FakeObjects:
-    """Keep objects; the next puts go as ``plan`` says: ok, away, or stored with a lost answer."""
+    """Object store whose next puts end with ``outcomes``: ok, outage or lost (the answer only)."""
 
-    def __init__(self, *plan):
-        self.plan = list(plan)
+    def __init__(self, *outcomes):
+        self.outcomes = list(outcomes)
         self.bodies = {}
 
     def put(self, name, body):
-        step = self.plan.pop(0) if self.plan else "ok"
-        if step == "away":
+        outcome = self.outcomes.pop(0) if self.outcomes else "ok"
+        if outcome == "outage":
             return Error(Unavailable("outage"))
         self.bodies[name] = body
-        return Error(Unknown("answer lost")) if step == "lost" else Ok(None)
+        return Error(Unknown("answer lost")) if outcome == "lost" else Ok(None)
 
     def read(self):
-        """Return every event number that the store holds, duplicates too."""
+        """Return the sequence numbers of all stored events, including duplicates."""
         return [
             number for name in sorted(self.bodies) for number in read_sequences(self.bodies[name])
         ]
@@ -54,16 +54,16 @@
 
 class AppTest(unittest.TestCase):
     def ask(self, query, method="GET"):
-        """Ask the application and return status, headers and body."""
+        """Send a request; return the status, headers and body of the response."""
         recorder = make_recorder(capacity=3)
         for _ in range(5):
             recorder.record("x", {})
-        seen = []
+        response = []
         body = make_timeline_app(recorder)(
             {"QUERY_STRING": query, "REQUEST_METHOD": method},
-            lambda status, headers: seen.extend([status, dict(headers)]),
+            lambda status, headers: response.extend([status, dict(headers)]),
         )
-        return seen[0], seen[1], b"".join(body)
+        return response[0], response[1], b"".join(body)
 
     def test_answers_json_lines_after_a_number(self):
         status, headers, body = self.ask("after=4")
@@ -71,12 +71,12 @@
         self.assertEqual(read_sequences(body), [5])
         self.assertEqual(headers["Toucanpin-Timeline-Incarnation"], "7")
 
-    def test_says_how_many_events_are_gone(self):
+    def test_reports_the_number_of_missed_events(self):
         _, headers, body = self.ask("")
         self.assertEqual(headers["Toucanpin-Timeline-Missed"], "2")
         self.assertEqual(read_sequences(body), [3, 4, 5])
 
-    def test_refuses_what_is_no_number(self):
+    def test_refuses_invalid_sequence_numbers(self):
         for query in ("after=", "after=-1", "after=x", "after=%D9%A3", "after=" + "9" * 400):
             with self.subTest(query):
                 status, _, body = self.ask(query)
@@ -86,7 +86,7 @@
 
 
 class StreamerTest(unittest.TestCase):
-    def test_sends_only_what_is_new(self):
+    def test_sends_only_new_events(self):
         recorder, objects = make_recorder(), FakeObjects()
         streamer = TimelineStreamer(recorder, objects, random.Random(1))
         for _ in range(3):
@@ -96,32 +96,32 @@
         self.assertEqual(objects.read(), [1, 2, 3])
         self.assertEqual(min(objects.bodies), "timeline/entry-a/control/7/000000000001")
 
-    def test_outage_loses_only_what_does_not_fit(self):
+    def test_outage_loses_only_events_beyond_the_buffer(self):
         """
-        The store is away while the process records more than its buffer holds.
+        During an outage of the store the process records more events than its buffer holds.
 
-        When the store is back, the newest events that fitted are sent and the older ones show as
-        a gap; the delay grew meanwhile, so that the store isn't asked at full pace.
+        Afterwards the newest events are sent, and the older ones are a gap.  The delay between
+        attempts must grow during the outage, to reduce the load on the store.
         """
-        recorder, objects = make_recorder(capacity=4), FakeObjects("ok", "away", "away")
+        recorder, objects = make_recorder(capacity=4), FakeObjects("ok", "outage", "outage")
         streamer = TimelineStreamer(recorder, objects, random.Random(1), period=1.0)
         recorder.record("x", {})
         self.assertTrue(streamer.send())
-        calm = streamer.choose_delay()
+        usual_delay = streamer.choose_delay()
         for _ in range(2):
             for _ in range(4):
                 recorder.record("x", {})
             self.assertFalse(streamer.send())
-        self.assertGreater(streamer.choose_delay(), 2 * calm)
+        self.assertGreater(streamer.choose_delay(), 2 * usual_delay)
         self.assertTrue(streamer.send())
         self.assertEqual(objects.read(), [1, 6, 7, 8, 9])
-        self.assertLess(streamer.choose_delay(), 2 * calm)
+        self.assertLess(streamer.choose_delay(), 2 * usual_delay)
 
-    def test_lost_answer_doubles_no_event(self):
+    def test_lost_answer_duplicates_no_event(self):
         """
-        The store keeps a batch but its answer is lost, and more events come before the next try.
+        The store keeps a batch, its answer is lost, and more events follow.
 
-        The next batch starts at the same event, so it replaces the object of the first.
+        The next batch starts at the same event, so it must overwrite the object of the first.
         """
         recorder, objects = make_recorder(), FakeObjects("lost")
         streamer = TimelineStreamer(recorder, objects, random.Random(1))
@@ -131,7 +131,7 @@
         self.assertTrue(streamer.send())
         self.assertEqual(objects.read(), [1, 2])
 
-    def test_stop_sends_what_is_left(self):
+    def test_stop_sends_the_remaining_events(self):
         recorder, objects = make_recorder(capacity=6_000), FakeObjects()
         streamer = TimelineStreamer(recorder, objects, random.Random(1), period=3_600.0)
         streamer.start()
@@ -140,13 +140,13 @@
         streamer.stop(grace=30.0)
         self.assertEqual(len(objects.read()), timeline.MAX_BATCH_EVENTS + 5)
 
-    def test_stop_in_an_outage_does_not_wait_for_the_store(self):
-        recorder, objects = make_recorder(), FakeObjects(*["away"] * 1_000)
+    def test_stop_during_an_outage_does_not_retry(self):
+        recorder, objects = make_recorder(), FakeObjects(*["outage"] * 1_000)
         streamer = TimelineStreamer(recorder, objects, random.Random(1), period=3_600.0)
         recorder.record("x", {})
         streamer.start()
         streamer.stop(grace=30.0)
-        self.assertEqual(len(objects.plan), 999)
+        self.assertEqual(len(objects.outcomes), 999)
 
 
 if __name__ == "__main__":
