--- a/toucanpin/entry/peers.py
+++ b/toucanpin/entry/peers.py
@@ -55,8 +55,8 @@
     address: str
     port: int
     announced: int
-    wall_offset: int
-    wall_error: int = 0
+    wall_offset: int = msgspec.field(name="wall")
+    wall_error: int = msgspec.field(default=0, name="error")
     cores: float = 1.0
 
 
--- a/toucanpin/scheduling/interference_model.py
+++ b/toucanpin/scheduling/interference_model.py
@@ -49,8 +49,8 @@
 class Effect(msgspec.Struct, frozen=True, array_like=True):
     """Estimated effect of a best-effort image on a latency-critical one."""
 
-    service: str
-    neighbour: str
+    service: str = msgspec.field(name="serving")
+    neighbour: str = msgspec.field(name="filling")
     mean: float
     deviation: float
 
@@ -64,7 +64,7 @@
     """
 
     effects: list[Effect]
-    lowest_tails: dict[str, float]
+    lowest_tails: dict[str, float] = msgspec.field(name="lowest")
     durations: dict[str, Fit] = {}
 
 
--- a/toucanpin/scheduling/progress.py
+++ b/toucanpin/scheduling/progress.py
@@ -86,7 +86,7 @@
 
     state: int
     ended: int
-    ended_occurrences: list[int]
+    ended_occurrences: list[int] = msgspec.field(name="over")
     tasks: dict[int, list[TaskRecord]]
 
 
