--- a/standins/site/worker_core.py
+++ b/standins/site/worker_core.py
@@ -127,7 +127,7 @@
             self.start(task, attempt, deadline, token, now)
         for task, run in list(self.runs.items()):
             if now >= self.deadline:
-                self.end(task, RunEnd.LAPSED)
+                self.end(task, RunEnd.LEASE_EXPIRED)
             elif run.fails:
                 self.end(task, RunEnd.FAILED)
             elif not self.stuck and now >= run.started + run.lasts:
--- a/toucanpin/entry/advice_dispatcher.py
+++ b/toucanpin/entry/advice_dispatcher.py
@@ -25,7 +25,7 @@
 
 class AdviceDispatcher:
     """
-    Client that asks for advice through this host and its peers, with one request each at a time.
+    Client of the advice service through this host and its peers, with one request each at a time.
 
     A request takes half a second, so through one host only two steps a second would get advice, and
     those behind them would miss their objectives.
@@ -42,7 +42,7 @@
         """Return the number of requests that may be sent now."""
         return len(self._list_free())
 
-    async def ask(self, group: Group, workers: tuple[str, ...]) -> Advice | None:
+    async def request(self, group: Group, workers: tuple[str, ...]) -> Advice | None:
         """Return which of ``workers`` may run a step, None without an answer."""
         free = self._list_free()
         if not free or self._client is None:
@@ -50,7 +50,7 @@
         name = free[0]
         self._busy.add(name)
         try:
-            return await self._make_calls(name).ask(group, workers)
+            return await self._make_client(name).ask(group, workers)
         except CallError as error:
             self._avoided_until[name] = steady_time() + FAILURE_BACKOFF_S
             _log.warning(
@@ -74,7 +74,7 @@
             if name not in self._busy and self._avoided_until.get(name, 0.0) <= now
         ]
 
-    def _make_calls(self, name: str) -> AdviceClient:
+    def _make_client(self, name: str) -> AdviceClient:
         assert self._client is not None
         for peer in self._peers.list_live():
             if peer.name == name:
--- a/toucanpin/entry/candidate.py
+++ b/toucanpin/entry/candidate.py
@@ -44,7 +44,7 @@
 _log = logbook.Logger("contender")
 RETRY_DELAY_S = 0.4  # after a failed read of the owner's row
 HANDOVER_WAIT_S = 20.0  # long-poll time of the watch for resignations
-YIELD_CHECK_PERIOD_S = 1.0  # between checks for a stronger host
+HANDOVER_CHECK_PERIOD_S = 1.0  # between checks for a stronger host
 MAX_BACKLOG_AGE_S = 3.0  # a backlog read from the owner's row is ignored after this time
 BACKOFF_S = 1.0  # after a cell was lost, or the watch for resignations failed
 
@@ -73,7 +73,7 @@
         self._workers_enforce_limits = workers_enforce_limits
         self._evacuated = evacuated
         self._peers = peers
-        self._yielded_at = -MIN_HANDOVER_INTERVAL_S
+        self._last_handover_at = -MIN_HANDOVER_INTERVAL_S
         self._reader = RowReader()
         self._owner: Owner | None = None
         self._watch = OwnerWatch()
@@ -155,7 +155,7 @@
         weak = self._peers.has_stronger_host()
         return plan_takeover(watch, self._rank, self._settings.name, self._incarnation, weak)
 
-    async def _yield_to_stronger(self, owner: Owner) -> None:
+    async def _hand_over_to_stronger(self, owner: Owner) -> None:
         """
         Hand the cell to a stronger host once there is one.
 
@@ -164,12 +164,12 @@
         """
         began = steady_time()
         while True:
-            await asyncio.sleep(YIELD_CHECK_PERIOD_S)
+            await asyncio.sleep(HANDOVER_CHECK_PERIOD_S)
             now = steady_time()
-            if now < max(began + MIN_TENURE_S, self._yielded_at + MIN_HANDOVER_INTERVAL_S):
+            if now < max(began + MIN_TENURE_S, self._last_handover_at + MIN_HANDOVER_INTERVAL_S):
                 continue
             if self._peers.has_stronger_host():
-                self._yielded_at = now
+                self._last_handover_at = now
                 _log.info("cell left to a stronger host", event="cell.yielded", cell=self._cell)
                 owner.resign()
                 return
@@ -205,7 +205,7 @@
             self._workers_enforce_limits,
             self._evacuated,
         )
-        yielding = asyncio.ensure_future(self._yield_to_stronger(self._owner))
+        handover = asyncio.ensure_future(self._hand_over_to_stronger(self._owner))
         try:
             await self._owner.run()
         except OwnershipLostError as error:
@@ -215,7 +215,7 @@
         except Exception:
             _log.exception("owner failed", event="cell.failed", cell=self._cell)
         finally:
-            yielding.cancel()
+            handover.cancel()
         self._owner = None
         if not self._resigning:
             await asyncio.sleep(BACKOFF_S)
--- a/toucanpin/entry/cell_jobs.py
+++ b/toucanpin/entry/cell_jobs.py
@@ -44,7 +44,7 @@
         "_on_change",
         "_clocks",
         "_reader",
-        "_keep_ended",
+        "_retention",
         "_parts",
         "_rows",
         "_store",
@@ -58,7 +58,7 @@
         cell: Cell,
         rows: CellRows,
         reader: RowReader,
-        keep_ended: float,
+        retention: float,
         on_change: Callable[[], None],
     ) -> None:
         self._store = store
@@ -66,7 +66,7 @@
         self._cell = cell
         self._rows = rows
         self._reader = reader
-        self._keep_ended = keep_ended
+        self._retention = retention
         self._on_change = on_change
         self._parts = frozenset(list_job_parts(cell.name))
         self.followed_version = 0  # version of the store up to which the jobs are known
@@ -139,7 +139,7 @@
         if job is None:
             return
         # A job that is older than the retention has ended; its row may have been deleted since.
-        if now.table - job.accepted < self._keep_ended * 1_000 or not job.accepted:
+        if now.table - job.accepted < self._retention * 1_000 or not job.accepted:
             submit_job(self._cell, job, now)
 
 
--- a/toucanpin/entry/owner.py
+++ b/toucanpin/entry/owner.py
@@ -126,7 +126,7 @@
             self._cell,
             self._rows,
             self._reader,
-            settings.bounds.keep_ended,
+            settings.bounds.job_retention,
             self._dispatch_orders,
         )
         self._delay = ProcessDelay()
@@ -315,9 +315,9 @@
             self._cell.progress_rows_to_delete += ended
             self._wake.set()
 
-    async def _request_advice(self, order: AdviceRequest) -> None:
-        advice = await self._advice_dispatcher.ask(order.group, order.workers)
-        record_advice(self._cell, order, advice, self._clocks.now())
+    async def _request_advice(self, request: AdviceRequest) -> None:
+        advice = await self._advice_dispatcher.request(request.group, request.workers)
+        record_advice(self._cell, request, advice, self._clocks.now())
         self._wake.set()
 
     async def _tick(self) -> None:
@@ -342,8 +342,8 @@
             for decision in periodic:
                 decision.run_if_due(self._clocks.now())
             free = self._advice_dispatcher.count_free()
-            for order in plan_advice_requests(self._cell, self._interference, free, now):
-                self._spawn(self._request_advice(order))
+            for request in plan_advice_requests(self._cell, self._interference, free, now):
+                self._spawn(self._request_advice(request))
             if now.steady > reported_at + REPORT_PERIOD_S:
                 reported_at = now.steady
                 log_waits(self._cell, now)
@@ -353,7 +353,7 @@
                     log_evacuations(self._cell)
             if now.steady > cleaned_at + CLEANUP_PERIOD_S:
                 cleaned_at = now.steady
-                forget_ended(self._cell, now, self._bounds.keep_ended + RETENTION_MARGIN_S)
+                forget_ended(self._cell, now, self._bounds.job_retention + RETENTION_MARGIN_S)
             self._dispatch_orders()
 
     def _estimate_backlog(self, now: Now) -> None:
--- a/toucanpin/entry/relayed_store.py
+++ b/toucanpin/entry/relayed_store.py
@@ -105,7 +105,7 @@
                 STORE_CALLS.add(1, {"outcome": "failed"})
                 failure = error
                 uncertain = not error.certain
-            self._note_failure()
+            self._record_failure()
         if time.monotonic() >= deadline:
             raise CallError(Verdict.MAY_HAVE_RUN, str(failure))
         for peer in self._list_peers():
@@ -151,7 +151,7 @@
         ]
         return random.sample(usable, min(MAX_PEERS, len(usable)))
 
-    def _note_failure(self) -> None:
+    def _record_failure(self) -> None:
         if self.direct_works:
             self.direct_works = False
             _log.warning(
--- a/toucanpin/entry/tests/test_advice_dispatcher.py
+++ b/toucanpin/entry/tests/test_advice_dispatcher.py
@@ -55,8 +55,8 @@
         The service takes half a second per request and handles those of one host in sequence, so
         the second request must go through a peer instead of waiting for the first.
         """
-        first = asyncio.ensure_future(self.dispatcher.ask(GROUP, ("w1",)))
-        second = asyncio.ensure_future(self.dispatcher.ask(GROUP, ("w1", "w2")))
+        first = asyncio.ensure_future(self.dispatcher.request(GROUP, ("w1",)))
+        second = asyncio.ensure_future(self.dispatcher.request(GROUP, ("w1", "w2")))
         while len(self.asked) < 2:
             await asyncio.sleep(0.01)
         self.assertEqual(0, self.dispatcher.count_free())
@@ -70,10 +70,10 @@
         self.released.set()
         self.relay.close()
         self.dispatcher._busy.add("h0")
-        self.assertIsNone(await self.dispatcher.ask(GROUP, ("w1",)))
+        self.assertIsNone(await self.dispatcher.request(GROUP, ("w1",)))
         self.assertEqual(0, self.dispatcher.count_free())
         self.dispatcher._busy.discard("h0")
-        self.assertIsNotNone(await self.dispatcher.ask(GROUP, ("w1",)))
+        self.assertIsNotNone(await self.dispatcher.request(GROUP, ("w1",)))
 
 
 if __name__ == "__main__":
--- a/toucanpin/platform/nodefile.py
+++ b/toucanpin/platform/nodefile.py
@@ -44,15 +44,15 @@
         reader.faults.append(f"controlMode={mode}: only invoke is supported")
     # Units differ: names that end in S or _s are in seconds, those in Ms or _ms in milliseconds.
     bounds = Bounds(
-        longest_lease=reader.number("bounds.maxHoldMs", 10_000) / 1_000,
+        max_lease=reader.number("bounds.maxHoldMs", 10_000) / 1_000,
         stop=reader.number("bounds.stopTimeoutMs", 200) / 1_000,
         shutdown=reader.number("bounds.graceS", 6),
-        keep_ended=reader.number("bounds.status_s", 120),
+        job_retention=reader.number("bounds.status_s", 120),
         early=reader.number("bounds.early_ms", 250) / 1_000,
         gang_wait=reader.number("bounds.gangTimeoutMs", 3_000) / 1_000,
         spread_factor=reader.number("bounds.spreadFactor", 3),
         restore=reader.number("bounds.restoreMs", 250) / 1_000,
-        checkpoint_every=reader.number("bounds.checkpointS", 1),
+        checkpoint_period=reader.number("bounds.checkpointS", 1),
         contact=reader.number("bounds.contactMs", 3_000) / 1_000,
         upkeep=reader.number("bounds.maintenanceS", 2),
         machine_lease=reader.number("bounds.leaseMs", 3_000) / 1_000,
--- a/toucanpin/platform/tests/test_nodefile.py
+++ b/toucanpin/platform/tests/test_nodefile.py
@@ -28,8 +28,8 @@
         self.assertEqual("edge-1", settings.name)
         self.assertEqual("here", settings.data_centre)
         self.assertEqual(7_720, settings.inner_port)
-        self.assertEqual(8.0, settings.bounds.longest_lease)
-        self.assertEqual(90.0, settings.bounds.keep_ended)
+        self.assertEqual(8.0, settings.bounds.max_lease)
+        self.assertEqual(90.0, settings.bounds.job_retention)
 
     def test_error_lists_all_faults(self) -> None:
         text = GOOD.replace("nodeName=edge-1\n", "").replace("=8000", "=soon")
--- a/toucanpin/platform/workers.py
+++ b/toucanpin/platform/workers.py
@@ -47,9 +47,9 @@
     "done": RunEnd.DONE,
     "failed": RunEnd.FAILED,
     "stopped": RunEnd.STOPPED,
-    "lapsed": RunEnd.LAPSED,
-    "broken": RunEnd.BROKEN,
-    "alone": RunEnd.ALONE,
+    "lapsed": RunEnd.LEASE_EXPIRED,
+    "broken": RunEnd.GANG_BROKEN,
+    "alone": RunEnd.GANG_INCOMPLETE,
 }
 _REASONS = {
     "fence": RefusalReason.FENCED,
--- a/toucanpin/scheduling/answer_timeout.py
+++ b/toucanpin/scheduling/answer_timeout.py
@@ -23,15 +23,15 @@
     With a short one all workers would be considered silent whenever links or the owner are slow.
     """
 
-    __slots__ = ("_latest", "_recorded_at")
+    __slots__ = ("_peak", "_recorded_at")
 
     def __init__(self) -> None:
-        self._latest = MAX_LATENESS_S
+        self._peak = MAX_LATENESS_S
         self._recorded_at = 0.0
 
     def record(self, late: float, now: float) -> None:
         """Record an answer that came ``late`` seconds after it could have."""
-        self._latest = max(late, self._decay(now))
+        self._peak = max(late, self._decay(now))
         self._recorded_at = now
 
     def limit(self, now: float) -> float:
@@ -40,5 +40,5 @@
 
     def _decay(self, now: float) -> float:
         if not self._recorded_at:
-            return self._latest
-        return self._latest * 0.5 ** (max(0.0, now - self._recorded_at) / HALF_LIFE_S)
+            return self._peak
+        return self._peak * 0.5 ** (max(0.0, now - self._recorded_at) / HALF_LIFE_S)
--- a/toucanpin/scheduling/choosing.py
+++ b/toucanpin/scheduling/choosing.py
@@ -175,7 +175,7 @@
             self.constraint_excluded = True
             return None
         # A worker on trial gets one task at a time, and may have got one in this round.
-        if _is_held_for_others(worker, self._live, now) or not is_trusted(worker, now):
+        if _is_reserved_for_others(worker, self._live, now) or not is_trusted(worker, now):
             return None
         cost = (
             _compute_best_effort_cost(self._round, worker, step)
@@ -207,21 +207,21 @@
     """
     if access is ReserveAccess.ALL:
         return True
-    free_places = 0
+    free_slots = 0
     for worker in eligible:
         if not _may_run(worker, group, step):
             continue
         if leaves_reserve(worker, step):
             return True
-        free_places += 1 if step.per_worker else count_fitting_tasks(worker, step)
-    return access is ReserveAccess.SPARE and free_places > 1
+        free_slots += 1 if step.per_worker else count_fitting_tasks(worker, step)
+    return access is ReserveAccess.SPARE and free_slots > 1
 
 
 def _is_eligible(worker: Worker, now: Now) -> bool:
     return (
         worker.reached
         and not worker.silent
-        and not worker.unsound
+        and not worker.malformed
         and worker.entry.ready
         and not worker.unknown_tasks
         and not worker.draining_since
@@ -242,7 +242,7 @@
     return has_room(worker, step) and meets_constraints(worker, group, step)
 
 
-def _is_held_for_others(worker: Worker, live: LiveJob, now: Now) -> bool:
+def _is_reserved_for_others(worker: Worker, live: LiveJob, now: Now) -> bool:
     return now.steady < worker.reserved_until and live.job.priority > worker.reserved_priority
 
 
--- a/toucanpin/scheduling/ending.py
+++ b/toucanpin/scheduling/ending.py
@@ -102,7 +102,7 @@
 
 def end_run(cell: Cell, worker: Worker, run: Run, now: Now) -> None:
     """End a run that certainly doesn't run any more, without a reported end."""
-    finish_run(cell, worker, run, RunEnd.LAPSED, run.checkpoint, now)
+    finish_run(cell, worker, run, RunEnd.LEASE_EXPIRED, run.checkpoint, now)
 
 
 def end_job(cell: Cell, live: LiveJob, state: JobState, now: Now) -> None:
--- a/toucanpin/scheduling/large_tasks.py
+++ b/toucanpin/scheduling/large_tasks.py
@@ -42,11 +42,11 @@
             return
         if len(self.eligible) <= self._min_eligible:
             return
-        reserved = self._take_with_most_cores(group, step)
+        reserved = self._pop_worker_with_most_cores(group, step)
         if reserved is not None:
             self.eligible = [worker for worker in self.eligible if worker is not reserved]
 
-    def _take_with_most_cores(self, group: Group, step: Step) -> Worker | None:
+    def _pop_worker_with_most_cores(self, group: Group, step: Step) -> Worker | None:
         """
         Return the worker with most free cores that meets a step's constraints.
 
--- a/toucanpin/scheduling/leases.py
+++ b/toucanpin/scheduling/leases.py
@@ -49,16 +49,16 @@
     cell: Cell,
     entries: Iterable[WorkerEntry],
     now: Now,
-    unsound: Collection[str] = frozenset(),
+    malformed: Collection[str] = frozenset(),
 ) -> list[Worker]:
     """
     Apply the listed entries of workers; return the workers that are new.
 
-    Workers in ``unsound``, whose entries can no longer be decoded, keep their runs and get no new
+    Workers in ``malformed``, whose entries can no longer be decoded, keep their runs and get no new
     ones.
     """
     for identifier, known in cell.workers.items():
-        known.unsound = identifier in unsound
+        known.malformed = identifier in malformed
     added = []
     for entry in entries:
         worker = cell.workers.get(entry.id)
--- a/toucanpin/scheduling/load_shedding.py
+++ b/toucanpin/scheduling/load_shedding.py
@@ -56,38 +56,38 @@
 class TimeShare:
     """Limit a kind of decision to a share of the time by a pause after each of them."""
 
-    __slots__ = ("_next", "_pause_ratio")
+    __slots__ = ("_paused_until", "_pause_ratio")
 
     def __init__(self, share: float) -> None:
         self._pause_ratio = 1.0 / share - 1.0
-        self._next = 0.0
+        self._paused_until = 0.0
 
     def remaining_pause(self, now: float) -> float:
         """Return the seconds until the decision may be made, 0 if it may be made now."""
-        return max(0.0, self._next - now)
+        return max(0.0, self._paused_until - now)
 
     def record(self, begun: float, ended: float) -> None:
         """Record when a decision was made."""
-        self._next = ended + (ended - begun) * self._pause_ratio
+        self._paused_until = ended + (ended - begun) * self._pause_ratio
 
 
 class ProcessDelay:
     """Track how late this process starts work that is due."""
 
-    __slots__ = ("_latest", "_recorded_at")
+    __slots__ = ("_peak", "_recorded_at")
 
     def __init__(self) -> None:
-        self._latest = 0.0
+        self._peak = 0.0
         self._recorded_at = 0.0
 
     def record(self, late: float, now: float) -> None:
         """Record work that was started ``late`` seconds after it was due."""
-        self._latest = max(late, self.read(now))
+        self._peak = max(late, self.read(now))
         self._recorded_at = now
 
     def read(self, now: float) -> float:
         """Return the longest recent delay in seconds, which decays over time."""
-        return self._latest * 0.5 ** (max(0.0, now - self._recorded_at) / DELAY_HALF_LIFE_S)
+        return self._peak * 0.5 ** (max(0.0, now - self._recorded_at) / DELAY_HALF_LIFE_S)
 
     def limit_starts(self, now: float) -> int:
         """Return the largest number of pending starts; lower if answers are read late."""
--- a/toucanpin/scheduling/orders.py
+++ b/toucanpin/scheduling/orders.py
@@ -33,9 +33,9 @@
     DONE = "done"
     FAILED = "failed"
     STOPPED = "stopped"
-    LAPSED = "lapsed"
-    BROKEN = "broken"
-    ALONE = "alone"
+    LEASE_EXPIRED = "lapsed"
+    GANG_BROKEN = "broken"  # another member of its gang ended
+    GANG_INCOMPLETE = "alone"  # other members of its gang did not start in time
 
 
 class RefusalReason(enum.Enum):
--- a/toucanpin/scheduling/ownership.py
+++ b/toucanpin/scheduling/ownership.py
@@ -111,16 +111,16 @@
     return 0.0 if watch.silent_time >= timeout else None
 
 
-def plan_next_read(watch: OwnerWatch, place: int) -> float:
+def plan_next_read(watch: OwnerWatch, position: int) -> float:
     """
-    Return after how many seconds to read the row again.
+    Return the delay in seconds until the next read of the row.
 
-    ``place`` is the number of hosts that precede this one as successors. With a hundred hosts these
-    reads would be most of the store's load. A host far down the order needs frequent reads only
-    once the owner is silent.
+    ``position`` is the number of hosts that precede this one as successors. With a hundred hosts
+    these reads would be most of the store's load. A host far down the order needs frequent reads
+    only once the owner is silent.
     """
     owned = watch.record is not None and bool(watch.record.host)
-    if owned and not watch.silent_time and place >= SUCCESSOR_COUNT:
+    if owned and not watch.silent_time and position >= SUCCESSOR_COUNT:
         return POLL_INTERVAL_S
     return SUCCESSOR_POLL_INTERVAL_S
 
--- a/toucanpin/scheduling/pacing.py
+++ b/toucanpin/scheduling/pacing.py
@@ -138,9 +138,9 @@
     now: Now,
 ) -> None:
     """Slow down best-effort tasks until the most loaded task is below its target."""
-    if now.steady < worker.throttled_at + EFFECT_LAG_S:
+    if now.steady < worker.slowed_down_at + EFFECT_LAG_S:
         return
-    worker.throttled_at = now.steady
+    worker.slowed_down_at = now.steady
     excess = model.utilization(most_loaded) - AIMED_TARGET_SHARE * model.limit(most_loaded)
     costs = [
         (
--- a/toucanpin/scheduling/preempting.py
+++ b/toucanpin/scheduling/preempting.py
@@ -23,7 +23,7 @@
 RESUME_LOSS_S = 0.3  # of work that a task loses which resumes from its checkpoint
 # Time beyond that of a stop for which the freed resources are held for the urgent task.  Several
 # stops end one after the other, and other waiting tasks would take what the first one frees.
-HOLD_MARGIN_S = 0.4
+RESERVATION_MARGIN_S = 0.4
 STOP_LOSS_S = 0.1  # of work that any stop costs
 
 
@@ -60,7 +60,7 @@
 
     def mark_infeasible(self, step: Step, ignore_reserve: bool) -> None:
         """Remember that stops on no worker free enough for a task of a step."""
-        self._infeasible[step.long_running].note(_make_demand(step, ignore_reserve))
+        self._infeasible[step.long_running].record(_make_demand(step, ignore_reserve))
 
     def get_freed(self, worker: Worker) -> FreedResources:
         """Return the resources that stops will free on a worker."""
@@ -131,7 +131,7 @@
         worker = self._eligible[number]
         freed = self._round.get_freed(worker)
         if victims:
-            worker.reserved_until = self._now.steady + self._cell.stop_time + HOLD_MARGIN_S
+            worker.reserved_until = self._now.steady + self._cell.stop_time + RESERVATION_MARGIN_S
             worker.reserved_priority = self._priority
         for run in victims:
             stop_run(self._cell, run, "makes room for urgent work")
--- a/toucanpin/scheduling/settings.py
+++ b/toucanpin/scheduling/settings.py
@@ -16,15 +16,15 @@
 class Bounds:
     """Time bounds that the deployment guarantees or requires."""
 
-    longest_lease: float = 10.0
+    max_lease: float = 10.0
     stop: float = 0.2
     shutdown: float = 6.0
-    keep_ended: float = 120.0
+    job_retention: float = 120.0
     early: float = 0.25
     gang_wait: float = 3.0
     spread_factor: float = 3.0
     restore: float = 0.25
-    checkpoint_every: float = 1.0
+    checkpoint_period: float = 1.0
     contact: float = 3.0
     upkeep: float = 2.0
     machine_lease: float = 3.0
--- a/toucanpin/scheduling/shortage.py
+++ b/toucanpin/scheduling/shortage.py
@@ -2,7 +2,7 @@
 Unmet demands
 =============
 
-Remember which demands could not be met in one round of placement.
+Record the demands that could not be met in one round of placement.
 """
 
 from __future__ import annotations
@@ -58,7 +58,7 @@
         """Return whether a demand of at most this size could not be met."""
         return any(known.is_within(demand) for known in self._known)
 
-    def note(self, demand: Demand) -> None:
+    def record(self, demand: Demand) -> None:
         """Add a demand that could not be met."""
         self._known = [known for known in self._known if not demand.is_within(known)]
         self._known.append(demand)
--- a/toucanpin/scheduling/tests/test_consolidating.py
+++ b/toucanpin/scheduling/tests/test_consolidating.py
@@ -68,7 +68,7 @@
         self.assertIsNone(consolidate_images(self.cell, self.model, NOW))
 
     def test_no_move_without_worker_of_same_image(self) -> None:
-        self.cell.workers["w1"].unsound = True
+        self.cell.workers["w1"].malformed = True
         self.assertIsNone(consolidate_images(self.cell, self.model, NOW))
 
     def test_no_move_for_harmless_best_effort_work(self) -> None:
--- a/toucanpin/scheduling/tests/test_gangs.py
+++ b/toucanpin/scheduling/tests/test_gangs.py
@@ -54,7 +54,7 @@
         for failing in (0, 1):
             self._end(failing, RunEnd.FAILED)
             for index in {0, 1, 2} - {failing}:
-                self._end(index, RunEnd.BROKEN)
+                self._end(index, RunEnd.GANG_BROKEN)
             self.fleet.run(0.5)
         self.fleet.run(2.0)
         self.assertEqual(JobState.FAILED, self.fleet.state("j1"))
@@ -65,7 +65,7 @@
         self.fleet.run(0.5)
         self._end(0, RunEnd.FAILED)
         self._end(1, RunEnd.FAILED)
-        self._end(2, RunEnd.BROKEN)
+        self._end(2, RunEnd.GANG_BROKEN)
         self.fleet.run(0.5)
         self.assertEqual(JobState.ACTIVE, self.fleet.state("j1"))
         self.assertEqual(6, self._count_starts())
@@ -116,7 +116,7 @@
         self.fleet.submit(make_job(steps=(GANG,)))
         self.fleet.run(2.5)
         ends = [e.end for worker in self.fleet.workers.values() for e in worker.ended]
-        self.assertNotIn(RunEnd.ALONE, ends)
+        self.assertNotIn(RunEnd.GANG_INCOMPLETE, ends)
         self.assertFalse(any(worker.runs for worker in self.fleet.workers.values()))
 
 
--- a/toucanpin/scheduling/tests/test_stale_views.py
+++ b/toucanpin/scheduling/tests/test_stale_views.py
@@ -73,7 +73,7 @@
         (served,) = fleet.cell.runs["s"]
         self.assertTrue(fleet.cell.runs["b"])
         served.measure = 101.0
-        fleet.cell.workers["w0"].throttled_at = fleet.time
+        fleet.cell.workers["w0"].slowed_down_at = fleet.time
         control_pace(fleet.cell, fleet.model, fleet.now())
         fleet.time += 0.25
         control_pace(fleet.cell, fleet.model, fleet.now())
--- a/toucanpin/scheduling/unplaceable.py
+++ b/toucanpin/scheduling/unplaceable.py
@@ -76,4 +76,4 @@
     if step.best_effort or constraint_excluded or live.job.advised:
         return
     shortage = round_.reserved[access] if access else round_.shortage(step.long_running)
-    shortage.note(Demand.of(step))
+    shortage.record(Demand.of(step))
--- a/toucanpin/scheduling/worker.py
+++ b/toucanpin/scheduling/worker.py
@@ -98,7 +98,7 @@
     listed_at: float = 0.0
     answered_at: float = 0.0
     silent: bool = False  # it did not answer the latest poll
-    unsound: bool = False  # its entry can no longer be decoded, though it may still answer
+    malformed: bool = False  # its entry can no longer be decoded, though it may still answer
     clock: int = 0
     clock_read_at: float = 0.0
     lease_expires_at: float = 0.0
@@ -109,7 +109,7 @@
     reserved_until: float = 0.0  # reserved for tasks of ``reserved_priority`` after preemption
     reserved_priority: int = 0
     draining_since: float = 0.0  # it is drained for the upkeep of its machine
-    throttled_at: float = 0.0  # when best-effort tasks were last throttled or moved
+    slowed_down_at: float = 0.0  # when best-effort tasks were last slowed down or moved
     learned_at: float = 0.0  # when interference effects were last learned from its measurements
     failed_jobs: set[str] = field(default_factory=set)  # with failures since its last success
     failed_at: float = 0.0
