--- a/toucanpin/scheduling/cell.py
+++ b/toucanpin/scheduling/cell.py
@@ -103,7 +103,11 @@
 
 
 class LossCause(enum.Enum):
-    """Cause of a run's end that its worker did not report."""
+    """
+    Cause of a run's end that its worker did not report.
+
+    The names of the members are values of a metric's label.
+    """
 
     REPLACED = "another life answers at its worker's address"
     LAPSED = "its worker's lease has ended"
@@ -328,8 +332,8 @@
     remaining = list(times)
     for number in range(len(job.steps) - 1, -1, -1):
         for earlier in job.steps[number].after:
-            through = times[earlier] + remaining[number]
-            remaining[earlier] = max(remaining[earlier], through)
+            path_time = times[earlier] + remaining[number]
+            remaining[earlier] = max(remaining[earlier], path_time)
     return tuple(remaining)
 
 
--- a/toucanpin/scheduling/choosing.py
+++ b/toucanpin/scheduling/choosing.py
@@ -98,7 +98,8 @@
         """
         Return the unmet demands of long-running or of other tasks.
 
-        They are kept apart since workers reserved for large tasks are excluded for the latter only.
+        They are recorded separately since workers reserved for large tasks are excluded for the
+        latter only.
         """
         return self._long_running if long_running else self._short
 
@@ -107,8 +108,8 @@
     """
     Workers that could run a task of a step, in a heap by cost.
 
-    ``suspicion`` says how far these tasks are suspected of crashing workers;
-    ``constraint_excluded`` says that a constraint of the step excluded a worker that has room.
+    ``suspicion`` is how strongly these tasks are suspected of crashing workers;
+    ``constraint_excluded`` is true if a constraint of the step excluded a worker that has room.
     """
 
     __slots__ = (
@@ -271,9 +272,9 @@
     """
     Return the cost of a worker for a task that ran on workers when they were lost.
 
-    Suspected tasks are kept apart, since those on one worker would all be lost with the one that
-    crashes it.  Long-running tasks are not: spread over many workers they would exclude best-effort
-    tasks from them for as long as they run.
+    Suspected tasks are placed on different workers, since those on one worker would all be lost
+    with the one that crashes it.  Long-running tasks are not: spread over many workers they would
+    exclude best-effort tasks from them for as long as they run.
     """
     cost = 0.0 if step.long_running else SUSPECTED_TASK_COST * count_suspected(worker, now)
     if suspicion is CrashSuspicion.LAST_ATTEMPT:
@@ -318,5 +319,5 @@
     must be low.
     """
     images = {run.step.image for run in worker.runs.values() if run.step.target}
-    # One task more of an image that runs there excludes no further best-effort images.
+    # One more task of an image that runs there excludes no further best-effort images.
     return 0.0 if image in images else OTHER_IMAGE_COST * len(images)
--- a/toucanpin/scheduling/configuration.py
+++ b/toucanpin/scheduling/configuration.py
@@ -73,8 +73,8 @@
             if length > len(path):
                 continue
             prefix = path[:length]
-            found = [self._by_route.get((place, prefix)) for place in (name, "")]
-            fitting = [place for place in found if place is not None]
-            if fitting:
-                return min(fitting, key=lambda place: place[0])[1]
+            found = [self._by_route.get((route_host, prefix)) for route_host in (name, "")]
+            matches = [entry for entry in found if entry is not None]
+            if matches:
+                return min(matches, key=lambda entry: entry[0])[1]
         return None
--- a/toucanpin/scheduling/consolidating.py
+++ b/toucanpin/scheduling/consolidating.py
@@ -42,7 +42,7 @@
 
 
 def consolidate_images(cell: Cell, model: InterferenceModel, now: Now) -> Run | None:
-    """Stop and return the long-running task whose move makes most cores usable."""
+    """Stop and return the long-running task whose move makes the most cores usable."""
     if now.steady < cell.consolidated_at + MOVE_PERIOD_S:
         return None
     demand = _sum_demand(cell, now)
@@ -154,7 +154,7 @@
 ) -> float:
     """Return the cores of a worker that waiting tasks could use beside the given images."""
     service_images = set(images)
-    wanted = sum(
+    requested = sum(
         cores
         for image, cores in demand.items()
         if all(
@@ -162,4 +162,4 @@
             for service_image in service_images
         )
     )
-    return min(wanted, max(0.0, candidate.free + extra))
+    return min(requested, max(0.0, candidate.free + extra))
--- a/toucanpin/scheduling/crashing.py
+++ b/toucanpin/scheduling/crashing.py
@@ -2,7 +2,7 @@
 Crashing tasks
 ==============
 
-Suspicion of tasks under which workers were lost, and failure of jobs whose tasks crash workers.
+Suspicion of tasks whose workers were lost, and failure of jobs whose tasks crash workers.
 
 Notes
 -----
@@ -39,13 +39,13 @@
     "runs_last_attempt",
 ]
 
-MAX_CRASHES = 5  # workers lost under a task until it isn't started any more
+MAX_CRASHES = 5  # workers lost while they ran a task, until it isn't started any more
 MAX_CRASHES_AT_START = 3  # the same for workers lost right after the task's start
 MIN_CONFIRMED_CRASHES = 2  # lost workers that certainly ended; others may only be disconnected
 START_PERIOD_S = 1.0  # within which a loss counts as one at the start
 SURVIVAL_PERIOD_S = 5.0  # after which a long-running task is cleared of suspicion
 NEW_WORKER_PERIOD_S = 10.0  # since the first listing
-SUSPICION_PERIOD_S = 2.0  # after the start of a task under which workers were lost
+SUSPICION_PERIOD_S = 2.0  # after the start of a task that ran on lost workers
 
 
 def record_loss(cell: Cell, worker: Worker, run: Run) -> int:
@@ -91,7 +91,7 @@
 
 def is_start_blocked(cell: Cell, live: LiveJob, task: TaskKey) -> bool:
     """
-    Return whether a task may not be started until more is known of the workers lost under it.
+    Return whether a task may not be started until more is known of the lost workers that ran it.
 
     A copy is started as soon as a worker becomes silent, so silent workers count too.
     """
@@ -134,7 +134,7 @@
 
 def fail_crashing_jobs(cell: Cell, now: Now) -> list[TaskKey]:
     """
-    Fail the jobs of tasks under which enough workers have crashed; return the tasks.
+    Fail the jobs of tasks that have crashed enough workers; return the tasks.
 
     An owner that hasn't read the list of workers yet can't know whether an incarnation has ended.
     """
--- a/toucanpin/scheduling/ending.py
+++ b/toucanpin/scheduling/ending.py
@@ -112,8 +112,8 @@
     mark_dirty(cell, live)
     for group in [group for group in cell.waiting if group.job == live.job.id]:
         del cell.waiting[group]
-    for asked in [group for group in cell.step_tickets if group.job == live.job.id]:
-        del cell.step_tickets[asked]
+    for group in [group for group in cell.step_tickets if group.job == live.job.id]:
+        del cell.step_tickets[group]
     for run in list_runs(cell, live):
         stop_run(cell, run, "job ended")
 
@@ -149,8 +149,11 @@
     if step.long_running or JobState(live.progress.state).ended:
         return
     for run in list_runs(cell, live):
-        of_gang = step.gang and (run.task.occurrence, run.task.step) == (task.occurrence, task.step)
-        if run.task == task or of_gang:
+        in_gang = step.gang and (run.task.occurrence, run.task.step) == (
+            task.occurrence,
+            task.step,
+        )
+        if run.task == task or in_gang:
             stop_run(cell, run, "done before")
     _finish_task(cell, live, task, record, now)
     mark_dirty(cell, live)
--- a/toucanpin/scheduling/evacuating.py
+++ b/toucanpin/scheduling/evacuating.py
@@ -6,7 +6,7 @@
 
 Notes
 -----
-Tasks that run there go on: an evacuation only requires that no more tasks are sent.  The free
+Tasks that run there continue: an evacuation only requires that no more tasks are sent.  The free
 resources there don't count, so waiting tasks are compared with those that they may use.
 """
 
@@ -29,7 +29,7 @@
 ]
 
 # Maximum age of the list as a share of the time within which an evacuation has to be in force.  The
-# rest of that time is for the read that first shows it and for start orders under way.
+# rest of that time is for the read that first shows it and for start orders in flight.
 MAX_AGE_SHARE = 0.5
 
 
--- a/toucanpin/scheduling/large_tasks.py
+++ b/toucanpin/scheduling/large_tasks.py
@@ -2,7 +2,7 @@
 Reservation for large tasks
 ===========================
 
-Withhold workers from less urgent steps for tasks that don't fit any worker's free resources.
+Reserve workers for urgent tasks that don't fit any worker's free resources.
 """
 
 from __future__ import annotations
@@ -22,10 +22,11 @@
 
 class LargeTaskReservation:
     """
-    Workers that are left for less urgent steps in one round of placement.
+    Workers reserved for large tasks in one round of placement.
 
-    Without a reservation small tasks would take each core that becomes free, and a large task would
-    wait for as long as small ones do.
+    ``eligible`` are the workers left for less urgent steps.  Without a reservation small tasks
+    would take each core that becomes free, and a large task would wait for as long as small ones
+    do.
     """
 
     __slots__ = ("_cell", "_min_eligible", "_by_free_cores", "eligible")
@@ -37,7 +38,7 @@
         self.eligible = eligible
 
     def reserve_for(self, group: Group, step: Step) -> None:
-        """Reserve the worker with most free cores for a step, if tasks of it still wait."""
+        """Reserve the worker with the most free cores for a step, if tasks of it still wait."""
         if not self._cell.waiting[group] or step.best_effort or step.long_running or step.gang:
             return
         if len(self.eligible) <= self._min_eligible:
@@ -48,7 +49,7 @@
 
     def _pop_worker_with_most_cores(self, group: Group, step: Step) -> Worker | None:
         """
-        Return the worker with most free cores that meets a step's constraints.
+        Remove and return the worker with the most free cores that meets a step's constraints.
 
         Free cores only shrink within a round, so the top of the heap is the maximum if its entry is
         still correct.  Of equal workers the first is returned.
--- a/toucanpin/scheduling/leases.py
+++ b/toucanpin/scheduling/leases.py
@@ -2,7 +2,7 @@
 Worker leases
 =============
 
-Renewal and expiry of worker leases, and what answers and silence of a worker mean for its runs.
+Renewal and expiry of worker leases, and effects of a worker's answers and silence on its runs.
 """
 
 from __future__ import annotations
--- a/toucanpin/scheduling/load_shedding.py
+++ b/toucanpin/scheduling/load_shedding.py
@@ -12,7 +12,7 @@
 
 1. each kind of decision has a share of the time and pauses once it has used it,
 2. the number of pending starts is limited, and the most urgent tasks are started first,
-3. workers are polled less often the later the process is, so that their ends arrive together,
+3. workers are polled less often the further the process is behind, so that ends arrive together,
 4. a job that can't meet its time limit, as earlier starts take longer, is refused at once.
 
 Renewals of leases and ends that were received are never shed.
@@ -38,7 +38,7 @@
 ]
 
 MAX_PENDING_STARTS = 256  # a start takes a few ms
-# A start that isn't answered within this time plus the process's own delay isn't held up by this
+# A start that isn't answered within this time plus the process's own delay isn't delayed by this
 # process.
 START_ANSWER_TIME_S = 0.1
 DELAY_HALF_LIFE_S = 1.0
@@ -46,7 +46,7 @@
 PAUSE_FACTOR = 2.0  # times the delay, between two polls of a worker
 MAX_PAUSE_S = 1.0  # a fraction of a lease
 LATENCY_WINDOW = 16  # answers
-OVERLOAD_DELAY_S = 0.1  # from which the owner itself holds up waiting tasks
+OVERLOAD_DELAY_S = 0.1  # from which the owner itself delays waiting tasks
 OVERLOAD_ONSET_S = 2.0  # of delay until jobs are refused
 # Without delay until all jobs are accepted again: delays vary from turn to turn.
 OVERLOAD_RECOVERY_S = 4.0
@@ -54,7 +54,7 @@
 
 
 class TimeShare:
-    """Limit a kind of decision to a share of the time by a pause after each of them."""
+    """Limit of one kind of decision to a share of the time, by a pause after each of them."""
 
     __slots__ = ("_paused_until", "_pause_ratio")
 
--- a/toucanpin/scheduling/moving.py
+++ b/toucanpin/scheduling/moving.py
@@ -2,8 +2,8 @@
 Moving of tasks
 ===============
 
-Stop or copy tasks that should run elsewhere: on workers that leave, are slow or silent, and tasks
-that make no progress.
+Stop or copy tasks that should run elsewhere: those on workers that shut down, are slow or silent,
+and those that make no progress.
 """
 
 from __future__ import annotations
@@ -115,7 +115,7 @@
 
 
 def _outlasts_worker(worker: Worker, run: Run, now: Now) -> bool:
-    """Return whether a task won't end before its worker leaves."""
+    """Return whether a task won't end before its worker shuts down."""
     if run.step.long_running:
         return True
     elapsed = now.steady - run.started_at
--- a/toucanpin/scheduling/ownership.py
+++ b/toucanpin/scheduling/ownership.py
@@ -88,7 +88,7 @@
     watch: OwnerWatch, rank: float, host: str = "", life: str = "", weak: bool = False
 ) -> float | None:
     """
-    Return after how many seconds to take the cell, None if it has an owner.
+    Return the delay in seconds until taking over the cell, None if it has an owner.
 
     ``rank`` is between 0 and 1 and spreads the hosts that would take it at the same time; a
     ``weak`` host leaves it to stronger ones for a while.
--- a/toucanpin/scheduling/pacing.py
+++ b/toucanpin/scheduling/pacing.py
@@ -35,7 +35,7 @@
 # all best-effort tasks after the second, whatever the model estimates.
 EVICT_HARMFUL_AFTER_S = 0.9
 EVICT_ALL_AFTER_S = 1.8
-MIN_PACE_PERCENT = 30  # a task that would have to go slower is moved if another worker can take it
+MIN_PACE_PERCENT = 30  # a task that would have to run slower is moved if another worker has room
 PACE_STEP_PERCENT = 10
 NEGLIGIBLE_RISE = 0.04  # of utilization: slowing down a task that adds less only costs work
 MAX_DESTINATION_SHARE = 0.92  # of the limit that another worker may reach with a moved task
@@ -156,18 +156,18 @@
             return
         current = max(0, run.pace)
         share = min(current / 100, excess / cost) if cost > 0.01 else 0.0
-        wanted = int((current - 100 * share) // PACE_STEP_PERCENT) * PACE_STEP_PERCENT
-        if wanted >= current:
+        new_pace = int((current - 100 * share) // PACE_STEP_PERCENT) * PACE_STEP_PERCENT
+        if new_pace >= current:
             continue
-        excess -= cost * (current - max(0, wanted)) / 100
+        excess -= cost * (current - max(0, new_pace)) / 100
         if _is_resumable(run) or (
-            wanted < MIN_PACE_PERCENT
+            new_pace < MIN_PACE_PERCENT
             and run.percent < 30
             and _has_better_worker(cell, model, worker, run, now)
         ):
             stop_run(cell, run, "harms what serves")
         else:
-            _set_pace(cell, run, max(0, wanted), now)
+            _set_pace(cell, run, max(0, new_pace), now)
 
 
 def _speed_up(
@@ -179,15 +179,15 @@
     for run in sorted(best_effort, key=lambda run: run.paced_at):
         if run.pace >= 100:
             continue
-        for wanted in (100, 60, 30):
-            more = run.step.cpu * (wanted - max(0, run.pace)) // 100
-            if more <= 0:
+        for new_pace in (100, 60, 30):
+            extra_cpu = run.step.cpu * (new_pace - max(0, run.pace)) // 100
+            if extra_cpu <= 0:
                 break
             if (
-                predict_share(model, estimate_utilization(model, worker), run.step.image, more)
+                predict_share(model, estimate_utilization(model, worker), run.step.image, extra_cpu)
                 < AIMED_TARGET_SHARE
             ):
-                _set_pace(cell, run, wanted, now)
+                _set_pace(cell, run, new_pace, now)
                 break
 
 
--- a/toucanpin/scheduling/pending_counts.py
+++ b/toucanpin/scheduling/pending_counts.py
@@ -2,7 +2,7 @@
 Counts of pending jobs
 ======================
 
-How many jobs of each queue are accepted and not begun, and as of which version of the table.
+Number of accepted jobs of each queue that haven't begun, as of a version of the table.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
     "is_recent",
 ]
 
-# Callers may receive counts that are two seconds old; younger counts need no update with newer
+# Callers may receive counts that are two seconds old; more recent ones need no update with newer
 # jobs.
 MAX_COUNT_AGE_MS = 1_500
 MAX_ROW_BYTES = 48_000  # of a row's 64 KB: some 2,000 queues with pending jobs
@@ -64,8 +64,8 @@
     """
     Return the encoded row of counts.
 
-    Counts that exceed one row aren't written, and callers are told that the count isn't known; a
-    count without some queues would be wrong.
+    Counts that exceed one row aren't written, and callers get no count; counts without some queues
+    would be wrong.
     """
     waiting = {queue: count for queue, count in jobs.items() if count}
     value = msgspec.msgpack.encode(PendingCounts(view, waiting))
--- a/toucanpin/scheduling/placing.py
+++ b/toucanpin/scheduling/placing.py
@@ -42,10 +42,7 @@
     record_shortage,
     record_unplaceable,
 )
-from toucanpin.scheduling.worker import (
-    Worker,
-    has_room,
-)
+from toucanpin.scheduling.worker import Worker, has_room
 
 __all__ = ["place_tasks"]
 
@@ -54,7 +51,7 @@
 # would leave nothing to short tasks.
 RESERVE_WAIT_S = 1.0
 NO_LIMIT = 1_000_000  # more tasks than any cell runs
-MAX_PREEMPTIONS = 16  # tasks of a step for which others are stopped in one round
+MAX_PREEMPTIONS = 16  # tasks of a step for which others are preempted in one round
 
 
 def place_tasks(cell: Cell, model: InterferenceModel, now: Now, max_tasks: int = NO_LIMIT) -> None:
@@ -126,7 +123,7 @@
     cell: Cell, live: LiveJob, group: Group, index: int, now: Now
 ) -> ReserveAccess:
     """
-    Return how far a task may use reserved cores.
+    Return which reserved cores a task may use.
 
     The first task of a long-running step may use some: while none of its tasks runs, its service is
     unavailable.
@@ -152,7 +149,7 @@
     preemption: PreemptionRound,
     now: Now,
 ) -> None:
-    """Stop less urgent tasks for the tasks of a step that found no worker."""
+    """Preempt less urgent tasks for the tasks of a step that found no worker."""
     preemptions: dict[bool, PreemptionCandidates] = {}
     for index in _order_waiting(cell, live, group)[:MAX_PREEMPTIONS]:
         task = TaskKey(group.job, group.occurrence, group.step, index)
@@ -219,8 +216,8 @@
             chosen = CandidateWorkers(round_, live, group, step, safe, suspicion)
             worker = chosen.best()
         if worker is None or wastes_attempt(live, task, worker, eligible, now):
-            why = WaitReason.NO_ROOM if worker is None else WaitReason.FAILING_WORKERS
-            record_wait(cell, group, why, now)
+            reason = WaitReason.NO_ROOM if worker is None else WaitReason.FAILING_WORKERS
+            record_wait(cell, group, reason, now)
             continue
         if not may_place_long_running(eligible, group, step, access):
             record_wait(cell, group, WaitReason.RESERVED, now)
--- a/toucanpin/scheduling/preempting.py
+++ b/toucanpin/scheduling/preempting.py
@@ -21,15 +21,16 @@
 __all__ = ["FreedResources", "PreemptionCandidates", "PreemptionRound", "sum_stopping"]
 
 RESUME_LOSS_S = 0.3  # of work that a task loses which resumes from its checkpoint
-# Time beyond that of a stop for which the freed resources are held for the urgent task.  Several
-# stops end one after the other, and other waiting tasks would take what the first one frees.
+# Time beyond that of a stop for which the freed resources are reserved for the urgent task.
+# Several stops end one after the other, and other waiting tasks would take the resources that the
+# first one frees.
 RESERVATION_MARGIN_S = 0.4
 STOP_LOSS_S = 0.1  # of work that any stop costs
 
 
 @dataclass(slots=True)
 class FreedResources:
-    """Resources that stops will free on a worker, less those that urgent tasks will take."""
+    """Resources that preemption will free on a worker, less those that urgent tasks will take."""
 
     cpu: int = 0
     memory: int = 0
@@ -55,15 +56,15 @@
         self._infeasible = {False: Shortage(), True: Shortage()}
 
     def is_infeasible(self, step: Step, ignore_reserve: bool) -> bool:
-        """Return whether stops could not free enough for a demand of at most this size."""
+        """Return whether preemption could not free enough for a demand of at most this size."""
         return self._infeasible[step.long_running].covers(_make_demand(step, ignore_reserve))
 
     def mark_infeasible(self, step: Step, ignore_reserve: bool) -> None:
-        """Remember that stops on no worker free enough for a task of a step."""
+        """Record that preemption can't free enough for a task of a step on any worker."""
         self._infeasible[step.long_running].record(_make_demand(step, ignore_reserve))
 
     def get_freed(self, worker: Worker) -> FreedResources:
-        """Return the resources that stops will free on a worker."""
+        """Return the resources that preemption will free on a worker."""
         known = self._freed.get(worker.entry.id)
         if known is None:
             known = self._freed[worker.entry.id] = sum_stopping(worker)
@@ -78,9 +79,10 @@
 
 class PreemptionCandidates:
     """
-    Workers on which stops could free resources for a step, in a heap by the work lost.
+    Workers on which preemption could free resources for a step, in a heap by the work lost.
 
-    ``constraint_excluded`` says that a constraint of the step excluded a worker that may have room.
+    ``constraint_excluded`` is true if a constraint of the step excluded a worker that may have
+    room.
     """
 
     __slots__ = (
@@ -121,9 +123,9 @@
 
     def preempt_for_one(self) -> bool:
         """
-        Stop what has to yield to one task; return whether there will be room for it.
+        Preempt runs for one task on the cheapest worker; return whether there will be room for it.
 
-        Urgent tasks would otherwise wait for seconds until tasks that came first end.
+        Without preemption urgent tasks would wait for seconds until earlier tasks end.
         """
         if not self._heap:
             return False
@@ -161,7 +163,7 @@
 def _find_victims(
     cell: Cell, worker: Worker, group: Group, demand: Demand, freed: FreedResources, now: Now
 ) -> list[Run] | None:
-    """Return the runs to stop on a worker, empty if earlier stops suffice, None if no stops do."""
+    """Return the runs to stop on a worker, empty if none is needed, None if there is no room."""
     entry = worker.entry
     cpu = entry.cpu - worker.cpu + freed.cpu - demand.required_cpu(worker.reserved_cpu)
     memory = entry.memory - worker.memory + freed.memory - demand.memory
--- a/toucanpin/scheduling/progress.py
+++ b/toucanpin/scheduling/progress.py
@@ -53,7 +53,7 @@
     """How strongly a task is suspected of crashing its workers."""
 
     NONE = 0
-    SUSPECTED = 1  # a worker was lost under it
+    SUSPECTED = 1  # a worker was lost while it ran the task
     LAST_ATTEMPT = 2  # one more such loss fails its job
 
 
@@ -63,8 +63,8 @@
 
     A placed task may run on ``worker`` under ``attempt`` until its end is known. ``counted`` lists
     the attempts that are included in ``failures``, so that a failure that is reported twice counts
-    once. ``crashed`` maps workers that were lost under the task, and haven't answered since, to
-    whether the loss was right after the start.
+    once. ``crashed`` maps workers that were lost while they ran the task, and haven't answered
+    since, to whether the loss was right after the start.
     """
 
     state: int = 0
--- a/toucanpin/scheduling/reserving.py
+++ b/toucanpin/scheduling/reserving.py
@@ -56,16 +56,16 @@
     reserves the maximum and then gives up what isn't needed.
     """
     total = sum(worker.entry.cpu for worker in eligible)
-    held = sum(worker.cpu - worker.long_running_cpu for worker in eligible)
-    remembered = (
+    used = sum(worker.cpu - worker.long_running_cpu for worker in eligible)
+    previous_peak = (
         cell.short_task_peak if cell.short_task_peak is not None else MAX_RESERVED_SHARE * total
     )
     cell.short_task_peak = max(
-        held + _sum_waiting_cpu(cell), remembered * math.exp(-RESERVE_PERIOD_S / PEAK_DECAY_S)
+        used + _sum_waiting_cpu(cell), previous_peak * math.exp(-RESERVE_PERIOD_S / PEAK_DECAY_S)
     )
     return int(
         min(
-            MAX_RESERVED_SHARE * total, max(MIN_RESERVED_SHARE * total, cell.short_task_peak - held)
+            MAX_RESERVED_SHARE * total, max(MIN_RESERVED_SHARE * total, cell.short_task_peak - used)
         )
     )
 
--- a/toucanpin/scheduling/retrying.py
+++ b/toucanpin/scheduling/retrying.py
@@ -2,7 +2,7 @@
 Retries
 =======
 
-Which workers a task may be retried on after failures and lost workers.
+Choice of the workers on which a task may be retried after failures and lost workers.
 """
 
 from __future__ import annotations
@@ -74,9 +74,9 @@
     """
     Return the workers whose loss would be the clearest evidence against a task.
 
-    Two tasks that were lost together would be placed together again, and the harmless one failed
-    with the one that crashes its workers. A task on workers that restart often would be failed as
-    well.
+    Two tasks that were lost together would otherwise be placed together again, and the harmless one
+    would fail with the one that crashes its workers. A task on workers that restart often would
+    fail as well.
     """
     step = live.job.steps[task.step]
     group = Group(task.job, task.occurrence, task.step)
--- a/toucanpin/scheduling/shortage.py
+++ b/toucanpin/scheduling/shortage.py
@@ -49,7 +49,7 @@
     Demands that no worker can meet.
 
     Free resources only shrink within a round, so a demand that one step could not place fails for
-    all later steps too.  This avoids that each waiting step checks each worker in each turn.
+    all later steps too.  Otherwise each waiting step would check each worker in each turn.
     """
 
     _known: list[Demand] = field(default_factory=list)
@@ -59,6 +59,6 @@
         return any(known.is_within(demand) for known in self._known)
 
     def record(self, demand: Demand) -> None:
-        """Add a demand that could not be met."""
+        """Record a demand that could not be met."""
         self._known = [known for known in self._known if not demand.is_within(known)]
         self._known.append(demand)
--- a/toucanpin/scheduling/starting.py
+++ b/toucanpin/scheduling/starting.py
@@ -28,7 +28,7 @@
 
 MIN_START_LEASE_S = 0.5  # a shorter lease would expire before it is renewed
 UNHEALTHY_BACKOFF_S = 1.0  # for a worker that refused to start anything
-MAX_ENTRY_AGE_S = 2.5  # at which tasks are started on workers that accept more than fits
+MAX_ENTRY_AGE_S = 2.5  # of workers that accept more tasks than fit, for a start on them
 NO_ROOM_BACKOFF_S = 0.3  # for a worker with less capacity than its owner assumed
 
 
@@ -101,7 +101,7 @@
 def apply_start_failure(
     cell: Cell, worker: Worker, run: Run, certain: bool, now: Now
 ) -> StartOutcome:
-    """Handle a start without an answer; ``certain`` says that it was never sent."""
+    """Handle a start without an answer; ``certain`` is true if it was never sent."""
     if run.phase is not Phase.ORDERED:
         return StartOutcome.SETTLED
     run.start_unconfirmed = run.start_unconfirmed or not certain
--- a/toucanpin/scheduling/stopping.py
+++ b/toucanpin/scheduling/stopping.py
@@ -76,7 +76,7 @@
     live = cell.jobs.get(run.task.job)
     if live is None:
         return 0
-    at_work = sum(
+    available = sum(
         other.phase is Phase.RUNNING
         and other.percent >= 100
         and now.steady < other.last_listed_at + MAX_LISTING_AGE_S
@@ -85,4 +85,4 @@
         and other.task.step == run.task.step
         and other.task.occurrence == run.task.occurrence
     )
-    return run.step.count - 1 - at_work
+    return run.step.count - 1 - available
--- a/toucanpin/scheduling/trust.py
+++ b/toucanpin/scheduling/trust.py
@@ -2,7 +2,7 @@
 Trust in workers
 ================
 
-Which workers may be given tasks, judged by the outcome of their earlier tasks.
+Decide by the outcome of a worker's earlier tasks whether it may be given more.
 """
 
 from __future__ import annotations
--- a/toucanpin/scheduling/unplaceable.py
+++ b/toucanpin/scheduling/unplaceable.py
@@ -2,7 +2,7 @@
 Unplaceable tasks
 =================
 
-Remember demands that could not be placed, so that equal or larger ones aren't tried on all workers.
+Record demands that could not be placed, so that equal or larger ones aren't tried on all workers.
 """
 
 from __future__ import annotations
@@ -69,7 +69,7 @@
     constraint_excluded: bool,
 ) -> None:
     """
-    Record that a task could not be placed, unless its own rules excluded possible workers.
+    Record that a task could not be placed, unless its constraints excluded possible workers.
 
     With ``access``, only reserved capacity was left.
     """
--- a/toucanpin/scheduling/upkeep.py
+++ b/toucanpin/scheduling/upkeep.py
@@ -2,7 +2,7 @@
 Upkeep of machines
 ==================
 
-Order in which the machines of a wave go into upkeep, and draining of their workers before.
+Order in which the machines of a wave go into upkeep, and draining of their workers before it.
 """
 
 from __future__ import annotations
@@ -205,7 +205,7 @@
 
 
 def end_drains(workers: Iterable[Worker], chosen: Iterable[Worker]) -> None:
-    """Let workers accept tasks again that are no longer to be drained."""
+    """End the draining of the workers that aren't among ``chosen``."""
     kept = {worker.entry.id for worker in chosen}
     for worker in workers:
         if worker.entry.id not in kept:
--- a/toucanpin/scheduling/utilization.py
+++ b/toucanpin/scheduling/utilization.py
@@ -17,8 +17,8 @@
     """
     Utilization of one latency-critical job on a worker.
 
-    ``load`` is its utilization without neighbours, ``expected`` and ``measured`` are those beside
-    the best-effort tasks that run there now; at ``limit`` its tail latency reaches its target.
+    ``load`` is its utilization without neighbours, ``expected`` and ``measured`` are those with the
+    best-effort tasks that run there now; at ``limit`` its tail latency reaches its target.
     """
 
     image: str
--- a/toucanpin/scheduling/worker.py
+++ b/toucanpin/scheduling/worker.py
@@ -48,7 +48,7 @@
 
 @dataclass(slots=True)
 class Run:
-    """One attempt of a task on one worker; times are on the local monotonic clock."""
+    """One attempt of a task on one worker; times are on the local steady clock."""
 
     task: TaskKey
     attempt: int
@@ -81,7 +81,7 @@
 
 @dataclass(slots=True)
 class Worker:
-    """A worker as the owner of its cell knows it; times are on the local monotonic clock."""
+    """A worker as the owner of its cell knows it; times are on the local steady clock."""
 
     entry: WorkerEntry
     runs: dict[TaskKey, Run] = field(default_factory=dict)
@@ -168,8 +168,8 @@
         (entry.memory, step.memory),
         (entry.accelerators, step.accelerators),
     )
-    most = step.per_worker or step.count
-    return min([most, *(total // part for total, part in sizes if part)])
+    limit = step.per_worker or step.count
+    return min([limit, *(total // part for total, part in sizes if part)])
 
 
 def fits_when_idle(worker: Worker, step: Step) -> bool:
@@ -201,7 +201,7 @@
 
 
 def bound_freeable_cpu(worker: Worker, priority: int) -> int:
-    """Return an upper bound on the CPU that stops could free for a task of a priority."""
+    """Return an upper bound on the CPU that preemption could free for a task of a priority."""
     preemptible_cpu = sum(cpu for other, cpu in worker.preemptible_cpu.items() if other > priority)
     return worker.entry.cpu - worker.cpu + worker.stopping_cpu + preemptible_cpu
 
--- a/toucanpin/scheduling/write_batches.py
+++ b/toucanpin/scheduling/write_batches.py
@@ -2,7 +2,7 @@
 Write batches
 =============
 
-Content of one transaction of a cell's owner, and what follows once it is written.
+Content of one transaction of a cell's owner, and the actions that follow once it is written.
 """
 
 from __future__ import annotations
