--- a/standins/site/machines.py
+++ b/standins/site/machines.py
@@ -102,4 +102,4 @@
     async def _replace(self, name: str, worker: SiteWorker) -> None:
         await worker.leave()
         await asyncio.sleep(self._upkeep)
-        self.workers[name] = await self._site.add_worker(lasts=worker.core.lasts)
+        self.workers[name] = await self._site.add_worker(duration=worker.core.duration)
--- a/standins/site/site.py
+++ b/standins/site/site.py
@@ -116,7 +116,7 @@
     async def add_worker(
         self,
         cpu: int = 4_000,
-        lasts: float = 0.2,
+        duration: float = 0.2,
         address: str = "",
         data_centre: str = "dc",
     ) -> SiteWorker:
@@ -125,7 +125,7 @@
         address = address or f"127.0.0.1:{free_port()}"
         entry = WorkerEntry(name, "c", address, data_centre, True, cpu, 8_000, 0)
         worker = SiteWorker(self.store, entry)
-        worker.core.lasts = lasts
+        worker.core.duration = duration
         await worker.start()
         self.workers.append(worker)
         return worker
--- a/standins/site/worker.py
+++ b/standins/site/worker.py
@@ -37,7 +37,7 @@
         self.core = WorkerCore(entry)
         self.refuse_next = 0
         self.garbage_next = 0
-        self.looks = 0
+        self.polls = 0
         self.crashing: frozenset[str] = frozenset()  # jobs whose tasks crash this worker
         self.crashed = asyncio.Event()
         self._store = store
@@ -101,7 +101,7 @@
             case "/pace":
                 return self._answer(None)
             case "/hold":
-                return await self._hold(call)
+                return await self._poll(call)
         return Response(404)
 
     def _start(self, call: dict[str, Any]) -> Response | None:
@@ -123,29 +123,29 @@
         )
         return self._answer(answer.refused)
 
-    async def _hold(self, call: dict[str, Any]) -> Response:
-        self.looks += 1
+    async def _poll(self, call: dict[str, Any]) -> Response:
+        self.polls += 1
         deadline = time.monotonic() + call.get("waitMs", 0) / 1_000
         while True:
-            held = self.core.hold(
+            report = self.core.poll(
                 call["fencingToken"],
                 call.get("ackedSeq", 0),
                 call.get("deadlineMs", 0),
                 self._now(),
             )
-            if isinstance(held, RefusalReason):
-                return self._answer(held)
-            if held.ended or time.monotonic() >= deadline:
+            if isinstance(report, RefusalReason):
+                return self._answer(report)
+            if report.ended or time.monotonic() >= deadline:
                 break
             await asyncio.sleep(TICK)
         running = [
-            [encode_task(r.task), r.attempt, r.checkpoint, r.percent, 0] for r in held.running
+            [encode_task(r.task), r.attempt, r.checkpoint, r.percent, 0] for r in report.running
         ]
         ended = [
             [e.sequence, encode_task(e.task), e.attempt, e.end.value, e.checkpoint]
-            for e in held.ended
+            for e in report.ended
         ]
-        body = {"clockMs": held.clock, "running": running, "finished": ended}
+        body = {"clockMs": report.clock, "running": running, "finished": ended}
         return Response(200, msgspec.json.encode(body))
 
     def _answer(self, refused: RefusalReason | None) -> Response:
--- a/standins/site/worker_core.py
+++ b/standins/site/worker_core.py
@@ -20,16 +20,16 @@
     WorkerEntry,
 )
 
-__all__ = ["Present", "WorkerCore"]
+__all__ = ["Run", "WorkerCore"]
 
 
 @dataclass(slots=True)
-class Present:
+class Run:
     """Hold one run that a worker carries out."""
 
     attempt: int
     started: float
-    lasts: float
+    duration: float
     fails: bool
 
 
@@ -40,20 +40,20 @@
     entry: WorkerEntry
     token: int = 0
     deadline: float = 0.0
-    runs: dict[TaskKey, Present] = field(default_factory=dict)
+    runs: dict[TaskKey, Run] = field(default_factory=dict)
     ended: list[EndedRun] = field(default_factory=list)
     highest: dict[TaskKey, int] = field(default_factory=dict)
     sequence: int = 0
     acknowledged: int = 0
     silent: bool = False
-    deaf: bool = False
+    delays_orders: bool = False
     failing: bool = False
     refusing: int = 0  # so many starts are refused
     refusal: RefusalReason = RefusalReason.NO_ROOM
-    forgotten: list[EndedRun] = field(default_factory=list)
+    acknowledged_ends: list[EndedRun] = field(default_factory=list)
     stuck: bool = False
-    lasts: float = 1.0
-    late: list[tuple[float, TaskKey, int, int, int]] = field(default_factory=list)
+    duration: float = 1.0
+    delayed_starts: list[tuple[float, TaskKey, int, int, int]] = field(default_factory=list)
     starts: list[tuple[TaskKey, int]] = field(default_factory=list)
 
     def start(
@@ -75,7 +75,7 @@
             return StartAnswer(clock, None)
         if attempt <= self.highest.get(task, 0):
             return StartAnswer(clock, RefusalReason.OLD_ATTEMPT)
-        self.runs[task] = Present(attempt, now, self.lasts, self.failing)
+        self.runs[task] = Run(attempt, now, self.duration, self.failing)
         self.starts.append((task, attempt))
         return StartAnswer(clock, None)
 
@@ -89,7 +89,7 @@
             self.end(task, RunEnd.STOPPED)
         return None
 
-    def hold(
+    def poll(
         self, token: int, acknowledged: int, deadline: int, now: float
     ) -> PollAnswer | RefusalReason:
         """Renew the lease, forget acknowledged ends, and list what is left."""
@@ -97,7 +97,7 @@
             return RefusalReason.FENCED
         self.token = token
         self.acknowledged = max(self.acknowledged, acknowledged)
-        self.forgotten += [ended for ended in self.ended if ended.sequence <= acknowledged]
+        self.acknowledged_ends += [ended for ended in self.ended if ended.sequence <= acknowledged]
         self.ended = [ended for ended in self.ended if ended.sequence > acknowledged]
         self.deadline = max(self.deadline, deadline / 1_000)
         running = tuple(
@@ -106,11 +106,11 @@
         )
         return PollAnswer(int(now * 1_000), running, tuple(self.ended))
 
-    def percent(self, run: Present, now: float) -> int:
+    def percent(self, run: Run, now: float) -> int:
         """Return how far a run has come."""
         if self.stuck:
             return 0
-        return min(99, int(100 * (now - run.started) / run.lasts))
+        return min(99, int(100 * (now - run.started) / run.duration))
 
     def end(self, task: TaskKey, end: RunEnd) -> None:
         """End a run."""
@@ -121,8 +121,8 @@
 
     def advance(self, now: float) -> None:
         """Carry out late orders, and end what has lapsed, failed or is done."""
-        for order in [order for order in self.late if order[0] <= now]:
-            self.late.remove(order)
+        for order in [order for order in self.delayed_starts if order[0] <= now]:
+            self.delayed_starts.remove(order)
             _, task, attempt, deadline, token = order
             self.start(task, attempt, deadline, token, now)
         for task, run in list(self.runs.items()):
@@ -130,5 +130,5 @@
                 self.end(task, RunEnd.LEASE_EXPIRED)
             elif run.fails:
                 self.end(task, RunEnd.FAILED)
-            elif not self.stuck and now >= run.started + run.lasts:
+            elif not self.stuck and now >= run.started + run.duration:
                 self.end(task, RunEnd.DONE)
--- a/tools/site_demo.py
+++ b/tools/site_demo.py
@@ -35,7 +35,7 @@
         for _ in range(3):
             await site.add_host()
         for _ in range(4):
-            await site.add_worker(lasts=0.3)
+            await site.add_worker(duration=0.3)
         for number in range(3):
             if not await site.until_ready(number):
                 faults.append(f"host {number} isn't ready")
--- a/tools/soak/workers.py
+++ b/tools/soak/workers.py
@@ -50,7 +50,7 @@
         count = len(self.starts)
         answer = WorkerCore.start(self, task, attempt, deadline, token, now)
         if len(self.starts) > count:
-            self.runs[task].lasts = self._find_length(task)
+            self.runs[task].duration = self._find_length(task)
             self.stopping.pop(task, None)
             self.record(Started(time.monotonic(), self.entry.id, task, attempt))
             if task.job in self.jobs and self.jobs[task.job].crashes(task):
@@ -66,12 +66,12 @@
             self.stopping.setdefault(task, time.monotonic() + STOPPING)
         return None
 
-    def hold(
+    def poll(
         self, token: int, acknowledged: int, deadline: int, now: float
     ) -> PollAnswer | RefusalReason:
-        known = len(self.forgotten)
-        held = WorkerCore.hold(self, token, acknowledged, deadline, now)
-        for ended in self.forgotten[known:]:
+        known = len(self.acknowledged_ends)
+        held = WorkerCore.poll(self, token, acknowledged, deadline, now)
+        for ended in self.acknowledged_ends[known:]:
             how = ended.end.value
             at = time.monotonic()
             self.record(Acknowledged(at, self.entry.id, ended.task, ended.attempt, how))
--- a/toucanpin/entry/tests/test_cell_workers.py
+++ b/toucanpin/entry/tests/test_cell_workers.py
@@ -54,14 +54,14 @@
         site.configure()
         self.addAsyncCleanup(site.close)
         await site.add_host()
-        worker = await site.add_worker(lasts=0.5)
+        worker = await site.add_worker(duration=0.5)
         self.assertTrue(await site.until_ready())
         await site.submit()
         self.assertTrue(await site.until(lambda: worker.core.runs))
         site.faults[0].refusing = 503
         self.assertTrue(await site.until(lambda: worker.core.ended))
-        looks = worker.looks
-        self.assertTrue(await site.until(lambda: worker.looks > looks + 2))
+        polls = worker.polls
+        self.assertTrue(await site.until(lambda: worker.polls > polls + 2))
         site.faults[0].refusing = 0
         self.assertTrue(await site.until_state("completed", JOB))
 
--- a/toucanpin/entry/tests/test_decision_log.py
+++ b/toucanpin/entry/tests/test_decision_log.py
@@ -48,7 +48,7 @@
         A step waits for 40 s while thousands of its queue are placed.  The line must show that each
         of its tasks requests more cores than any worker has free.
         """
-        self.fleet.workers["w0"].lasts = 60.0
+        self.fleet.workers["w0"].duration = 60.0
         self.fleet.submit(make_job("small", (Step(cpu=600),)))
         self.fleet.run(0.5)
         self.fleet.submit(make_job("large", (Step(cpu=900),)))
--- a/toucanpin/entry/tests/test_evacuations.py
+++ b/toucanpin/entry/tests/test_evacuations.py
@@ -83,7 +83,7 @@
 
     async def test_running_tasks_are_not_stopped(self) -> None:
         """Guards against the loss of work that would finish by itself."""
-        self.here.core.lasts = self.there.core.lasts = 2.5
+        self.here.core.duration = self.there.core.duration = 2.5
         await self.site.submit(OTHER_JOB, count=8)
         self.assertTrue(await self.site.until(lambda: _count(self.here) == 4))
         await self._evacuate("here")
--- a/toucanpin/entry/tests/test_job_watch.py
+++ b/toucanpin/entry/tests/test_job_watch.py
@@ -58,7 +58,7 @@
         site.configure()
         self.addAsyncCleanup(site.close)
         await site.add_host()
-        worker = await site.add_worker(cpu=1_000, lasts=5.0)
+        worker = await site.add_worker(cpu=1_000, duration=5.0)
         self.assertTrue(await site.until_ready())
         await site.submit()
         self.assertTrue(await site.until(lambda: worker.core.runs))
--- a/toucanpin/entry/tests/test_periodic.py
+++ b/toucanpin/entry/tests/test_periodic.py
@@ -20,7 +20,7 @@
         site.configure()
         self.addAsyncCleanup(site.close)
         await site.add_host()
-        worker = await site.add_worker(lasts=1.5)
+        worker = await site.add_worker(duration=1.5)
         self.assertTrue(await site.until_ready())
         self.assertEqual(200, (await site.submit()).status)
         self.assertTrue(await site.until_state("completed"))
--- a/toucanpin/entry/tests/test_site.py
+++ b/toucanpin/entry/tests/test_site.py
@@ -70,7 +70,7 @@
 
     async def test_a_cancelled_job_is_stopped_on_its_worker(self) -> None:
         await self.site.add_host()
-        worker = await self.site.add_worker(lasts=60.0)
+        worker = await self.site.add_worker(duration=60.0)
         self.assertTrue(await self.site.until_ready())
         await self.site.submit(longRunning=True)
         self.assertTrue(await self.site.until(lambda: worker.core.runs))
@@ -116,7 +116,7 @@
         """
         await self.site.add_host()
         await self.site.add_host()
-        worker = await self.site.add_worker(lasts=3.0)
+        worker = await self.site.add_worker(duration=3.0)
         self.assertTrue(await self.site.until_ready(0))
         self.assertTrue(await self.site.until_ready(1))
         await self.site.submit()
@@ -133,7 +133,7 @@
         keep up.  A task that runs during the change isn't started twice.
         """
         await self.site.add_host(cores=0.5)
-        worker = await self.site.add_worker(lasts=10.0)
+        worker = await self.site.add_worker(duration=10.0)
         self.assertTrue(await self.site.until_ready(0))
         await self.site.submit()
         self.assertTrue(await self.site.until(lambda: worker.core.runs))
@@ -255,10 +255,10 @@
         started.
         """
         await self.site.add_host()
-        worker = await self.site.add_worker(lasts=60.0)
+        worker = await self.site.add_worker(duration=60.0)
         self.assertTrue(await self.site.until_ready())
         self.assertTrue(await self.site.until(self.site.hosts[0].owned_cells))
-        self.assertTrue(await self.site.until(lambda: self.site.workers[0].looks))
+        self.assertTrue(await self.site.until(lambda: self.site.workers[0].polls))
         faults = self.site.faults[0]
         faults.unreadable = "jobs"
         self.assertTrue(await self.site.until(lambda: faults.unread >= 2))
--- a/toucanpin/entry/tests/test_slow_takeover.py
+++ b/toucanpin/entry/tests/test_slow_takeover.py
@@ -31,7 +31,7 @@
         self.addAsyncCleanup(site.close)
         await site.add_host()
         await site.add_host()
-        worker = await site.add_worker(lasts=60.0)
+        worker = await site.add_worker(duration=60.0)
         self.assertTrue(await site.until_ready(0))
         self.assertTrue(await site.until_ready(1))
         owner = next(number for number, host in enumerate(site.hosts) if host.owned_cells())
--- a/toucanpin/entry/tests/test_waves.py
+++ b/toucanpin/entry/tests/test_waves.py
@@ -21,7 +21,7 @@
         await self.machines.listen(address)
         await self.site.add_host()
         for number in range(3):
-            self.machines.add(f"m{number}", await self.site.add_worker(lasts=60.0))
+            self.machines.add(f"m{number}", await self.site.add_worker(duration=60.0))
         self.assertTrue(await self.site.until_ready())
         self.assertTrue(await self.site.until(self.site.hosts[0].owned_cells))
 
--- a/toucanpin/entry/tests/test_worker_entries.py
+++ b/toucanpin/entry/tests/test_worker_entries.py
@@ -20,9 +20,9 @@
         self.site.configure()
         self.addAsyncCleanup(self.site.close)
         await self.site.add_host()
-        self.worker = await self.site.add_worker(lasts=60.0)
+        self.worker = await self.site.add_worker(duration=60.0)
         self.assertTrue(await self.site.until_ready())
-        self.assertTrue(await self.site.until(lambda: self.worker.looks))
+        self.assertTrue(await self.site.until(lambda: self.worker.polls))
 
     async def test_unchanged_entries_are_not_read_again(self) -> None:
         """
@@ -43,7 +43,7 @@
         """
         self.worker.core.entry = replace(self.worker.core.entry, ready=False)
         self.worker.register()
-        other = await self.site.add_worker(lasts=60.0)
+        other = await self.site.add_worker(duration=60.0)
         store = self.site.store
         store.forget_history()
         asked = store.asked["servers"]
--- a/toucanpin/scheduling/tests/fleet.py
+++ b/toucanpin/scheduling/tests/fleet.py
@@ -164,7 +164,7 @@
             if core.silent:
                 mark_silent(worker)
                 continue
-            held = core.hold(self.cell.token, order.acknowledged, order.deadline, self.time)
+            held = core.poll(self.cell.token, order.acknowledged, order.deadline, self.time)
             assert isinstance(held, PollAnswer), held
             apply_answer(self.cell, worker, held, self.time, self.now())
 
@@ -181,9 +181,9 @@
             core = self.workers.get(run.worker)
             if core is None or core.silent:
                 following = apply_start_failure(self.cell, worker, run, False, self.now())
-            elif core.deaf:
+            elif core.delays_orders:
                 order = (self.time + 6.0, run.task, run.attempt, deadline, self.cell.token)
-                core.late.append(order)
+                core.delayed_starts.append(order)
                 following = apply_start_failure(self.cell, worker, run, False, self.now())
             elif run.task in self.crashing:
                 self.crashes.append(run.task)
@@ -207,7 +207,7 @@
             core = self.workers.get(order.worker)
             if worker is None or core is None:
                 continue
-            if core.silent or core.deaf:
+            if core.silent or core.delays_orders:
                 self.stops.append(order)
                 continue
             core.stop(order.task, order.attempt, self.cell.token)
--- a/toucanpin/scheduling/tests/test_crashing.py
+++ b/toucanpin/scheduling/tests/test_crashing.py
@@ -34,7 +34,7 @@
         """Guards against crash loops of tasks that run for a while before their workers crash."""
         fleet = Fleet(workers=8)
         for worker in fleet.workers.values():
-            worker.lasts = 4.0
+            worker.duration = 4.0
         fleet.submit(make_job("bad", max_failures=2))
         crashes = 0
         for _ in range(120):
@@ -72,7 +72,7 @@
         """Guards against gangs of which one member crashes a worker at each attempt."""
         fleet = Fleet(workers=8)
         for worker in fleet.workers.values():
-            worker.lasts = 100.0
+            worker.duration = 100.0
         fleet.crashing = {TaskKey("bad", 0, 0, 2)}
         fleet.submit(make_job("bad", (Step(count=3, cpu=1_000, gang=True),), max_failures=2))
         fleet.run(60.0)
@@ -99,7 +99,7 @@
             with self.subTest(long_running=long_running):
                 fleet = Fleet(workers=4, cpu=16_000)
                 for worker in fleet.workers.values():
-                    worker.lasts = 4.0
+                    worker.duration = 4.0
                 fleet.crashing = {TaskKey("bad", 0, 0, 0)}
                 step = Step(cpu=1_000, long_running=long_running)
                 names = [f"good{number}" for number in range(24)]
@@ -117,7 +117,7 @@
         """
         fleet = Fleet(workers=8, cpu=8_000)
         for worker in fleet.workers.values():
-            worker.lasts = 100.0
+            worker.duration = 100.0
         fleet.crashing = {TaskKey("bad", 0, 0, 0)}
         fleet.submit(make_job("good", (Step(count=3, cpu=500, long_running=True),)))
         fleet.submit(make_job("bad", (Step(cpu=500),)))
@@ -159,7 +159,7 @@
         fleet.run(NEW_WORKER_PERIOD_S)
         for name in names:
             for worker in fleet.workers.values():
-                worker.lasts = 4.0
+                worker.duration = 4.0
             fleet.submit(make_job(name, (Step(count=2, cpu=1_000),)))
             fleet.run(0.5)
             due = [life for life in fleet.workers if life.rstrip("'") in machines]
@@ -174,7 +174,7 @@
         """
         fleet = Fleet(workers=4)
         for worker in fleet.workers.values():
-            worker.lasts = 4.0
+            worker.duration = 4.0
         fleet.submit(make_job("j1"))
         fleet.run(0.5)
         for _ in range(4):
@@ -205,14 +205,14 @@
         """Guards against counting announced shutdowns of workers as crashes."""
         fleet = Fleet(workers=8)
         for worker in fleet.workers.values():
-            worker.lasts = 100.0
+            worker.duration = 100.0
         fleet.submit(make_job("j1", (Step(cpu=1_000, long_running=True),)))
         for _ in range(4):
             fleet.run(1.0)
             (name,) = [name for name, worker in fleet.workers.items() if worker.runs]
             leaving = fleet.workers[name]
             leaving.entry = dataclasses.replace(leaving.entry, ready=False)
-            leaving.deaf = True
+            leaving.delays_orders = True
             fleet.run(0.5)
             fleet.crash(name)
             fleet.run(6.0)
--- a/toucanpin/scheduling/tests/test_evacuating.py
+++ b/toucanpin/scheduling/tests/test_evacuating.py
@@ -51,12 +51,12 @@
 
     def test_a_start_without_an_answer_is_not_sent_again(self) -> None:
         """Guards against a start that is repeated, and takes effect, long after the evacuation."""
-        self.evacuated_core.deaf = True
+        self.evacuated_core.delays_orders = True
         self.fleet.submit(make_job(steps=(Step(count=8, cpu=1_000),)))
         self.fleet.run(0.3)
         self._evacuate("dc-a")
-        self.evacuated_core.late.clear()
-        self.evacuated_core.deaf = False
+        self.evacuated_core.delayed_starts.clear()
+        self.evacuated_core.delays_orders = False
         self.fleet.run(6.0)
         self.assertEqual((0, 8), (len(self.evacuated_core.starts), len(self.other_core.starts)))
         self.assertFalse(self.fleet.duplicate_runs)
--- a/toucanpin/scheduling/tests/test_failures.py
+++ b/toucanpin/scheduling/tests/test_failures.py
@@ -28,11 +28,11 @@
         """
         fleet = Fleet()
         for worker in fleet.workers.values():
-            worker.deaf = True
+            worker.delays_orders = True
         fleet.submit(make_job())
         fleet.run(1.0)
         for worker in fleet.workers.values():
-            worker.deaf = False
+            worker.delays_orders = False
         fleet.run(10.0)
         self.assertEqual(JobState.COMPLETED, fleet.state("j1"))
         self.assertFalse(fleet.duplicate_runs)
@@ -45,12 +45,12 @@
         later. The stop that it acknowledged has to prevent that.
         """
         fleet = Fleet(workers=1)
-        fleet.workers["w0"].deaf = True
+        fleet.workers["w0"].delays_orders = True
         fleet.submit(make_job())
         fleet.run(0.5)
         cancel_job(fleet.cell, "j1", fleet.now())
         fleet.run(0.5)
-        fleet.workers["w0"].deaf = False
+        fleet.workers["w0"].delays_orders = False
         fleet.run(10.0)
         self.assertFalse(fleet.workers["w0"].starts)
 
@@ -112,7 +112,7 @@
         on.
         """
         fleet = Fleet(workers=1)
-        fleet.workers["w0"].lasts = 60.0
+        fleet.workers["w0"].duration = 60.0
         fleet.submit(make_job(steps=(Step(cpu=1_000, long_running=True),)))
         fleet.run(0.5)
         fleet.replace_owner()
@@ -169,7 +169,7 @@
         fleet.run(0.3)
         fleet.workers["w0"].silent = True
         fleet.run(OWNER_AUTHORITY_S + 6.0)
-        fleet.add_worker("w1").lasts = 60.0
+        fleet.add_worker("w1").duration = 60.0
         fleet.run(1.0)
         self.assertEqual(1, len(fleet.workers["w1"].runs))
         fleet.workers["w0"].silent = False
@@ -184,7 +184,7 @@
         """
         fleet = Fleet()
         for worker in fleet.workers.values():
-            worker.lasts = 30.0
+            worker.duration = 30.0
         fleet.run(OWNER_AUTHORITY_S + 1.0)  # the first owner too waits for an earlier one's leases
         fleet.submit(make_job())
         fleet.run(1.0)
@@ -244,7 +244,7 @@
     def test_new_owner_adopts_running_tasks(self) -> None:
         fleet = Fleet()
         for worker in fleet.workers.values():
-            worker.lasts = 3.0
+            worker.duration = 3.0
         fleet.submit(make_job(steps=(Step(count=4, cpu=1_000),)))
         fleet.run(1.0)
         fleet.replace_owner()
@@ -259,7 +259,7 @@
         """
         fleet = Fleet()
         for worker in fleet.workers.values():
-            worker.lasts = 30.0
+            worker.duration = 30.0
         fleet.submit(make_job("j1"))
         fleet.run(1.0)
         holder = next(worker for worker in fleet.workers.values() if worker.runs)
@@ -280,7 +280,7 @@
         """
         fleet = Fleet()
         for worker in fleet.workers.values():
-            worker.lasts = 30.0
+            worker.duration = 30.0
         fleet.submit(make_job("j1"))
         fleet.run(1.0)
         holder = next(worker for worker in fleet.workers.values() if worker.runs)
@@ -309,7 +309,7 @@
         ended another owner may exist, so renewals must end.
         """
         fleet = Fleet(workers=1)
-        fleet.workers["w0"].lasts = 60.0
+        fleet.workers["w0"].duration = 60.0
         fleet.submit(make_job(steps=(Step(cpu=1_000, long_running=True),)))
         fleet.run(1.0)
         fleet.store_up = False
@@ -347,7 +347,7 @@
                 case "silent":
                     worker.silent = True
                 case "deaf":
-                    worker.deaf = True
+                    worker.delays_orders = True
                 case "owner":
                     fleet.replace_owner()
                 case "store":
@@ -358,7 +358,7 @@
                     cancel_job(fleet.cell, f"j{number}", fleet.now())
             fleet.run(seconds)
             fleet.store_up = True
-            worker.silent = worker.deaf = worker.failing = False
+            worker.silent = worker.delays_orders = worker.failing = False
         fleet.run(30.0)
         self.assertFalse(fleet.duplicate_runs)
         for number in range(3):
--- a/toucanpin/scheduling/tests/test_gangs.py
+++ b/toucanpin/scheduling/tests/test_gangs.py
@@ -21,7 +21,7 @@
     def setUp(self) -> None:
         self.fleet = Fleet(workers=3, cpu=2_000)
         for worker in self.fleet.workers.values():
-            worker.lasts = 100.0
+            worker.duration = 100.0
 
     def _end(self, index: int, end: RunEnd) -> None:
         self.fleet.workers[_find(self.fleet, index)].end(TaskKey("j1", 0, 0, index), end)
@@ -112,7 +112,7 @@
         Guards against members that wait until their workers end them, because the start of another
         member was not answered.
         """
-        self.fleet.workers["w0"].deaf = True
+        self.fleet.workers["w0"].delays_orders = True
         self.fleet.submit(make_job(steps=(GANG,)))
         self.fleet.run(2.5)
         ends = [e.end for worker in self.fleet.workers.values() for e in worker.ended]
--- a/toucanpin/scheduling/tests/test_job_lifecycle.py
+++ b/toucanpin/scheduling/tests/test_job_lifecycle.py
@@ -60,7 +60,7 @@
         """Guards against starts that were planned before a worker reported less capacity."""
         fleet = Fleet(workers=1)
         worker = fleet.workers["w0"]
-        worker.lasts = 3.0
+        worker.duration = 3.0
         fleet.run(0.2)
         fleet.submit(make_job(steps=(Step(count=4, cpu=1_000),)))
         fleet.store_up = False
@@ -166,7 +166,7 @@
         """
         fleet = Fleet(workers=2, cpu=10_000)
         for worker in fleet.workers.values():
-            worker.lasts = 100.0
+            worker.duration = 100.0
         fleet.submit(make_job("j1", (Step(count=5, cpu=4_700, long_running=True),)))
         fleet.run(0.5)
         # Two tasks on each worker would leave a tenth of its cores; the last such placement isn't
@@ -179,10 +179,10 @@
     def test_draining_worker_gets_no_tasks_and_loses_long_running_ones(self) -> None:
         fleet = Fleet(workers=1)
         fleet.submit(make_job(steps=(Step(cpu=1_000, long_running=True),)))
-        fleet.workers["w0"].lasts = 100.0
+        fleet.workers["w0"].duration = 100.0
         fleet.run(0.5)
         other = fleet.add_worker("w1")
-        other.lasts = 100.0
+        other.duration = 100.0
         fleet.workers["w0"].entry = replace(fleet.workers["w0"].entry, ready=False)
         fleet.run(0.5)
         self.assertFalse(fleet.workers["w0"].runs)
--- a/toucanpin/scheduling/tests/test_long_running.py
+++ b/toucanpin/scheduling/tests/test_long_running.py
@@ -15,7 +15,7 @@
     def setUp(self) -> None:
         self.fleet = Fleet(workers=2, cpu=4_000)
         for worker in self.fleet.workers.values():
-            worker.lasts = 60.0
+            worker.duration = 60.0
 
     _task = TaskKey("lasts", 0, 0, 0)
 
@@ -51,7 +51,7 @@
         siblings that never ran would wait in the queue before the one that has failed.
         """
         fleet = Fleet(workers=1, cpu=2_000)
-        fleet.workers["w0"].lasts = 60.0
+        fleet.workers["w0"].duration = 60.0
         step = Step(count=3, cpu=1_000, long_running=True)
         fleet.submit(make_job("full", (Step(cpu=1_000),), priority=0))
         fleet.submit(make_job("lasts", (step,), priority=0))
@@ -67,7 +67,7 @@
         """
         fleet = Fleet(workers=1, cpu=2_000)
         worker = fleet.workers["w0"]
-        worker.lasts = 60.0
+        worker.duration = 60.0
         step = Step(cpu=900, long_running=True)
         fleet.submit(make_job("lasts", (step,), accepted=90_000))
         fleet.submit(make_job("other", (step,), accepted=90_000))
@@ -108,7 +108,7 @@
         """
         fleet = Fleet(workers=10, cpu=4_000)
         for worker in fleet.workers.values():
-            worker.lasts = 60.0
+            worker.duration = 60.0
         fleet.submit(make_job("full", (Step(count=38, cpu=1_000),), priority=0))
         fleet.run(1.0)
         fleet.submit(make_job("large", (Step(count=3, cpu=3_900),), priority=0))
--- a/toucanpin/scheduling/tests/test_moving.py
+++ b/toucanpin/scheduling/tests/test_moving.py
@@ -19,9 +19,9 @@
         that is six times slower than the others.
         """
         fleet = Fleet(workers=4, cpu=1_000)
-        fleet.workers["w0"].lasts = 12.0
+        fleet.workers["w0"].duration = 12.0
         for name in ("w1", "w2", "w3"):
-            fleet.workers[name].lasts = 2.0
+            fleet.workers[name].duration = 2.0
         fleet.submit(make_job(steps=(Step(count=3, cpu=1_000),)))
         fleet.run(5.0)
         self.assertEqual(JobState.COMPLETED, fleet.state("j1"))
@@ -29,17 +29,17 @@
 
     def test_a_task_stays_on_a_slow_worker_if_no_other_has_room(self) -> None:
         fleet = Fleet(workers=3, cpu=1_000)
-        fleet.workers["w0"].lasts = 8.0
+        fleet.workers["w0"].duration = 8.0
         for name in ("w1", "w2"):
-            fleet.workers[name].lasts = 2.0
+            fleet.workers[name].duration = 2.0
         fleet.submit(make_job("j0", (Step(count=3, cpu=1_000),)))
         fleet.run(1.9)
         self.assertEqual(3, sum(len(worker.starts) for worker in fleet.workers.values()))
 
     def test_moderately_unequal_siblings_stay(self) -> None:
         fleet = Fleet(workers=2, cpu=1_000)
-        fleet.workers["w0"].lasts = 3.0
-        fleet.workers["w1"].lasts = 1.6
+        fleet.workers["w0"].duration = 3.0
+        fleet.workers["w1"].duration = 1.6
         fleet.submit(make_job(steps=(Step(count=2, cpu=1_000),)))
         fleet.run(5.0)
         self.assertEqual(2, sum(len(worker.starts) for worker in fleet.workers.values()))
@@ -52,8 +52,8 @@
         answer and is then reported for the first time.
         """
         fleet = Fleet(workers=2, cpu=3_000)
-        fleet.workers["w0"].lasts = 12.0
-        fleet.workers["w1"].lasts = 2.0
+        fleet.workers["w0"].duration = 12.0
+        fleet.workers["w1"].duration = 2.0
         fleet.submit(make_job(steps=(Step(count=6, cpu=1_000),)))
         fleet.run(1.9)
         unheard = next(iter(fleet.cell.workers["w0"].runs.values()))
@@ -71,7 +71,7 @@
         """
         fleet = Fleet()
         for worker in fleet.workers.values():
-            worker.lasts = 10.0
+            worker.duration = 10.0
         fleet.submit(make_job(steps=(Step(count=4, cpu=1_000),)))
         fleet.run(0.5)
         fleet.time += 2.0
@@ -100,7 +100,7 @@
         """
         fleet = Fleet(workers=1)
         worker = fleet.workers["w0"]
-        worker.lasts = 3.0
+        worker.duration = 3.0
         fleet.submit(make_job(steps=(self.STEP,)))
         fleet.run(0.3)
         worker.silent = True
@@ -120,7 +120,7 @@
         """
         fleet = Fleet(workers=2, cpu=1_000)
         for worker in fleet.workers.values():
-            worker.lasts = 1.0
+            worker.duration = 1.0
         fleet.submit(make_job(steps=(self.STEP,)))
         fleet.run(0.3)
         first = next(worker for worker in fleet.workers.values() if worker.runs)
@@ -131,7 +131,7 @@
     def test_first_finished_copy_ends_the_other(self) -> None:
         fleet = Fleet(workers=2, cpu=1_000)
         for worker in fleet.workers.values():
-            worker.lasts = 100.0
+            worker.duration = 100.0
         fleet.submit(make_job(steps=(self.STEP,)))
         fleet.run(0.3)
         first = next(worker for worker in fleet.workers.values() if worker.runs)
@@ -154,9 +154,9 @@
         fleet.submit(make_job(steps=steps))
         fleet.run(0.2)
         busy = next(worker for worker in fleet.workers.values() if worker.runs)
-        busy.runs[TaskKey("j1", 0, 0, 1)].lasts = 60.0
+        busy.runs[TaskKey("j1", 0, 0, 1)].duration = 60.0
         for worker in fleet.workers.values():
-            worker.lasts = 60.0
+            worker.duration = 60.0
         busy.silent = True
         fleet.store_up = False
         fleet.run(1.2)
@@ -176,7 +176,7 @@
         """
         fleet = Fleet(workers=2, cpu=1_000)
         for worker in fleet.workers.values():
-            worker.lasts = 100.0
+            worker.duration = 100.0
         fleet.submit(make_job(steps=(self.STEP,)))
         fleet.run(0.3)
         first = next(worker for worker in fleet.workers.values() if worker.runs)
@@ -196,7 +196,7 @@
         """
         fleet = Fleet(workers=2, cpu=1_000)
         for worker in fleet.workers.values():
-            worker.lasts = 100.0
+            worker.duration = 100.0
         fleet.submit(make_job(steps=(self.STEP,), max_failures=2))
         fleet.run(0.3)
         first = next(worker for worker in fleet.workers.values() if worker.runs)
@@ -220,7 +220,7 @@
         """
         fleet = Fleet(workers=2, cpu=1_000)
         for worker in fleet.workers.values():
-            worker.lasts = 100.0
+            worker.duration = 100.0
         fleet.submit(make_job(steps=(self.STEP,), max_failures=2))
         fleet.run(0.3)
         first = next(worker for worker in fleet.workers.values() if worker.runs)
--- a/toucanpin/scheduling/tests/test_pending_counts.py
+++ b/toucanpin/scheduling/tests/test_pending_counts.py
@@ -17,7 +17,7 @@
         """
         fleet = Fleet(workers=1)
         fleet.run(0.2)
-        fleet.workers["w0"].deaf = True
+        fleet.workers["w0"].delays_orders = True
         fleet.submit(make_job())
         fleet.run(1.0)
         self.assertEqual([], fleet.workers["w0"].starts)
--- a/toucanpin/scheduling/tests/test_preempting.py
+++ b/toucanpin/scheduling/tests/test_preempting.py
@@ -18,7 +18,7 @@
     def setUp(self) -> None:
         self.fleet = Fleet(workers=2, cpu=4_000)
         for worker in self.fleet.workers.values():
-            worker.lasts = 60.0
+            worker.duration = 60.0
 
     def _is_running(self, job: str) -> bool:
         return any(t.job == job for w in self.fleet.workers.values() for t in w.runs)
@@ -36,7 +36,7 @@
         self.fleet.submit(make_job("urgent", (Step(cpu=2_000),), priority=0))
         self.fleet.run(1.0)
         self.assertTrue(self._is_running("urgent"))
-        stops = [e for w in self.fleet.workers.values() for e in w.ended + w.forgotten]
+        stops = [e for w in self.fleet.workers.values() for e in w.ended + w.acknowledged_ends]
         self.assertEqual(1, sum(ended.end is RunEnd.STOPPED for ended in stops))
 
     def test_freed_resources_are_held_during_slow_stop(self) -> None:
--- a/toucanpin/scheduling/tests/test_racks.py
+++ b/toucanpin/scheduling/tests/test_racks.py
@@ -22,7 +22,7 @@
             self.fleet.workers.pop(entry.id)
             self.fleet.add_worker(entry.id, labels=("half", entry.labels[1]))
         for worker in self.fleet.workers.values():
-            worker.lasts = 60.0
+            worker.duration = 60.0
         half = Step(count=3, cpu=2_000, label="half", per_worker=1)
         self.fleet.submit(make_job("full", (half,)))
         self.fleet.run(0.2)
--- a/toucanpin/scheduling/tests/test_reserving.py
+++ b/toucanpin/scheduling/tests/test_reserving.py
@@ -16,7 +16,7 @@
     def setUp(self) -> None:
         self.fleet = Fleet(workers=WORKERS, cpu=CORES)
         for worker in self.fleet.workers.values():
-            worker.lasts = 60.0
+            worker.duration = 60.0
 
     def _fill_up(self) -> None:
         """Submit long-running jobs that request a quarter more cores than the fleet has."""
--- a/toucanpin/scheduling/tests/test_scaling.py
+++ b/toucanpin/scheduling/tests/test_scaling.py
@@ -38,7 +38,7 @@
     fleet = Fleet(workers=0)
     for number in range(WORKERS):
         core = fleet.add_worker(f"w{number}", scale * CORES)
-        core.lasts = 1.0 + number / 10
+        core.duration = 1.0 + number / 10
     for job in _draw_jobs(scale):
         fleet.submit(job)
         fleet.run(0.2)
--- a/toucanpin/scheduling/tests/test_stale_views.py
+++ b/toucanpin/scheduling/tests/test_stale_views.py
@@ -23,7 +23,7 @@
         ended, as lost, so that it runs twice.
         """
         fleet = Fleet(workers=1)
-        fleet.workers["w0"].lasts = 60.0
+        fleet.workers["w0"].duration = 60.0
         fleet.submit(make_job())
         fleet.run(0.5)
         worker = fleet.cell.workers["w0"]
@@ -49,7 +49,7 @@
         """
         fleet = Fleet()
         for worker in fleet.workers.values():
-            worker.lasts = 30.0
+            worker.duration = 30.0
         fleet.submit(make_job(steps=(Step(count=4, cpu=1_000),)))
         fleet.run(1.0)
         self.assertEqual(4, len(fleet.cell.runs["j1"]))
@@ -64,7 +64,7 @@
         stopping the best-effort tasks beside it.
         """
         fleet = Fleet(workers=1)
-        fleet.workers["w0"].lasts = 30.0
+        fleet.workers["w0"].duration = 30.0
         critical = Step(cpu=1_000, long_running=True, target=100, image="serves")
         best_effort = Step(cpu=1_000, best_effort=True, checkpoints=True, image="fills")
         fleet.submit(make_job("s", (critical,)))
--- a/toucanpin/scheduling/tests/test_trust.py
+++ b/toucanpin/scheduling/tests/test_trust.py
@@ -19,7 +19,7 @@
         """
         fleet = Fleet(workers=3, cpu=2_000)
         for worker in fleet.workers.values():
-            worker.lasts = 2.0
+            worker.duration = 2.0
         fleet.submit(make_job("full", (Step(count=6, cpu=1_000),)))
         fleet.run(1.0)
         fleet.add_worker("bad", 2_000).failing = True
@@ -38,7 +38,7 @@
         """
         fleet = Fleet(workers=2, cpu=2_000)
         for worker in fleet.workers.values():
-            worker.lasts = 1.0
+            worker.duration = 1.0
         fleet.submit(make_job("full", (Step(count=4, cpu=1_000),)))
         fleet.run(0.5)
         fleet.add_worker("bad", 2_000).failing = True
@@ -74,7 +74,7 @@
         """
         fleet = Fleet(workers=1)
         worker = fleet.workers["w0"]
-        worker.lasts = 1.0
+        worker.duration = 1.0
         fleet.submit(make_job("good"))
         fleet.run(0.5)
         worker.failing = True
@@ -119,7 +119,7 @@
         self.assertEqual(JobState.FAILED, fleet.state("worse"))
         for worker in fleet.workers.values():
             worker.failing = False
-            worker.lasts = 20.0
+            worker.duration = 20.0
         fleet.submit(make_job("good", (Step(count=16, cpu=1_000),)))
         fleet.run(1.0)
         self.assertEqual(16, sum(len(worker.runs) for worker in fleet.workers.values()))
@@ -127,7 +127,7 @@
     def test_late_failures_of_long_running_tasks_block_no_worker(self) -> None:
         fleet = Fleet(workers=1)
         worker = fleet.workers["w0"]
-        worker.lasts = 60.0
+        worker.duration = 60.0
         step = Step(cpu=1_000, long_running=True)
         for name in ("a", "b", "c"):
             fleet.submit(make_job(name, (step,)))
--- a/toucanpin/scheduling/tests/test_turn_cost.py
+++ b/toucanpin/scheduling/tests/test_turn_cost.py
@@ -26,7 +26,7 @@
     def setUp(self) -> None:
         self.fleet = Fleet(workers=WORKERS, cpu=4_000)
         for worker in self.fleet.workers.values():
-            worker.lasts = 600.0
+            worker.duration = 600.0
         lasting = Step(count=WORKERS - RESERVED, cpu=3_000, long_running=True)
         self.fleet.submit(make_job("lasts", (lasting,)))
         self.fleet.run(1.0)
--- a/toucanpin/scheduling/tests/test_upkeep.py
+++ b/toucanpin/scheduling/tests/test_upkeep.py
@@ -27,7 +27,7 @@
     def setUp(self) -> None:
         self.fleet = Fleet(workers=4)
         for worker in self.fleet.workers.values():
-            worker.lasts = 60.0
+            worker.duration = 60.0
         self.fleet.run(0.2)
         self.machines = {f"m{n}": Machine(f"m{n}", "c", UP, f"w{n}") for n in range(4)}
         begun = int(self.fleet.time * 1_000)
