--- a/standins/site/site.py
+++ b/standins/site/site.py
@@ -28,8 +28,8 @@
 PREFIX = "/jobs/"
 HOST = "site.example"
 FIRST_PORT = 11_000
-PORTS = 200  # of one process
-SHARES = 100  # of processes; all end below the ports of outgoing connections
+PORTS_PER_PROCESS = 200  # of one process
+PORT_RANGES = 100  # of processes; all end below the ports of outgoing connections
 _counter = itertools.count()
 
 
@@ -40,9 +40,9 @@
     Left to the system, ports come from those of outgoing connections, and another process may take
     one before it is listened on.  So each process has some of its own below these.
     """
-    first = FIRST_PORT + os.getpid() % SHARES * PORTS
-    for _ in range(PORTS):
-        port = first + next(_counter) % PORTS
+    first = FIRST_PORT + os.getpid() % PORT_RANGES * PORTS_PER_PROCESS
+    for _ in range(PORTS_PER_PROCESS):
+        port = first + next(_counter) % PORTS_PER_PROCESS
         with socket.socket() as probe:
             try:
                 probe.bind(("127.0.0.1", port))
@@ -60,7 +60,7 @@
         self.store = SiteStore()
         self.faults: list[Faults] = []
         self.hosts: list[EntryProcess] = []
-        self.fronts: list[Client] = []
+        self.clients: list[Client] = []
         self.workers: list[SiteWorker] = []
         self._servers: list = []
 
@@ -81,7 +81,7 @@
         """Ask as operators do that nothing more starts in a data centre."""
         self.store.put("op", f"evacuate/{data_centre}", b"{}")
 
-    def take_back(self, data_centre: str) -> None:
+    def cancel_evacuation(self, data_centre: str) -> None:
         """End a data centre's evacuation."""
         self.store.drop("op", f"evacuate/{data_centre}")
 
@@ -110,7 +110,7 @@
         process = EntryProcess(settings)
         await process.start()
         self.hosts.append(process)
-        self.fronts.append(Client(front))
+        self.clients.append(Client(front))
         return process
 
     async def add_worker(
@@ -138,15 +138,15 @@
             await worker.stop()
         for server in self._servers:
             await server.drain(0.0)
-        for front in self.fronts:
-            front.close()
+        for client in self.clients:
+            client.close()
 
     async def call(
         self, method: str, path: str, body: bytes = b"", host: int = 0, deadline: int = 3_000
     ) -> Answer:
         """Call a host as a caller does."""
         headers = (("Host", HOST), ("X-Deadline-Ms", str(deadline)))
-        return await self.fronts[host].call(method, path, body, headers, 10.0)
+        return await self.clients[host].call(method, path, body, headers, 10.0)
 
     async def submit(
         self, job: str = JOB, host: int = 0, deadline: int = 3_000, **step: object
@@ -160,7 +160,7 @@
         answer = await self.call("GET", PREFIX + job, host=host)
         return msgspec.json.decode(answer.body)["state"] if answer.status == 200 else ""
 
-    async def until(self, condition: Callable, turns: int = 300) -> bool:
+    async def wait_until(self, condition: Callable, turns: int = 300) -> bool:
         """Wait until a condition holds, for a bounded number of turns."""
         for _ in range(turns):
             found = condition()
@@ -171,18 +171,18 @@
             await asyncio.sleep(0.05)
         return False
 
-    async def until_state(self, state: str, job: str = JOB, host: int = 0) -> bool:
+    async def wait_for_state(self, state: str, job: str = JOB, host: int = 0) -> bool:
         """Wait until a job is in a state."""
 
         async def check() -> bool:
             return await self.state(job, host) == state
 
-        return await self.until(check)
+        return await self.wait_until(check)
 
-    async def until_ready(self, host: int = 0) -> bool:
+    async def wait_until_ready(self, host: int = 0) -> bool:
         """Wait until a host knows a configuration."""
 
         async def check() -> bool:
             return (await self.call("GET", PREFIX, host=host)).status == 200
 
-        return await self.until(check)
+        return await self.wait_until(check)
--- a/tools/site_demo.py
+++ b/tools/site_demo.py
@@ -37,7 +37,7 @@
         for _ in range(4):
             await site.add_worker(duration=0.3)
         for number in range(3):
-            if not await site.until_ready(number):
+            if not await site.wait_until_ready(number):
                 faults.append(f"host {number} isn't ready")
         await site.submit(LASTING, longRunning=True)
         names = [f"{number:016x}" for number in range(1, JOBS + 1)]
@@ -46,15 +46,15 @@
             answer = await site.call("POST", PREFIX + name, body, number % 3)
             if answer.status != 200:
                 faults.append(f"job {name} was answered {answer.status}")
-        if not await site.until(lambda: any(worker.core.starts for worker in site.workers)):
+        if not await site.wait_until(lambda: any(worker.core.starts for worker in site.workers)):
             faults.append("nothing was started")
         owner = next(n for n, host in enumerate(site.hosts) if host.owned_cells())
         await site.hosts[owner].abort()
         other = (owner + 1) % 3
         for name in names:
-            if not await site.until_state("completed", name, other):
+            if not await site.wait_for_state("completed", name, other):
                 faults.append(f"job {name} isn't completed")
-        if not await site.until_state("active", LASTING, other):
+        if not await site.wait_for_state("active", LASTING, other):
             faults.append("the lasting task isn't active")
         starts = [task for worker in site.workers for task, _ in worker.core.starts]
         wanted = JOBS * sum(step["count"] for step in STEPS)  # type: ignore[misc]
--- a/toucanpin/entry/tests/test_backlog.py
+++ b/toucanpin/entry/tests/test_backlog.py
@@ -20,8 +20,8 @@
         for _ in range(2):
             await self.site.add_host()
         await self.site.add_worker()
-        self.assertTrue(await self.site.until_ready(0))
-        self.assertTrue(await self.site.until_ready(1))
+        self.assertTrue(await self.site.wait_until_ready(0))
+        self.assertTrue(await self.site.wait_until_ready(1))
 
     async def _overload_owner(self) -> None:
         def estimate(owner: Owner, now: object) -> None:
@@ -33,7 +33,7 @@
             backlogs = [host._read_backlog("c") for host in self.site.hosts]
             return all(backlogs)
 
-        self.assertTrue(await self.site.until(check))
+        self.assertTrue(await self.site.wait_until(check))
 
     async def test_every_host_refuses_jobs_that_cannot_finish_in_time(self) -> None:
         """Guards against accepted jobs that wait until their results are useless."""
@@ -50,4 +50,4 @@
         self.assertEqual(200, (await self.site.submit()).status)
         await self._overload_owner()
         self.assertEqual(200, (await self.site.submit(host=1)).status)
-        self.assertTrue(await self.site.until_state("completed"))
+        self.assertTrue(await self.site.wait_for_state("completed"))
--- a/toucanpin/entry/tests/test_cell_loading.py
+++ b/toucanpin/entry/tests/test_cell_loading.py
@@ -45,7 +45,7 @@
         starts to read in turn, so no owner ever schedules.
         """
         self.assertTrue(
-            await self.site.until(
+            await self.site.wait_until(
                 lambda: self._read_owner().sequence >= RENEWALS or self._read_owner().token > 1
             )
         )
@@ -53,9 +53,9 @@
         self.assertNotIn((COUNTS_TABLE, "c", COUNTS_KEY), self.site.store.rows)
         for faults in self.site.faults:
             faults.unreadable = ""
-        self.assertTrue(await self.site.until_ready())
+        self.assertTrue(await self.site.wait_until_ready())
         self.assertEqual(200, (await self.site.submit()).status)
-        self.assertTrue(await self.site.until_state("completed"))
+        self.assertTrue(await self.site.wait_for_state("completed"))
         self.assertEqual(1, self._read_owner().token)
 
     async def test_an_owner_that_shuts_down_during_the_load_resigns(self) -> None:
@@ -64,10 +64,10 @@
         cell.  Guards against renewing the ownership until all rows are read or the process is
         killed, with no host scheduling meanwhile.
         """
-        self.assertTrue(await self.site.until(lambda: self._read_owner().sequence >= 2))
+        self.assertTrue(await self.site.wait_until(lambda: self._read_owner().sequence >= 2))
         name = self._read_owner().host
         ending = asyncio.ensure_future(self.site.hosts[int(name[1:])].shut_down())
-        self.assertTrue(await self.site.until(lambda: self._read_owner().token > 1, 40))
+        self.assertTrue(await self.site.wait_until(lambda: self._read_owner().token > 1, 40))
         self.assertFalse(ending.done())
         self.assertNotEqual(name, self._read_owner().host)
         await ending
--- a/toucanpin/entry/tests/test_cell_workers.py
+++ b/toucanpin/entry/tests/test_cell_workers.py
@@ -55,15 +55,15 @@
         self.addAsyncCleanup(site.close)
         await site.add_host()
         worker = await site.add_worker(duration=0.5)
-        self.assertTrue(await site.until_ready())
+        self.assertTrue(await site.wait_until_ready())
         await site.submit()
-        self.assertTrue(await site.until(lambda: worker.core.runs))
+        self.assertTrue(await site.wait_until(lambda: worker.core.runs))
         site.faults[0].refusing = 503
-        self.assertTrue(await site.until(lambda: worker.core.ended))
+        self.assertTrue(await site.wait_until(lambda: worker.core.ended))
         polls = worker.polls
-        self.assertTrue(await site.until(lambda: worker.polls > polls + 2))
+        self.assertTrue(await site.wait_until(lambda: worker.polls > polls + 2))
         site.faults[0].refusing = 0
-        self.assertTrue(await site.until_state("completed", JOB))
+        self.assertTrue(await site.wait_for_state("completed", JOB))
 
 
 class SilentWorkerTest(unittest.IsolatedAsyncioTestCase):
--- a/toucanpin/entry/tests/test_configuration.py
+++ b/toucanpin/entry/tests/test_configuration.py
@@ -34,7 +34,7 @@
         self.site.configure()
         self.addAsyncCleanup(self.site.close)
         await self.site.add_host()
-        self.assertTrue(await self.site.until_ready())
+        self.assertTrue(await self.site.wait_until_ready())
 
     async def test_an_unchanged_configuration_is_not_read_again(self) -> None:
         """
@@ -45,7 +45,7 @@
         store = self.site.store
         given = store.given["op"]
         asked = store.asked["op"]
-        self.assertTrue(await self.site.until(lambda: store.asked["op"] >= asked + READS))
+        self.assertTrue(await self.site.wait_until(lambda: store.asked["op"] >= asked + READS))
         self.assertEqual(given, store.given["op"])
 
 
@@ -91,7 +91,7 @@
         site.configure()
         self.addAsyncCleanup(site.close)
         await site.add_host()
-        self.assertTrue(await site.until_ready())
+        self.assertTrue(await site.wait_until_ready())
         watch = site.hosts[0]._configuration
         site.configure(2, "/other/")
         updated: list[RowCache] = []
@@ -103,7 +103,7 @@
         with patch.object(RowCache, "update", fail):
             # A read in progress may still confirm the old version; it has ended once the next
             # starts.
-            self.assertTrue(await site.until(lambda: watch._cache in updated))
+            self.assertTrue(await site.wait_until(lambda: watch._cache in updated))
             watch.confirmed -= SILENCE
             answer = await site.call("GET", PREFIX)
         self.assertEqual(503, answer.status)
--- a/toucanpin/entry/tests/test_crashing.py
+++ b/toucanpin/entry/tests/test_crashing.py
@@ -23,11 +23,11 @@
         await site.add_host()
         restarting = [asyncio.ensure_future(_restart(site)) for _ in range(WORKERS)]
         self.addCleanup(lambda: [task.cancel() for task in restarting])
-        self.assertTrue(await site.until_ready())
+        self.assertTrue(await site.wait_until_ready())
         await site.submit()
         await site.submit(OTHER_JOB)
-        self.assertTrue(await site.until_state("failed"))
-        self.assertTrue(await site.until_state("completed", OTHER_JOB))
+        self.assertTrue(await site.wait_for_state("failed"))
+        self.assertTrue(await site.wait_for_state("completed", OTHER_JOB))
         crashes = sum(worker.crashed.is_set() for worker in site.workers)
         self.assertLessEqual(crashes, MAX_CRASHES)
 
--- a/toucanpin/entry/tests/test_evacuations.py
+++ b/toucanpin/entry/tests/test_evacuations.py
@@ -21,7 +21,7 @@
         await self.site.add_host()
         self.here = await self.site.add_worker(data_centre="here")
         self.there = await self.site.add_worker(data_centre="there")
-        self.assertTrue(await self.site.until_ready())
+        self.assertTrue(await self.site.wait_until_ready())
 
     async def _evacuate(self, data_centre: str) -> None:
         self.site.evacuate(data_centre)
@@ -29,7 +29,7 @@
 
     async def _finish(self, job: str = JOB, count: int = 6, host: int = 0) -> None:
         await self.site.submit(job, host=host, count=count)
-        self.assertTrue(await self.site.until_state("completed", job, host))
+        self.assertTrue(await self.site.wait_for_state("completed", job, host))
 
     async def test_nothing_starts_in_an_evacuated_data_centre(self) -> None:
         """Guards against tasks that are started in an evacuated data centre."""
@@ -40,7 +40,7 @@
     async def test_a_new_owner_starts_nothing_in_an_evacuated_data_centre(self) -> None:
         """Guards against a new owner that places tasks before it has read the evacuations."""
         await self.site.add_host()
-        self.assertTrue(await self.site.until_ready(1))
+        self.assertTrue(await self.site.wait_until_ready(1))
         await self._evacuate("here")
         owner = next(number for number, host in enumerate(self.site.hosts) if host.owned_cells())
         await self.site.hosts[owner].abort()
@@ -54,8 +54,8 @@
         await self.site.submit()
         await asyncio.sleep(READ_TIME)
         self.assertEqual(0, _count(self.here))
-        self.site.take_back("here")
-        self.assertTrue(await self.site.until_state("completed"))
+        self.site.cancel_evacuation("here")
+        self.assertTrue(await self.site.wait_for_state("completed"))
 
     async def test_all_data_centres_may_be_evacuated_at_once(self) -> None:
         """Guards against jobs that are lost while no worker may get anything."""
@@ -65,8 +65,8 @@
         await asyncio.sleep(READ_TIME)
         self.assertEqual("pending", await self.site.state())
         self.assertEqual((0, 0), (_count(self.here), _count(self.there)))
-        self.site.take_back("there")
-        self.assertTrue(await self.site.until_state("completed"))
+        self.site.cancel_evacuation("there")
+        self.assertTrue(await self.site.wait_for_state("completed"))
         self.assertEqual(0, _count(self.here))
 
     async def test_an_unknown_data_centre_changes_nothing(self) -> None:
@@ -85,9 +85,9 @@
         """Guards against the loss of work that would finish by itself."""
         self.here.core.duration = self.there.core.duration = 2.5
         await self.site.submit(OTHER_JOB, count=8)
-        self.assertTrue(await self.site.until(lambda: _count(self.here) == 4))
+        self.assertTrue(await self.site.wait_until(lambda: _count(self.here) == 4))
         await self._evacuate("here")
-        self.assertTrue(await self.site.until_state("completed", OTHER_JOB))
+        self.assertTrue(await self.site.wait_for_state("completed", OTHER_JOB))
         self.assertEqual((4, 4), (_count(self.here), _count(self.there)))
 
 
--- a/toucanpin/entry/tests/test_job_watch.py
+++ b/toucanpin/entry/tests/test_job_watch.py
@@ -59,22 +59,22 @@
         self.addAsyncCleanup(site.close)
         await site.add_host()
         worker = await site.add_worker(cpu=1_000, duration=5.0)
-        self.assertTrue(await site.until_ready())
+        self.assertTrue(await site.wait_until_ready())
         await site.submit()
-        self.assertTrue(await site.until(lambda: worker.core.runs))
+        self.assertTrue(await site.wait_until(lambda: worker.core.runs))
         other = "00000000000000a2"
         await site.submit(other)
         (owner,) = (it._owner for it in site.hosts[0]._candidates.values())
         assert owner is not None
-        self.assertTrue(await site.until(lambda: sum(owner.count_waiting().values())))
+        self.assertTrue(await site.wait_until(lambda: sum(owner.count_waiting().values())))
         site.faults[0].unfollowed = site.faults[0].unreadable = "jobs"
         site.store.put("jobs", other + "/cancel", b"1", job_part("c", other))
-        self.assertTrue(await site.until(lambda: not worker.core.runs))
+        self.assertTrue(await site.wait_until(lambda: not worker.core.runs))
         written = site.store.transactions
-        self.assertTrue(await site.until(lambda: site.store.transactions > written + 5))
+        self.assertTrue(await site.wait_until(lambda: site.store.transactions > written + 5))
         self.assertEqual(1, len(worker.core.starts))
         site.faults[0].unfollowed = site.faults[0].unreadable = ""
-        self.assertTrue(await site.until_state("canceled", other))
+        self.assertTrue(await site.wait_for_state("canceled", other))
         self.assertEqual(1, len(worker.core.starts))
 
 
--- a/toucanpin/entry/tests/test_metrics.py
+++ b/toucanpin/entry/tests/test_metrics.py
@@ -21,9 +21,9 @@
         self.addAsyncCleanup(site.close)
         await site.add_host()
         await site.add_worker()
-        self.assertTrue(await site.until_ready())
+        self.assertTrue(await site.wait_until_ready())
         await site.submit()
-        self.assertTrue(await site.until_state("completed"))
+        self.assertTrue(await site.wait_for_state("completed"))
         client = Client(address)
         text = (await client.call("GET", "/metrics")).body.decode()
         for line in (
--- a/toucanpin/entry/tests/test_peers.py
+++ b/toucanpin/entry/tests/test_peers.py
@@ -40,7 +40,7 @@
         now = int(CLOCK_OFFSET * 1_000)
         self._announce("there", now)
         await self.site.add_host()
-        self.assertTrue(await self.site.until(lambda: not self._is_listed("gone")))
+        self.assertTrue(await self.site.wait_until(lambda: not self._is_listed("gone")))
         self.assertTrue(self._is_listed("there"))
         self.assertTrue(self._is_listed("h0"))
 
@@ -49,7 +49,7 @@
             self._announce(f"a{number:03}", 1)
         self._announce("there", int(CLOCK_OFFSET * 1_000))
         host = await self.site.add_host()
-        self.assertTrue(await self.site.until(host.has_peers))
+        self.assertTrue(await self.site.wait_until(host.has_peers))
 
 
 class PrecedenceTest(unittest.TestCase):
--- a/toucanpin/entry/tests/test_row_reader.py
+++ b/toucanpin/entry/tests/test_row_reader.py
@@ -149,9 +149,9 @@
         site.store.put("jobs", "foreign", b"\xff\x00{", part="c/3")
         await site.add_host()
         await site.add_worker()
-        self.assertTrue(await site.until_ready())
+        self.assertTrue(await site.wait_until_ready())
         self.assertEqual(200, (await site.submit()).status)
-        self.assertTrue(await site.until_state("completed"))
+        self.assertTrue(await site.wait_for_state("completed"))
         self.assertEqual(200, (await site.call("GET", PREFIX)).status)
 
     async def test_an_owner_whose_row_is_malformed_is_replaced(self) -> None:
@@ -164,12 +164,12 @@
         self.addAsyncCleanup(site.close)
         await site.add_host()
         await site.add_worker()
-        self.assertTrue(await site.until_ready())
+        self.assertTrue(await site.wait_until_ready())
         self.assertEqual(200, (await site.submit()).status)
-        self.assertTrue(await site.until_state("completed"))
+        self.assertTrue(await site.wait_for_state("completed"))
         site.store.put("owners", "owner", b"\xc1", part="c")
         self.assertEqual(200, (await site.submit("f" * 16)).status)
-        self.assertTrue(await site.until_state("completed", job="f" * 16))
+        self.assertTrue(await site.wait_for_state("completed", job="f" * 16))
 
 
 if __name__ == "__main__":
--- a/toucanpin/entry/tests/test_shutdown.py
+++ b/toucanpin/entry/tests/test_shutdown.py
@@ -22,7 +22,7 @@
         self.site = Site()
         self.site.configure()
         await self.site.add_host()
-        self.assertTrue(await self.site.until_ready())
+        self.assertTrue(await self.site.wait_until_ready())
 
     async def asyncTearDown(self) -> None:
         await self.site.close()
--- a/toucanpin/entry/tests/test_slow_takeover.py
+++ b/toucanpin/entry/tests/test_slow_takeover.py
@@ -32,11 +32,11 @@
         await site.add_host()
         await site.add_host()
         worker = await site.add_worker(duration=60.0)
-        self.assertTrue(await site.until_ready(0))
-        self.assertTrue(await site.until_ready(1))
+        self.assertTrue(await site.wait_until_ready(0))
+        self.assertTrue(await site.wait_until_ready(1))
         owner = next(number for number, host in enumerate(site.hosts) if host.owned_cells())
         await site.submit(host=owner, count=3, longRunning=True)
-        self.assertTrue(await site.until(lambda: len(worker.core.runs) == 3))
+        self.assertTrue(await site.wait_until(lambda: len(worker.core.runs) == 3))
         load = CellRows.load
 
         async def load_late(rows: CellRows, now: Callable[[], Now]) -> int:
--- a/toucanpin/entry/tests/test_waves.py
+++ b/toucanpin/entry/tests/test_waves.py
@@ -22,8 +22,8 @@
         await self.site.add_host()
         for number in range(3):
             self.machines.add(f"m{number}", await self.site.add_worker(duration=60.0))
-        self.assertTrue(await self.site.until_ready())
-        self.assertTrue(await self.site.until(self.site.hosts[0].owned_cells))
+        self.assertTrue(await self.site.wait_until_ready())
+        self.assertTrue(await self.site.wait_until(self.site.hosts[0].owned_cells))
 
     def _request_wave(self, *machines: str, cap: int = 1) -> None:
         wave = {"wave": 1, "machines": machines, "durationS": 20, "cap": cap}
@@ -40,26 +40,30 @@
         """
         await self.site.submit(longRunning=True)
         self.assertTrue(
-            await self.site.until(lambda: any(worker.core.runs for worker in self.site.workers))
+            await self.site.wait_until(
+                lambda: any(worker.core.runs for worker in self.site.workers)
+            )
         )
         self._request_wave("m0", "m1", "m2")
-        self.assertTrue(await self.site.until(lambda: self._state() == "active"))
-        self.assertTrue(await self.site.until(lambda: self._state() == "completed", turns=600))
+        self.assertTrue(await self.site.wait_until(lambda: self._state() == "active"))
+        self.assertTrue(await self.site.wait_until(lambda: self._state() == "completed", turns=600))
         self.assertEqual({"m0": 0, "m1": 0, "m2": 0}, self.machines.through)
         self.assertEqual(1, self.machines.most_down)
         self.assertTrue(
-            await self.site.until(lambda: any(worker.core.runs for worker in self.site.workers))
+            await self.site.wait_until(
+                lambda: any(worker.core.runs for worker in self.site.workers)
+            )
         )
 
     async def test_an_order_without_an_answer_is_repeated(self) -> None:
         self.machines.lose_answers = 1
         self._request_wave("m1")
-        self.assertTrue(await self.site.until(lambda: self._state() == "completed", turns=600))
+        self.assertTrue(await self.site.wait_until(lambda: self._state() == "completed", turns=600))
         self.assertEqual({"m1": 0}, self.machines.through)
 
     async def test_a_machine_that_no_longer_exists_does_not_block_its_wave(self) -> None:
         self._request_wave("m1", "m9")
-        self.assertTrue(await self.site.until(lambda: self._state() == "completed", turns=600))
+        self.assertTrue(await self.site.wait_until(lambda: self._state() == "completed", turns=600))
         self.assertEqual({"m1": 0}, self.machines.through)
 
     async def test_a_worker_gets_no_tasks_while_an_order_is_pending(self) -> None:
@@ -69,9 +73,9 @@
         """
         self.machines.refuse_orders = 4
         self._request_wave("m1")
-        self.assertTrue(await self.site.until(lambda: self.machines.refused))
+        self.assertTrue(await self.site.wait_until(lambda: self.machines.refused))
         await self.site.submit(count=3, antiAffinity=1)
-        self.assertTrue(await self.site.until(lambda: self._state() == "completed", turns=600))
+        self.assertTrue(await self.site.wait_until(lambda: self._state() == "completed", turns=600))
         self.assertEqual({"m1": 0}, self.machines.through)
 
     async def test_a_machine_that_crashed_is_not_ordered_with_another(self) -> None:
@@ -84,7 +88,7 @@
         record = msgspec.msgpack.encode([0, {"m1": "a worker before"}, [], False])
         self.site.store.put("waves", "1", record)
         self._request_wave("m1", "m2", cap=2)
-        self.assertTrue(await self.site.until(lambda: "m2" in self.machines.through))
+        self.assertTrue(await self.site.wait_until(lambda: "m2" in self.machines.through))
         self.assertEqual({"m2"}, {machine for machine, _, _ in self.machines.holders})
 
     async def test_workers_of_a_withdrawn_wave_get_tasks_again(self) -> None:
@@ -94,15 +98,15 @@
         """
         await self.site.submit(count=3, antiAffinity=1)
         runs = [worker.core.runs for worker in self.site.workers]
-        self.assertTrue(await self.site.until(lambda: all(runs)))
+        self.assertTrue(await self.site.wait_until(lambda: all(runs)))
         self._request_wave("m1")
-        self.assertTrue(await self.site.until(lambda: self._state() == "active"))
+        self.assertTrue(await self.site.wait_until(lambda: self._state() == "active"))
         self.site.store.drop("op", "wave/1")
         await self.site.call("DELETE", PREFIX + JOB)
-        self.assertTrue(await self.site.until(lambda: not any(runs)))
+        self.assertTrue(await self.site.wait_until(lambda: not any(runs)))
         other = "00000000000000a2"
         await self.site.submit(other, count=3, antiAffinity=1)
-        self.assertTrue(await self.site.until(lambda: all(runs)))
+        self.assertTrue(await self.site.wait_until(lambda: all(runs)))
 
     async def test_a_wave_that_the_platform_does_not_know_yet_is_not_completed(self) -> None:
         """
@@ -112,7 +116,7 @@
         """
         self.machines.unknown["m1"] = 2
         self._request_wave("m1")
-        self.assertTrue(await self.site.until(lambda: self._state() == "completed", turns=600))
+        self.assertTrue(await self.site.wait_until(lambda: self._state() == "completed", turns=600))
         self.assertEqual({"m1": 0}, self.machines.through)
 
     async def test_a_machine_that_is_removed_from_its_wave_makes_room_for_others(self) -> None:
@@ -122,11 +126,11 @@
         """
         self.machines.unknown = {"m1": 1_000, "m2": 1_000}
         self._request_wave("m1", "m2")
-        self.assertTrue(await self.site.until(lambda: self.machines.holders))
+        self.assertTrue(await self.site.wait_until(lambda: self.machines.holders))
         (other,) = {"m1", "m2"} - {self.machines.holders[0][0]}
         self.machines.unknown[other] = 0
         self._request_wave(other)
-        self.assertTrue(await self.site.until(lambda: self._state() == "completed", turns=600))
+        self.assertTrue(await self.site.wait_until(lambda: self._state() == "completed", turns=600))
         self.assertIn(other, self.machines.through)
 
     async def test_a_wave_is_reopened_when_machines_are_added(self) -> None:
@@ -135,10 +139,10 @@
         its record though a machine of it had no upkeep.
         """
         self._request_wave("m1")
-        self.assertTrue(await self.site.until(lambda: self._state() == "completed", turns=600))
+        self.assertTrue(await self.site.wait_until(lambda: self._state() == "completed", turns=600))
         self._request_wave("m1", "m2")
-        self.assertTrue(await self.site.until(lambda: self._state() == "active"))
-        self.assertTrue(await self.site.until(lambda: self._state() == "completed", turns=600))
+        self.assertTrue(await self.site.wait_until(lambda: self._state() == "active"))
+        self.assertTrue(await self.site.wait_until(lambda: self._state() == "completed", turns=600))
         self.assertEqual({"m1": 0, "m2": 0}, self.machines.through)
 
     async def test_a_machine_that_is_missing_from_one_list_is_not_skipped(self) -> None:
@@ -149,7 +153,7 @@
         """
         self.machines.missed["m1"] = 1
         self._request_wave("m1", "m2")
-        self.assertTrue(await self.site.until(lambda: self._state() == "completed", turns=600))
+        self.assertTrue(await self.site.wait_until(lambda: self._state() == "completed", turns=600))
         self.assertEqual({"m1": 0, "m2": 0}, self.machines.through)
 
     async def test_a_machine_that_crashed_before_its_order_is_ordered_again(self) -> None:
@@ -161,16 +165,16 @@
         record = msgspec.msgpack.encode([0, {"m1": "a worker before"}, [], False])
         self.site.store.put("waves", "1", record)
         self._request_wave("m1")
-        self.assertTrue(await self.site.until(lambda: self._state() == "completed", turns=600))
+        self.assertTrue(await self.site.wait_until(lambda: self._state() == "completed", turns=600))
         self.assertEqual({"m1": 0}, self.machines.through)
 
     async def test_a_new_owner_continues_a_wave(self) -> None:
         await self.site.add_host()
-        self.assertTrue(await self.site.until_ready(1))
+        self.assertTrue(await self.site.wait_until_ready(1))
         self._request_wave("m0", "m1", "m2")
-        self.assertTrue(await self.site.until(lambda: self.machines.through))
+        self.assertTrue(await self.site.wait_until(lambda: self.machines.through))
         await self.site.hosts[0].abort()
-        self.assertTrue(await self.site.until(lambda: self._state() == "completed", turns=900))
+        self.assertTrue(await self.site.wait_until(lambda: self._state() == "completed", turns=900))
         self.assertEqual(3, len(self.machines.through))
         holders = {(holder, token) for _, holder, token in self.machines.holders}
         self.assertEqual({("h0", 1), ("h1", 2)}, holders)
--- a/toucanpin/entry/tests/test_worker_entries.py
+++ b/toucanpin/entry/tests/test_worker_entries.py
@@ -21,8 +21,8 @@
         self.addAsyncCleanup(self.site.close)
         await self.site.add_host()
         self.worker = await self.site.add_worker(duration=60.0)
-        self.assertTrue(await self.site.until_ready())
-        self.assertTrue(await self.site.until(lambda: self.worker.polls))
+        self.assertTrue(await self.site.wait_until_ready())
+        self.assertTrue(await self.site.wait_until(lambda: self.worker.polls))
 
     async def test_unchanged_entries_are_not_read_again(self) -> None:
         """
@@ -33,7 +33,7 @@
         store = self.site.store
         given = store.given["servers"]
         asked = store.asked["servers"]
-        self.assertTrue(await self.site.until(lambda: store.asked["servers"] >= asked + READS))
+        self.assertTrue(await self.site.wait_until(lambda: store.asked["servers"] >= asked + READS))
         self.assertEqual(given, store.given["servers"])
 
     async def test_changes_are_read_after_the_history_is_gone(self) -> None:
@@ -47,9 +47,9 @@
         store = self.site.store
         store.forget_history()
         asked = store.asked["servers"]
-        self.assertTrue(await self.site.until(lambda: store.asked["servers"] >= asked + READS))
+        self.assertTrue(await self.site.wait_until(lambda: store.asked["servers"] >= asked + READS))
         await self.site.submit(count=2)
-        self.assertTrue(await self.site.until(lambda: len(other.core.runs) == 2))
+        self.assertTrue(await self.site.wait_until(lambda: len(other.core.runs) == 2))
         self.assertFalse(self.worker.core.starts)
 
 
