--- a/standins/site/site.py
+++ b/standins/site/site.py
@@ -15,7 +15,7 @@
 
 import msgspec
 
-from standins.site.store import Faults, SiteStore
+from standins.site.store import SiteStore, StoreFaults
 from standins.site.worker import SiteWorker
 from toucanpin.entry.root import EntryProcess
 from toucanpin.http import Answer, Client
@@ -58,7 +58,7 @@
     def __init__(self, machines: str = "") -> None:
         self.machines = machines
         self.store = SiteStore()
-        self.faults: list[Faults] = []
+        self.faults: list[StoreFaults] = []
         self.hosts: list[EntryProcess] = []
         self.clients: list[Client] = []
         self.workers: list[SiteWorker] = []
@@ -83,12 +83,12 @@
 
     def cancel_evacuation(self, data_centre: str) -> None:
         """End a data centre's evacuation."""
-        self.store.drop("op", f"evacuate/{data_centre}")
+        self.store.delete("op", f"evacuate/{data_centre}")
 
     async def add_host(self, cores: float = 1.0) -> EntryProcess:
         """Start an entry host with a store address of its own."""
         address = f"127.0.0.1:{free_port()}"
-        faults = Faults()
+        faults = StoreFaults()
         self._servers.append(await self.store.listen(address, faults))
         self.faults.append(faults)
         front = f"127.0.0.1:{free_port()}"
--- a/standins/site/store.py
+++ b/standins/site/store.py
@@ -21,24 +21,24 @@
 
 from toucanpin.http import Request, Response, Server
 
-__all__ = ["Faults", "SiteStore"]
+__all__ = ["SiteStore", "StoreFaults"]
 
 _Entry = tuple[str, str, str, bytes | None]
 MAX_BODY = 1_048_576  # bytes of one transaction
 
 
 @dataclass(slots=True)
-class Faults:
+class StoreFaults:
     """Say how one address of the store misbehaves."""
 
-    refusing: int = 0  # status of every answer, 0 for none
+    status: int = 0  # status of every answer, 0 for none
     silent: bool = False
     lose_writes: int = 0  # so many transactions are done and not answered
     late_writes: int = 0  # so many transactions are done later, without an answer
-    late_by: float = 1.0  # s
-    unreadable: str = ""  # table of which ranges aren't read
-    unfollowed: str = ""  # table whose changes aren't told
-    unread: int = 0  # ranges that weren't read
+    late_delay: float = 1.0  # s
+    unavailable_table: str = ""  # table of which ranges aren't read
+    unavailable_feed: str = ""  # table whose changes aren't told
+    failed_reads: int = 0  # ranges that weren't read
 
 
 @dataclass(slots=True)
@@ -63,15 +63,15 @@
     rows: SortedDict[tuple[str, str, str], _Stored] = field(default_factory=SortedDict)
     version: int = 0
     changes: list[_Change] = field(default_factory=list)
-    forgotten: int = 0
-    deaf: bool = False  # changes aren't told of, as if there were none
+    forgotten_version: int = 0
+    hides_changes: bool = False  # changes aren't told of, as if there were none
     changed: asyncio.Event = field(default_factory=asyncio.Event)
-    begun: float = field(default_factory=time.monotonic)
+    started_at: float = field(default_factory=time.monotonic)
     transactions: int = 0
-    asked: Counter[str] = field(default_factory=Counter)  # reads by table
-    given: Counter[str] = field(default_factory=Counter)  # rows of their answers by table
+    read_counts: Counter[str] = field(default_factory=Counter)  # reads by table
+    row_counts: Counter[str] = field(default_factory=Counter)  # rows of their answers by table
 
-    async def listen(self, address: str, faults: Faults) -> Server:
+    async def listen(self, address: str, faults: StoreFaults) -> Server:
         """Serve one address under its own faults."""
 
         async def handle(request: Request) -> Response | None:
@@ -85,51 +85,51 @@
         """Write a row as the operator or a worker does."""
         self._apply([(table, part, key, value)])
 
-    def drop(self, table: str, key: str, part: str = "") -> None:
+    def delete(self, table: str, key: str, part: str = "") -> None:
         """Drop a row."""
         self._apply([(table, part, key, None)])
 
     def forget_history(self) -> None:
         """Forget all changes so far."""
         self.changes.clear()
-        self.forgotten = self.version
+        self.forgotten_version = self.version
 
-    async def _handle(self, request: Request, faults: Faults) -> Response | None:
+    async def _handle(self, request: Request, faults: StoreFaults) -> Response | None:
         if faults.silent:
             await asyncio.sleep(60)
             return None
-        if faults.refusing:
-            return Response(faults.refusing)
+        if faults.status:
+            return Response(faults.status)
         parts = urlsplit(request.path)
         query = {name: values[0] for name, values in parse_qs(parts.query).items()}
         match parts.path:
             case "/rows-tx":
                 return await self._transact(msgspec.json.decode(request.body), faults)
-            case "/rows-get" if query["table"] == faults.unreadable:
-                faults.unread += 1
+            case "/rows-get" if query["table"] == faults.unavailable_table:
+                faults.failed_reads += 1
                 return Response(503)
             case "/rows-get":
                 return self._get(query)
-            case "/rows-feed" if query["table"] == faults.unfollowed:
+            case "/rows-feed" if query["table"] == faults.unavailable_feed:
                 return Response(503)
             case "/rows-feed":
                 return await self._feed(query)
         return Response(404)
 
-    async def _transact(self, call: dict[str, Any], faults: Faults) -> Response | None:
+    async def _transact(self, call: dict[str, Any], faults: StoreFaults) -> Response | None:
         self.transactions += 1
         if faults.late_writes:
             faults.late_writes -= 1
-            asyncio.get_running_loop().call_later(faults.late_by, self._try, call)
-            await asyncio.sleep(faults.late_by)
+            asyncio.get_running_loop().call_later(faults.late_delay, self._apply_if_current, call)
+            await asyncio.sleep(faults.late_delay)
             return None
-        answer = self._try(call)
+        answer = self._apply_if_current(call)
         if faults.lose_writes:
             faults.lose_writes -= 1
             return None
         return answer
 
-    def _try(self, call: dict[str, Any]) -> Response:
+    def _apply_if_current(self, call: dict[str, Any]) -> Response:
         expected = [(_name(row), row["rowVersion"]) for row in call["expectedRevision"]]
         if any(self._version(name) != version for name, version in expected):
             rows = [self._describe(name) for name, _ in expected]
@@ -159,23 +159,23 @@
         keys = list(self.rows.irange((table, part, low), end, inclusive=(True, False)))
         limit = int(query.get("limit", "500"))
         rows = [self._describe(name) for name in keys[:limit]]
-        self.asked[table] += 1
-        self.given[table] += len(rows)
+        self.read_counts[table] += 1
+        self.row_counts[table] += len(rows)
         return self._answer(200, {"rows": rows, "morePages": len(keys) > limit})
 
     async def _feed(self, query: dict[str, str]) -> Response:
         after = int(query["after"])
-        self.asked[query["table"]] += 1
+        self.read_counts[query["table"]] += 1
         deadline = time.monotonic() + int(query["waitMs"]) / 1_000
         while True:
-            if after < self.forgotten:
+            if after < self.forgotten_version:
                 return self._answer(410, {})
             first = bisect_right(self.changes, after, key=lambda change: change.version)
-            changes = () if self.deaf else self.changes[first:]
+            changes = () if self.hides_changes else self.changes[first:]
             found = [change for change in changes if change.table == query["table"]]
             left = deadline - time.monotonic()
             if found or left <= 0:
-                self.given[query["table"]] += len(found)
+                self.row_counts[query["table"]] += len(found)
                 return self._answer(200, {"rows": [_encode(change) for change in found]})
             try:
                 async with asyncio.timeout(left):
@@ -193,7 +193,7 @@
         return _encode(_Change(*name, value, stored.version if stored else 0))
 
     def _answer(self, status: int, fields: dict[str, Any]) -> Response:
-        now = int((time.monotonic() - self.begun) * 1_000) + 1
+        now = int((time.monotonic() - self.started_at) * 1_000) + 1
         body = {"rowVersion": self.version, "nowMs": now, **fields}
         return Response(status, msgspec.json.encode(body))
 
--- a/standins/site/worker.py
+++ b/standins/site/worker.py
@@ -62,7 +62,7 @@
     async def leave(self) -> None:
         """End, and let the entry go."""
         await self.stop()
-        self._store.drop("servers", self.core.entry.id)
+        self._store.delete("servers", self.core.entry.id)
 
     def register(self) -> None:
         """Write the worker's entry."""
--- a/tools/soak/deployment.py
+++ b/tools/soak/deployment.py
@@ -121,7 +121,7 @@
         self._evacuations[data_centre] -= 1
         if not self._evacuations[data_centre]:
             del self._evacuations[data_centre]
-            self.store.drop("op", f"evacuate/{data_centre}")
+            self.store.delete("op", f"evacuate/{data_centre}")
         self._record_evacuated()
 
     def _record_evacuated(self) -> None:
--- a/tools/soak/store.py
+++ b/tools/soak/store.py
@@ -16,7 +16,7 @@
 
 import msgspec
 
-from standins.site.store import Faults, SiteStore
+from standins.site.store import SiteStore, StoreFaults
 from tools.soak.faults import StoreTrouble
 from toucanpin.http import Request, Response, Server
 
@@ -36,7 +36,7 @@
     """
 
     find_link: Callable[[str], Awaitable[str]]
-    faults: Faults = field(default_factory=Faults)
+    faults: StoreFaults = field(default_factory=StoreFaults)
     takes: float = 0.0  # s more for each answer
     _troubles: list[StoreTrouble] = field(default_factory=list)
 
@@ -53,7 +53,7 @@
     def leave_unanswered(self, writes: int, late_by: float) -> None:
         """Carry out some transactions without an answer, at once or later."""
         if late_by:
-            self.faults.late_by = late_by
+            self.faults.late_delay = late_by
             self.faults.late_writes += writes
         else:
             self.faults.lose_writes += writes
@@ -61,7 +61,7 @@
     def _combine(self) -> None:
         """Take all troubles together: the worst of each kind."""
         statuses = [trouble.status for trouble in self._troubles if trouble.status]
-        self.faults.refusing = statuses[-1] if statuses else 0
+        self.faults.status = statuses[-1] if statuses else 0
         self.faults.silent = any(trouble.silent for trouble in self._troubles)
         self.takes = max((trouble.takes for trouble in self._troubles), default=0.0)
 
--- a/tools/soak/workers.py
+++ b/tools/soak/workers.py
@@ -144,7 +144,7 @@
             return
         await self._finish()
         loop = asyncio.get_running_loop()
-        loop.call_later(ENTRY_REMAINS, self._store.drop, "servers", self.core.entry.id)
+        loop.call_later(ENTRY_REMAINS, self._store.delete, "servers", self.core.entry.id)
 
     async def drain(self, seconds: float) -> None:
         """Report that the worker drains, go on for a while, then leave."""
@@ -154,7 +154,7 @@
         await asyncio.sleep(seconds)
         if not self._over:
             await self._finish()
-            self._store.drop("servers", self.core.entry.id)
+            self._store.delete("servers", self.core.entry.id)
 
     async def close(self) -> None:
         """End at the end of the soak."""
--- a/toucanpin/entry/tests/test_cell_loading.py
+++ b/toucanpin/entry/tests/test_cell_loading.py
@@ -6,7 +6,7 @@
 import unittest
 
 from standins.site.site import Site, free_port
-from standins.site.store import Faults, SiteStore
+from standins.site.store import SiteStore, StoreFaults
 from toucanpin.entry.cell_rows import CellRows
 from toucanpin.entry.clocks import Clocks
 from toucanpin.entry.row_reader import RowReader
@@ -31,7 +31,7 @@
         self.addAsyncCleanup(self.site.close)
         for number in range(2):
             await self.site.add_host()
-            self.site.faults[number].unreadable = "progress"
+            self.site.faults[number].unavailable_table = "progress"
         await self.site.add_worker()
 
     def _read_owner(self) -> OwnerRecord:
@@ -52,7 +52,7 @@
         self.assertEqual(1, self._read_owner().token)
         self.assertNotIn((COUNTS_TABLE, "c", COUNTS_KEY), self.site.store.rows)
         for faults in self.site.faults:
-            faults.unreadable = ""
+            faults.unavailable_table = ""
         self.assertTrue(await self.site.wait_until_ready())
         self.assertEqual(200, (await self.site.submit()).status)
         self.assertTrue(await self.site.wait_for_state("completed"))
@@ -100,7 +100,7 @@
         ended = encode_progress(Progress(JobState.COMPLETED, 0, [], {}))
         for number in range(PAGES * PAGE_ROWS):
             core.put(PROGRESS_TABLE, f"{number:016x}", ended, part="c")
-        server = await core.listen(address, Faults())
+        server = await core.listen(address, StoreFaults())
         self.addAsyncCleanup(server.drain, 0.0)
         client = Client(address)
         self.addCleanup(client.close)
--- a/toucanpin/entry/tests/test_cell_workers.py
+++ b/toucanpin/entry/tests/test_cell_workers.py
@@ -58,11 +58,11 @@
         self.assertTrue(await site.wait_until_ready())
         await site.submit()
         self.assertTrue(await site.wait_until(lambda: worker.core.runs))
-        site.faults[0].refusing = 503
+        site.faults[0].status = 503
         self.assertTrue(await site.wait_until(lambda: worker.core.ended))
         polls = worker.polls
         self.assertTrue(await site.wait_until(lambda: worker.polls > polls + 2))
-        site.faults[0].refusing = 0
+        site.faults[0].status = 0
         self.assertTrue(await site.wait_for_state("completed", JOB))
 
 
--- a/toucanpin/entry/tests/test_configuration.py
+++ b/toucanpin/entry/tests/test_configuration.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from standins.site.site import HOST, PREFIX, Site, free_port
-from standins.site.store import Faults
+from standins.site.store import StoreFaults
 from toucanpin.entry.clocks import Clocks
 from toucanpin.entry.configuration import ConfigurationWatch
 from toucanpin.entry.requests import RequestHandler
@@ -43,10 +43,12 @@
         refused in 110 s, and 25 of 32 hosts never read the later versions.
         """
         store = self.site.store
-        given = store.given["op"]
-        asked = store.asked["op"]
-        self.assertTrue(await self.site.wait_until(lambda: store.asked["op"] >= asked + READS))
-        self.assertEqual(given, store.given["op"])
+        given = store.row_counts["op"]
+        asked = store.read_counts["op"]
+        self.assertTrue(
+            await self.site.wait_until(lambda: store.read_counts["op"] >= asked + READS)
+        )
+        self.assertEqual(given, store.row_counts["op"])
 
 
 class OutdatedConfigurationTest(unittest.IsolatedAsyncioTestCase):
@@ -59,7 +61,7 @@
         site = Site()
         site.configure()
         address = f"127.0.0.1:{free_port()}"
-        server = await site.store.listen(address, Faults())
+        server = await site.store.listen(address, StoreFaults())
         self.addAsyncCleanup(server.drain, 0.0)
         client = Client(address)
         self.addCleanup(client.close)
--- a/toucanpin/entry/tests/test_job_watch.py
+++ b/toucanpin/entry/tests/test_job_watch.py
@@ -67,13 +67,13 @@
         (owner,) = (it._owner for it in site.hosts[0]._candidates.values())
         assert owner is not None
         self.assertTrue(await site.wait_until(lambda: sum(owner.count_waiting().values())))
-        site.faults[0].unfollowed = site.faults[0].unreadable = "jobs"
+        site.faults[0].unavailable_feed = site.faults[0].unavailable_table = "jobs"
         site.store.put("jobs", other + "/cancel", b"1", job_part("c", other))
         self.assertTrue(await site.wait_until(lambda: not worker.core.runs))
         written = site.store.transactions
         self.assertTrue(await site.wait_until(lambda: site.store.transactions > written + 5))
         self.assertEqual(1, len(worker.core.starts))
-        site.faults[0].unfollowed = site.faults[0].unreadable = ""
+        site.faults[0].unavailable_feed = site.faults[0].unavailable_table = ""
         self.assertTrue(await site.wait_for_state("canceled", other))
         self.assertEqual(1, len(worker.core.starts))
 
--- a/toucanpin/entry/tests/test_peers.py
+++ b/toucanpin/entry/tests/test_peers.py
@@ -21,7 +21,7 @@
         self.site = Site()
         self.site.configure()
         self.addAsyncCleanup(self.site.close)
-        self.site.store.begun -= CLOCK_OFFSET
+        self.site.store.started_at -= CLOCK_OFFSET
 
     def _announce(self, name: str, announced: int) -> None:
         peer = Peer(name, "127.0.0.1", 1, announced, 0)
--- a/toucanpin/entry/tests/test_pending_counts.py
+++ b/toucanpin/entry/tests/test_pending_counts.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from standins.site.site import HOST, PREFIX, Site, free_port
-from standins.site.store import Faults
+from standins.site.store import StoreFaults
 from toucanpin.entry.cell_rows import CellRows
 from toucanpin.entry.clocks import Clocks, steady_time
 from toucanpin.entry.configuration import ConfigurationWatch
@@ -30,7 +30,7 @@
     async def asyncSetUp(self) -> None:
         self.site = Site()
         self.site.configure()
-        self.faults = Faults()
+        self.faults = StoreFaults()
         address = f"127.0.0.1:{free_port()}"
         server = await self.site.store.listen(address, self.faults)
         self.addAsyncCleanup(server.drain, 0.0)
@@ -48,7 +48,7 @@
         """
         await self._write_counts()
         await self._submit_jobs(3)
-        self.site.store.begun -= SILENCE
+        self.site.store.started_at -= SILENCE
         self.assertEqual(3, await self._count())
 
     async def test_a_count_is_refused_before_the_cell_has_an_owner(self) -> None:
@@ -66,7 +66,7 @@
         """
         await self._write_counts()
         await self._submit_jobs(3)
-        self.site.store.begun -= SILENCE
+        self.site.store.started_at -= SILENCE
         self.site.store.forget_history()
         self.assertEqual(503, (await self._call("GET", PREFIX)).status)
 
@@ -74,7 +74,7 @@
         await self._write_counts()
         await self._submit_jobs(3)
         self.assertEqual(200, (await self._call("DELETE", f"{PREFIX}{1:016x}")).status)
-        self.site.store.begun -= SILENCE
+        self.site.store.started_at -= SILENCE
         self.assertEqual(2, await self._count())
 
     async def test_a_count_ends_while_jobs_are_submitted(self) -> None:
@@ -85,8 +85,8 @@
         """
         await self._write_counts()
         await self._submit_jobs(3)
-        self.site.store.begun -= SILENCE
-        follow, asked = self.store.follow, self.site.store.asked
+        self.site.store.started_at -= SILENCE
+        follow, asked = self.store.follow, self.site.store.read_counts
 
         async def follow_busy(table: str, after: int, wait: float) -> Page | None:
             self.assertLess(asked["jobs"], 100)
@@ -123,9 +123,9 @@
 
     async def test_a_recent_count_costs_one_read(self) -> None:
         await self._write_counts()
-        asked = self.site.store.asked["jobs"]
+        asked = self.site.store.read_counts["jobs"]
         self.assertEqual(0, await self._count())
-        self.assertEqual(asked, self.site.store.asked["jobs"])
+        self.assertEqual(asked, self.site.store.read_counts["jobs"])
 
     async def _write_counts(self) -> None:
         """Read the cell as an owner would, and write its counts once."""
--- a/toucanpin/entry/tests/test_relay.py
+++ b/toucanpin/entry/tests/test_relay.py
@@ -6,7 +6,7 @@
 import unittest
 
 from standins.site.site import free_port
-from standins.site.store import Faults, SiteStore
+from standins.site.store import SiteStore, StoreFaults
 from toucanpin.entry.peers import Peer, Peers
 from toucanpin.entry.relay import RelayServer
 from toucanpin.entry.relayed_store import RelayedStore
@@ -20,7 +20,7 @@
 class RelayTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
         self.core = SiteStore()
-        self.faults = (Faults(), Faults())
+        self.faults = (StoreFaults(), StoreFaults())
         self.servers: list[Server] = []
         self.stores: list[tuple[Store, RelayedStore, Peers, RelayServer]] = []
         ports = (free_port(), free_port())
@@ -53,7 +53,7 @@
         return result
 
     async def test_a_refused_host_writes_through_its_peer(self) -> None:
-        self.faults[0].refusing = 503
+        self.faults[0].status = 503
         await self._put()
         self.assertIn(("t", "", "k"), self.core.rows)
 
@@ -62,7 +62,7 @@
         The store refuses several hosts, an owner among them.  Guards against an owner that backs
         off after one refused peer: it wrote nothing for two seconds and lost its cell.
         """
-        self.faults[0].refusing = 429
+        self.faults[0].status = 429
         peers = self.stores[0][2]
         gone = (Peer(f"g{n}", "127.0.0.1", free_port(), 1_000, 0) for n in range(2))
         peers.known = (*gone, *peers.known)
@@ -84,7 +84,7 @@
         """
         value = b"x" * 1_400_000
         self.core.put("op", "config", value)
-        self.faults[0].refusing = 503
+        self.faults[0].status = 503
         page = await self.stores[0][0].read("op", timeout=5.0)
         self.assertEqual(value, page.rows[0].value)
 
@@ -95,7 +95,7 @@
         second, requested the same from the next one, and kept its old configuration.
         """
         self.core.put("op", "config", b"x" * 1_000)
-        self.faults[0].refusing = 503
+        self.faults[0].status = 503
         _, _, peers, _ = self.stores[0]
         peer = peers.known[0]
 
@@ -119,7 +119,7 @@
 
     async def test_an_outage_for_all_hosts_is_a_certain_refusal(self) -> None:
         for faults in self.faults:
-            faults.refusing = 503
+            faults.status = 503
         with self.assertRaises(CallError) as caught:
             await self._put()
         self.assertTrue(caught.exception.certain)
@@ -130,7 +130,7 @@
         applied, so the refusal of the second proves nothing.
         """
         self.faults[0].silent = True
-        self.faults[1].refusing = 503
+        self.faults[1].status = 503
         with self.assertRaises(CallError) as caught:
             await self._put()
         self.assertFalse(caught.exception.certain)
@@ -146,18 +146,18 @@
         self.assertTrue(relayed.direct_works)
 
     async def test_a_frame_under_another_key_is_rejected(self) -> None:
-        self.faults[0].refusing = 503
+        self.faults[0].status = 503
         self.stores[0][2].secret = b"x" * 32
         with self.assertRaises(CallError):
             await self._put()
         self.assertEqual({}, self.core.rows)
 
     async def test_the_store_is_used_directly_again(self) -> None:
-        self.faults[0].refusing = 503
+        self.faults[0].status = 503
         await self._put()
         relayed = self.stores[0][1]
         self.assertFalse(relayed.direct_works)
-        self.faults[0].refusing = 0
+        self.faults[0].status = 0
         for _ in range(100):
             if relayed.direct_works:
                 break
--- a/toucanpin/entry/tests/test_row_cache.py
+++ b/toucanpin/entry/tests/test_row_cache.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from standins.site.site import free_port
-from standins.site.store import Faults, SiteStore
+from standins.site.store import SiteStore, StoreFaults
 from toucanpin.entry.clocks import steady_time
 from toucanpin.entry.relayed_store import RelayedStore
 from toucanpin.entry.row_cache import FULL_READ_PERIOD_S, RowCache
@@ -70,18 +70,18 @@
         """
         store = SiteStore()
         address = f"127.0.0.1:{free_port()}"
-        server = await store.listen(address, Faults())
+        server = await store.listen(address, StoreFaults())
         self.addAsyncCleanup(server.drain, 0.0)
         client = Client(address)
         self.addCleanup(client.close)
         followed = RowCache(Store(client), "servers")
         store.put("servers", "a", b"ready")
         await followed.update()
-        store.deaf = True
+        store.hides_changes = True
         store.put("servers", "a", b"drains")
         store.put("servers", "b", b"ready")
         await followed.update()
-        store.deaf = False
+        store.hides_changes = False
         await followed.update()
         self.assertEqual(b"ready", followed.rows["a"].value)
         later = steady_time() + FULL_READ_PERIOD_S
@@ -95,7 +95,7 @@
     async def asyncSetUp(self) -> None:
         self.core = SiteStore()
         address = f"127.0.0.1:{free_port()}"
-        server = await self.core.listen(address, Faults())
+        server = await self.core.listen(address, StoreFaults())
         self.addAsyncCleanup(server.drain, 0.0)
         self.client = Client(address)
         self.addCleanup(self.client.close)
@@ -115,16 +115,16 @@
         followed = RowCache(Store(self.client), "op")
         self._write(1)
         await followed.update()
-        given = self.core.given["op"]
+        given = self.core.row_counts["op"]
         for _ in range(UPDATES):
             self._write(VERSIONS)
             await followed.update()
             self.assertEqual(b"%09d" % self.written, followed.rows["config"].value)
-        self.assertLessEqual(self.core.given["op"] - given, VERSIONS + UPDATES - 1)
+        self.assertLessEqual(self.core.row_counts["op"] - given, VERSIONS + UPDATES - 1)
         await followed.update()
-        given = self.core.given["op"]
+        given = self.core.row_counts["op"]
         await followed.update()
-        self.assertEqual(given, self.core.given["op"])
+        self.assertEqual(given, self.core.row_counts["op"])
 
     async def test_changes_that_are_too_large_are_not_requested_again(self) -> None:
         """
--- a/toucanpin/entry/tests/test_site.py
+++ b/toucanpin/entry/tests/test_site.py
@@ -188,7 +188,7 @@
         """
         standby = await self._add_two_hosts()
         owner = 1 - standby
-        self.site.faults[owner].late_by = 0.3
+        self.site.faults[owner].late_delay = 0.3
         self.site.faults[owner].late_writes = 1
         self.assertTrue(await self.site.wait_until(lambda: not self.site.faults[owner].late_writes))
         ending = asyncio.ensure_future(self.site.hosts[owner].shut_down())
@@ -225,11 +225,11 @@
     async def test_a_job_is_refused_while_the_store_refuses_all_hosts(self) -> None:
         await self.site.add_host()
         self.assertTrue(await self.site.wait_until_ready())
-        self.site.faults[0].refusing = 503
+        self.site.faults[0].status = 503
         answer = await self.site.submit()
         self.assertEqual(503, answer.status)
         self.assertIn(answer.headers["retry-after"], ("1", "2"))
-        self.site.faults[0].refusing = 0
+        self.site.faults[0].status = 0
         self.assertTrue(await self.site.wait_until_ready())
         self.assertEqual(410, (await self.site.call("GET", PREFIX + JOB)).status)
 
@@ -246,7 +246,7 @@
         self.assertTrue(
             await self.site.wait_until(lambda: all(h.has_peers() for h in self.site.hosts))
         )
-        self.site.faults[0].refusing = 503
+        self.site.faults[0].status = 503
         self.assertEqual(200, (await self.site.submit(host=0)).status)
         self.assertTrue(await self.site.wait_for_state("completed", host=0))
 
@@ -262,8 +262,8 @@
         self.assertTrue(await self.site.wait_until(self.site.hosts[0].owned_cells))
         self.assertTrue(await self.site.wait_until(lambda: self.site.workers[0].polls))
         faults = self.site.faults[0]
-        faults.unreadable = "jobs"
-        self.assertTrue(await self.site.wait_until(lambda: faults.unread >= 2))
+        faults.unavailable_table = "jobs"
+        self.assertTrue(await self.site.wait_until(lambda: faults.failed_reads >= 2))
         self.assertEqual(200, (await self.site.submit(longRunning=True)).status)
         self.assertTrue(await self.site.wait_until(lambda: worker.core.runs))
         self.site.store.put("jobs", JOB + "/cancel", b"1", job_part("c", JOB))
--- a/toucanpin/entry/tests/test_waves.py
+++ b/toucanpin/entry/tests/test_waves.py
@@ -101,7 +101,7 @@
         self.assertTrue(await self.site.wait_until(lambda: all(runs)))
         self._request_wave("m1")
         self.assertTrue(await self.site.wait_until(lambda: self._state() == "active"))
-        self.site.store.drop("op", "wave/1")
+        self.site.store.delete("op", "wave/1")
         await self.site.call("DELETE", PREFIX + JOB)
         self.assertTrue(await self.site.wait_until(lambda: not any(runs)))
         other = "00000000000000a2"
--- a/toucanpin/entry/tests/test_worker_entries.py
+++ b/toucanpin/entry/tests/test_worker_entries.py
@@ -31,10 +31,12 @@
         leases were renewed late, ends read late, and jobs expired.
         """
         store = self.site.store
-        given = store.given["servers"]
-        asked = store.asked["servers"]
-        self.assertTrue(await self.site.wait_until(lambda: store.asked["servers"] >= asked + READS))
-        self.assertEqual(given, store.given["servers"])
+        given = store.row_counts["servers"]
+        asked = store.read_counts["servers"]
+        self.assertTrue(
+            await self.site.wait_until(lambda: store.read_counts["servers"] >= asked + READS)
+        )
+        self.assertEqual(given, store.row_counts["servers"])
 
     async def test_changes_are_read_after_the_history_is_gone(self) -> None:
         """
@@ -46,8 +48,10 @@
         other = await self.site.add_worker(duration=60.0)
         store = self.site.store
         store.forget_history()
-        asked = store.asked["servers"]
-        self.assertTrue(await self.site.wait_until(lambda: store.asked["servers"] >= asked + READS))
+        asked = store.read_counts["servers"]
+        self.assertTrue(
+            await self.site.wait_until(lambda: store.read_counts["servers"] >= asked + READS)
+        )
         await self.site.submit(count=2)
         self.assertTrue(await self.site.wait_until(lambda: len(other.core.runs) == 2))
         self.assertFalse(self.worker.core.starts)
