--- a/standins/site/machines.py
+++ b/standins/site/machines.py
@@ -27,14 +27,16 @@
         self._server = Server(self._handle, 16_384, 65_536)
         self._tasks: set[asyncio.Task[None]] = set()
         self.workers: dict[str, SiteWorker | None] = {}
-        self.through: dict[str, int] = {}
-        self.holders: list[tuple[str, str, int]] = []
-        self.most_down = 0
+        self.runs_at_upkeep: dict[str, int] = {}
+        self.orders: list[tuple[str, str, int]] = []
+        self.max_down = 0
         self.lose_answers = 0
         self.refuse_orders = 0  # so many orders are answered with 503, and nothing is done
         self.refused: list[str] = []
-        self.unknown: dict[str, int] = {}  # so many orders are answered as if not of their wave
-        self.missed: dict[str, int] = {}  # so many lists leave a machine out
+        self.unknown_orders: dict[str, int] = (
+            {}
+        )  # so many orders are answered as if not of their wave
+        self.omissions: dict[str, int] = {}  # so many lists leave a machine out
         self.states: dict[str, str] = {}  # shown whatever the machine does
 
     async def listen(self, address: str) -> None:
@@ -57,15 +59,15 @@
         call = msgspec.json.decode(request.body)
         holder = request.headers["x-lease-holder"]
         token = int(request.headers["x-fencing-token"])
-        self.holders.append((call["machine"], holder, token))
+        self.orders.append((call["machine"], holder, token))
         if self.refuse_orders:
             self.refuse_orders -= 1
             self.refused.append(call["machine"])
             return Response(503)
-        if self.unknown.get(call["machine"]):
-            self.unknown[call["machine"]] -= 1
+        if self.unknown_orders.get(call["machine"]):
+            self.unknown_orders[call["machine"]] -= 1
             return Response(409, b'{"reason":"wave"}')
-        return self._begin(call["machine"])
+        return self._start_upkeep(call["machine"])
 
     def _list(self) -> dict[str, object]:
         machines = [
@@ -76,21 +78,21 @@
                 "id": worker.core.entry.id if worker else None,
             }
             for name, worker in self.workers.items()
-            if not self.missed.get(name)
+            if not self.omissions.get(name)
         ]
-        self.missed = {name: left - 1 for name, left in self.missed.items() if left > 1}
+        self.omissions = {name: left - 1 for name, left in self.omissions.items() if left > 1}
         return {"machines": machines, "nextToken": None}
 
-    def _begin(self, name: str) -> Response | None:
+    def _start_upkeep(self, name: str) -> Response | None:
         if name not in self.workers:
             return Response(400)
-        if name not in self.through:
+        if name not in self.runs_at_upkeep:
             worker = self.workers[name]
             assert worker is not None
-            self.through[name] = len(worker.core.runs)
+            self.runs_at_upkeep[name] = len(worker.core.runs)
             self.workers[name] = None
             down = sum(it is None for it in self.workers.values())
-            self.most_down = max(self.most_down, down)
+            self.max_down = max(self.max_down, down)
             task = asyncio.ensure_future(self._replace(name, worker))
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
--- a/toucanpin/entry/tests/test_waves.py
+++ b/toucanpin/entry/tests/test_waves.py
@@ -47,8 +47,8 @@
         self._request_wave("m0", "m1", "m2")
         self.assertTrue(await self.site.wait_until(lambda: self._state() == "active"))
         self.assertTrue(await self.site.wait_until(lambda: self._state() == "completed", turns=600))
-        self.assertEqual({"m0": 0, "m1": 0, "m2": 0}, self.machines.through)
-        self.assertEqual(1, self.machines.most_down)
+        self.assertEqual({"m0": 0, "m1": 0, "m2": 0}, self.machines.runs_at_upkeep)
+        self.assertEqual(1, self.machines.max_down)
         self.assertTrue(
             await self.site.wait_until(
                 lambda: any(worker.core.runs for worker in self.site.workers)
@@ -59,12 +59,12 @@
         self.machines.lose_answers = 1
         self._request_wave("m1")
         self.assertTrue(await self.site.wait_until(lambda: self._state() == "completed", turns=600))
-        self.assertEqual({"m1": 0}, self.machines.through)
+        self.assertEqual({"m1": 0}, self.machines.runs_at_upkeep)
 
     async def test_a_machine_that_no_longer_exists_does_not_block_its_wave(self) -> None:
         self._request_wave("m1", "m9")
         self.assertTrue(await self.site.wait_until(lambda: self._state() == "completed", turns=600))
-        self.assertEqual({"m1": 0}, self.machines.through)
+        self.assertEqual({"m1": 0}, self.machines.runs_at_upkeep)
 
     async def test_a_worker_gets_no_tasks_while_an_order_is_pending(self) -> None:
         """
@@ -76,7 +76,7 @@
         self.assertTrue(await self.site.wait_until(lambda: self.machines.refused))
         await self.site.submit(count=3, antiAffinity=1)
         self.assertTrue(await self.site.wait_until(lambda: self._state() == "completed", turns=600))
-        self.assertEqual({"m1": 0}, self.machines.through)
+        self.assertEqual({"m1": 0}, self.machines.runs_at_upkeep)
 
     async def test_a_machine_that_crashed_is_not_ordered_with_another(self) -> None:
         """
@@ -88,8 +88,8 @@
         record = msgspec.msgpack.encode([0, {"m1": "a worker before"}, [], False])
         self.site.store.put("waves", "1", record)
         self._request_wave("m1", "m2", cap=2)
-        self.assertTrue(await self.site.wait_until(lambda: "m2" in self.machines.through))
-        self.assertEqual({"m2"}, {machine for machine, _, _ in self.machines.holders})
+        self.assertTrue(await self.site.wait_until(lambda: "m2" in self.machines.runs_at_upkeep))
+        self.assertEqual({"m2"}, {machine for machine, _, _ in self.machines.orders})
 
     async def test_workers_of_a_withdrawn_wave_get_tasks_again(self) -> None:
         """
@@ -114,24 +114,24 @@
         orders that a machine isn't part of it.  Guards against counting the machine as done: the
         wave was reported as completed without any upkeep.
         """
-        self.machines.unknown["m1"] = 2
+        self.machines.unknown_orders["m1"] = 2
         self._request_wave("m1")
         self.assertTrue(await self.site.wait_until(lambda: self._state() == "completed", turns=600))
-        self.assertEqual({"m1": 0}, self.machines.through)
+        self.assertEqual({"m1": 0}, self.machines.runs_at_upkeep)
 
     async def test_a_machine_that_is_removed_from_its_wave_makes_room_for_others(self) -> None:
         """
         Operators remove a machine from a wave after its order was recorded.  It must not count
         against the limit of machines that are down at the same time.
         """
-        self.machines.unknown = {"m1": 1_000, "m2": 1_000}
+        self.machines.unknown_orders = {"m1": 1_000, "m2": 1_000}
         self._request_wave("m1", "m2")
-        self.assertTrue(await self.site.wait_until(lambda: self.machines.holders))
-        (other,) = {"m1", "m2"} - {self.machines.holders[0][0]}
-        self.machines.unknown[other] = 0
+        self.assertTrue(await self.site.wait_until(lambda: self.machines.orders))
+        (other,) = {"m1", "m2"} - {self.machines.orders[0][0]}
+        self.machines.unknown_orders[other] = 0
         self._request_wave(other)
         self.assertTrue(await self.site.wait_until(lambda: self._state() == "completed", turns=600))
-        self.assertIn(other, self.machines.through)
+        self.assertIn(other, self.machines.runs_at_upkeep)
 
     async def test_a_wave_is_reopened_when_machines_are_added(self) -> None:
         """
@@ -143,7 +143,7 @@
         self._request_wave("m1", "m2")
         self.assertTrue(await self.site.wait_until(lambda: self._state() == "active"))
         self.assertTrue(await self.site.wait_until(lambda: self._state() == "completed", turns=600))
-        self.assertEqual({"m1": 0, "m2": 0}, self.machines.through)
+        self.assertEqual({"m1": 0, "m2": 0}, self.machines.runs_at_upkeep)
 
     async def test_a_machine_that_is_missing_from_one_list_is_not_skipped(self) -> None:
         """
@@ -151,10 +151,10 @@
         changes meanwhile may be on none of them.  Guards against taking it for gone: the wave was
         reported as completed though the machine had no upkeep.
         """
-        self.machines.missed["m1"] = 1
+        self.machines.omissions["m1"] = 1
         self._request_wave("m1", "m2")
         self.assertTrue(await self.site.wait_until(lambda: self._state() == "completed", turns=600))
-        self.assertEqual({"m1": 0, "m2": 0}, self.machines.through)
+        self.assertEqual({"m1": 0, "m2": 0}, self.machines.runs_at_upkeep)
 
     async def test_a_machine_that_crashed_before_its_order_is_ordered_again(self) -> None:
         """
@@ -166,17 +166,17 @@
         self.site.store.put("waves", "1", record)
         self._request_wave("m1")
         self.assertTrue(await self.site.wait_until(lambda: self._state() == "completed", turns=600))
-        self.assertEqual({"m1": 0}, self.machines.through)
+        self.assertEqual({"m1": 0}, self.machines.runs_at_upkeep)
 
     async def test_a_new_owner_continues_a_wave(self) -> None:
         await self.site.add_host()
         self.assertTrue(await self.site.wait_until_ready(1))
         self._request_wave("m0", "m1", "m2")
-        self.assertTrue(await self.site.wait_until(lambda: self.machines.through))
+        self.assertTrue(await self.site.wait_until(lambda: self.machines.runs_at_upkeep))
         await self.site.hosts[0].abort()
         self.assertTrue(await self.site.wait_until(lambda: self._state() == "completed", turns=900))
-        self.assertEqual(3, len(self.machines.through))
-        holders = {(holder, token) for _, holder, token in self.machines.holders}
+        self.assertEqual(3, len(self.machines.runs_at_upkeep))
+        holders = {(holder, token) for _, holder, token in self.machines.orders}
         self.assertEqual({("h0", 1), ("h1", 2)}, holders)
 
 
