--- a/tools/soak/__main__.py
+++ b/tools/soak/__main__.py
@@ -16,12 +16,12 @@
 from tools.soak.run import PROGRAM, play
 from tools.soak.weakened import WEAKENINGS
 
-LOGS = Path("var/soak")
-KEPT_SEEDS = Path(__file__).with_name("kept-seeds.txt")
+LOG_DIRECTORY = Path("var/soak")
+KEPT_SEEDS_FILE = Path(__file__).with_name("kept-seeds.txt")
 
 
 @dataclass(frozen=True, slots=True)
-class _Order:
+class _SeedRun:
     """Say how to play one seed."""
 
     seed: int
@@ -39,35 +39,34 @@
     if options.without:
         program = ("-m", "tools.soak.weakened", options.without)
     seeds = read_kept_seeds() if options.kept else _parse_seeds(options.seeds)
-    orders = [
-        _Order(seed, size, options.settle, program, options.logs / f"seed-{seed}") for seed in seeds
+    runs = [
+        _SeedRun(seed, size, options.settle, program, options.logs / f"seed-{seed}")
+        for seed in seeds
     ]
     bad = []
     with ProcessPoolExecutor(options.parallel) as pool:
-        for order, (sound, lines) in zip(orders, pool.map(_play, orders), strict=True):
+        for run, (sound, lines) in zip(runs, pool.map(_play, runs), strict=True):
             print("\n".join(lines), flush=True)
             if not sound:
-                bad.append(order.seed)
-    print(f"{len(orders) - len(bad)} seeds sound, {len(bad)} wrong: {bad}")
+                bad.append(run.seed)
+    print(f"{len(runs) - len(bad)} seeds sound, {len(bad)} wrong: {bad}")
     return 1 if bad else 0
 
 
-def _play(order: _Order) -> tuple[bool, list[str]]:
-    shutil.rmtree(order.directory, ignore_errors=True)
-    order.directory.mkdir(parents=True)
-    plan = draw_plan(order.seed, order.size)
-    outcome = asyncio.run(
-        play(order.seed, plan, order.size, order.directory, order.settle, order.program)
-    )
-    lines = list(describe(outcome, plan, order.directory))
+def _play(run: _SeedRun) -> tuple[bool, list[str]]:
+    shutil.rmtree(run.directory, ignore_errors=True)
+    run.directory.mkdir(parents=True)
+    plan = draw_plan(run.seed, run.size)
+    outcome = asyncio.run(play(run.seed, plan, run.size, run.directory, run.settle, run.program))
+    lines = list(describe(outcome, plan, run.directory))
     if not outcome.violations:
-        shutil.rmtree(order.directory)
+        shutil.rmtree(run.directory)
     return not outcome.violations, lines
 
 
 def read_kept_seeds() -> list[int]:
     """Read the seeds that have failed once, which are played again."""
-    lines = (line.partition("#")[0].split() for line in KEPT_SEEDS.read_text().splitlines())
+    lines = (line.partition("#")[0].split() for line in KEPT_SEEDS_FILE.read_text().splitlines())
     return [int(words[0]) for words in lines if words]
 
 
@@ -86,7 +85,7 @@
     parser.add_argument("--workers", type=int, default=10)
     parser.add_argument("--callers", type=int, default=10)
     parser.add_argument("--parallel", type=int, default=1, help="seeds at a time")
-    parser.add_argument("--logs", type=Path, default=LOGS)
+    parser.add_argument("--logs", type=Path, default=LOG_DIRECTORY)
     parser.add_argument("--without", choices=WEAKENINGS, help="a safeguard to switch off")
     return parser.parse_args()
 
--- a/tools/soak/answer_checks.py
+++ b/tools/soak/answer_checks.py
@@ -17,17 +17,19 @@
 __all__ = ["Configurations", "Counts", "Kept", "Own", "Processes", "Shutdowns", "States"]
 
 MAX_ATTEMPTS = 4  # of a task, by the configuration that the soak writes
-COUNT_AGE = 5.0  # s after which an accepted job must be in a count
-ENOUGH_CRASHES = 2  # workers that crashed under a task whose job may be told as failed
-COUNT_CALM = 6.0  # s after trouble until counts must be right
-IN_FORCE = 4.0  # s after which a configuration must be in force
+COUNT_DELAY_S = 5.0  # s after which an accepted job must be in a count
+MIN_CRASHES = 2  # workers that crashed under a task whose job may be told as failed
+COUNT_RECOVERY_S = 6.0  # s after trouble until counts must be right
+CONFIGURATION_DELAY_S = 4.0  # s after which a configuration must be in force
 # A request that comes just as an idle connection is closed may be lost; one that waited for longer
 # had been read.
-READ_BY = 1.0  # s
-SERVED = 1.5  # s after SIGTERM for which requests still come, until the balancer has noticed
-STATUSES = frozenset({200, 404, 410, 429, 502, 503, 504})
-STATES = frozenset({"pending", "active", "completed", "failed", "canceled"})
-FINAL = frozenset({"completed", "failed", "canceled"})
+READ_DELAY_S = 1.0  # s
+DRAIN_NOTICE_S = (
+    1.5  # s after SIGTERM for which requests still come, until the balancer has noticed
+)
+ALLOWED_STATUSES = frozenset({200, 404, 410, 429, 502, 503, 504})
+JOB_STATES = frozenset({"pending", "active", "completed", "failed", "canceled"})
+FINAL_STATES = frozenset({"completed", "failed", "canceled"})
 
 
 class Own(TaskCheck):
@@ -35,13 +37,17 @@
 
     def judge(self, event: events.Event) -> Iterator[str]:
         match event:
-            case events.Broken(loss=events.Loss.MALFORMED):
+            case events.AnswerLost(loss=events.Loss.MALFORMED):
                 yield f"malformed answer to {event.kind.value} {event.subject}"
-            case events.Answered() if event.status not in STATUSES:
+            case events.AnswerReceived() if event.status not in ALLOWED_STATUSES:
                 yield f"{event.kind.value} {event.subject} was answered {event.status}"
-            case events.Answered(kind=events.Kind.STATE, status=200) if event.value not in STATES:
+            case events.AnswerReceived(kind=events.RequestKind.STATE, status=200) if (
+                event.value not in JOB_STATES
+            ):
                 yield f"the state of {event.subject} was told as {event.value!r}"
-            case events.Answered(kind=events.Kind.COUNT, status=200) if not _is_count(event.value):
+            case events.AnswerReceived(kind=events.RequestKind.COUNT, status=200) if not _is_count(
+                event.value
+            ):
                 yield f"the count of {event.subject} was told as {event.value!r}"
 
 
@@ -63,17 +69,19 @@
 
     def judge(self, event: events.Event) -> Iterator[str]:
         match event:
-            case events.Configured():
+            case events.ConfigurationWritten():
                 if self._queues:
                     self._changed |= dict.fromkeys(self._queues ^ event.queues, event.at)
                 self._queues = event.queues
-            case events.Answered() if event.status in (200, 404):
+            case events.AnswerReceived() if event.status in (200, 404):
                 job = self.jobs.get(event.subject)
                 queue = job.queue if job else event.subject
-                settled = max(self._changed.get(queue, 0.0), self.troubled) + IN_FORCE
-                always = queue in self._queues and queue not in self._changed
-                there = event.status == 200
-                if there != (queue in self._queues) and (event.sent > settled or always):
+                settled = (
+                    max(self._changed.get(queue, 0.0), self.disturbed_at) + CONFIGURATION_DELAY_S
+                )
+                unchanged = queue in self._queues and queue not in self._changed
+                found = event.status == 200
+                if found != (queue in self._queues) and (event.sent > settled or unchanged):
                     yield f"{event.process} answered {event.status} for the queue {queue}"
 
 
@@ -86,9 +94,9 @@
 
     def judge(self, event: events.Event) -> Iterator[str]:
         match event:
-            case events.Answered(kind=events.Kind.SUBMIT, status=200):
+            case events.AnswerReceived(kind=events.RequestKind.SUBMIT, status=200):
                 self._accepted.setdefault(event.subject, event.at)
-            case events.Answered(status=410) if event.sent > self._accepted.get(
+            case events.AnswerReceived(status=410) if event.sent > self._accepted.get(
                 event.subject, event.at
             ):
                 yield f"{event.kind.value} {event.subject} was answered 410 after it was accepted"
@@ -104,33 +112,33 @@
         self._running: defaultdict[str, set[TaskKey]] = defaultdict(set)
         self._drained: set[str] = set()
         self._crashes: Counter[TaskKey] = Counter()
-        self._asked: set[str] = set()
-        self._final: dict[str, events.Answered] = {}
+        self._cancel_requested: set[str] = set()
+        self._final: dict[str, events.AnswerReceived] = {}
 
     def judge(self, event: events.Event) -> Iterator[str]:
         match event:
-            case events.Started():
+            case events.RunStarted():
                 self._running[event.worker].add(event.task)
-            case events.Draining():
+            case events.WorkerDraining():
                 self._drained.add(event.worker)
-            case events.Gone() if event.worker not in self._drained:
+            case events.WorkerGone() if event.worker not in self._drained:
                 self._crashes.update(self._running.pop(event.worker, ()))
-            case events.Ended():
+            case events.RunEnded():
                 self._running[event.worker].discard(event.task)
-                if event.how == "done":
+                if event.end_kind == "done":
                     self._done.add(event.task)
-                elif event.how == "failed":
+                elif event.end_kind == "failed":
                     self._failures[event.task] += 1
-            case events.CancelAsked():
-                self._asked.add(event.job)
-            case events.Answered(kind=events.Kind.STATE, status=200):
+            case events.CancelRequested():
+                self._cancel_requested.add(event.job)
+            case events.AnswerReceived(kind=events.RequestKind.STATE, status=200):
                 yield from self._judge_state(event)
 
-    def _judge_state(self, event: events.Answered) -> Iterator[str]:
+    def _judge_state(self, event: events.AnswerReceived) -> Iterator[str]:
         before = self._final.get(event.subject)
         if before is not None and event.sent > before.at and event.value != before.value:
             yield f"{event.subject} was {before.value}, then {event.value} by {event.process}"
-        if event.value not in FINAL or before is not None:
+        if event.value not in FINAL_STATES or before is not None:
             return
         self._final[event.subject] = event
         match event.value:
@@ -139,15 +147,17 @@
                 if missing:
                     yield f"{event.subject} is told as completed before {min(missing)} was done"
             case "failed":
-                most = max((self._failures[task] for task in self._tasks(event.subject)), default=0)
-                if most < MAX_ATTEMPTS and not self._may_crash(event.subject):
-                    yield f"{event.subject} is told as failed after {most} failures of a task"
-            case "canceled" if event.subject not in self._asked:
+                max_failures = max(
+                    (self._failures[task] for task in self._tasks(event.subject)), default=0
+                )
+                if max_failures < MAX_ATTEMPTS and not self._may_crash(event.subject):
+                    yield f"{event.subject} is told as failed after {max_failures} failures of a task"
+            case "canceled" if event.subject not in self._cancel_requested:
                 yield f"{event.subject} is told as canceled, and nobody asked for it"
 
     def _may_crash(self, name: str) -> bool:
         """Tell whether two workers have crashed under a task of a job."""
-        return max((self._crashes[task] for task in self._tasks(name)), default=0) >= ENOUGH_CRASHES
+        return max((self._crashes[task] for task in self._tasks(name)), default=0) >= MIN_CRASHES
 
     def _tasks(self, name: str) -> set[TaskKey]:
         steps = self.jobs[name].steps
@@ -168,32 +178,32 @@
     def __init__(self) -> None:
         super().__init__()
         self._waiting: dict[str, dict[str, float]] = defaultdict(dict)
-        self._over: set[str] = set()
+        self._not_waiting: set[str] = set()
         self.judged = 0  # counts that were compared with jobs that waited
 
     def judge(self, event: events.Event) -> Iterator[str]:
         match event:
-            case events.Answered(kind=events.Kind.SUBMIT, status=200) if (
-                event.subject not in self._over
+            case events.AnswerReceived(kind=events.RequestKind.SUBMIT, status=200) if (
+                event.subject not in self._not_waiting
             ):
                 queue = self.jobs[event.subject].queue
                 self._waiting[queue].setdefault(event.subject, event.at)
-            case events.Started():
+            case events.RunStarted():
                 self._drop(event.task.job)
-            case events.CancelAsked():
+            case events.CancelRequested():
                 self._drop(event.job)
-            case events.Answered(kind=events.Kind.COUNT, status=200, value=int(count)):
-                if count >= 0 and event.sent > self.troubled + COUNT_CALM:
+            case events.AnswerReceived(kind=events.RequestKind.COUNT, status=200, value=int(count)):
+                if count >= 0 and event.sent > self.disturbed_at + COUNT_RECOVERY_S:
                     yield from self._judge_count(event, count)
 
     def _drop(self, name: str) -> None:
-        self._over.add(name)
+        self._not_waiting.add(name)
         if name in self.jobs:
             self._waiting[self.jobs[name].queue].pop(name, None)
 
-    def _judge_count(self, event: events.Answered, count: int) -> Iterator[str]:
+    def _judge_count(self, event: events.AnswerReceived, count: int) -> Iterator[str]:
         accepted = self._waiting[event.subject].values()
-        waiting = sum(at < event.sent - COUNT_AGE for at in accepted)
+        waiting = sum(at < event.sent - COUNT_DELAY_S for at in accepted)
         self.judged += waiting > 0
         if count < waiting / 2:
             yield f"{event.process} counted {count} of {waiting} jobs that wait in {event.subject}"
@@ -204,21 +214,21 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self._told: dict[str, float] = {}
+        self._terminated_at: dict[str, float] = {}
 
     def judge(self, event: events.Event) -> Iterator[str]:
         match event:
-            case events.Signalled(signal=events.Signal.TERMINATE):
-                self._told.setdefault(event.process, event.at)
-            case events.Broken(loss=events.Loss.CLOSED | events.Loss.CUT):
+            case events.SignalSent(signal=events.Signal.TERMINATE):
+                self._terminated_at.setdefault(event.process, event.at)
+            case events.AnswerLost(loss=events.Loss.CLOSED | events.Loss.CUT):
                 signals = self.signals[event.process]
-                harsh = signals & {events.Signal.KILL, events.Signal.STOP}
+                forced = signals & {events.Signal.KILL, events.Signal.STOP}
                 waited = event.at - event.sent
-                told_at = self._told.get(event.process, 0.0)
-                was_read = waited > READ_BY or event.sent < told_at + SERVED
-                if events.Signal.TERMINATE in signals and not harsh and was_read:
-                    what = f"{event.kind.value} {event.subject} ({event.loss.value})"
-                    yield f"{event.process} cut off {what} after {waited:.2f} s"
+                terminated_at = self._terminated_at.get(event.process, 0.0)
+                was_read = waited > READ_DELAY_S or event.sent < terminated_at + DRAIN_NOTICE_S
+                if events.Signal.TERMINATE in signals and not forced and was_read:
+                    request = f"{event.kind.value} {event.subject} ({event.loss.value})"
+                    yield f"{event.process} cut off {request} after {waited:.2f} s"
 
 
 class Processes(TaskCheck):
@@ -226,11 +236,13 @@
 
     def judge(self, event: events.Event) -> Iterator[str]:
         match event:
-            case events.Left():
+            case events.ProcessExited():
                 signals = self.signals[event.process]
                 # SIGTERM may come before the process has begun to listen for it.
-                good = (event.code == 0 or event.code == -15) and events.Signal.TERMINATE in signals
+                terminated = (
+                    event.code == 0 or event.code == -15
+                ) and events.Signal.TERMINATE in signals
                 killed = event.code == -9 and events.Signal.KILL in signals
-                if not good and not killed:
+                if not terminated and not killed:
                     names = sorted(signal.value for signal in signals)
                     yield f"{event.process} ended with {event.code} after {names}"
--- a/tools/soak/callers.py
+++ b/tools/soak/callers.py
@@ -16,44 +16,57 @@
 import msgspec
 
 from tools.soak.channel import Channel, ChannelError, Reply, open_channel
-from tools.soak.events import Answered, Broken, CancelAsked, Event, Kind, Loss, Offered
+from tools.soak.events import (
+    AnswerLost,
+    AnswerReceived,
+    CancelRequested,
+    Event,
+    JobOffered,
+    Loss,
+    RequestKind,
+)
 from tools.soak.hosts import Host
 from tools.soak.jobs import JobPlan, draw_job, draw_waiting
 
-__all__ = ["Book", "Caller", "Question", "SITE"]
+__all__ = ["SharedState", "Caller", "CallerRequest", "SITE"]
 
 SITE = "site.example"
-PAUSES = (0.05, 0.4)  # s between requests of one caller
-DEADLINES = (1.0, 3.0)  # s that callers wait
-PATIENCE = 3.0  # s beyond its deadline for which an answer still counts as late, not as lost
-TRIES = 5  # of a submission without an answer
-TRY_AGAIN = (0.1, 1.0)  # s before another try
-COPY_LATER = (0.5, 4.0)  # s after which a copy of an accepted submission may arrive
-ABSENT = 0.1  # s before a caller that reached no host tries again
+PAUSES_S = (0.05, 0.4)  # s between requests of one caller
+DEADLINES_S = (1.0, 3.0)  # s that callers wait
+ANSWER_MARGIN_S = 3.0  # s beyond its deadline for which an answer still counts as late, not as lost
+MAX_SUBMIT_TRIES = 5  # of a submission without an answer
+RETRY_DELAYS_S = (0.1, 1.0)  # s before another try
+COPY_DELAYS_S = (0.5, 4.0)  # s after which a copy of an accepted submission may arrive
+NO_HOST_RETRY_DELAY_S = 0.1  # s before a caller that reached no host tries again
 WAITING_SHARE = 0.06  # of jobs that nobody can run until the faults have ended
-EXTRA_SHARE = 0.3  # of counts that are asked of queues which come and go
-RECENT = 60  # jobs whose states are asked for
-METHODS = {Kind.SUBMIT: "POST", Kind.STATE: "GET", Kind.COUNT: "GET", Kind.CANCEL: "DELETE"}
+EXTRA_QUEUE_SHARE = 0.3  # of counts that are asked of queues which come and go
+MAX_RECENT_JOBS = 60  # jobs whose states are asked for
+METHODS = {
+    RequestKind.SUBMIT: "POST",
+    RequestKind.STATE: "GET",
+    RequestKind.COUNT: "GET",
+    RequestKind.CANCEL: "DELETE",
+}
 
 
 @dataclass(slots=True)
-class Book:
+class SharedState:
     """Hold what callers know together; ``quiet`` ends the handing in of jobs."""
 
     queues: tuple[str, ...]
     jobs: dict[str, JobPlan] = field(default_factory=dict)
     accepted: list[str] = field(default_factory=list)
     cancelled: set[str] = field(default_factory=set)
-    cancelled_for_good: set[str] = field(default_factory=set)
-    extra: int = 0  # queues that nobody uses and that come and go
-    quiet: bool = False
+    cancel_confirmed: set[str] = field(default_factory=set)
+    extra_queues: int = 0  # queues that nobody uses and that come and go
+    submissions_ended: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class Question:
+class CallerRequest:
     """Hold one request; ``subject`` is the id of a job, or the name of a queue."""
 
-    kind: Kind
+    kind: RequestKind
     queue: str
     subject: str
     body: bytes = b""
@@ -61,7 +74,7 @@
     @property
     def path(self) -> str:
         """Return the path of the request."""
-        return f"/{self.queue}/" + ("" if self.kind is Kind.COUNT else self.subject)
+        return f"/{self.queue}/" + ("" if self.kind is RequestKind.COUNT else self.subject)
 
 
 class Caller:
@@ -70,25 +83,25 @@
     def __init__(
         self,
         hosts: list[Host],
-        book: Book,
+        state: SharedState,
         record: Callable[[Event], None],
         random_: random.Random,
     ) -> None:
         self._hosts = hosts
-        self._book = book
+        self._state = state
         self._record = record
         self._random = random_
         self._channel: Channel | None = None
-        self._later: set[asyncio.Task[None]] = set()
+        self._background: set[asyncio.Task[None]] = set()
 
     async def run(self) -> None:
         """Call for ever."""
         try:
             while True:
                 await self._act()
-                await asyncio.sleep(self._random.uniform(*PAUSES))
+                await asyncio.sleep(self._random.uniform(*PAUSES_S))
         finally:
-            for task in self._later:
+            for task in self._background:
                 task.cancel()
             self.close()
 
@@ -97,94 +110,104 @@
         if self._channel is not None:
             self._channel.close()
 
-    async def submit(self, job: JobPlan, tries: int = TRIES) -> bool:
+    async def submit(self, job: JobPlan, tries: int = MAX_SUBMIT_TRIES) -> bool:
         """Hand a job in until it is known what came of it; return whether it was accepted."""
-        self._book.jobs[job.id] = job
-        self._record(Offered(time.monotonic(), job))
-        question = Question(Kind.SUBMIT, job.queue, job.id, job.encode())
+        self._state.jobs[job.id] = job
+        self._record(JobOffered(time.monotonic(), job))
+        request = CallerRequest(RequestKind.SUBMIT, job.queue, job.id, job.encode())
         for _ in range(tries):
-            reply = await self.ask(question)
+            reply = await self.send(request)
             if reply is not None and reply.status == 200:
-                self._book.accepted.append(job.id)
+                self._state.accepted.append(job.id)
                 return True
             if reply is not None and reply.status not in (502, 504):
                 return False
-            await asyncio.sleep(self._random.uniform(*TRY_AGAIN))
+            await asyncio.sleep(self._random.uniform(*RETRY_DELAYS_S))
         return False
 
-    async def ask_state(self, job: JobPlan) -> str:
+    async def read_state(self, job: JobPlan) -> str:
         """Return the state of a job, empty if it wasn't told."""
-        reply = await self.ask(Question(Kind.STATE, job.queue, job.id))
-        value = _read_value(Kind.STATE, reply) if reply is not None else None
+        reply = await self.send(CallerRequest(RequestKind.STATE, job.queue, job.id))
+        value = _read_value(RequestKind.STATE, reply) if reply is not None else None
         return value if isinstance(value, str) else ""
 
-    async def ask(self, *questions: Question) -> Reply | None:
+    async def send(self, *requests: CallerRequest) -> Reply | None:
         """Write requests at once on the kept connection; return the last answer."""
         channel = await self._find_channel()
         if channel is None:
-            await asyncio.sleep(ABSENT)
+            await asyncio.sleep(NO_HOST_RETRY_DELAY_S)
             return None
-        return await self._exchange(channel, questions)
+        return await self._exchange(channel, requests)
 
     async def _act(self) -> None:
         draw = self._random.random()
-        if draw < 0.4 and not self._book.quiet:
-            await self._hand_in()
-        elif draw < 0.45 and not self._book.quiet:
+        if draw < 0.4 and not self._state.submissions_ended:
+            await self._submit_new()
+        elif draw < 0.45 and not self._state.submissions_ended:
             await self._cancel()
         elif draw < 0.65:
-            await self.ask(self._count())
+            await self.send(self._make_count_request())
         elif draw < 0.72:
-            await self.ask(*(self._count(), *self._states(), self._count()))
+            await self.send(
+                *(
+                    self._make_count_request(),
+                    *self._make_state_requests(),
+                    self._make_count_request(),
+                )
+            )
         else:
-            await self.ask(*self._states())
+            await self.send(*self._make_state_requests())
 
-    async def _hand_in(self) -> None:
-        queue = self._random.choice(self._book.queues)
-        waits = self._random.random() < WAITING_SHARE
-        job = (draw_waiting if waits else draw_job)(self._random, queue)
+    async def _submit_new(self) -> None:
+        queue = self._random.choice(self._state.queues)
+        is_waiting = self._random.random() < WAITING_SHARE
+        job = (draw_waiting if is_waiting else draw_job)(self._random, queue)
         if self._random.random() < 0.1:
-            copy = Caller(self._hosts, self._book, self._record, self._random)
-            self._spawn(copy.copy(job, 0.0))
+            submit_copy = Caller(self._hosts, self._state, self._record, self._random)
+            self._spawn(submit_copy.submit_copy(job, 0.0))
         if await self.submit(job) and self._random.random() < 0.1:
-            copy = Caller(self._hosts, self._book, self._record, self._random)
-            self._spawn(copy.copy(job, self._random.uniform(*COPY_LATER)))
+            submit_copy = Caller(self._hosts, self._state, self._record, self._random)
+            self._spawn(submit_copy.submit_copy(job, self._random.uniform(*COPY_DELAYS_S)))
 
-    async def copy(self, job: JobPlan, after: float) -> None:
+    async def submit_copy(self, job: JobPlan, after: float) -> None:
         """Hand the same job in once more, through a connection of its own."""
         await asyncio.sleep(after)
         try:
-            await self.ask(Question(Kind.SUBMIT, job.queue, job.id, job.encode()))
+            await self.send(CallerRequest(RequestKind.SUBMIT, job.queue, job.id, job.encode()))
         finally:
             self.close()
 
     async def _cancel(self) -> None:
-        known = [name for name in self._book.accepted[-RECENT:] if not self._jobs(name).lasting]
-        if not known:
+        candidates = [
+            name
+            for name in self._state.accepted[-MAX_RECENT_JOBS:]
+            if not self._find_job(name).long_running
+        ]
+        if not candidates:
             return
-        job = self._jobs(self._random.choice(known))
-        self._book.cancelled.add(job.id)
-        self._record(CancelAsked(time.monotonic(), job.id))
-        reply = await self.ask(Question(Kind.CANCEL, job.queue, job.id))
+        job = self._find_job(self._random.choice(candidates))
+        self._state.cancelled.add(job.id)
+        self._record(CancelRequested(time.monotonic(), job.id))
+        reply = await self.send(CallerRequest(RequestKind.CANCEL, job.queue, job.id))
         if reply is not None and reply.status == 200:
-            self._book.cancelled_for_good.add(job.id)
+            self._state.cancel_confirmed.add(job.id)
 
-    def _count(self) -> Question:
-        queue = self._random.choice(self._book.queues)
-        if self._random.random() < EXTRA_SHARE:
+    def _make_count_request(self) -> CallerRequest:
+        queue = self._random.choice(self._state.queues)
+        if self._random.random() < EXTRA_QUEUE_SHARE:
             # The first queue that was added last, or the first one that may have been removed.
-            queue = f"extra{self._random.choice((0, max(0, self._book.extra - 1), 3))}"
-        return Question(Kind.COUNT, queue, queue)
+            queue = f"extra{self._random.choice((0, max(0, self._state.extra_queues - 1), 3))}"
+        return CallerRequest(RequestKind.COUNT, queue, queue)
 
-    def _states(self) -> tuple[Question, ...]:
-        known = self._book.accepted[-RECENT:]
-        if not known:
-            return (self._count(),)
-        job = self._jobs(self._random.choice(known))
-        return (Question(Kind.STATE, job.queue, job.id),)
+    def _make_state_requests(self) -> tuple[CallerRequest, ...]:
+        candidates = self._state.accepted[-MAX_RECENT_JOBS:]
+        if not candidates:
+            return (self._make_count_request(),)
+        job = self._find_job(self._random.choice(candidates))
+        return (CallerRequest(RequestKind.STATE, job.queue, job.id),)
 
-    def _jobs(self, name: str) -> JobPlan:
-        return self._book.jobs[name]
+    def _find_job(self, name: str) -> JobPlan:
+        return self._state.jobs[name]
 
     async def _find_channel(self) -> Channel | None:
         """Return the kept connection, or a new one to some host."""
@@ -201,43 +224,49 @@
             return self._channel
         return None
 
-    async def _exchange(self, channel: Channel, questions: tuple[Question, ...]) -> Reply | None:
-        deadline = self._random.choice(DEADLINES)
+    async def _exchange(
+        self, channel: Channel, requests: tuple[CallerRequest, ...]
+    ) -> Reply | None:
+        deadline = self._random.choice(DEADLINES_S)
         sent = time.monotonic()
-        for question in questions:
-            method = METHODS[question.kind]
-            channel.send(method, question.path, SITE, question.body, deadline)
+        for request in requests:
+            method = METHODS[request.kind]
+            channel.send(method, request.path, SITE, request.body, deadline)
         reply = None
-        for number, question in enumerate(questions):
-            kind, subject = question.kind, question.subject
+        for number, request in enumerate(requests):
+            kind, subject = request.kind, request.subject
             try:
-                reply = await channel.receive(deadline * len(questions) + PATIENCE)
+                reply = await channel.receive(deadline * len(requests) + ANSWER_MARGIN_S)
             except ChannelError as error:
                 at = time.monotonic()
-                self._record(Broken(at, sent, channel.process, kind, subject, error.loss))
+                self._record(AnswerLost(at, sent, channel.process, kind, subject, error.loss))
                 return None
             value = _read_value(kind, reply)
             at = time.monotonic()
-            self._record(Answered(at, sent, channel.process, kind, subject, reply.status, value))
-            if reply.last and number + 1 < len(questions):
-                self._break_rest(channel, sent, questions[number + 1 :])
+            self._record(
+                AnswerReceived(at, sent, channel.process, kind, subject, reply.status, value)
+            )
+            if reply.is_last and number + 1 < len(requests):
+                self._record_unread(channel, sent, requests[number + 1 :])
                 return None
         return reply
 
-    def _break_rest(self, channel: Channel, sent: float, rest: tuple[Question, ...]) -> None:
-        for question in rest:
+    def _record_unread(
+        self, channel: Channel, sent: float, rest: tuple[CallerRequest, ...]
+    ) -> None:
+        for request in rest:
             at = time.monotonic()
-            kind, subject = question.kind, question.subject
-            self._record(Broken(at, sent, channel.process, kind, subject, Loss.UNREAD))
+            kind, subject = request.kind, request.subject
+            self._record(AnswerLost(at, sent, channel.process, kind, subject, Loss.UNREAD))
 
     def _spawn(self, work: object) -> None:
         assert asyncio.iscoroutine(work)
         task: asyncio.Task[None] = asyncio.ensure_future(work)
-        self._later.add(task)
-        task.add_done_callback(self._later.discard)
+        self._background.add(task)
+        task.add_done_callback(self._background.discard)
 
 
-def _read_value(kind: Kind, reply: Reply) -> str | int | None:
+def _read_value(kind: RequestKind, reply: Reply) -> str | int | None:
     """Return the state or the count of an answer, None if it holds neither."""
     if reply.status != 200:
         return None
@@ -245,5 +274,5 @@
         body = msgspec.json.decode(reply.body) if reply.body else {}
     except msgspec.MsgspecError:
         return None
-    found = body.get({Kind.STATE: "state", Kind.COUNT: "pendingJobs"}.get(kind, ""))
+    found = body.get({RequestKind.STATE: "state", RequestKind.COUNT: "pendingJobs"}.get(kind, ""))
     return found if isinstance(found, str | int) else None
--- a/tools/soak/channel.py
+++ b/tools/soak/channel.py
@@ -15,8 +15,8 @@
 
 __all__ = ["Channel", "ChannelError", "Reply", "open_channel"]
 
-CONNECT = 1.0  # s to connect
-HEAD = b"\r\n\r\n"
+CONNECT_TIMEOUT_S = 1.0  # s to connect
+HEAD_END = b"\r\n\r\n"
 
 
 class ChannelError(ToucanpinError):
@@ -33,7 +33,7 @@
 
     status: int
     body: bytes
-    last: bool
+    is_last: bool
 
 
 class Channel:
@@ -44,7 +44,7 @@
     ) -> None:
         self.process = process
         self.usable = True
-        self._begun = False  # the head of an answer has come
+        self._answer_begun = False  # the head of an answer has come
         self._reader = reader
         self._writer = writer
 
@@ -65,7 +65,7 @@
             f"X-Deadline-Ms: {int(deadline * 1_000)}",
             f"Content-Length: {len(body)}",
         ]
-        self._writer.write("\r\n".join(lines).encode() + HEAD + body)
+        self._writer.write("\r\n".join(lines).encode() + HEAD_END + body)
 
     async def receive(self, deadline: float) -> Reply:
         """
@@ -84,20 +84,22 @@
             raise ChannelError(Loss.LATE) from error
         except asyncio.IncompleteReadError as error:
             self.close()
-            raise ChannelError(Loss.CUT if error.partial or self._begun else Loss.CLOSED) from error
+            raise ChannelError(
+                Loss.CUT if error.partial or self._answer_begun else Loss.CLOSED
+            ) from error
         except OSError as error:
             self.close()
-            raise ChannelError(Loss.CUT if self._begun else Loss.CLOSED) from error
+            raise ChannelError(Loss.CUT if self._answer_begun else Loss.CLOSED) from error
         except (ValueError, KeyError, IndexError) as error:
             self.close()
             raise ChannelError(Loss.MALFORMED) from error
-        self.usable = not reply.last
+        self.usable = not reply.is_last
         return reply
 
     async def _read(self) -> Reply:
-        self._begun = False
-        head = await self._reader.readuntil(HEAD)
-        self._begun = True
+        self._answer_begun = False
+        head = await self._reader.readuntil(HEAD_END)
+        self._answer_begun = True
         status, *lines = head.decode("latin-1").split("\r\n")
         pairs = (line.partition(":") for line in lines if line)
         headers = {name.lower(): value.strip() for name, _, value in pairs}
@@ -115,6 +117,6 @@
         If it can't be reached.
     """
     host, _, port = address.rpartition(":")
-    async with asyncio.timeout(CONNECT):
+    async with asyncio.timeout(CONNECT_TIMEOUT_S):
         reader, writer = await asyncio.open_connection(host, int(port))
     return Channel(reader, writer, process)
--- a/tools/soak/checker.py
+++ b/tools/soak/checker.py
@@ -24,7 +24,7 @@
     TaskCheck,
 )
 
-__all__ = ["CHECKS", "TIMED", "Checker", "Violation"]
+__all__ = ["CHECKS", "TIMING_CHECKS", "Checker", "Violation"]
 
 CHECKS: tuple[type[TaskCheck], ...] = (
     OnePlace,
@@ -46,7 +46,7 @@
 
 
 # Their verdicts hold only while the machine has processor time to spare.
-TIMED = frozenset({"Leaving", "Evacuations", "Configurations", "Counts"})
+TIMING_CHECKS = frozenset({"Leaving", "Evacuations", "Configurations", "Counts"})
 
 
 @dataclass(frozen=True, slots=True)
--- a/tools/soak/deployment.py
+++ b/tools/soak/deployment.py
@@ -18,9 +18,9 @@
 import msgspec
 
 from tools.soak.answer_checks import MAX_ATTEMPTS
-from tools.soak.callers import SITE, Book
+from tools.soak.callers import SITE, SharedState
 from tools.soak.checker import Checker
-from tools.soak.events import Configured, Evacuated
+from tools.soak.events import ConfigurationWritten, EvacuationsChanged
 from tools.soak.faults import LinkMode, WorkerMood
 from tools.soak.hosts import Host
 from tools.soak.jobs import LATE_LABEL
@@ -31,18 +31,18 @@
 from toucanpin.http import Server
 from toucanpin.scheduling.orders import WorkerEntry
 
-__all__ = ["CRASHING_QUEUE", "LASTING_QUEUE", "QUEUES", "Deployment"]
+__all__ = ["CRASHING_QUEUE", "LONG_RUNNING_QUEUE", "QUEUES", "Deployment"]
 
 SERVICES = ("c0", "c1")
 QUEUES = ("urgent", "batch", "other")  # the last is of the second service
-LASTING_QUEUE = "standing"
+LONG_RUNNING_QUEUE = "standing"
 CRASHING_QUEUE = "batch"
 ROUTES = {"urgent": ("c0", 0), "batch": ("c0", 1), "standing": ("c0", 0), "other": ("c1", 1)}
-AWAY = 1.0  # s until another life follows one that a task has crashed
+RESTART_DELAY_S = 1.0  # s until another life follows one that a task has crashed
 WORKER_CPU = 8_000  # thousandths of a core
-WORKER_MEMORY = 16_000  # MB
-NETWORKS = range(1, 200)  # third numbers of 127.77.x.y, one for each run at a time
-LOCKS = Path(tempfile.gettempdir())
+WORKER_MEMORY_MB = 16_000  # MB
+NETWORK_NUMBERS = range(1, 200)  # third numbers of 127.77.x.y, one for each run at a time
+LOCK_DIRECTORY = Path(tempfile.gettempdir())
 
 
 class Deployment:
@@ -52,20 +52,20 @@
         self.size = size
         self.checker = Checker()
         self.record = self.checker.record
-        self.book = Book(QUEUES)
+        self.state = SharedState(QUEUES)
         self.store = SoakStore()
         self.moods: list[list[WorkerMood]] = [[] for _ in range(size.workers)]
         self.workers: list[SoakWorker | None] = [None] * size.workers
         self.extra_workers: list[SoakWorker] = []
         self.links: dict[tuple[int, int | None], Link] = {}
         self.modes: dict[tuple[int, int | None], tuple[LinkMode, float]] = {}
-        self._lives = [0] * size.workers
+        self._incarnations = [0] * size.workers
         self._replacing: set[asyncio.Task[None]] = set()
         self._lock, self._network = _take_network()
         self._version = 0
         self._evacuations: Counter[str] = Counter()
         self._servers: list[Server] = []
-        self._places: dict[str, int] = {}
+        self._worker_numbers: dict[str, int] = {}
         self.views = [self._make_view(host) for host in range(size.hosts)]
         self.hosts = [
             Host(n, self._address(2, n), self._store_link(n), directory, program, self.record)
@@ -76,9 +76,9 @@
         """Start everything."""
         self.configure(0)
         for number, view in enumerate(self.views):
-            behind = f"{self._address(1, number)}:7001"
-            self._servers.append(await self.store.listen_for(behind, view))
-            await self._add_link(number, None, behind, self._store_link(number))
+            store_address = f"{self._address(1, number)}:7001"
+            self._servers.append(await self.store.listen_for(store_address, view))
+            await self._add_link(number, None, store_address, self._store_link(number))
         for worker in range(self.size.workers):
             await self.start_worker(worker)
         for host in self.hosts:
@@ -99,16 +99,16 @@
             await server.drain(0.0)
         self._lock.close()
 
-    def configure(self, extra: int) -> None:
+    def configure(self, extra_queues: int) -> None:
         """Write a configuration with so many queues that nobody uses."""
-        self._version += 1 + extra % 3
-        names = [*ROUTES, *(f"extra{number}" for number in range(extra))]
+        self._version += 1 + extra_queues % 3
+        names = [*ROUTES, *(f"extra{number}" for number in range(extra_queues))]
         routes = [_describe_route(name) for name in names]
         services = [{"name": name, "rejectsOverload": False} for name in SERVICES]
         document = {"version": self._version, "routes": routes, "services": services}
         self.store.put("op", "config", msgspec.json.encode(document))
-        self.book.extra = extra
-        self.record(Configured(time.monotonic(), frozenset(names)))
+        self.state.extra_queues = extra_queues
+        self.record(ConfigurationWritten(time.monotonic(), frozenset(names)))
 
     def evacuate(self, data_centre: str) -> None:
         """Evacuate a data centre once more; evacuations of it may overlap."""
@@ -116,7 +116,7 @@
         self.store.put("op", f"evacuate/{data_centre}", b"{}")
         self._record_evacuated()
 
-    def take_back(self, data_centre: str) -> None:
+    def end_evacuation(self, data_centre: str) -> None:
         """End one evacuation of a data centre."""
         self._evacuations[data_centre] -= 1
         if not self._evacuations[data_centre]:
@@ -125,15 +125,15 @@
         self._record_evacuated()
 
     def _record_evacuated(self) -> None:
-        self.record(Evacuated(time.monotonic(), frozenset(self._evacuations)))
+        self.record(EvacuationsChanged(time.monotonic(), frozenset(self._evacuations)))
 
     async def start_worker(self, number: int) -> None:
         """Start a life of a worker, at the address of its earlier ones."""
-        self._lives[number] += 1
-        name = f"w{number}-{self._lives[number]}"
+        self._incarnations[number] += 1
+        name = f"w{number}-{self._incarnations[number]}"
         service = SERVICES[number % len(SERVICES)]
         address = f"{self._address(3, number)}:7002"
-        self._places[address] = number
+        self._worker_numbers[address] = number
         site = DATA_CENTRES[number % len(DATA_CENTRES)]
         worker = self._make_worker(
             name, service, address, site, (), self.moods[number], number % 2 == 1
@@ -159,7 +159,7 @@
         """Start a worker of each service for the jobs that waited for one."""
         for number, service in enumerate(SERVICES):
             address = f"{self._address(4, number)}:7002"
-            self._places[address] = self.size.workers + number
+            self._worker_numbers[address] = self.size.workers + number
             worker = self._make_worker(
                 f"late-{service}", service, address, "dc", ("k", "r9", LATE_LABEL), [], False
             )
@@ -191,13 +191,13 @@
     ) -> SoakWorker:
         labels = labels or ("k", f"r{address.rpartition('.')[2]}")
         entry = WorkerEntry(
-            name, service, address, data_centre, True, WORKER_CPU, WORKER_MEMORY, 0, labels
+            name, service, address, data_centre, True, WORKER_CPU, WORKER_MEMORY_MB, 0, labels
         )
         return SoakWorker(
             self.store,
             entry,
             self.record,
-            self.book.jobs,
+            self.state.jobs,
             self.advance_workers,
             moods,
             self._replace_crashed,
@@ -209,25 +209,27 @@
         if worker not in self.workers:
             return
         number = self.workers.index(worker)
-        task = asyncio.ensure_future(self.replace_worker(number, 0.0, AWAY))
+        task = asyncio.ensure_future(self.replace_worker(number, 0.0, RESTART_DELAY_S))
         self._replacing.add(task)
         task.add_done_callback(self._replacing.discard)
 
     def _make_view(self, host: int) -> HostView:
         async def find_link(address: str) -> str:
-            worker = self._places[address]
-            near = f"{self._address(5, host)}:{10_000 + worker}"
+            worker = self._worker_numbers[address]
+            link_address = f"{self._address(5, host)}:{10_000 + worker}"
             if (host, worker) not in self.links:
-                await self._add_link(host, worker, address, near)
-            return near
+                await self._add_link(host, worker, address, link_address)
+            return link_address
 
         return HostView(find_link)
 
-    async def _add_link(self, host: int, worker: int | None, target: str, near: str) -> None:
+    async def _add_link(
+        self, host: int, worker: int | None, target: str, link_address: str
+    ) -> None:
         link = self.links[host, worker] = Link(target)
         mode, delay = self.modes.get((host, worker), (LinkMode.OPEN, 0.0))
         link.set_mode(mode, delay)
-        await link.listen(near)
+        await link.listen(link_address)
 
     def _address(self, kind: int, number: int) -> str:
         """Return an address of this run."""
@@ -251,8 +253,8 @@
 
 def _take_network() -> tuple[IO[str], int]:
     """Return addresses that no other run on this machine uses, and the lock that says so."""
-    for number in NETWORKS:
-        lock = (LOCKS / f"toucanpin-soak-{number}.lock").open("w")
+    for number in NETWORK_NUMBERS:
+        lock = (LOCK_DIRECTORY / f"toucanpin-soak-{number}.lock").open("w")
         try:
             fcntl.flock(lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError:
--- a/tools/soak/events.py
+++ b/tools/soak/events.py
@@ -14,29 +14,29 @@
 from toucanpin.scheduling.job import TaskKey
 
 __all__ = [
-    "Acknowledged",
-    "Answered",
-    "Broken",
-    "CancelAsked",
-    "Configured",
-    "Draining",
-    "Ended",
-    "Evacuated",
+    "EndAcknowledged",
+    "AnswerReceived",
+    "AnswerLost",
+    "CancelRequested",
+    "ConfigurationWritten",
+    "WorkerDraining",
+    "RunEnded",
+    "EvacuationsChanged",
     "Event",
-    "Gone",
-    "Joined",
-    "Kind",
-    "Left",
+    "WorkerGone",
+    "WorkerJoined",
+    "RequestKind",
+    "ProcessExited",
     "Loss",
-    "Offered",
+    "JobOffered",
     "Signal",
-    "Signalled",
-    "Started",
-    "Troubled",
+    "SignalSent",
+    "RunStarted",
+    "DisturbanceSeen",
 ]
 
 
-class Kind(enum.Enum):
+class RequestKind(enum.Enum):
     """Name what a caller asks for."""
 
     SUBMIT = "submit"
@@ -66,7 +66,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Offered:
+class JobOffered:
     """Tell of a job that callers are about to hand in."""
 
     at: float
@@ -74,7 +74,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CancelAsked:
+class CancelRequested:
     """Tell that a caller is about to cancel a job."""
 
     at: float
@@ -82,7 +82,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Answered:
+class AnswerReceived:
     """
     Tell of a whole answer; ``subject`` is the id of a job, or the name of a queue.
 
@@ -92,26 +92,26 @@
     at: float
     sent: float
     process: str
-    kind: Kind
+    kind: RequestKind
     subject: str
     status: int
     value: str | int | None = None
 
 
 @dataclass(frozen=True, slots=True)
-class Broken:
+class AnswerLost:
     """Tell of a request without a whole answer."""
 
     at: float
     sent: float
     process: str
-    kind: Kind
+    kind: RequestKind
     subject: str
     loss: Loss
 
 
 @dataclass(frozen=True, slots=True)
-class Joined:
+class WorkerJoined:
     """Tell of a life of a worker; sizes as in a job's step."""
 
     at: float
@@ -122,7 +122,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Draining:
+class WorkerDraining:
     """Tell that the store accepted a worker's report that it drains."""
 
     at: float
@@ -130,7 +130,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Evacuated:
+class EvacuationsChanged:
     """Tell which data centres operators have evacuated, as the store accepted it."""
 
     at: float
@@ -138,7 +138,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Gone:
+class WorkerGone:
     """Tell that a life of a worker is over, with all that it ran."""
 
     at: float
@@ -146,7 +146,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Started:
+class RunStarted:
     """Tell that a worker began a run."""
 
     at: float
@@ -156,29 +156,29 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ended:
+class RunEnded:
     """Tell that a run ended on its worker."""
 
     at: float
     worker: str
     task: TaskKey
     attempt: int
-    how: str
+    end_kind: str
 
 
 @dataclass(frozen=True, slots=True)
-class Acknowledged:
+class EndAcknowledged:
     """Tell that a worker was told to forget an end."""
 
     at: float
     worker: str
     task: TaskKey
     attempt: int
-    how: str
+    end_kind: str
 
 
 @dataclass(frozen=True, slots=True)
-class Signalled:
+class SignalSent:
     """Tell that the soak sent a signal to a process."""
 
     at: float
@@ -187,7 +187,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Left:
+class ProcessExited:
     """Tell that a process has ended; ``code`` is minus the signal that ended it."""
 
     at: float
@@ -196,7 +196,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Troubled:
+class DisturbanceSeen:
     """
     Tell of trouble at this moment.
 
@@ -209,7 +209,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Configured:
+class ConfigurationWritten:
     """Tell which queues are there, as the store accepted them."""
 
     at: float
@@ -217,19 +217,19 @@
 
 
 Event = (
-    Offered
-    | CancelAsked
-    | Answered
-    | Broken
-    | Joined
-    | Draining
-    | Evacuated
-    | Gone
-    | Started
-    | Ended
-    | Acknowledged
-    | Signalled
-    | Left
-    | Troubled
-    | Configured
+    JobOffered
+    | CancelRequested
+    | AnswerReceived
+    | AnswerLost
+    | WorkerJoined
+    | WorkerDraining
+    | EvacuationsChanged
+    | WorkerGone
+    | RunStarted
+    | RunEnded
+    | EndAcknowledged
+    | SignalSent
+    | ProcessExited
+    | DisturbanceSeen
+    | ConfigurationWritten
 )
--- a/tools/soak/faults.py
+++ b/tools/soak/faults.py
@@ -24,7 +24,7 @@
     "ProcessPauses",
     "SettingsChange",
     "StoreTrouble",
-    "Timed",
+    "TimedFault",
     "WorkerEnds",
     "WorkerMood",
     "WritesUnanswered",
@@ -162,7 +162,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Timed:
+class TimedFault:
     """Hold a fault and the time at which it begins, in s since callers came."""
 
     at: float
--- a/tools/soak/hosts.py
+++ b/tools/soak/hosts.py
@@ -16,13 +16,13 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from tools.soak.events import Event, Left, Signal, Signalled
+from tools.soak.events import Event, ProcessExited, Signal, SignalSent
 
 __all__ = ["Host"]
 
-GRACE = 6.0  # s between SIGTERM and SIGKILL, as the platform does
-FIRST_LINES = 4_096  # bytes of a log
-LOOK = 0.02  # s between looks at whether a process has ended
+GRACE_S = 6.0  # s between SIGTERM and SIGKILL, as the platform does
+LOG_HEAD_BYTES = 4_096  # bytes of a log
+POLL_PERIOD_S = 0.02  # s between looks at whether a process has ended
 SIGNALS = {
     Signal.TERMINATE: signal.SIGTERM,
     Signal.KILL: signal.SIGKILL,
@@ -52,18 +52,18 @@
         self.front = f"{address}:8000"
         self.wanted = False
         self.process: subprocess.Popen[bytes] | None = None
-        self.life = 0
+        self.incarnation = 0
         self._address = address
         self._store = store
         self._directory = directory
         self._program = program
         self._record = record
-        self._watch: asyncio.Task[None] | None = None
+        self._exit_watch: asyncio.Task[None] | None = None
 
     @property
     def name(self) -> str:
         """Return the name of the present life of the process."""
-        return f"h{self.number}.{self.life}"
+        return f"h{self.number}.{self.incarnation}"
 
     @property
     def alive(self) -> bool:
@@ -77,7 +77,7 @@
 
     def listens(self) -> bool:
         """Tell whether the process has begun, by the line that it writes then."""
-        return self.alive and b"process.started" in self.log.read_bytes()[:FIRST_LINES]
+        return self.alive and b"process.started" in self.log.read_bytes()[:LOG_HEAD_BYTES]
 
     def write_settings(self) -> None:
         """Write the settings file; it differs each time."""
@@ -91,7 +91,7 @@
             "internalPorts=8002",
             f"platform.address={self._store}",
             "heartbeatMs=1000",
-            f"bounds.graceS={GRACE}",
+            f"bounds.graceS={GRACE_S}",
         )
         self._settings.write_text("\n".join(lines) + "\n")
 
@@ -100,7 +100,7 @@
         self.wanted = True
         if self.alive:
             return
-        self.life += 1
+        self.incarnation += 1
         self.write_settings()
         environment = {**os.environ, "TOUCANPIN_NODE_FILE": str(self._settings)}
         with self.log.open("wb") as log:
@@ -111,32 +111,32 @@
                 stderr=subprocess.STDOUT,
                 env=environment,
             )
-        self._watch = asyncio.ensure_future(self._follow(self.process, self.name))
+        self._exit_watch = asyncio.ensure_future(self._watch_exit(self.process, self.name))
 
     def send(self, kind: Signal) -> None:
         """Send a signal to the process if it is alive."""
         if self.process is None or self.process.poll() is not None:
             return
-        self._record(Signalled(time.monotonic(), self.name, kind))
+        self._record(SignalSent(time.monotonic(), self.name, kind))
         self.process.send_signal(SIGNALS[kind])
 
     async def replace(self, away: float) -> None:
         """Start the host anew after a while, once the process that was told to end is gone."""
         self.wanted = False
-        leaving = self.process
-        given_up = time.monotonic() + GRACE
-        back = time.monotonic() + away
-        while leaving is not None and leaving.poll() is None:
-            if time.monotonic() > given_up and leaving is self.process:
+        ending = self.process
+        kill_at = time.monotonic() + GRACE_S
+        restart_at = time.monotonic() + away
+        while ending is not None and ending.poll() is None:
+            if time.monotonic() > kill_at and ending is self.process:
                 self.send(Signal.KILL)
-            await asyncio.sleep(LOOK)
-        await asyncio.sleep(max(0.0, back - time.monotonic()))
+            await asyncio.sleep(POLL_PERIOD_S)
+        await asyncio.sleep(max(0.0, restart_at - time.monotonic()))
         self.start()
 
     def finish(self) -> None:
         """End the process for good."""
-        if self._watch is not None:
-            self._watch.cancel()
+        if self._exit_watch is not None:
+            self._exit_watch.cancel()
         if self.process is not None and self.process.poll() is None:
             self.process.kill()
             self.process.wait()
@@ -145,9 +145,9 @@
     def _settings(self) -> Path:
         return self._directory / f"h{self.number}.conf"
 
-    async def _follow(self, process: subprocess.Popen[bytes], name: str) -> None:
+    async def _watch_exit(self, process: subprocess.Popen[bytes], name: str) -> None:
         """Tell when a process has ended."""
         while process.poll() is None:
-            await asyncio.sleep(LOOK)
+            await asyncio.sleep(POLL_PERIOD_S)
         assert process.returncode is not None
-        self._record(Left(time.monotonic(), name, process.returncode))
+        self._record(ProcessExited(time.monotonic(), name, process.returncode))
--- a/tools/soak/jobs.py
+++ b/tools/soak/jobs.py
@@ -20,15 +20,15 @@
     "StepPlan",
     "draw_crashing",
     "draw_job",
-    "draw_lasting",
+    "draw_long_running",
     "draw_waiting",
 ]
 
 LATE_LABEL = "late"  # of a worker that comes only after the faults
-BRIEF = (0.1, 1.2)  # s that a task lasts
-FOREVER = 1e9  # s
-SIZES = (250, 500, 1_000, 2_000)  # thousandths of a core
-MEMORY = (64, 256, 512)  # MB
+TASK_DURATIONS_S = (0.1, 1.2)  # s that a task lasts
+UNLIMITED_S = 1e9  # s
+CPU_SIZES = (250, 500, 1_000, 2_000)  # thousandths of a core
+MEMORY_SIZES_MB = (64, 256, 512)  # MB
 
 
 @dataclass(frozen=True, slots=True)
@@ -42,9 +42,9 @@
     count: int
     cpu: int
     memory: int
-    lasts: float
+    duration: float
     after: tuple[int, ...] = ()
-    lasting: bool = False
+    long_running: bool = False
     speculative: bool = False
     label: str = ""
     crashes: bool = False
@@ -59,9 +59,9 @@
     steps: tuple[StepPlan, ...]
 
     @property
-    def lasting(self) -> bool:
+    def long_running(self) -> bool:
         """Tell whether tasks of the job run until it is cancelled."""
-        return any(step.lasting for step in self.steps)
+        return any(step.long_running for step in self.steps)
 
     @property
     def waiting(self) -> bool:
@@ -89,9 +89,9 @@
         after = tuple(sorted(random_.sample(range(number), random_.randint(0, number))))
         step = StepPlan(
             count=random_.randint(1, 4),
-            cpu=random_.choice(SIZES),
-            memory=random_.choice(MEMORY),
-            lasts=random_.uniform(*BRIEF),
+            cpu=random_.choice(CPU_SIZES),
+            memory=random_.choice(MEMORY_SIZES_MB),
+            duration=random_.uniform(*TASK_DURATIONS_S),
             after=after,
             speculative=random_.random() < 0.08,
         )
@@ -99,21 +99,21 @@
     return JobPlan(draw_id(random_), queue, tuple(steps))
 
 
-def draw_lasting(random_: random.Random, queue: str) -> JobPlan:
+def draw_long_running(random_: random.Random, queue: str) -> JobPlan:
     """Draw a job whose tasks run until it is cancelled."""
-    step = StepPlan(random_.randint(1, 3), 500, 128, lasts=FOREVER, lasting=True)
+    step = StepPlan(random_.randint(1, 3), 500, 128, duration=UNLIMITED_S, long_running=True)
     return JobPlan(draw_id(random_), queue, (step,))
 
 
 def draw_crashing(random_: random.Random, queue: str) -> JobPlan:
     """Draw a job of which one task crashes its workers."""
-    lasting = random_.random() < 0.3
+    long_running = random_.random() < 0.3
     step = StepPlan(
         count=random_.randint(1, 3),
         cpu=500,
         memory=64,
-        lasts=FOREVER if lasting else random_.uniform(*BRIEF),
-        lasting=lasting,
+        duration=UNLIMITED_S if long_running else random_.uniform(*TASK_DURATIONS_S),
+        long_running=long_running,
         speculative=random_.random() < 0.3,
         crashes=True,
     )
@@ -122,7 +122,7 @@
 
 def draw_waiting(random_: random.Random, queue: str) -> JobPlan:
     """Draw a job that nobody can run until the worker for it comes."""
-    step = StepPlan(1, 500, 64, lasts=0.2, label=LATE_LABEL)
+    step = StepPlan(1, 500, 64, duration=0.2, label=LATE_LABEL)
     return JobPlan(draw_id(random_), queue, (step,))
 
 
@@ -136,11 +136,11 @@
         "count": step.count,
         "cpu": step.cpu,
         "memMb": step.memory,
-        "estimateMs": int(min(step.lasts, 60.0) * 1_000),
+        "estimateMs": int(min(step.duration, 60.0) * 1_000),
     }
     if step.after:
         fields["after"] = step.after
-    if step.lasting:
+    if step.long_running:
         fields["longRunning"] = True
     if step.speculative:
         fields["speculative"] = True
--- a/tools/soak/links.py
+++ b/tools/soak/links.py
@@ -14,9 +14,9 @@
 
 __all__ = ["Link"]
 
-CHUNK = 65_536  # bytes read at a time
-HOLDS_THERE = (LinkMode.CUT_THERE, LinkMode.SILENT)
-HOLDS_BACK = (LinkMode.CUT_BACK, LinkMode.SILENT)
+CHUNK_BYTES = 65_536  # bytes read at a time
+REQUEST_HOLDING_MODES = (LinkMode.CUT_THERE, LinkMode.SILENT)
+ANSWER_HOLDING_MODES = (LinkMode.CUT_BACK, LinkMode.SILENT)
 
 
 class Link:
@@ -40,7 +40,7 @@
         """Listen on an address."""
         host, _, port = address.rpartition(":")
         self._server = await asyncio.start_server(
-            self._accept, host, int(port), backlog=256, limit=CHUNK
+            self._accept, host, int(port), backlog=256, limit=CHUNK_BYTES
         )
 
     def set_mode(self, mode: LinkMode, delay: float = 0.0) -> None:
@@ -71,48 +71,50 @@
         task.add_done_callback(self._tasks.discard)
         self._writers.add(writer)
         try:
-            await self._join(reader, writer)
+            await self._relay(reader, writer)
         except (OSError, asyncio.CancelledError):
             pass
         finally:
             self._drop(writer)
 
-    async def _join(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _relay(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         if self._mode is LinkMode.RESET:
             return
         host, _, port = self._target.rpartition(":")
-        there, back = await asyncio.open_connection(host, int(port), limit=CHUNK)
-        self._writers.add(back)
+        target_reader, target_writer = await asyncio.open_connection(
+            host, int(port), limit=CHUNK_BYTES
+        )
+        self._writers.add(target_writer)
         pumps = [
-            asyncio.ensure_future(self._pump(reader, back, HOLDS_THERE)),
-            asyncio.ensure_future(self._pump(there, writer, HOLDS_BACK)),
+            asyncio.ensure_future(self._pump(reader, target_writer, REQUEST_HOLDING_MODES)),
+            asyncio.ensure_future(self._pump(target_reader, writer, ANSWER_HOLDING_MODES)),
         ]
         try:
             await asyncio.gather(*pumps)
         finally:
             for pump in pumps:
                 pump.cancel()
-            self._drop(back)
+            self._drop(target_writer)
 
     async def _pump(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
-        holds: tuple[LinkMode, ...],
+        holding_modes: tuple[LinkMode, ...],
     ) -> None:
         """Pass bytes on in one direction until that side ends."""
         with contextlib.suppress(OSError):
-            while data := await reader.read(CHUNK):
-                await self._wait(holds)
+            while data := await reader.read(CHUNK_BYTES):
+                await self._wait_until_open(holding_modes)
                 writer.write(data)
                 await writer.drain()
-        await self._wait(holds)
+        await self._wait_until_open(holding_modes)
         writer.close()
 
-    async def _wait(self, holds: tuple[LinkMode, ...]) -> None:
+    async def _wait_until_open(self, holding_modes: tuple[LinkMode, ...]) -> None:
         if self._delay:
             await asyncio.sleep(self._delay)
-        while self._mode in holds:
+        while self._mode in holding_modes:
             await self._changed.wait()
 
     def _drop(self, writer: asyncio.StreamWriter) -> None:
--- a/tools/soak/plan.py
+++ b/tools/soak/plan.py
@@ -13,24 +13,24 @@
 
 from tools.soak import faults
 from tools.soak.events import Signal
-from tools.soak.faults import Fault, LinkMode, Mood, Timed
+from tools.soak.faults import Fault, LinkMode, Mood, TimedFault
 
 __all__ = ["DATA_CENTRES", "Size", "draw_plan"]
 
-FIRST = 1.5  # s without faults, in which the first jobs are accepted
-SERIES_EVERY = 3.0  # s of a run for each series of faults
-SERIES_HOSTS = 12  # from which on there are more series
-LENGTHS = (2, 3, 4, 6)  # faults of one series
-GAPS = (0.0, 1.2)  # s between faults of a series
-SHORT = (0.3, 2.0)  # s
-LONG = (1.0, 6.0)  # s
-LEASES = (2.0, 8.0)  # s: a lease of a worker is 4.5 s
-EVACUATED = (3.0, 16.0)  # s; an evacuation has to be in force after 5 s
+FAULT_FREE_START_S = 1.5  # s without faults, in which the first jobs are accepted
+SERIES_PERIOD_S = 3.0  # s of a run for each series of faults
+MIN_SCALED_HOSTS = 12  # from which on there are more series
+SERIES_LENGTHS = (2, 3, 4, 6)  # faults of one series
+FAULT_GAPS_S = (0.0, 1.2)  # s between faults of a series
+SHORT_DURATIONS_S = (0.3, 2.0)  # s
+LONG_DURATIONS_S = (1.0, 6.0)  # s
+LEASE_CUT_DURATIONS_S = (2.0, 8.0)  # s: a lease of a worker is 4.5 s
+EVACUATION_DURATIONS_S = (3.0, 16.0)  # s; an evacuation has to be in force after 5 s
 DATA_CENTRES = ("dc0", "dc1", "dc2")
-NOBODYS_DATA_CENTRE = "dc9"
-EXTRA_QUEUES = (0, 1, 3, 40, 1_000)
-TROUBLED_MODES = tuple(mode for mode in LinkMode if mode is not LinkMode.OPEN)
-CUTS = (LinkMode.CUT_THERE, LinkMode.CUT_BACK, LinkMode.SILENT)
+UNUSED_DATA_CENTRE = "dc9"
+EXTRA_QUEUE_COUNTS = (0, 1, 3, 40, 1_000)
+FAULTY_MODES = tuple(mode for mode in LinkMode if mode is not LinkMode.OPEN)
+CUT_MODES = (LinkMode.CUT_THERE, LinkMode.CUT_BACK, LinkMode.SILENT)
 
 
 @dataclass(frozen=True, slots=True)
@@ -41,15 +41,15 @@
     workers: int = 10
     callers: int = 10
     seconds: float = 20.0
-    calm: float = 14.0
+    recovery: float = 14.0
 
 
-def draw_plan(seed: int, size: Size) -> tuple[Timed, ...]:
+def draw_plan(seed: int, size: Size) -> tuple[TimedFault, ...]:
     """Draw the faults of a run, in the order of their times."""
     random_ = random.Random(f"plan/{seed}")
-    timed: list[Timed] = []
-    crowd = max(1.0, size.hosts / SERIES_HOSTS)
-    for _ in range(max(2, round(size.seconds / SERIES_EVERY * crowd))):
+    timed: list[TimedFault] = []
+    host_factor = max(1.0, size.hosts / MIN_SCALED_HOSTS)
+    for _ in range(max(2, round(size.seconds / SERIES_PERIOD_S * host_factor))):
         timed += _draw_series(random_, size)
     return tuple(sorted(timed, key=lambda it: it.at))
 
@@ -63,46 +63,46 @@
     workers: tuple[int, ...]
     all_hosts: tuple[int, ...]
 
-    def one_host(self) -> int:
+    def draw_host(self) -> int:
         return self.random_.choice(self.hosts)
 
-    def some_hosts(self) -> tuple[int, ...]:
+    def draw_hosts(self) -> tuple[int, ...]:
         """Return all hosts, or one."""
-        return self.random_.choice((self.all_hosts, (self.one_host(),)))
+        return self.random_.choice((self.all_hosts, (self.draw_host(),)))
 
-    def time(self, bounds: tuple[float, float]) -> float:
+    def draw_time(self, bounds: tuple[float, float]) -> float:
         return round(self.random_.uniform(*bounds), 2)
 
 
-def _draw_series(random_: random.Random, size: Size) -> Iterator[Timed]:
+def _draw_series(random_: random.Random, size: Size) -> Iterator[TimedFault]:
     """Yield faults of one or two themes in quick succession, on the same few targets."""
-    at = random_.uniform(FIRST, max(FIRST, size.seconds - 1.0))
+    at = random_.uniform(FAULT_FREE_START_S, max(FAULT_FREE_START_S, size.seconds - 1.0))
     themes = random_.sample(_THEMES, random_.choice((1, 2)))
     targets = _draw_targets(random_, size)
-    for _ in range(random_.choice(LENGTHS)):
+    for _ in range(random_.choice(SERIES_LENGTHS)):
         if at >= size.seconds:
             return
-        yield Timed(round(at, 3), random_.choice(themes)(random_, targets))
-        at += random_.uniform(*GAPS)
+        yield TimedFault(round(at, 3), random_.choice(themes)(random_, targets))
+        at += random_.uniform(*FAULT_GAPS_S)
 
 
 def _draw_targets(random_: random.Random, size: Size) -> _Targets:
     all_hosts = tuple(range(size.hosts))
     hosts = tuple(random_.sample(all_hosts, random_.randint(1, size.hosts)))
-    most = max(1, size.workers // 3)
-    workers = tuple(random_.sample(range(size.workers), random_.randint(1, most)))
+    max_workers = max(1, size.workers // 3)
+    workers = tuple(random_.sample(range(size.workers), random_.randint(1, max_workers)))
     return _Targets(random_, hosts, workers, all_hosts)
 
 
 def _draw_process(random_: random.Random, targets: _Targets) -> Fault:
-    host = targets.one_host()
+    host = targets.draw_host()
     match random_.randrange(4):
         case 0:
-            return faults.ProcessEnds(host, Signal.TERMINATE, targets.time(SHORT))
+            return faults.ProcessEnds(host, Signal.TERMINATE, targets.draw_time(SHORT_DURATIONS_S))
         case 1:
-            return faults.ProcessEnds(host, Signal.KILL, targets.time(SHORT))
+            return faults.ProcessEnds(host, Signal.KILL, targets.draw_time(SHORT_DURATIONS_S))
         case 2:
-            return faults.ProcessPauses(host, targets.time(LONG))
+            return faults.ProcessPauses(host, targets.draw_time(LONG_DURATIONS_S))
     return faults.SettingsChange(host)
 
 
@@ -112,16 +112,16 @@
 
 
 def _draw_configuration(random_: random.Random, targets: _Targets) -> Fault:
-    return faults.ConfigurationChanges(random_.choice(EXTRA_QUEUES))
+    return faults.ConfigurationChanges(random_.choice(EXTRA_QUEUE_COUNTS))
 
 
 def _draw_evacuation(random_: random.Random, targets: _Targets) -> Fault:
-    data_centre = random_.choice((*DATA_CENTRES, NOBODYS_DATA_CENTRE))
-    return faults.DataCentreEvacuated(data_centre, targets.time(EVACUATED))
+    data_centre = random_.choice((*DATA_CENTRES, UNUSED_DATA_CENTRE))
+    return faults.DataCentreEvacuated(data_centre, targets.draw_time(EVACUATION_DURATIONS_S))
 
 
 def _draw_store(random_: random.Random, targets: _Targets) -> Fault:
-    hosts, lasts = targets.some_hosts(), targets.time(LONG)
+    hosts, lasts = targets.draw_hosts(), targets.draw_time(LONG_DURATIONS_S)
     match random_.randrange(6):
         case 0:
             return faults.StoreTrouble(hosts, lasts, status=random_.choice((503, 429)))
@@ -130,38 +130,46 @@
         case 2:
             return faults.StoreTrouble(hosts, lasts, silent=True)
         case 3:
-            return faults.WritesUnanswered(targets.one_host(), random_.randint(1, 5))
+            return faults.WritesUnanswered(targets.draw_host(), random_.randint(1, 5))
         case 4:
-            return faults.WritesUnanswered(targets.one_host(), random_.randint(1, 4), lasts)
+            return faults.WritesUnanswered(targets.draw_host(), random_.randint(1, 4), lasts)
     return faults.HistoryDropped()
 
 
 def _draw_link(random_: random.Random, targets: _Targets) -> Fault:
     workers = random_.choice((None, targets.workers))
-    mode = random_.choice(TROUBLED_MODES)
+    mode = random_.choice(FAULTY_MODES)
     delay = random_.choice((0.02, 0.2, 0.7)) if mode is LinkMode.DELAYED else 0.0
-    return faults.LinkTrouble(targets.some_hosts(), workers, mode, targets.time(LONG), delay)
+    return faults.LinkTrouble(
+        targets.draw_hosts(), workers, mode, targets.draw_time(LONG_DURATIONS_S), delay
+    )
 
 
 def _draw_workers_cut(random_: random.Random, targets: _Targets) -> Fault:
     """Draw a cut of ways to the workers that is long enough for leases to end."""
-    mode, lasts = random_.choice(CUTS), targets.time(LEASES)
-    return faults.LinkTrouble(targets.some_hosts(), targets.workers, mode, lasts)
+    mode, lasts = random_.choice(CUT_MODES), targets.draw_time(LEASE_CUT_DURATIONS_S)
+    return faults.LinkTrouble(targets.draw_hosts(), targets.workers, mode, lasts)
 
 
 def _draw_worker(random_: random.Random, targets: _Targets) -> Fault:
     worker = random_.choice(targets.workers)
     match random_.randrange(6):
         case 0:
-            return faults.WorkerEnds(worker, 0.0, targets.time(SHORT))
+            return faults.WorkerEnds(worker, 0.0, targets.draw_time(SHORT_DURATIONS_S))
         case 1:
-            return faults.WorkerEnds(worker, targets.time(LONG), targets.time(SHORT))
+            return faults.WorkerEnds(
+                worker, targets.draw_time(LONG_DURATIONS_S), targets.draw_time(SHORT_DURATIONS_S)
+            )
         case 2:
             status = random_.choice((503, 429, 409))
-            return faults.WorkerMood(worker, targets.time(SHORT), Mood.REFUSES, status)
+            return faults.WorkerMood(
+                worker, targets.draw_time(SHORT_DURATIONS_S), Mood.REFUSES, status
+            )
         case 3:
-            return faults.WorkerMood(worker, targets.time(SHORT), Mood.FAILS)
-    return faults.WorkerMood(worker, targets.time(LONG), Mood.LATE, targets.time(SHORT))
+            return faults.WorkerMood(worker, targets.draw_time(SHORT_DURATIONS_S), Mood.FAILS)
+    return faults.WorkerMood(
+        worker, targets.draw_time(LONG_DURATIONS_S), Mood.LATE, targets.draw_time(SHORT_DURATIONS_S)
+    )
 
 
 _THEMES: tuple[Callable[[random.Random, _Targets], Fault], ...] = (
--- a/tools/soak/report.py
+++ b/tools/soak/report.py
@@ -10,15 +10,15 @@
 from collections.abc import Iterator
 from pathlib import Path
 
-from tools.soak.faults import Timed
+from tools.soak.faults import TimedFault
 from tools.soak.run import Outcome
 
 __all__ = ["describe"]
 
-MOST_TOLD = 20  # violations of one seed
+MAX_VIOLATIONS_SHOWN = 20  # violations of one seed
 
 
-def describe(outcome: Outcome, plan: tuple[Timed, ...], directory: Path) -> Iterator[str]:
+def describe(outcome: Outcome, plan: tuple[TimedFault, ...], directory: Path) -> Iterator[str]:
     """Yield the lines of a report."""
     bad = len(outcome.violations)
     yield (
@@ -26,7 +26,7 @@
         f"{outcome.processes} processes, {outcome.accepted} accepted, "
         f"{outcome.completed} ended by themselves, {outcome.starts} starts, "
         f"{outcome.events} events, {outcome.judged_counts} counts judged, "
-        f"{outcome.took:.0f} s, {outcome.cpu:.0f} s of processor time"
+        f"{outcome.elapsed:.0f} s, {outcome.cpu:.0f} s of processor time"
     )
     if not bad:
         return
@@ -34,8 +34,8 @@
     for timed in plan:
         yield f"    {timed.at:7.3f} {timed.fault}"
     yield "  seen:"
-    for violation in outcome.violations[:MOST_TOLD]:
-        at = violation.at - outcome.begun
+    for violation in outcome.violations[:MAX_VIOLATIONS_SHOWN]:
+        at = violation.at - outcome.started_at
         yield f"    {at:7.3f} {violation.check}: {violation.detail}"
     yield "  logs:"
     for path in sorted(directory.glob("*.log")):
--- a/tools/soak/store.py
+++ b/tools/soak/store.py
@@ -22,9 +22,9 @@
 
 __all__ = ["HostView", "SoakStore"]
 
-WORKERS = "servers"
-MAX_HEADERS = 16_384  # bytes
-MAX_BODY = 1_048_576  # bytes of one transaction
+WORKERS_TABLE = "servers"
+MAX_HEADER_BYTES = 16_384  # bytes
+MAX_BODY_BYTES = 1_048_576  # bytes of one transaction
 
 
 @dataclass(slots=True)
@@ -78,17 +78,17 @@
             response = await self._handle(request, view.faults)
             if response is None or response.status != 200:
                 return response
-            return await _name_links(request, response, view)
+            return await _replace_addresses(request, response, view)
 
-        server = Server(handle, MAX_HEADERS, MAX_BODY)
+        server = Server(handle, MAX_HEADER_BYTES, MAX_BODY_BYTES)
         await server.listen(address)
         return server
 
 
-async def _name_links(request: Request, response: Response, view: HostView) -> Response:
+async def _replace_addresses(request: Request, response: Response, view: HostView) -> Response:
     """Put the host's own links in the place of the workers' addresses."""
     parts = urlsplit(request.path)
-    if parts.path != "/rows-get" or parse_qs(parts.query)["table"] != [WORKERS]:
+    if parts.path != "/rows-get" or parse_qs(parts.query)["table"] != [WORKERS_TABLE]:
         return response
     body = msgspec.json.decode(response.body)
     for row in body["rows"]:
--- a/tools/soak/task_checks.py
+++ b/tools/soak/task_checks.py
@@ -26,10 +26,10 @@
     "TaskCheck",
 ]
 
-SEEN_LEAVING = 4.0  # s after which a worker that drains gets nothing more
-SEEN_EVACUATED = 5.0  # s after which nothing more is started in an evacuated data centre
+DRAIN_DELAY_S = 4.0  # s after which a worker that drains gets nothing more
+EVACUATION_DELAY_S = 5.0  # s after which nothing more is started in an evacuated data centre
 
-MOST_CRASHES = 5  # starts of a task that crashes its workers: two after the third crash
+MAX_CRASHES = 5  # starts of a task that crashes its workers: two after the third crash
 
 
 class TaskCheck:
@@ -37,17 +37,17 @@
 
     def __init__(self) -> None:
         self.jobs: dict[str, JobPlan] = {}
-        self.troubled = 0.0  # of the store, a host or the machine
+        self.disturbed_at = 0.0  # of the store, a host or the machine
         self.signals: dict[str, set[events.Signal]] = defaultdict(set)
 
     def take(self, event: events.Event) -> Iterator[str]:
         """Yield what is wrong with an event."""
         match event:
-            case events.Offered():
+            case events.JobOffered():
                 self.jobs[event.job.id] = event.job
-            case events.Troubled(orders=False):
-                self.troubled = event.at
-            case events.Signalled():
+            case events.DisturbanceSeen(orders=False):
+                self.disturbed_at = event.at
+            case events.SignalSent():
                 self.signals[event.process].add(event.signal)
         yield from self.judge(event)
 
@@ -74,15 +74,15 @@
 
     def judge(self, event: events.Event) -> Iterator[str]:
         match event:
-            case events.Started():
+            case events.RunStarted():
                 step = self.step(event.task)
                 places = self._places[event.task]
                 if places and not (step and step.speculative):
                     yield f"{event.task} began on {event.worker} while it runs on {places}"
                 places[event.worker] = event.attempt
-            case events.Ended():
+            case events.RunEnded():
                 self._places[event.task].pop(event.worker, None)
-            case events.Gone():
+            case events.WorkerGone():
                 for places in self._places.values():
                     places.pop(event.worker, None)
 
@@ -96,9 +96,9 @@
 
     def judge(self, event: events.Event) -> Iterator[str]:
         match event:
-            case events.Acknowledged() if event.how == "done":
+            case events.EndAcknowledged() if event.end_kind == "done":
                 self._done.add(event.task)
-            case events.Started() if event.task in self._done:
+            case events.RunStarted() if event.task in self._done:
                 step = self.step(event.task)
                 # A copy that was ordered before the other one was done may begin late.
                 if not (step and step.speculative):
@@ -114,9 +114,9 @@
 
     def judge(self, event: events.Event) -> Iterator[str]:
         match event:
-            case events.Ended() if event.how == "done":
+            case events.RunEnded() if event.end_kind == "done":
                 self._done.add(event.task)
-            case events.Started():
+            case events.RunStarted():
                 missing = sorted(self._earlier(event.task) - self._done)
                 if missing:
                     yield f"{event.task} began on {event.worker} before {missing[0]} was done"
@@ -141,9 +141,9 @@
 
     def judge(self, event: events.Event) -> Iterator[str]:
         match event:
-            case events.Started() if self._is_crash(event.task):
+            case events.RunStarted() if self._is_crash(event.task):
                 self._crashes[event.task] += 1
-                if self._crashes[event.task] > MOST_CRASHES:
+                if self._crashes[event.task] > MAX_CRASHES:
                     yield f"{event.task} crashed {event.worker}, the {self._crashes[event.task]}th"
 
     def _is_crash(self, task: TaskKey) -> bool:
@@ -161,17 +161,17 @@
 
     def judge(self, event: events.Event) -> Iterator[str]:
         match event:
-            case events.Joined():
+            case events.WorkerJoined():
                 self._sizes[event.worker] = (event.cpu, event.memory)
-            case events.Ended():
+            case events.RunEnded():
                 self._runs[event.worker].pop(event.task, None)
-            case events.Started():
+            case events.RunStarted():
                 step = self.step(event.task)
                 if step is not None:
                     self._runs[event.worker][event.task] = step
                     yield from self._measure(event)
 
-    def _measure(self, event: events.Started) -> Iterator[str]:
+    def _measure(self, event: events.RunStarted) -> Iterator[str]:
         runs = self._runs[event.worker].values()
         cpu = sum(step.cpu for step in runs)
         memory = sum(step.memory for step in runs)
@@ -190,11 +190,11 @@
 
     def judge(self, event: events.Event) -> Iterator[str]:
         match event:
-            case events.Answered(kind=events.Kind.SUBMIT):
+            case events.AnswerReceived(kind=events.RequestKind.SUBMIT):
                 self._statuses[event.subject].add(event.status)
-            case events.Broken(kind=events.Kind.SUBMIT):
+            case events.AnswerLost(kind=events.RequestKind.SUBMIT):
                 self._statuses[event.subject].add(0)
-            case events.Started():
+            case events.RunStarted():
                 self._started[event.task.job] = event.worker
                 if event.task.job not in self.jobs:
                     yield f"{event.task} began on {event.worker}, and nobody handed it in"
@@ -212,17 +212,17 @@
     def __init__(self) -> None:
         super().__init__()
         self._since: dict[str, float] = {}
-        self._troubled = 0.0
+        self._any_disturbed_at = 0.0
 
     def take(self, event: events.Event) -> Iterator[str]:
-        if isinstance(event, events.Troubled):
-            self._troubled = event.at
+        if isinstance(event, events.DisturbanceSeen):
+            self._any_disturbed_at = event.at
         yield from super().take(event)
 
-    def is_late(self, start: events.Started, name: str, bound: float) -> bool:
+    def is_late(self, start: events.RunStarted, name: str, bound: float) -> bool:
         """Tell whether a start comes more than ``bound`` seconds after what has a name."""
         since = self._since.get(name)
-        return since is not None and start.at > max(since, self._troubled) + bound
+        return since is not None and start.at > max(since, self._any_disturbed_at) + bound
 
 
 class Evacuations(StartCheck):
@@ -234,13 +234,13 @@
 
     def judge(self, event: events.Event) -> Iterator[str]:
         match event:
-            case events.Joined():
+            case events.WorkerJoined():
                 self._places[event.worker] = event.data_centre
-            case events.Evacuated():
+            case events.EvacuationsChanged():
                 known = self._since
                 self._since = {name: known.get(name, event.at) for name in event.data_centres}
-            case events.Started():
-                if self.is_late(event, self._places[event.worker], SEEN_EVACUATED):
+            case events.RunStarted():
+                if self.is_late(event, self._places[event.worker], EVACUATION_DELAY_S):
                     yield f"{event.task} began on {event.worker} long after its evacuation"
 
 
@@ -249,8 +249,8 @@
 
     def judge(self, event: events.Event) -> Iterator[str]:
         match event:
-            case events.Draining():
+            case events.WorkerDraining():
                 self._since[event.worker] = event.at
-            case events.Started():
-                if self.is_late(event, event.worker, SEEN_LEAVING):
+            case events.RunStarted():
+                if self.is_late(event, event.worker, DRAIN_DELAY_S):
                     yield f"{event.task} began on {event.worker} long after it drained"
--- a/tools/soak/tests/test_checks.py
+++ b/tools/soak/tests/test_checks.py
@@ -7,9 +7,9 @@
 from tools.soak import events
 from tools.soak.answer_checks import MAX_ATTEMPTS
 from tools.soak.checker import Checker
-from tools.soak.events import Kind, Loss, Signal
+from tools.soak.events import Loss, RequestKind, Signal
 from tools.soak.jobs import JobPlan, StepPlan
-from tools.soak.task_checks import MOST_CRASHES
+from tools.soak.task_checks import MAX_CRASHES
 from toucanpin.scheduling.job import TaskKey
 
 JOB = JobPlan("j", "q", (StepPlan(1, 600, 10, 1.0), StepPlan(1, 600, 10, 1.0, after=(0,))))
@@ -20,64 +20,68 @@
 CRASH = TaskKey("k", 0, 0, 0)
 
 
-def start(task: TaskKey, worker: str = "w1", at: float = 10.0) -> events.Started:
-    return events.Started(at, worker, task, 1)
+def start(task: TaskKey, worker: str = "w1", at: float = 10.0) -> events.RunStarted:
+    return events.RunStarted(at, worker, task, 1)
 
 
-def end(task: TaskKey, how: str = "done", worker: str = "w1") -> events.Ended:
-    return events.Ended(11.0, worker, task, 1, how)
+def end(task: TaskKey, end_kind: str = "done", worker: str = "w1") -> events.RunEnded:
+    return events.RunEnded(11.0, worker, task, 1, end_kind)
 
 
 def answer(
-    kind: Kind,
+    kind: RequestKind,
     status: int = 200,
     value: str | int | None = None,
     subject: str = "j",
     sent: float = 12.0,
-) -> events.Answered:
-    return events.Answered(sent + 0.1, sent, "h1", kind, subject, status, value)
+) -> events.AnswerReceived:
+    return events.AnswerReceived(sent + 0.1, sent, "h1", kind, subject, status, value)
 
 
-ACCEPTED = answer(Kind.SUBMIT, sent=1.0)
-TERMINATED = events.Signalled(20.0, "h1", Signal.TERMINATE)
+ACCEPTED = answer(RequestKind.SUBMIT, sent=1.0)
+TERMINATED = events.SignalSent(20.0, "h1", Signal.TERMINATE)
 
 
 class ChecksTest(unittest.TestCase):
     def find(self, *history: events.Event) -> list[str]:
         """Return the names of the checks that find something."""
         checker = Checker()
-        checker.record(events.Configured(0.0, frozenset({"q"})))
-        checker.record(events.Joined(0.0, "w1", 1_000, 1_000, "dc"))
-        checker.record(events.Joined(0.0, "w2", 1_000, 1_000))
+        checker.record(events.ConfigurationWritten(0.0, frozenset({"q"})))
+        checker.record(events.WorkerJoined(0.0, "w1", 1_000, 1_000, "dc"))
+        checker.record(events.WorkerJoined(0.0, "w2", 1_000, 1_000))
         for job in (JOB, COPIED, CRASHING):
-            checker.record(events.Offered(0.5, job))
+            checker.record(events.JobOffered(0.5, job))
         for event in history:
             checker.record(event)
         checker.close()
         return sorted({violation.check for violation in checker.violations})
 
     def test_evacuations(self) -> None:
-        evacuated = events.Evacuated(10.0, frozenset({"dc"}))
-        taken_back = events.Evacuated(12.0, frozenset())
+        evacuated = events.EvacuationsChanged(10.0, frozenset({"dc"}))
+        taken_back = events.EvacuationsChanged(12.0, frozenset())
         self.assertEqual(["Evacuations"], self.find(evacuated, start(FIRST, at=15.1)))
         self.assertEqual([], self.find(evacuated, start(FIRST, at=14.9)))
         self.assertEqual([], self.find(evacuated, start(FIRST, "w2", at=20.0)))
         self.assertEqual([], self.find(evacuated, taken_back, start(FIRST, at=20.0)))
-        again = events.Evacuated(13.0, frozenset({"dc"}))
+        again = events.EvacuationsChanged(13.0, frozenset({"dc"}))
         self.assertEqual([], self.find(evacuated, taken_back, again, start(FIRST, at=17.0)))
-        self.assertEqual([], self.find(evacuated, events.Troubled(12.0), start(FIRST, at=16.0)))
+        self.assertEqual(
+            [], self.find(evacuated, events.DisturbanceSeen(12.0), start(FIRST, at=16.0))
+        )
 
     def test_one_place(self) -> None:
         self.assertEqual(["OnePlace"], self.find(start(FIRST), start(FIRST, "w2")))
         self.assertEqual([], self.find(start(FIRST), end(FIRST, "lapsed"), start(FIRST, "w2")))
-        gone = events.Gone(10.5, "w1")
+        gone = events.WorkerGone(10.5, "w1")
         self.assertEqual([], self.find(start(FIRST), gone, start(FIRST, "w2")))
         self.assertEqual([], self.find(start(COPY), start(COPY, "w2")))
 
     def test_not_again(self) -> None:
-        told = events.Acknowledged(11.5, "w1", FIRST, 1, "done")
-        self.assertEqual(["NotAgain"], self.find(start(FIRST), end(FIRST), told, start(FIRST)))
-        stopped = events.Acknowledged(11.5, "w1", FIRST, 1, "stopped")
+        acknowledged = events.EndAcknowledged(11.5, "w1", FIRST, 1, "done")
+        self.assertEqual(
+            ["NotAgain"], self.find(start(FIRST), end(FIRST), acknowledged, start(FIRST))
+        )
+        stopped = events.EndAcknowledged(11.5, "w1", FIRST, 1, "stopped")
         once_more = (start(FIRST), end(FIRST, "stopped"), stopped, start(FIRST))
         self.assertEqual([], self.find(*once_more))
 
@@ -86,98 +90,100 @@
         self.assertEqual([], self.find(start(FIRST), end(FIRST), start(SECOND)))
 
     def test_crash_loops(self) -> None:
-        crash = (start(CRASH), events.Gone(10.5, "w1"))
-        self.assertEqual([], self.find(*crash * MOST_CRASHES))
-        self.assertEqual(["CrashLoops"], self.find(*crash * MOST_CRASHES, start(CRASH, "w2")))
+        crash = (start(CRASH), events.WorkerGone(10.5, "w1"))
+        self.assertEqual([], self.find(*crash * MAX_CRASHES))
+        self.assertEqual(["CrashLoops"], self.find(*crash * MAX_CRASHES, start(CRASH, "w2")))
 
     def test_room(self) -> None:
         self.assertEqual(["Room"], self.find(start(FIRST), start(COPY)))
         self.assertEqual([], self.find(start(FIRST), start(COPY, "w2")))
 
     def test_refusals(self) -> None:
-        refused = answer(Kind.SUBMIT, 503)
+        refused = answer(RequestKind.SUBMIT, 503)
         self.assertEqual(["Refusals"], self.find(refused, start(FIRST)))
         self.assertEqual(["Refusals"], self.find(start(FIRST), refused))
-        unsure = events.Broken(12.0, 11.0, "h1", Kind.SUBMIT, "j", Loss.LATE)
-        self.assertEqual([], self.find(refused, unsure, start(FIRST)))
+        lost = events.AnswerLost(12.0, 11.0, "h1", RequestKind.SUBMIT, "j", Loss.LATE)
+        self.assertEqual([], self.find(refused, lost, start(FIRST)))
         self.assertEqual([], self.find(refused, ACCEPTED, start(FIRST)))
         self.assertEqual(["Refusals"], self.find(start(TaskKey("nobody's", 0, 0, 0))))
 
     def test_leaving(self) -> None:
-        drains = events.Draining(10.0, "w1")
+        drains = events.WorkerDraining(10.0, "w1")
         self.assertEqual(["Leaving"], self.find(drains, start(FIRST, at=15.0)))
         self.assertEqual([], self.find(drains, start(FIRST, at=12.0)))
-        trouble = events.Troubled(13.0)
+        trouble = events.DisturbanceSeen(13.0)
         self.assertEqual([], self.find(drains, trouble, start(FIRST, at=15.0)))
 
     def test_own(self) -> None:
-        for wrong in (
-            answer(Kind.STATE, value=7),
-            answer(Kind.COUNT, value="active", subject="q"),
-            answer(Kind.COUNT, value=-1, subject="q"),
-            answer(Kind.STATE, 500),
-            events.Broken(12.0, 11.0, "h1", Kind.STATE, "j", Loss.MALFORMED),
+        for invalid in (
+            answer(RequestKind.STATE, value=7),
+            answer(RequestKind.COUNT, value="active", subject="q"),
+            answer(RequestKind.COUNT, value=-1, subject="q"),
+            answer(RequestKind.STATE, 500),
+            events.AnswerLost(12.0, 11.0, "h1", RequestKind.STATE, "j", Loss.MALFORMED),
         ):
-            self.assertEqual(["Own"], self.find(wrong))
-        self.assertEqual([], self.find(answer(Kind.STATE, value="active")))
+            self.assertEqual(["Own"], self.find(invalid))
+        self.assertEqual([], self.find(answer(RequestKind.STATE, value="active")))
 
     def test_configurations(self) -> None:
-        self.assertEqual(["Configurations"], self.find(answer(Kind.STATE, 404)))
-        added = events.Configured(10.0, frozenset({"q", "new"}))
-        early = answer(Kind.COUNT, 404, subject="new", sent=12.0)
-        late = answer(Kind.COUNT, 404, subject="new", sent=15.0)
+        self.assertEqual(["Configurations"], self.find(answer(RequestKind.STATE, 404)))
+        added = events.ConfigurationWritten(10.0, frozenset({"q", "new"}))
+        early = answer(RequestKind.COUNT, 404, subject="new", sent=12.0)
+        late = answer(RequestKind.COUNT, 404, subject="new", sent=15.0)
         self.assertEqual([], self.find(added, early))
         self.assertEqual(["Configurations"], self.find(added, late))
-        self.assertEqual([], self.find(added, events.Troubled(14.0), late))
-        gone = answer(Kind.COUNT, value=0, subject="old", sent=15.0)
+        self.assertEqual([], self.find(added, events.DisturbanceSeen(14.0), late))
+        gone = answer(RequestKind.COUNT, value=0, subject="old", sent=15.0)
         self.assertEqual(["Configurations"], self.find(gone))
 
     def test_kept(self) -> None:
-        self.assertEqual(["Kept"], self.find(ACCEPTED, answer(Kind.STATE, 410)))
-        self.assertEqual([], self.find(answer(Kind.STATE, 410), ACCEPTED))
+        self.assertEqual(["Kept"], self.find(ACCEPTED, answer(RequestKind.STATE, 410)))
+        self.assertEqual([], self.find(answer(RequestKind.STATE, 410), ACCEPTED))
 
     def test_states(self) -> None:
-        completed = answer(Kind.STATE, value="completed")
+        completed = answer(RequestKind.STATE, value="completed")
         done = (start(FIRST), end(FIRST), start(SECOND), end(SECOND))
         self.assertEqual(["States"], self.find(start(FIRST), end(FIRST), completed))
         self.assertEqual([], self.find(*done, completed))
-        active = answer(Kind.STATE, value="active", sent=13.0)
+        active = answer(RequestKind.STATE, value="active", sent=13.0)
         self.assertEqual(["States"], self.find(*done, completed, active))
-        failed = answer(Kind.STATE, value="failed")
+        failed = answer(RequestKind.STATE, value="failed")
         self.assertEqual(["States"], self.find(end(FIRST, "failed"), failed))
         self.assertEqual([], self.find(*[end(FIRST, "failed")] * MAX_ATTEMPTS, failed))
-        crash = (start(FIRST), events.Gone(11.5, "w1"))
+        crash = (start(FIRST), events.WorkerGone(11.5, "w1"))
         self.assertEqual(["States"], self.find(*crash, failed))
         self.assertEqual([], self.find(*crash, *crash, failed))
-        drained = events.Draining(10.5, "w1")
+        drained = events.WorkerDraining(10.5, "w1")
         self.assertEqual(["States"], self.find(drained, *crash, *crash, failed))
-        canceled = answer(Kind.STATE, value="canceled")
+        canceled = answer(RequestKind.STATE, value="canceled")
         self.assertEqual(["States"], self.find(canceled))
-        self.assertEqual([], self.find(events.CancelAsked(11.0, "j"), canceled))
+        self.assertEqual([], self.find(events.CancelRequested(11.0, "j"), canceled))
 
     def test_counts(self) -> None:
-        none = answer(Kind.COUNT, value=0, subject="q")
+        none = answer(RequestKind.COUNT, value=0, subject="q")
         self.assertEqual(["Counts"], self.find(ACCEPTED, none))
-        self.assertEqual([], self.find(ACCEPTED, answer(Kind.COUNT, value=1, subject="q")))
+        self.assertEqual([], self.find(ACCEPTED, answer(RequestKind.COUNT, value=1, subject="q")))
         self.assertEqual([], self.find(ACCEPTED, start(FIRST), none))
-        self.assertEqual([], self.find(ACCEPTED, events.Troubled(8.0), none))
-        self.assertEqual(["Counts"], self.find(ACCEPTED, events.Troubled(8.0, orders=True), none))
+        self.assertEqual([], self.find(ACCEPTED, events.DisturbanceSeen(8.0), none))
+        self.assertEqual(
+            ["Counts"], self.find(ACCEPTED, events.DisturbanceSeen(8.0, orders=True), none)
+        )
 
     def test_shutdowns(self) -> None:
-        cut = events.Broken(20.1, 19.9, "h1", Kind.STATE, "j", Loss.CLOSED)
+        cut = events.AnswerLost(20.1, 19.9, "h1", RequestKind.STATE, "j", Loss.CLOSED)
         self.assertEqual(["Shutdowns"], self.find(TERMINATED, cut))
-        idle = events.Broken(22.61, 22.6, "h1", Kind.STATE, "j", Loss.CLOSED)
+        idle = events.AnswerLost(22.61, 22.6, "h1", RequestKind.STATE, "j", Loss.CLOSED)
         self.assertEqual([], self.find(TERMINATED, idle))
-        unread = events.Broken(20.1, 19.9, "h1", Kind.STATE, "j", Loss.UNREAD)
+        unread = events.AnswerLost(20.1, 19.9, "h1", RequestKind.STATE, "j", Loss.UNREAD)
         self.assertEqual([], self.find(TERMINATED, unread))
-        killed = events.Signalled(20.05, "h1", Signal.KILL)
+        killed = events.SignalSent(20.05, "h1", Signal.KILL)
         self.assertEqual([], self.find(TERMINATED, killed, cut))
 
     def test_processes(self) -> None:
-        self.assertEqual(["Processes"], self.find(events.Left(20.0, "h1", 1)))
-        hung_up = events.Signalled(20.0, "h1", Signal.HANG_UP)
-        self.assertEqual(["Processes"], self.find(hung_up, events.Left(20.1, "h1", -1)))
-        self.assertEqual([], self.find(TERMINATED, events.Left(24.0, "h1", 0)))
+        self.assertEqual(["Processes"], self.find(events.ProcessExited(20.0, "h1", 1)))
+        hung_up = events.SignalSent(20.0, "h1", Signal.HANG_UP)
+        self.assertEqual(["Processes"], self.find(hung_up, events.ProcessExited(20.1, "h1", -1)))
+        self.assertEqual([], self.find(TERMINATED, events.ProcessExited(24.0, "h1", 0)))
 
 
 if __name__ == "__main__":
--- a/tools/soak/tests/test_plan.py
+++ b/tools/soak/tests/test_plan.py
@@ -5,7 +5,7 @@
 import unittest
 from typing import get_args
 
-from tools.soak.faults import Fault, LinkMode, LinkTrouble, Timed
+from tools.soak.faults import Fault, LinkMode, LinkTrouble, TimedFault
 from tools.soak.plan import Size, draw_plan
 
 SEEDS = range(1, 51)
@@ -25,7 +25,7 @@
             times = [timed.at for timed in plan]
             self.assertEqual(sorted(times), times)
             self.assertLess(times[-1], self.size.seconds)
-            self.assertTrue(all(self._is_there(timed.fault) for timed in plan))
+            self.assertTrue(all(self._targets_exist(timed.fault) for timed in plan))
 
     def test_all_faults_and_all_modes_of_links_are_drawn(self) -> None:
         faults = [timed.fault for plan in self.plans for timed in plan]
@@ -37,13 +37,13 @@
         overlapping = sum(_overlaps(plan) for plan in self.plans)
         self.assertGreater(overlapping, len(self.plans) * 0.9)
 
-    def _is_there(self, fault: Fault) -> bool:
+    def _targets_exist(self, fault: Fault) -> bool:
         hosts = getattr(fault, "hosts", (getattr(fault, "host", 0),))
         workers = getattr(fault, "workers", None) or (getattr(fault, "worker", 0),)
         return max(hosts) < self.size.hosts and max(workers) < self.size.workers
 
 
-def _overlaps(plan: tuple[Timed, ...]) -> bool:
+def _overlaps(plan: tuple[TimedFault, ...]) -> bool:
     ends = [timed.at + getattr(timed.fault, "lasts", 0.0) for timed in plan]
     return any(end > timed.at for end, timed in zip(ends, plan[1:], strict=False))
 
--- a/tools/soak/tests/test_run.py
+++ b/tools/soak/tests/test_run.py
@@ -8,13 +8,13 @@
 from pathlib import Path
 
 from tools.soak.__main__ import read_kept_seeds
-from tools.soak.checker import TIMED
+from tools.soak.checker import TIMING_CHECKS
 from tools.soak.plan import Size, draw_plan
 from tools.soak.report import describe
 from tools.soak.run import Outcome, play
 
-SIZE = Size(hosts=3, workers=5, callers=5, seconds=8.0, calm=1.0)
-SETTLE = 180.0  # s: a bound that only a job which is never completed reaches
+SIZE = Size(hosts=3, workers=5, callers=5, seconds=8.0, recovery=1.0)
+SETTLE_S = 180.0  # s: a bound that only a job which is never completed reaches
 
 
 class RunTest(unittest.TestCase):
@@ -27,9 +27,9 @@
     def play(self, seed: int) -> Outcome:
         plan = draw_plan(seed, SIZE)
         with tempfile.TemporaryDirectory() as name:
-            outcome = asyncio.run(play(seed, plan, SIZE, Path(name), SETTLE))
-            wrong = [it for it in outcome.violations if it.check not in TIMED]
-            self.assertEqual([], wrong, "\n".join(describe(outcome, plan, Path(name))))
+            outcome = asyncio.run(play(seed, plan, SIZE, Path(name), SETTLE_S))
+            violations = [it for it in outcome.violations if it.check not in TIMING_CHECKS]
+            self.assertEqual([], violations, "\n".join(describe(outcome, plan, Path(name))))
         return outcome
 
     def test_seeds(self) -> None:
--- a/tools/soak/workers.py
+++ b/tools/soak/workers.py
@@ -15,7 +15,15 @@
 from standins.site.store import SiteStore
 from standins.site.worker import SiteWorker
 from standins.site.worker_core import WorkerCore
-from tools.soak.events import Acknowledged, Draining, Ended, Event, Gone, Joined, Started
+from tools.soak.events import (
+    EndAcknowledged,
+    Event,
+    RunEnded,
+    RunStarted,
+    WorkerDraining,
+    WorkerGone,
+    WorkerJoined,
+)
 from tools.soak.faults import Mood, WorkerMood
 from tools.soak.jobs import JobPlan
 from toucanpin.http import Request, Response
@@ -25,10 +33,10 @@
 
 __all__ = ["SoakWorker"]
 
-TICK = 0.02  # s between looks at what has ended
-STOPPING = 0.1  # s that a task takes to stop on the worker; the platform allows 0.2
-ENTRY_REMAINS = 3.0  # s after a crash for which the store still lists the worker
-SLOW_CLOCK = 0.982  # of a worker whose clock is as slow as the platform's page allows, nearly
+TICK_S = 0.02  # s between looks at what has ended
+STOP_TIME_S = 0.1  # s that a task takes to stop on the worker; the platform allows 0.2
+ENTRY_RETENTION_S = 3.0  # s after a crash for which the store still lists the worker
+SLOW_CLOCK_RATE = 0.982  # of a worker whose clock is as slow as the platform's page allows, nearly
 
 Record = Callable[[Event], None]
 
@@ -52,7 +60,7 @@
         if len(self.starts) > count:
             self.runs[task].duration = self._find_length(task)
             self.stopping.pop(task, None)
-            self.record(Started(time.monotonic(), self.entry.id, task, attempt))
+            self.record(RunStarted(time.monotonic(), self.entry.id, task, attempt))
             if task.job in self.jobs and self.jobs[task.job].crashes(task):
                 self.crash()
         return answer
@@ -63,25 +71,25 @@
         self.highest[task] = max(self.highest.get(task, 0), attempt)
         present = self.runs.get(task)
         if present is not None and present.attempt <= attempt:
-            self.stopping.setdefault(task, time.monotonic() + STOPPING)
+            self.stopping.setdefault(task, time.monotonic() + STOP_TIME_S)
         return None
 
     def poll(
         self, token: int, acknowledged: int, deadline: int, now: float
     ) -> PollAnswer | RefusalReason:
-        known = len(self.acknowledged_ends)
-        held = WorkerCore.poll(self, token, acknowledged, deadline, now)
-        for ended in self.acknowledged_ends[known:]:
-            how = ended.end.value
+        known_before = len(self.acknowledged_ends)
+        answer = WorkerCore.poll(self, token, acknowledged, deadline, now)
+        for ended in self.acknowledged_ends[known_before:]:
+            end_kind = ended.end.value
             at = time.monotonic()
-            self.record(Acknowledged(at, self.entry.id, ended.task, ended.attempt, how))
-        return held
+            self.record(EndAcknowledged(at, self.entry.id, ended.task, ended.attempt, end_kind))
+        return answer
 
     def end(self, task: TaskKey, end: RunEnd) -> None:
         attempt = self.runs[task].attempt
         self.stopping.pop(task, None)
         WorkerCore.end(self, task, end)
-        self.record(Ended(time.monotonic(), self.entry.id, task, attempt, end.value))
+        self.record(RunEnded(time.monotonic(), self.entry.id, task, attempt, end.value))
 
     def advance(self, now: float) -> None:
         for task, due in tuple(self.stopping.items()):
@@ -91,7 +99,7 @@
 
     def _find_length(self, task: TaskKey) -> float:
         job = self.jobs.get(task.job)
-        return job.steps[task.step].lasts if job else 0.1
+        return job.steps[task.step].duration if job else 0.1
 
 
 class SoakWorker(SiteWorker):
@@ -123,51 +131,53 @@
         )
         self._record = record
         self._moods = moods
-        self._rate = SLOW_CLOCK if slow_clock else 1.0
-        self._over = False
+        self._rate = SLOW_CLOCK_RATE if slow_clock else 1.0
+        self._finished = False
 
     async def start(self) -> None:
         """Listen and register."""
         entry = self.core.entry
-        self._record(Joined(time.monotonic(), entry.id, entry.cpu, entry.memory, entry.data_centre))
+        self._record(
+            WorkerJoined(time.monotonic(), entry.id, entry.cpu, entry.memory, entry.data_centre)
+        )
         await super().start()
 
     def advance(self) -> None:
         """End what is due by now."""
-        if not self._over:
-            self.core.failing = bool(self._feel(Mood.FAILS))
+        if not self._finished:
+            self.core.failing = bool(self._active_values(Mood.FAILS))
             self.core.advance(self._now())
 
     async def crash(self) -> None:
         """End without a word; the store lists the entry for a while."""
-        if self._over:
+        if self._finished:
             return
         await self._finish()
         loop = asyncio.get_running_loop()
-        loop.call_later(ENTRY_REMAINS, self._store.delete, "servers", self.core.entry.id)
+        loop.call_later(ENTRY_RETENTION_S, self._store.delete, "servers", self.core.entry.id)
 
     async def drain(self, seconds: float) -> None:
         """Report that the worker drains, go on for a while, then leave."""
         self.core.entry = replace(self.core.entry, ready=False)
         self.register()
-        self._record(Draining(time.monotonic(), self.core.entry.id))
+        self._record(WorkerDraining(time.monotonic(), self.core.entry.id))
         await asyncio.sleep(seconds)
-        if not self._over:
+        if not self._finished:
             await self._finish()
             self._store.delete("servers", self.core.entry.id)
 
     async def close(self) -> None:
         """End at the end of the soak."""
-        if not self._over:
+        if not self._finished:
             await self._finish()
 
-    def _feel(self, mood: Mood) -> list[float]:
+    def _active_values(self, mood: Mood) -> list[float]:
         return [it.value for it in self._moods if it.mood is mood]
 
     async def _finish(self) -> None:
         self.advance()
-        self._over = True
-        self._record(Gone(time.monotonic(), self.core.entry.id))
+        self._finished = True
+        self._record(WorkerGone(time.monotonic(), self.core.entry.id))
         await self.stop()
 
     def _now(self) -> float:
@@ -176,19 +186,19 @@
     async def _advance(self) -> None:
         while True:
             self.advance()
-            await asyncio.sleep(TICK)
+            await asyncio.sleep(TICK_S)
 
     async def _handle(self, request: Request) -> Response | None:
-        late = max(self._feel(Mood.LATE), default=0.0)
-        if late:
-            await asyncio.sleep(late)
-        if self._over:
+        order_delay = max(self._active_values(Mood.LATE), default=0.0)
+        if order_delay:
+            await asyncio.sleep(order_delay)
+        if self._finished:
             return None
         self.advance()
-        if request.path == "/run-start" and (statuses := self._feel(Mood.REFUSES)):
+        if request.path == "/run-start" and (statuses := self._active_values(Mood.REFUSES)):
             return self._refuse(int(statuses[-1]))
         answer = await super()._handle(request)
-        return None if late or self._over else answer
+        return None if order_delay or self._finished else answer
 
     def _refuse(self, status: int) -> Response:
         return self._answer(RefusalReason.NO_ROOM) if status == 409 else Response(status)
