--- a/benchmarks/node_cost.py
+++ b/benchmarks/node_cost.py
@@ -18,8 +18,8 @@
 import urllib3
 
 from tools.demo.bundle import make_keys, submit_bundle
+from tools.demo.environment import start_environment, start_system
 from tools.demo.processes import Launcher
-from tools.demo.surroundings import start_surroundings, start_system
 from tools.demo.topology import ROLES, Topology, make_topology, write_settings
 
 __all__ = ["Cost", "main", "measure"]
@@ -63,7 +63,7 @@
     with Launcher(folder) as launcher:
         make_keys(folder)
         write_settings(topology, folder)
-        start_surroundings(topology, launcher)
+        start_environment(topology, launcher)
         start_system(topology, folder, launcher)
         submit_bundle(folder, topology.entries[0])
         time.sleep(SETTLE_SECONDS)
--- a/tools/demo/__main__.py
+++ b/tools/demo/__main__.py
@@ -16,13 +16,13 @@
 import msgspec
 import urllib3
 
-from tools.demo.bundle import STANDING, make_keys, run_tool, submit_bundle
+from tools.demo.bundle import STANDING_TASKS, make_keys, run_tool, submit_bundle
 from tools.demo.callers import RequestCounts, send_requests
+from tools.demo.environment import start_environment, start_system
 from tools.demo.jobs import JobCounts, follow_jobs, submit_jobs
 from tools.demo.observer import Observer
 from tools.demo.processes import Launcher
-from tools.demo.report import Line, Report, print_report
-from tools.demo.surroundings import start_surroundings, start_system
+from tools.demo.report import Report, ReportLine, print_report
 from tools.demo.topology import (
     ROLES,
     Entry,
@@ -35,11 +35,11 @@
 
 REQUESTS = 500
 JOBS = 40
-NEVER_FIT = 2
+UNPLACEABLE_JOBS = 2
 KILL_AT_REQUEST = 200
-STANDING_SECONDS = 20.0
-SETTLE_SECONDS = 1.5
-MAX_GAP_SECONDS = 30.0
+STANDING_TIMEOUT_S = 20.0
+JOB_START_DELAY_S = 1.5
+MAX_GAP_S = 30.0
 FOLDER = Path("var/demo")
 
 
@@ -49,14 +49,14 @@
     FOLDER.mkdir(parents=True)
     folder = FOLDER.resolve()
     topology = make_topology()
-    began = time.monotonic()
+    started_at = time.monotonic()
     try:
         with Launcher(folder) as launcher:
             report = _run(topology, folder, launcher)
     except KeyboardInterrupt:
         print("interrupted; every process is ended", file=sys.stderr)
         return 130
-    report.seconds = time.monotonic() - began
+    report.seconds = time.monotonic() - started_at
     return print_report(report)
 
 
@@ -64,26 +64,26 @@
     """Start, load, break and count."""
     make_keys(folder)
     write_settings(topology, folder)
-    start_surroundings(topology, launcher)
+    start_environment(topology, launcher)
     start_system(topology, folder, launcher)
     print(submit_bundle(folder, topology.entries[0]))
     for entry in topology.entries:
         for role in ROLES:
             launcher.wait_ready(f"{entry.name}-{role}", f"{entry.operators(role)}/readyz")
-    observer = Observer(topology.workers, STANDING)
+    observer = Observer(topology.workers, STANDING_TASKS)
     observer.start()
     _wait_for_standing(observer)
     requests, jobs = _load(topology, folder, launcher, observer)
     _wait_for_standing(observer)
     observer.stop()
     executions = _count_executions(topology)
-    picture = _draw_timeline(topology, folder)
-    return _count(requests, jobs, observer, executions, picture)
+    timeline_page = _draw_timeline(topology, folder)
+    return _count(requests, jobs, observer, executions, timeline_page)
 
 
 def _wait_for_standing(observer: Observer) -> None:
     """Wait until each standing task was seen just now."""
-    deadline = time.monotonic() + STANDING_SECONDS
+    deadline = time.monotonic() + STANDING_TIMEOUT_S
     while time.monotonic() < deadline:
         now = time.monotonic()
         seen = [it.seen_at for it in observer.watched.values()]
@@ -99,13 +99,13 @@
     """Send requests and jobs, and break hosts in the middle."""
     jobs = JobCounts()
     names = submit_jobs(topology.entries, JOBS, jobs)
-    time.sleep(SETTLE_SECONDS)
-    broken = threading.Event()
+    time.sleep(JOB_START_DELAY_S)
+    hosts_broken = threading.Event()
 
     def break_hosts(ended: int) -> None:
         """Kill an entry host and a worker once enough requests ended."""
-        if ended >= KILL_AT_REQUEST and not broken.is_set():
-            broken.set()
+        if ended >= KILL_AT_REQUEST and not hosts_broken.is_set():
+            hosts_broken.set()
             _break(topology, folder, launcher, observer)
 
     requests = send_requests(topology.entries, REQUESTS, break_hosts)
@@ -118,12 +118,12 @@
     entry = topology.entries[1]
     for role in ROLES:
         launcher.kill(f"{entry.name}-{role}")
-    victim = observer.find_host(STANDING[0])
+    victim = observer.find_host(STANDING_TASKS[0])
     launcher.kill(victim)
-    leaving = next(it.name for it in topology.workers if it.name != victim)
+    drained = next(it.name for it in topology.workers if it.name != victim)
     operators = topology.entries[0].operators("request")
-    run_tool(folder, "drain", "begin", leaving, "--operators", operators)
-    print(f"killed {entry.name} and {victim}, draining {leaving}")
+    run_tool(folder, "drain", "begin", drained, "--operators", operators)
+    print(f"killed {entry.name} and {victim}, draining {drained}")
 
 
 def _count_executions(topology: Topology) -> dict[str, int]:
@@ -142,13 +142,13 @@
     sources = [
         part for entry in live for role in ROLES for part in ("--from", f"{entry.operators(role)}")
     ]
-    picture = folder / "timeline.html"
+    timeline_page = folder / "timeline.html"
     run_tool(
         folder,
         *("timeline", *sources, "--store", topology.platform_url),
-        *("--picture", str(picture)),
+        *("--picture", str(timeline_page)),
     )
-    return picture
+    return timeline_page
 
 
 def _count(
@@ -156,36 +156,44 @@
     jobs: JobCounts,
     observer: Observer,
     executions: dict[str, int],
-    picture: Path,
+    timeline_page: Path,
 ) -> Report:
     """Compare the counts with what they must be."""
-    odd = {f"request-{number}" for number in range(1, REQUESTS, 2)}
-    twice = sum(1 for name in odd if executions.get(name, 0) > 1)
+    non_idempotent = {f"request-{number}" for number in range(1, REQUESTS, 2)}
+    duplicates = sum(1 for name in non_idempotent if executions.get(name, 0) > 1)
     lines = [
-        Line("requests asked", requests.asked, requests.asked == REQUESTS),
-        Line(
+        ReportLine("requests asked", requests.asked, requests.asked == REQUESTS),
+        ReportLine(
             "answered right",
             requests.right,
             requests.right + requests.uncertain + requests.not_run == REQUESTS,
         ),
-        Line("answered wrong", requests.wrong, requests.wrong == 0),
-        Line("uncertain, may have run", requests.uncertain, True),
-        Line("not run", requests.not_run, requests.not_run == 0),
-        Line("asked again by the caller", requests.repeated, True),
-        Line("non-idempotent run twice", twice, twice == 0),
-        Line("jobs submitted", jobs.submitted, jobs.submitted == JOBS),
-        Line("told that they never fit", jobs.never_fits, jobs.never_fits == NEVER_FIT),
-        Line("jobs finished once", jobs.finished, jobs.finished == JOBS - NEVER_FIT),
-        Line("results right", jobs.right, jobs.right == JOBS - NEVER_FIT),
-        Line("evicted", jobs.evicted, jobs.evicted > 0),
-        Line("resumed or started again", jobs.resumed, jobs.resumed > 0),
-        Line("unfinished", jobs.unfinished, jobs.unfinished == 0),
+        ReportLine("answered wrong", requests.wrong, requests.wrong == 0),
+        ReportLine("uncertain, may have run", requests.uncertain, True),
+        ReportLine("not run", requests.not_run, requests.not_run == 0),
+        ReportLine("asked again by the caller", requests.repeated, True),
+        ReportLine("non-idempotent run twice", duplicates, duplicates == 0),
+        ReportLine("jobs submitted", jobs.submitted, jobs.submitted == JOBS),
+        ReportLine(
+            "told that they never fit", jobs.never_fits, jobs.never_fits == UNPLACEABLE_JOBS
+        ),
+        ReportLine("jobs finished once", jobs.finished, jobs.finished == JOBS - UNPLACEABLE_JOBS),
+        ReportLine(
+            "results right", jobs.correct_results, jobs.correct_results == JOBS - UNPLACEABLE_JOBS
+        ),
+        ReportLine("evicted", jobs.evicted, jobs.evicted > 0),
+        ReportLine("resumed or started again", jobs.resumed, jobs.resumed > 0),
+        ReportLine("unfinished", jobs.unfinished, jobs.unfinished == 0),
     ]
     for task, watched in observer.watched.items():
-        lines.append(Line(f"{task}: seen in two places", watched.doubles, watched.doubles == 0))
+        lines.append(
+            ReportLine(
+                f"{task}: seen in two places", watched.duplicates_seen, watched.duplicates_seen == 0
+            )
+        )
         gap = f"{watched.gap:.1f} s"
-        lines.append(Line(f"{task}: longest gap", gap, watched.gap < MAX_GAP_SECONDS))
-    return Report(lines, picture)
+        lines.append(ReportLine(f"{task}: longest gap", gap, watched.gap < MAX_GAP_S))
+    return Report(lines, timeline_page)
 
 
 if __name__ == "__main__":
--- a/tools/demo/bundle.py
+++ b/tools/demo/bundle.py
@@ -13,11 +13,11 @@
 
 from tools.demo.topology import DEPLOYMENT, SERVICE, Entry
 
-__all__ = ["STANDING", "TEAM", "make_keys", "run_tool", "submit_bundle"]
+__all__ = ["STANDING_TASKS", "TEAM", "make_keys", "run_tool", "submit_bundle"]
 
 TEAM = "line"
-STANDING = ("stencil-watch", "reflow-watch")
-TOOL_SECONDS = 30.0
+STANDING_TASKS = ("stencil-watch", "reflow-watch")
+TOOL_TIMEOUT_S = 30.0
 
 
 def run_tool(folder: Path, *arguments: str) -> str:
@@ -29,17 +29,19 @@
     RuntimeError
         If it ends with another code than 0.
     """
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-m", "toucanpin.cli.main", *arguments],
         cwd=folder,
         capture_output=True,
         text=True,
-        timeout=TOOL_SECONDS,
+        timeout=TOOL_TIMEOUT_S,
         check=False,
     )
-    if done.returncode:
-        raise RuntimeError(f"toucanpin {' '.join(arguments)}: {done.stderr or done.stdout}")
-    return done.stdout
+    if completed.returncode:
+        raise RuntimeError(
+            f"toucanpin {' '.join(arguments)}: {completed.stderr or completed.stdout}"
+        )
+    return completed.stdout
 
 
 def make_keys(folder: Path) -> None:
@@ -66,7 +68,7 @@
     standing = "".join(
         f'[[standing]]\nname = "{name}"\nteam = "{TEAM}"\nkind = "watch"\n'
         "processors = 2\nmemory = 1024\n"
-        for name in STANDING
+        for name in STANDING_TASKS
     )
     return (
         f'deployment = "{DEPLOYMENT}"\nversion = 1\n'
--- a/tools/demo/callers.py
+++ b/tools/demo/callers.py
@@ -21,12 +21,12 @@
 
 from tools.demo.topology import SERVICE, Entry
 
-__all__ = ["Question", "RequestCounts", "send_requests"]
+__all__ = ["CallerRequest", "RequestCounts", "send_requests"]
 
 CALLERS = 12
-TRIES = 40
-PAUSE_SECONDS = 0.25
-ANSWER_SECONDS = 5.0
+MAX_TRIES = 40
+RETRY_DELAY_S = 0.25
+ANSWER_TIMEOUT_S = 5.0
 OK = 200
 
 
@@ -43,7 +43,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Question:
+class CallerRequest:
     """Hold one request; every second one is not idempotent."""
 
     number: int
@@ -88,9 +88,9 @@
     lock = threading.Lock()
     pool = urllib3.PoolManager(retries=False, maxsize=CALLERS)
 
-    def ask(number: int) -> None:
+    def send_one(number: int) -> None:
         """Ask one question and count its end."""
-        outcome = _ask_until_known(pool, entries, Question(number), counts, lock)
+        outcome = _send_until_known(pool, entries, CallerRequest(number), counts, lock)
         with lock:
             counts.asked += 1
             setattr(counts, outcome, getattr(counts, outcome) + 1)
@@ -98,43 +98,43 @@
         after(ended)
 
     with ThreadPoolExecutor(CALLERS) as threads:
-        list(threads.map(ask, range(count)))
+        list(threads.map(send_one, range(count)))
     return counts
 
 
-def _ask_until_known(
+def _send_until_known(
     pool: urllib3.PoolManager,
     entries: tuple[Entry, ...],
-    question: Question,
+    request: CallerRequest,
     counts: RequestCounts,
     lock: threading.Lock,
 ) -> str:
     """Ask, at the next entry host after each failure that allows it; return what to count."""
-    for attempt in range(TRIES):
-        entry = entries[(question.number + attempt) % len(entries)]
-        outcome = _ask_once(pool, entry, question)
+    for attempt in range(MAX_TRIES):
+        entry = entries[(request.number + attempt) % len(entries)]
+        outcome = _send_once(pool, entry, request)
         if outcome in ("right", "wrong"):
             return outcome
-        if outcome == "may-have-run" and question.method == "POST":
+        if outcome == "may-have-run" and request.method == "POST":
             # Asking again under the same id is safe, but could only learn that it is a duplicate.
             return "uncertain"
         with lock:
             counts.repeated += 1
-        time.sleep(PAUSE_SECONDS)
+        time.sleep(RETRY_DELAY_S)
     return "not_run"
 
 
-def _ask_once(pool: urllib3.PoolManager, entry: Entry, question: Question) -> str:
+def _send_once(pool: urllib3.PoolManager, entry: Entry, request: CallerRequest) -> str:
     """Ask one entry host once."""
-    url = f"{entry.callers}/v1/services/{SERVICE}{question.path}"
-    headers = {"Toucanpin-Request-Id": f"request-{question.number}"}
+    url = f"{entry.callers}/v1/services/{SERVICE}{request.path}"
+    headers = {"Toucanpin-Request-Id": f"request-{request.number}"}
     try:
         answer = pool.request(
-            question.method,
+            request.method,
             url,
-            body=question.body or None,
+            body=request.body or None,
             headers=headers,
-            timeout=urllib3.Timeout(connect=1.0, read=ANSWER_SECONDS),
+            timeout=urllib3.Timeout(connect=1.0, read=ANSWER_TIMEOUT_S),
         )
     except (NewConnectionError, urllib3.exceptions.ConnectTimeoutError):
         return "not-run"
@@ -142,4 +142,4 @@
         return "may-have-run"
     if answer.status != OK:
         return answer.headers.get("Toucanpin-Verdict", "may-have-run")
-    return "right" if question.is_answered_by(answer.data) else "wrong"
+    return "right" if request.is_answered_by(answer.data) else "wrong"
--- a/tools/demo/surroundings.py
+++ b/tools/demo/environment.py
@@ -23,12 +23,12 @@
 )
 from toucanpin.platform.ports import HostRole, ListedHost, Size
 
-__all__ = ["start_surroundings", "start_system"]
+__all__ = ["start_environment", "start_system"]
 
 WORKER_SIZE = Size(64, 250_000, 2)
 
 
-def start_surroundings(topology: Topology, launcher: Launcher) -> None:
+def start_environment(topology: Topology, launcher: Launcher) -> None:
     """Start the platform, the workers and the instances, and list them."""
     launcher.start(
         "platform", "standins.platform", ["--listen", f"{topology.platform}:{PLATFORM_PORT}"]
--- a/tools/demo/jobs.py
+++ b/tools/demo/jobs.py
@@ -21,16 +21,16 @@
 
 __all__ = ["JobCounts", "follow_jobs", "submit_jobs"]
 
-IMPOSSIBLE = (
+UNPLACEABLE_SIZES = (
     {"processors": 4_000, "memory": 1_024},
     {"processors": 2, "memory": 1_024, "accelerators": 64},
 )
 LONG_WORK = 6_000
 SHORT_WORK = 800
-LONG_EVERY = 3
-TRIES = 40
-PAUSE_SECONDS = 0.3
-END_SECONDS = 40.0
+LONG_JOB_INTERVAL = 3
+MAX_TRIES = 40
+RETRY_DELAY_S = 0.3
+END_TIMEOUT_S = 40.0
 ACCEPTED = 202
 NEVER_FITS = 422
 OK = 200
@@ -44,7 +44,7 @@
     accepted: int = 0
     never_fits: int = 0
     finished: int = 0
-    right: int = 0
+    correct_results: int = 0
     evicted: int = 0
     resumed: int = 0
     unfinished: int = 0
@@ -68,29 +68,29 @@
 
 def follow_jobs(entries: tuple[Entry, ...], jobs: dict[str, str], counts: JobCounts) -> None:
     """Wait until every job has ended and count the ends."""
-    deadline = time.monotonic() + END_SECONDS
-    waiting = set(jobs)
-    while waiting and time.monotonic() < deadline:
-        for job in sorted(waiting):
-            status = _ask(entries, "GET", f"/v1/jobs/{job}")
+    deadline = time.monotonic() + END_TIMEOUT_S
+    unfinished_jobs = set(jobs)
+    while unfinished_jobs and time.monotonic() < deadline:
+        for job in sorted(unfinished_jobs):
+            status = _call(entries, "GET", f"/v1/jobs/{job}")
             if status is None or status.status != OK:
                 continue
             fields = msgspec.json.decode(status.data)
             if fields["state"] in ("queued", "running"):
                 continue
-            waiting.discard(job)
+            unfinished_jobs.discard(job)
             _count_end(entries, job, fields, jobs[job], counts)
-        time.sleep(PAUSE_SECONDS)
-    counts.unfinished += len(waiting)
+        time.sleep(RETRY_DELAY_S)
+    counts.unfinished += len(unfinished_jobs)
 
 
 def _make_bodies(count: int) -> Iterator[dict[str, object]]:
     """Yield the descriptions of jobs, the impossible ones first."""
     for number in range(count):
         size = {"processors": 8, "memory": 4_096}
-        if number < len(IMPOSSIBLE):
-            size = IMPOSSIBLE[number]
-        work = LONG_WORK if number % LONG_EVERY == 0 else SHORT_WORK
+        if number < len(UNPLACEABLE_SIZES):
+            size = UNPLACEABLE_SIZES[number]
+        work = LONG_WORK if number % LONG_JOB_INTERVAL == 0 else SHORT_WORK
         payload = msgspec.json.encode({"work": work, "input": f"program {number}"}).decode()
         yield {"kind": "placement-program", "team": TEAM, "payload": payload, **size}
 
@@ -100,10 +100,10 @@
 ) -> urllib3.BaseHTTPResponse | None:
     """Submit one job, with the same key after each failure."""
     headers = {"Idempotency-Key": f"job-{number}", "Content-Type": "application/json"}
-    return _ask(entries[number % len(entries) :] + entries, "POST", "/v1/jobs", body, headers)
+    return _call(entries[number % len(entries) :] + entries, "POST", "/v1/jobs", body, headers)
 
 
-def _ask(
+def _call(
     entries: tuple[Entry, ...],
     method: str,
     path: str,
@@ -112,7 +112,7 @@
 ) -> urllib3.BaseHTTPResponse | None:
     """Ask one entry host after the other until one gives a final answer."""
     content = None if body is None else msgspec.json.encode(body)
-    for attempt in range(TRIES):
+    for attempt in range(MAX_TRIES):
         entry = entries[attempt % len(entries)]
         try:
             answer = urllib3.request(
@@ -124,11 +124,11 @@
                 retries=False,
             )
         except HTTPError:
-            time.sleep(PAUSE_SECONDS)
+            time.sleep(RETRY_DELAY_S)
             continue
         if answer.status != 503:
             return answer
-        time.sleep(PAUSE_SECONDS)
+        time.sleep(RETRY_DELAY_S)
     return None
 
 
@@ -142,6 +142,6 @@
     counts.finished += 1
     counts.evicted += bool(fields["evictions"])
     counts.resumed += bool(fields["evictions"]) or fields["attempt"] != 1
-    result = _ask(entries, "GET", f"/v1/jobs/{job}/result")
+    result = _call(entries, "GET", f"/v1/jobs/{job}/result")
     expected = hashlib.sha256(text.encode()).hexdigest().encode()
-    counts.right += result is not None and result.data == expected
+    counts.correct_results += result is not None and result.data == expected
--- a/tools/demo/observer.py
+++ b/tools/demo/observer.py
@@ -18,18 +18,18 @@
 
 from tools.demo.topology import Worker
 
-__all__ = ["Observer", "Watched"]
+__all__ = ["Observer", "ObservedTask"]
 
-PERIOD_SECONDS = 0.1
-ASK_SECONDS = 0.5
+POLL_PERIOD_S = 0.1
+REQUEST_TIMEOUT_S = 0.5
 
 
 @dataclass(slots=True)
-class Watched:
+class ObservedTask:
     """Hold what was seen of one task; ``gap`` is the longest time in seconds without it."""
 
     gap: float = 0.0
-    doubles: int = 0
+    duplicates_seen: int = 0
     seen_at: float | None = None
     hosts: list[str] = field(default_factory=list)
 
@@ -37,13 +37,13 @@
 class Observer:
     """Watch standing tasks until stopped."""
 
-    __slots__ = ("_halt", "_thread", "_workers", "watched")
+    __slots__ = ("_stopping", "_thread", "_workers", "watched")
 
     def __init__(self, workers: tuple[Worker, ...], tasks: tuple[str, ...]) -> None:
         """Prepare to watch tasks on workers."""
         self._workers = workers
-        self.watched = {task: Watched() for task in tasks}
-        self._halt = threading.Event()
+        self.watched = {task: ObservedTask() for task in tasks}
+        self._stopping = threading.Event()
         self._thread = threading.Thread(target=self._run, daemon=True)
 
     def start(self) -> None:
@@ -52,7 +52,7 @@
 
     def stop(self) -> None:
         """Stop watching."""
-        self._halt.set()
+        self._stopping.set()
         self._thread.join()
 
     def find_host(self, task: str) -> str:
@@ -62,21 +62,21 @@
 
     def _run(self) -> None:
         """Look once a period."""
-        while not self._halt.wait(PERIOD_SECONDS):
-            self._look()
+        while not self._stopping.wait(POLL_PERIOD_S):
+            self._poll_workers()
 
-    def _look(self) -> None:
+    def _poll_workers(self) -> None:
         """Ask every worker and take in what runs where."""
         running = {worker.name: _read_running(worker) for worker in self._workers}
         now = time.monotonic()
         for task, watched in self.watched.items():
             hosts = [name for name, tasks in running.items() if task in tasks]
-            watched.doubles += len(hosts) > 1
+            watched.duplicates_seen += len(hosts) > 1
             if hosts:
-                _take_in(watched, hosts[0], now)
+                _record_sighting(watched, hosts[0], now)
 
 
-def _take_in(watched: Watched, host: str, now: float) -> None:
+def _record_sighting(watched: ObservedTask, host: str, now: float) -> None:
     """Note that a task runs now."""
     if watched.seen_at is not None:
         watched.gap = max(watched.gap, now - watched.seen_at)
@@ -88,7 +88,9 @@
 def _read_running(worker: Worker) -> set[str]:
     """Return the tasks that a worker says it runs, none if it gives no answer."""
     try:
-        answer = urllib3.request("GET", f"{worker.url}/log", timeout=ASK_SECONDS, retries=False)
+        answer = urllib3.request(
+            "GET", f"{worker.url}/log", timeout=REQUEST_TIMEOUT_S, retries=False
+        )
     except HTTPError:
         return set()
     log = msgspec.json.decode(answer.data)
--- a/tools/demo/processes.py
+++ b/tools/demo/processes.py
@@ -19,10 +19,10 @@
 
 __all__ = ["Launcher"]
 
-READY_SECONDS = 30.0
-POLL_SECONDS = 0.1
-END_SECONDS = 8.0
-READY = 200
+READY_TIMEOUT_S = 30.0
+POLL_PERIOD_S = 0.1
+EXIT_TIMEOUT_S = 8.0
+READY_STATUS = 200
 
 
 class Launcher:
@@ -83,7 +83,7 @@
         process = self._processes[name]
         process.terminate()
         try:
-            return process.wait(END_SECONDS)
+            return process.wait(EXIT_TIMEOUT_S)
         except subprocess.TimeoutExpired:
             process.kill()
             return process.wait()
@@ -109,7 +109,7 @@
         RuntimeError
             If it ends or is not ready in time; the message carries the end of its log.
         """
-        deadline = time.monotonic() + READY_SECONDS
+        deadline = time.monotonic() + READY_TIMEOUT_S
         reason = "no answer"
         while time.monotonic() < deadline:
             if self._processes[name].poll() is not None:
@@ -118,10 +118,10 @@
             try:
                 answer = urllib3.request("GET", url, timeout=1.0, retries=False)
             except urllib3.exceptions.HTTPError:
-                time.sleep(POLL_SECONDS)
+                time.sleep(POLL_PERIOD_S)
                 continue
-            if answer.status == READY:
+            if answer.status == READY_STATUS:
                 return
             reason = answer.data.decode(errors="replace").strip()
-            time.sleep(POLL_SECONDS)
+            time.sleep(POLL_PERIOD_S)
         raise RuntimeError(f"{name} is not ready at {url}: {reason}\n{self.read_log(name)[-2000:]}")
--- a/tools/golden.py
+++ b/tools/golden.py
@@ -32,10 +32,10 @@
 
 def compare(path: Path, session: str) -> Iterator[str]:
     """Yield the lines that differ between a golden file and a session."""
-    kept = name_golden(path)
-    before = kept.read_text(encoding="utf-8") if kept.exists() else ""
+    golden_path = name_golden(path)
+    before = golden_path.read_text(encoding="utf-8") if golden_path.exists() else ""
     yield from difflib.unified_diff(
-        before.splitlines(), session.splitlines(), kept.name, "this run", lineterm=""
+        before.splitlines(), session.splitlines(), golden_path.name, "this run", lineterm=""
     )
 
 
@@ -64,12 +64,12 @@
 def golden(check: bool, files: tuple[Path, ...]) -> None:
     """Rewrite the golden files of all scenarios, or of FILES, and show what changed."""
     try:
-        held = [review(path, rewrite=not check) for path in files or find_scenarios()]
+        results = [review(path, rewrite=not check) for path in files or find_scenarios()]
     except ScenarioError as error:
         click.echo(str(error), err=True)
         sys.exit(1)
-    click.echo(f"{sum(held)} of {len(held)} scenarios are as they should be")
-    sys.exit(0 if all(held) else 1)
+    click.echo(f"{sum(results)} of {len(results)} scenarios are as they should be")
+    sys.exit(0 if all(results) else 1)
 
 
 if __name__ == "__main__":
--- a/tools/openapi.py
+++ b/tools/openapi.py
@@ -18,9 +18,9 @@
 from toucanpin.placement.submission import Submission
 from toucanpin.verdict import Reason
 
-__all__ = ["PAGE", "describe_jobs", "main"]
+__all__ = ["DOCUMENT_PATH", "describe_jobs", "main"]
 
-PAGE = Path("docs/openapi.json")
+DOCUMENT_PATH = Path("docs/openapi.json")
 SCHEMAS = "#/components/schemas/"
 REFUSALS = {
     "400": "Malformed, without an Idempotency-Key or out of limits. bad-request.",
@@ -36,16 +36,18 @@
 
 def describe_jobs(document: dict[str, Any]) -> dict[str, Any]:
     """Return an OpenAPI document with the paths and schemas of jobs and standing tasks."""
-    kinds = (Submission, JobStatus, StandingStatus)
-    _, schemas = msgspec.json.schema_components(kinds, ref_template=SCHEMAS + "{name}")
+    types = (Submission, JobStatus, StandingStatus)
+    _, schemas = msgspec.json.schema_components(types, ref_template=SCHEMAS + "{name}")
     components = document["components"]
-    known = components["schemas"] | schemas
-    reason = known["Refusal"]["properties"]["reason"] | {"enum": [it.value for it in Reason]}
-    properties = known["Refusal"]["properties"] | {"reason": reason}
-    known["Refusal"] = known["Refusal"] | {"properties": properties}
+    known_schemas = components["schemas"] | schemas
+    reason = known_schemas["Refusal"]["properties"]["reason"] | {
+        "enum": [it.value for it in Reason]
+    }
+    properties = known_schemas["Refusal"]["properties"] | {"reason": reason}
+    known_schemas["Refusal"] = known_schemas["Refusal"] | {"properties": properties}
     return document | {
         "paths": document["paths"] | _describe_paths(),
-        "components": components | {"schemas": known},
+        "components": components | {"schemas": known_schemas},
     }
 
 
@@ -53,13 +55,13 @@
     """Return the paths."""
     job = [{"name": "job", "in": "path", "required": True, "schema": {"type": "string"}}]
     name = [{"name": "name", "in": "path", "required": True, "schema": {"type": "string"}}]
-    ended = _answer("JobStatus", "The job's end that stands: another came before the cancel.")
+    ended = _response("JobStatus", "The job's end that stands: another came before the cancel.")
     return {
         "/v1/jobs": {
             "post": _operation(
                 "submitJob",
                 "Submit a job; the same Idempotency-Key again gives the same job",
-                {"202": _answer("JobStatus", "Accepted, durably.")},
+                {"202": _response("JobStatus", "Accepted, durably.")},
                 ("400", "403", "409", "413", "422", "503"),
                 [_header("Idempotency-Key")],
                 _body("Submission"),
@@ -67,7 +69,7 @@
             "get": _operation(
                 "listJobs",
                 "List jobs",
-                {"200": _answer("JobStatus", "The chosen jobs.", many=True)},
+                {"200": _response("JobStatus", "The chosen jobs.", many=True)},
                 ("400", "503"),
                 [_query(name) for name in ("team", "kind", "state", "limit")],
             ),
@@ -75,12 +77,12 @@
         "/v1/jobs/{job}": {
             "parameters": job,
             "get": _operation(
-                "readJob", "Show a job", {"200": _answer("JobStatus", "The job.")}, ("404", "503")
+                "readJob", "Show a job", {"200": _response("JobStatus", "The job.")}, ("404", "503")
             ),
             "delete": _operation(
                 "cancelJob",
                 "Cancel a job; a cancel that races a finish has one outcome, told to both",
-                {"200": _answer("JobStatus", "Cancelled."), "409": ended},
+                {"200": _response("JobStatus", "Cancelled."), "409": ended},
                 ("404", "503"),
             ),
         },
@@ -94,8 +96,8 @@
                         "description": "The result's bytes.",
                         "content": {"application/octet-stream": {}},
                     },
-                    "202": _answer("JobStatus", "Not ended yet."),
-                    "410": _answer("JobStatus", "Ended without a result."),
+                    "202": _response("JobStatus", "Not ended yet."),
+                    "410": _response("JobStatus", "Ended without a result."),
                 },
                 ("404", "503"),
             ),
@@ -104,7 +106,7 @@
             "get": _operation(
                 "listStanding",
                 "List standing tasks",
-                {"200": _answer("StandingStatus", "Each wanted task.", many=True)},
+                {"200": _response("StandingStatus", "Each wanted task.", many=True)},
                 ("503",),
             )
         },
@@ -113,7 +115,7 @@
             "get": _operation(
                 "readStanding",
                 "Show a standing task",
-                {"200": _answer("StandingStatus", "The task.")},
+                {"200": _response("StandingStatus", "The task.")},
                 ("404", "503"),
             ),
         },
@@ -138,7 +140,7 @@
     return found | {"responses": answers | refused}
 
 
-def _answer(schema: str, description: str, many: bool = False) -> dict[str, Any]:
+def _response(schema: str, description: str, many: bool = False) -> dict[str, Any]:
     """Describe an answer in JSON."""
     shape: dict[str, Any] = {"$ref": SCHEMAS + schema}
     if many:
@@ -150,7 +152,7 @@
     """Describe a refusal and its headers."""
     names = ("Toucanpin-Verdict", "Toucanpin-Reason", "Retry-After")
     headers = {name: {"$ref": f"#/components/headers/{name}"} for name in names}
-    return _answer("Refusal", description) | {"headers": headers}
+    return _response("Refusal", description) | {"headers": headers}
 
 
 def _body(schema: str) -> dict[str, Any]:
@@ -171,9 +173,9 @@
 
 def main() -> int:
     """Rewrite the page."""
-    document = msgspec.json.decode(PAGE.read_bytes())
+    document = msgspec.json.decode(DOCUMENT_PATH.read_bytes())
     text = msgspec.json.format(msgspec.json.encode(describe_jobs(document)), indent=2)
-    PAGE.write_bytes(text + b"\n")
+    DOCUMENT_PATH.write_bytes(text + b"\n")
     return 0
 
 
--- a/tools/site_demo.py
+++ b/tools/site_demo.py
@@ -19,7 +19,7 @@
 __all__ = ["main"]
 
 JOBS = 12
-LASTING = "00000000000000ff"
+LONG_RUNNING_JOB = "00000000000000ff"
 STEPS = (
     {"count": 3, "cpu": 500, "memMb": 64, "estimateMs": 300},
     {"count": 2, "cpu": 500, "memMb": 64, "estimateMs": 300, "after": [0], "checkpointing": True},
@@ -30,7 +30,7 @@
     """Run the demonstration and return what went wrong."""
     site = Site()
     site.configure()
-    faults = []
+    errors = []
     try:
         for _ in range(3):
             await site.add_host()
@@ -38,43 +38,43 @@
             await site.add_worker(duration=0.3)
         for number in range(3):
             if not await site.wait_until_ready(number):
-                faults.append(f"host {number} isn't ready")
-        await site.submit(LASTING, longRunning=True)
+                errors.append(f"host {number} isn't ready")
+        await site.submit(LONG_RUNNING_JOB, longRunning=True)
         names = [f"{number:016x}" for number in range(1, JOBS + 1)]
         for number, name in enumerate(names):
             body = msgspec.json.encode({"spec": name, "pipeline": STEPS})
             answer = await site.call("POST", PREFIX + name, body, number % 3)
             if answer.status != 200:
-                faults.append(f"job {name} was answered {answer.status}")
+                errors.append(f"job {name} was answered {answer.status}")
         if not await site.wait_until(lambda: any(worker.core.starts for worker in site.workers)):
-            faults.append("nothing was started")
+            errors.append("nothing was started")
         owner = next(n for n, host in enumerate(site.hosts) if host.owned_cells())
         await site.hosts[owner].abort()
         other = (owner + 1) % 3
         for name in names:
             if not await site.wait_for_state("completed", name, other):
-                faults.append(f"job {name} isn't completed")
-        if not await site.wait_for_state("active", LASTING, other):
-            faults.append("the lasting task isn't active")
+                errors.append(f"job {name} isn't completed")
+        if not await site.wait_for_state("active", LONG_RUNNING_JOB, other):
+            errors.append("the lasting task isn't active")
         starts = [task for worker in site.workers for task, _ in worker.core.starts]
-        wanted = JOBS * sum(step["count"] for step in STEPS)  # type: ignore[misc]
-        finished = {task for task in starts if task.job != LASTING}
-        if len(finished) != wanted:
-            faults.append(f"{len(finished)} tasks were started in place of {wanted}")
-        print(f"{JOBS} jobs, {wanted} tasks, {len(starts)} starts; owner killed: host {owner}")
+        expected = JOBS * sum(step["count"] for step in STEPS)  # type: ignore[misc]
+        finished = {task for task in starts if task.job != LONG_RUNNING_JOB}
+        if len(finished) != expected:
+            errors.append(f"{len(finished)} tasks were started in place of {expected}")
+        print(f"{JOBS} jobs, {expected} tasks, {len(starts)} starts; owner killed: host {owner}")
     finally:
         await site.close()
-    return faults
+    return errors
 
 
 def main() -> int:
     """Run the demonstration; return 1 if anything is wrong."""
     with logbook.NullHandler().applicationbound():
-        faults = asyncio.run(demonstrate())
-    for fault in faults:
-        print("wrong:", fault)
-    print("the users' platform:", "wrong" if faults else "right")
-    return 1 if faults else 0
+        errors = asyncio.run(demonstrate())
+    for error in errors:
+        print("wrong:", error)
+    print("the users' platform:", "wrong" if errors else "right")
+    return 1 if errors else 0
 
 
 if __name__ == "__main__":
--- a/tools/soak/answer_checks.py
+++ b/tools/soak/answer_checks.py
@@ -147,11 +147,11 @@
                 if missing:
                     yield f"{event.subject} is told as completed before {min(missing)} was done"
             case "failed":
-                max_failures = max(
+                failures = max(
                     (self._failures[task] for task in self._tasks(event.subject)), default=0
                 )
-                if max_failures < MAX_ATTEMPTS and not self._may_crash(event.subject):
-                    yield f"{event.subject} is told as failed after {max_failures} failures of a task"
+                if failures < MAX_ATTEMPTS and not self._may_crash(event.subject):
+                    yield f"{event.subject} is told as failed after {failures} failures of a task"
             case "canceled" if event.subject not in self._cancel_requested:
                 yield f"{event.subject} is told as canceled, and nobody asked for it"
 
--- a/tools/tests/test_openapi.py
+++ b/tools/tests/test_openapi.py
@@ -4,16 +4,16 @@
 
 import msgspec
 
-from tools.openapi import PAGE, describe_jobs
+from tools.openapi import DOCUMENT_PATH, describe_jobs
 
 
 class OpenApiTest(unittest.TestCase):
     def setUp(self):
-        self.document = msgspec.json.decode(PAGE.read_bytes())
+        self.document = msgspec.json.decode(DOCUMENT_PATH.read_bytes())
 
     def test_the_page_is_what_the_code_decodes_and_encodes(self):
-        again = msgspec.json.decode(msgspec.json.encode(describe_jobs(self.document)))
-        self.assertEqual(again, self.document)
+        generated = msgspec.json.decode(msgspec.json.encode(describe_jobs(self.document)))
+        self.assertEqual(generated, self.document)
 
     def test_every_reference_leads_somewhere(self):
         for reference in self.find_references(self.document):
--- a/toucanpin/daemon/tests/entry_hosts.py
+++ b/toucanpin/daemon/tests/entry_hosts.py
@@ -18,8 +18,8 @@
 import urllib3
 
 from tools.demo.bundle import make_keys, submit_bundle
+from tools.demo.environment import start_environment, start_system
 from tools.demo.processes import Launcher
-from tools.demo.surroundings import start_surroundings, start_system
 from tools.demo.topology import (
     CALLERS_PORT,
     DEPLOYMENT,
@@ -98,7 +98,7 @@
         """Start all processes and wait until every entry host is ready."""
         make_keys(self.folder)
         write_settings(self.topology, self.folder)
-        start_surroundings(self.topology, self.launcher)
+        start_environment(self.topology, self.launcher)
         start_system(self.topology, self.folder, self.launcher, (ROLE,))
         submit_bundle(self.folder, self.topology.entries[0], BUNDLE)
         for entry in self.topology.entries:
--- a/toucanpin/daemon/tests/test_entry_hosts.py
+++ b/toucanpin/daemon/tests/test_entry_hosts.py
@@ -6,7 +6,7 @@
 from concurrent.futures import ThreadPoolExecutor
 from threading import Barrier
 
-from tools.demo.callers import Question
+from tools.demo.callers import CallerRequest
 from toucanpin.daemon.tests.entry_hosts import Balancer, EntryHosts, Load, call, wait_until
 
 CALLERS = 4
@@ -30,7 +30,7 @@
     def load(self):
         balancer = Balancer(self.hosts.topology.entries)
         self.addCleanup(balancer.stop)
-        load = Load(balancer, self.numbers, Question, CALLERS)
+        load = Load(balancer, self.numbers, CallerRequest, CALLERS)
         self.addCleanup(load.stop)
         return load
 
@@ -43,7 +43,7 @@
                 self.assertGreaterEqual(count, 1, result)
             if result.verdict == "not-run":
                 self.assertEqual(count, 0, result)
-            if Question(result.number).method == "POST":
+            if CallerRequest(result.number).method == "POST":
                 self.assertLessEqual(count, 1, result)
         self.assertEqual(self.hosts.count_over_slots(), 0)
 
@@ -56,7 +56,7 @@
         """
         entries = self.hosts.topology.entries
         for at in range(DUPLICATE_REQUESTS):
-            question = Question(100_001 + 2 * at)
+            question = CallerRequest(100_001 + 2 * at)
             barrier = Barrier(2)
 
             def call_together(entry, question=question, barrier=barrier):
@@ -109,10 +109,10 @@
         load.wait_for(ANSWERS_PER_PHASE, frozen)
         results = load.stop()
         broken = [result for result in results if result.status == 0 and not result.verdict]
-        posts = [result for result in results if Question(result.number).method == "POST"]
+        posts = [result for result in results if CallerRequest(result.number).method == "POST"]
         served = [result for result in posts if result.correct and result.entry == killed.name]
         repeated = [
-            call(awake, Question(result.number))
+            call(awake, CallerRequest(result.number))
             for result in (*broken, *served[-REPEATED_REQUESTS:])
         ]
         self.assertLessEqual({result.entry for result in broken}, {killed.name})
