--- a/toucanpin/bundles/replication.py
+++ b/toucanpin/bundles/replication.py
@@ -47,9 +47,9 @@
     peer's heartbeat or in an offer, is not applied, whatever its source.
     """
 
-    def __init__(self, name: str, root: KeyRing, timing: ReplicationTiming, now: float) -> None:
+    def __init__(self, name: str, key_ring: KeyRing, timing: ReplicationTiming, now: float) -> None:
         self._name = name
-        self._root = root
+        self._key_ring = key_ring
         self._timing = timing
         self._current: _CurrentBundle | None = None
         self._is_known = False
@@ -268,7 +268,7 @@
         current = self._current
         if current is not None and record.digest == current.record.digest:
             return OfferResult(OfferStatus.KNOWN)
-        match verify_record(self._root, record):
+        match verify_record(self._key_ring, record):
             case Result(tag="ok", ok=verified):
                 pass
             case Result(error=error):
--- a/toucanpin/cli/bundle.py
+++ b/toucanpin/cli/bundle.py
@@ -29,7 +29,7 @@
 from toucanpin.cli.http import fail, read, request
 from toucanpin.cli.output import OutputFormat, output_option, show
 from toucanpin.cli.signing import keys, sign
-from toucanpin.daemon.bundle_apps import Force, History, SubmitAnswer, SubmitRequest
+from toucanpin.daemon.bundle_apps import BundleRollout, History, SubmitAnswer, SubmitRequest
 from toucanpin.daemon.bundles import BundleStatus
 
 __all__ = ["bundle"]
@@ -160,13 +160,13 @@
 def status(url: str, form: str) -> None:
     """Show the bundle in force and the version that each process has."""
     own = read(f"{url}/v1/bundle", BundleStatus)
-    force = _read_force(url)
+    rollout = _read_rollout(url)
     if OutputFormat(form) is OutputFormat.TABLE:
         age = "never" if own.confirmed_age is None else f"{own.confirmed_age:.1f} s ago"
         state = "ready" if own.ready else f"not ready: {own.reason}"
         click.echo(f"{own.process}: version {own.version}, {state}, confirmed {age}")
-    rows = [(each.name, each.site, each.standing, each.version) for each in force.processes]
-    value = {"bundle": own, "force": force}
+    rows = [(each.name, each.site, each.standing, each.version) for each in rollout.processes]
+    value = {"bundle": own, "force": rollout}
     show(form, ("process", "site", "standing", "version"), rows, value)
 
 
@@ -198,9 +198,9 @@
     """Wait until all live processes have a version in force, and list those that lag."""
     deadline = time.monotonic() + timeout
     while True:
-        force = _read_force(url)
-        target = max(version or force.version, 1)
-        lagging = [each for each in force.processes if each.version < target]
+        rollout = _read_rollout(url)
+        target = max(version or rollout.version, 1)
+        lagging = [each for each in rollout.processes if each.version < target]
         if not lagging or time.monotonic() >= deadline:
             break
         time.sleep(POLL_PERIOD_S)
@@ -209,12 +209,12 @@
         value = {"version": target, "lagging": [each.name for each in lagging]}
         show(form, ("lagging", "site", "standing", "version"), rows, value)
     else:
-        click.echo(f"version {target} is in force at {len(force.processes)} processes")
+        click.echo(f"version {target} is in force at {len(rollout.processes)} processes")
     sys.exit(ExitCode.REFUSED if lagging else ExitCode.DONE)
 
 
-def _read_force(url: str) -> Force:
-    return read(f"{url}/v1/bundle/force", Force)
+def _read_rollout(url: str) -> BundleRollout:
+    return read(f"{url}/v1/bundle/force", BundleRollout)
 
 
 def _format_outcome(answer: SubmitAnswer) -> str:
--- a/toucanpin/daemon/bundle_apps.py
+++ b/toucanpin/daemon/bundle_apps.py
@@ -43,7 +43,7 @@
 from toucanpin.verdict import Reason, Refusal, Verdict
 
 __all__ = [
-    "Force",
+    "BundleRollout",
     "History",
     "ProcessForce",
     "SubmitAnswer",
@@ -109,7 +109,7 @@
     version: int
 
 
-class Force(msgspec.Struct, frozen=True):
+class BundleRollout(msgspec.Struct, frozen=True):
     """Version in force in this process and in every member that is not gone."""
 
     version: int
@@ -121,11 +121,11 @@
     bundles: BundleReplicator,
     gossip: Gossip,
     table: Table,
-    root: KeyRing,
+    key_ring: KeyRing,
     events: EventSink | None = None,
 ) -> dict[str, WsgiApp]:
     """Return the applications by path."""
-    apps = _BundleApps(bundles, gossip, table, root, events)
+    apps = _BundleApps(bundles, gossip, table, key_ring, events)
     return {
         "/v1/bundle": apps.serve_bundle,
         "/v1/bundle/history": apps.serve_history,
@@ -141,13 +141,13 @@
         bundles: BundleReplicator,
         gossip: Gossip,
         table: Table,
-        root: KeyRing,
+        key_ring: KeyRing,
         events: EventSink | None,
     ) -> None:
         self._bundles = bundles
         self._gossip = gossip
         self._table = table
-        self._root = root
+        self._key_ring = key_ring
         self._events = events
 
     def serve_bundle(self, environ: dict[str, Any], start: StartResponse) -> Iterable[bytes]:
@@ -176,7 +176,7 @@
         )
         version = self._gossip.own.bundle
         everywhere = version > 0 and all(each.version == version for each in processes)
-        return answer_json(start, Force(version, everywhere, processes))
+        return answer_json(start, BundleRollout(version, everywhere, processes))
 
     def _list_versions(self, limit: int) -> Iterable[VersionEntry]:
         newest = self._gossip.own.bundle
@@ -203,7 +203,7 @@
 
     def _accept(self, request: SubmitRequest, operator: str) -> Outcome:
         submission = Submission(request.signed, request.expected, operator, time.time())
-        steps = accept_bundle(self._root, submission, lambda: uuid.uuid4().hex)
+        steps = accept_bundle(self._key_ring, submission, lambda: uuid.uuid4().hex)
         answer: Any = None
         while True:
             try:
--- a/toucanpin/daemon/bundles.py
+++ b/toucanpin/daemon/bundles.py
@@ -82,7 +82,7 @@
         gossip: Gossip,
         table: Table,
         client: InnerClient,
-        root: KeyRing,
+        key_ring: KeyRing,
         events: EventSink | None = None,
         timing: ReplicationTiming | None = None,
     ) -> None:
@@ -91,7 +91,7 @@
         self._client = client
         self._events = events
         self._replica = BundleReplica(
-            gossip.own.name, root, timing or ReplicationTiming(), now=time.monotonic()
+            gossip.own.name, key_ring, timing or ReplicationTiming(), now=time.monotonic()
         )
         self._lock = threading.Lock()
         self._wake = threading.Event()
--- a/toucanpin/daemon/root.py
+++ b/toucanpin/daemon/root.py
@@ -109,10 +109,10 @@
         self._build_platform()
         self._build_membership(incarnation)
         self.gossip.set_entry_hosts(self.hosts.entry_names)
-        self.root_ring = _read_key_ring(folder / settings.keys.ring_file)
+        self.key_ring = _read_key_ring(folder / settings.keys.ring_file)
         client = InnerClient(self.gossip.identity, self.peer_keys)
         self.bundles = BundleReplicator(
-            self.gossip, self.table, client, self.root_ring, self.recorder
+            self.gossip, self.table, client, self.key_ring, self.recorder
         )
         term = settings.control.authority_ms / MS_PER_S
         self.standstill = StandstillCalls(self.gossip, client, term)
@@ -252,9 +252,7 @@
         apps = {
             "/": make_page_app(self._build_page),
             **make_probe_apps(self._list_unready_reasons, self._get_state),
-            **make_bundle_apps(
-                self.bundles, self.gossip, self.table, self.root_ring, self.recorder
-            ),
+            **make_bundle_apps(self.bundles, self.gossip, self.table, self.key_ring, self.recorder),
             **make_view_apps(self.gossip, self.hosts),
             DRAIN_PATH: make_drain_app(self.host_list, self.hosts, self.table, self.recorder),
             "/metrics": self.metrics.serve,
--- a/toucanpin/daemon/tests/test_bundle_spread.py
+++ b/toucanpin/daemon/tests/test_bundle_replication.py
@@ -16,7 +16,7 @@
     return msgspec.json.encode(SubmitRequest(expected_version, make_signed(version, service)))
 
 
-class BundleSpreadTest(unittest.TestCase):
+class BundleReplicationTest(unittest.TestCase):
     def setUp(self):
         self.platform = Platform()
         self.nodes = [self.start(index) for index in range(3)]
@@ -49,7 +49,7 @@
         _, history = self.nodes[2].request("GET", "/v1/bundle/history?limit=5")
         self.assertEqual([entry["operator"] for entry in history["versions"]], ["alice"])
 
-    def test_bundle_spreads_while_the_table_is_down(self):
+    def test_bundle_replicates_while_the_table_is_down(self):
         """
         The table goes down right after it has accepted a bundle.
 
--- a/toucanpin/placement/tests/test_interference_aware.py
+++ b/toucanpin/placement/tests/test_interference_aware.py
@@ -19,7 +19,7 @@
 
 SAMPLE_LAG_S = 8.0
 SLOWDOWN = 4.0
-PATIENCE_S = 20.0
+EVICTION_DELAY_S = 20.0
 WEIGHTS = Weights(2.0, 0.5, 0.2)
 
 
@@ -34,7 +34,7 @@
 
 def advise(process, budget: Budget | None = None) -> None:
     """Set the interference-aware policy of a process."""
-    policy = InterferenceAwarePolicy(budget, Tuning(eviction_delay=PATIENCE_S))
+    policy = InterferenceAwarePolicy(budget, Tuning(eviction_delay=EVICTION_DELAY_S))
     process.state.policy = GuardedPolicy(policy)
 
 
