--- a/toucanpin/entry/advice_dispatcher.py
+++ b/toucanpin/entry/advice_dispatcher.py
@@ -20,7 +20,7 @@
 __all__ = ["AdviceDispatcher"]
 
 _log = logbook.Logger("advice")
-FAILURE_BACKOFF_S = 2.0  # after a request through a host got no answer
+FAILURE_BACKOFF_S = 2.0  # after a request through a host was not answered
 
 
 class AdviceDispatcher:
--- a/toucanpin/entry/candidate.py
+++ b/toucanpin/entry/candidate.py
@@ -104,7 +104,7 @@
         return self._owner.count_evacuated() if self._owner else {}
 
     async def run(self) -> None:
-        """Watch the owner and take over its cell where needed, until told to resign."""
+        """Watch the owner and take over its cell where needed, until ``resign`` is called."""
         while not self._resigning:
             pause = RETRY_DELAY_S
             watch = self._watch
@@ -170,7 +170,7 @@
                 continue
             if self._peers.has_stronger_host():
                 self._last_handover_at = now
-                _log.info("cell left to a stronger host", event="cell.yielded", cell=self._cell)
+                _log.info("cell handed to a stronger host", event="cell.yielded", cell=self._cell)
                 owner.resign()
                 return
 
--- a/toucanpin/entry/cell_jobs.py
+++ b/toucanpin/entry/cell_jobs.py
@@ -144,5 +144,5 @@
 
 
 async def _throttle(took: float) -> None:
-    """Sleep so long that reads take ``MAX_FULL_READ_SHARE`` of the time."""
+    """Sleep until the read has taken at most ``MAX_FULL_READ_SHARE`` of the time."""
     await asyncio.sleep(took / MAX_FULL_READ_SHARE - took)
--- a/toucanpin/entry/cell_rows.py
+++ b/toucanpin/entry/cell_rows.py
@@ -61,9 +61,9 @@
     Rows of one cell.
 
     ``record`` is the owner's row as last written, at ``version``, and ``written_at`` the time at
-    which that write was sent.  ``blocked`` holds jobs whose progress can't be read: their tasks may
-    have run already, so none is started.  ``view`` is the state of the table up to which jobs are
-    known.
+    which that write was sent.  ``blocked`` are the jobs whose progress can't be read: their tasks
+    may have run already, so none is started.  ``view`` is the state of the table up to which jobs
+    are known.
     """
 
     def __init__(
--- a/toucanpin/entry/cell_workers.py
+++ b/toucanpin/entry/cell_workers.py
@@ -55,7 +55,7 @@
 
 
 class CellWorkers:
-    """Connections to the workers of one cell; calls ``on_change`` after each answer."""
+    """Clients of the workers of one cell; calls ``on_change`` after each answer."""
 
     def __init__(
         self,
@@ -268,7 +268,7 @@
         match order:
             case StopOrder():
                 _log.info(
-                    "stopping",
+                    "stopping task",
                     event="task.stopping",
                     job=order.task.job,
                     task=format_task(order.task),
@@ -322,7 +322,7 @@
         if ended.sequence > worker.listed_sequence:
             ENDS.add(1, ended.end.value)
             _log.info(
-                "ended",
+                "task ended",
                 event="task.ended",
                 job=ended.task.job,
                 task=format_task(ended.task),
--- a/toucanpin/entry/configuration.py
+++ b/toucanpin/entry/configuration.py
@@ -32,7 +32,7 @@
 _log = logbook.Logger("configuration")
 POLL_PERIOD_S = 0.6  # a version must be in force 2 s after it was accepted, and a read takes 240 ms
 REFRESH_TIMEOUT_S = 20.0  # of a refresh that no caller waits for
-MAX_LOOKUP_AGE_S = 0.25  # maximum age of a version by which a queue is said not to exist
+MAX_LOOKUP_AGE_S = 0.25  # maximum age of a version that shows that a queue doesn't exist
 
 
 class ConfigurationWatch:
@@ -78,8 +78,8 @@
             return False
 
     async def _refresh(self, max_age: float) -> bool:
-        wanted = steady_time() - max_age
-        while self.confirmed < wanted:
+        oldest = steady_time() - max_age
+        while self.confirmed < oldest:
             # Concurrent callers share one read.  If each of them had its own, one after another,
             # the last would wait for many time-outs.
             if self._fetching is None or self._fetching.done():
--- a/toucanpin/entry/decision_log.py
+++ b/toucanpin/entry/decision_log.py
@@ -41,7 +41,7 @@
     if live is not None and not live.job.repeats and run.attempt == 1:
         START_WAIT.record(max(0.0, age), {"priority": live.job.priority})
     _log.info(
-        "placed",
+        "task placed",
         event="task.placed",
         job=run.task.job,
         task=format_task(run.task),
@@ -62,7 +62,7 @@
     for loss in losses:
         LOST_RUNS.add(1, {"cause": loss.cause.name.lower()})
         _log.info(
-            "lost",
+            "task lost with its worker",
             event="task.lost",
             job=loss.task.job,
             task=format_task(loss.task),
@@ -97,13 +97,13 @@
         and now.steady > wait.logged_at + RELOG_PERIOD_S
     ]
     due.sort(key=lambda pair: pair[1].since)
-    frees = (worker.entry.cpu - worker.cpu for worker in list_not_evacuated(cell))
-    free = max(frees, default=0) if due else 0
+    free_cores = (worker.entry.cpu - worker.cpu for worker in list_not_evacuated(cell))
+    free = max(free_cores, default=0) if due else 0
     for group, wait in due[:MAX_LOGGED_WAITS]:
         wait.logged_at = now.steady
         job = cell.jobs[group.job].job
         _log.info(
-            "waiting",
+            "tasks waiting",
             event="task.waiting",
             job=group.job,
             step=group.step,
@@ -122,13 +122,17 @@
         _log.info("no data centre is evacuated", event="evacuation.over")
     elif cell.workers and not list_not_evacuated(cell):
         _log.error("no task can start: all data centres are evacuated", event="evacuation.all")
-    for it in describe_evacuations(cell):
+    for evacuation in describe_evacuations(cell):
         _log.info(
-            "data centre evacuated" if it.workers else "no worker is in an evacuated data centre",
-            event="evacuation.on" if it.workers else "evacuation.unknown",
-            data_centre=it.data_centre,
-            workers=it.workers,
-            runs=it.runs,
+            (
+                "data centre evacuated"
+                if evacuation.workers
+                else "no worker is in an evacuated data centre"
+            ),
+            event="evacuation.on" if evacuation.workers else "evacuation.unknown",
+            data_centre=evacuation.data_centre,
+            workers=evacuation.workers,
+            runs=evacuation.runs,
         )
 
 
--- a/toucanpin/entry/frames.py
+++ b/toucanpin/entry/frames.py
@@ -31,7 +31,6 @@
 _LENGTH = struct.Struct(">I")
 # Any answer of the store has to fit.  Otherwise a host that the store refuses couldn't read a large
 # configuration through its peers.
-# The second term, in bytes, is for what the inner protocol adds around an answer.
 MAX_FRAME_BYTES = MAX_ANSWER_BYTES + 65_536  # an answer and the envelope around it
 # Total time of an answer that keeps arriving.  A slow link takes seconds for a document with
 # thousands of queues.
--- a/toucanpin/entry/peers.py
+++ b/toucanpin/entry/peers.py
@@ -99,11 +99,11 @@
     def has_stronger_host(self) -> bool:
         """Return whether a healthy host has far more cores than this one."""
         limit = self._store.clock - int(HEALTHY_TIMEOUT_S * 1_000)
-        enough = STRONGER_FACTOR * self._settings.cores
-        return any(peer.announced > limit and peer.cores >= enough for peer in self.known)
+        min_cores = STRONGER_FACTOR * self._settings.cores
+        return any(peer.announced > limit and peer.cores >= min_cores for peer in self.known)
 
     def count_preferred(self, cell: str) -> int:
-        """Return how many live hosts take precedence as owner of a cell: by cores, then by hash."""
+        """Return how many live hosts precede this one for a cell: by cores, then by hash."""
         own = _make_rank(cell, self._settings.name, self._settings.cores)
         ranks = (_make_rank(cell, peer.name, peer.cores) for peer in self.list_live())
         return sum(rank < own for rank in ranks)
@@ -112,7 +112,7 @@
         """
         Return by how much each host's time of day is ahead of the table's clock, in ms.
 
-        If enough hosts know their offset exactly, the others are left out.
+        If min_cores hosts know their offset exactly, the others are left out.
         """
         limit = self._store.clock - int(PEER_TIMEOUT_S * 1_000)
         fresh = [peer for peer in self.known if peer.announced > limit]
--- a/toucanpin/entry/requests.py
+++ b/toucanpin/entry/requests.py
@@ -140,8 +140,8 @@
         """
         Return whether the configuration is recent enough, after one refresh if needed.
 
-        Only one: with repeated refreshes in an outage, the table got so many calls that writes of
-        other callers were sent to it too, and ended without a definite answer.
+        There is only one: with repeated refreshes in an outage, the table got so many calls that
+        writes of other callers were sent to it too, and ended without a definite answer.
         """
         time_limit = min(REFUSE_AFTER_S, deadline - time.monotonic())
         return await self._configuration.refresh(MAX_CONFIGURATION_AGE_S, time_limit)
--- a/toucanpin/entry/root.py
+++ b/toucanpin/entry/root.py
@@ -2,7 +2,7 @@
 Composition root
 ================
 
-Wire the components of an entry host's process, and run them until it is told to stop.
+Wire the components of an entry host's process, and run them until it is stopped.
 """
 
 from __future__ import annotations
@@ -234,8 +234,8 @@
         )
         return Response(200 if ready else 503)
 
-    def _spawn(self, part: Callable[[], Coroutine[Any, Any, None]]) -> None:
-        task = asyncio.ensure_future(_supervise(part))
+    def _spawn(self, component: Callable[[], Coroutine[Any, Any, None]]) -> None:
+        task = asyncio.ensure_future(_supervise(component))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
@@ -252,16 +252,16 @@
         LOOP_LAG.record(max(0.0, time.monotonic() - due))
 
 
-async def _supervise(part: Callable[[], Coroutine[Any, Any, None]]) -> None:
+async def _supervise(component: Callable[[], Coroutine[Any, Any, None]]) -> None:
     """
     Run a component of the process, and start it again whenever it fails.
 
-    A process that goes on without one of its components would look healthy to the load balancer but
-    fail its requests, and one malformed message could do that to all hosts at once.
+    A process that continues without one of its components would look healthy to the load balancer
+    but fail its requests, and one malformed message could do that to all hosts at once.
     """
     while True:
         try:
-            await part()
+            await component()
             return
         except Exception as error:
             where = traceback.format_exception(error)
--- a/toucanpin/entry/row_cache.py
+++ b/toucanpin/entry/row_cache.py
@@ -15,8 +15,8 @@
 
 __all__ = ["FULL_READ_PERIOD_S", "MAX_FULL_READ_SHARE", "RowCache", "plan_full_read"]
 
-# The feed of changes may omit the changes of a second without any sign, so all rows are read now
-# and then.
+# The feed of changes may omit the changes of a second without any sign, so all rows are read
+# periodically.
 FULL_READ_PERIOD_S = 3.0
 # Full reads grow with the number of rows.  On a slow link they would take most of the time, and
 # delay everything else.
@@ -59,7 +59,7 @@
         """
         Read what has changed, or all rows if the store no longer has that history.
 
-        All rows are also read now and then in case the feed has missed changes.
+        All rows are also read periodically in case the feed has missed changes.
 
         Raises
         ------
--- a/toucanpin/entry/tests/test_waves.py
+++ b/toucanpin/entry/tests/test_waves.py
@@ -1,4 +1,4 @@
-"""Maintenance waves through an entry host and stand-ins."""
+"""Upkeep waves through an entry host and stand-ins."""
 
 from __future__ import annotations
 
--- a/toucanpin/entry/waves.py
+++ b/toucanpin/entry/waves.py
@@ -1,9 +1,9 @@
 """
-Maintenance waves
-=================
+Upkeep waves
+============
 
-Take groups of machines through maintenance (``upkeep`` on the wire) as operators request it: drain
-each worker, order the upkeep of its machine, and report when all machines of the wave are done.
+Carry out the upkeep of groups of machines as operators request it: drain each worker, order the
+upkeep of its machine, and report when all machines of the wave are done.
 """
 
 from __future__ import annotations
@@ -58,7 +58,7 @@
 
 
 class WaveController:
-    """Controller of the maintenance waves of one cell's machines."""
+    """Controller of the upkeep waves of one cell's machines."""
 
     def __init__(
         self,
@@ -93,7 +93,7 @@
                 try:
                     active = await self._reconcile()
                 except (CallError, PlatformError) as error:
-                    _log.warning("maintenance waves not read", event="waves.unread", reason=error)
+                    _log.warning("upkeep waves not read", event="waves.unread", reason=error)
                 await asyncio.sleep(ACTIVE_PERIOD_S if active else IDLE_PERIOD_S)
         finally:
             for task in self._tasks:
@@ -138,7 +138,7 @@
         version = page.rows[0].version if page.rows else 0
         record = WaveRecord(self._clocks.now().table, {}, [])
         _log.info(
-            "maintenance wave started",
+            "upkeep wave started",
             event="wave.begun",
             wave=wave.number,
             machines=len(wave.machines),
@@ -188,16 +188,16 @@
                 wave, WaveRecord(record.begun, down, record.done + finished), version
             )
             _log.info(
-                "maintenance of machines done",
+                "upkeep of machines done",
                 event="upkeep.done",
                 wave=wave.number,
                 machines=finished,
             )
-            return self._list_closing_workers()
+            return self._list_draining_workers()
         if is_completed(wave, record):
             completed_record = WaveRecord(record.begun, {}, record.done, True)
             await self._write_record(wave, completed_record, version, (_put_status(wave, True),))
-            _log.info("maintenance wave completed", event="wave.completed", wave=wave.number)
+            _log.info("upkeep wave completed", event="wave.completed", wave=wave.number)
             return []
         for name, worker in record.down.items():
             machine = self._machines.get(name)
@@ -206,7 +206,7 @@
             if machine.worker == worker and name in orders:
                 self._start_order(wave, name)
         if await self._order_missing(wave, record, version):
-            return self._list_closing_workers()
+            return self._list_draining_workers()
         return await self._drain_workers(wave, record, version)
 
     def _list_ordered_workers(self, wave: Wave) -> list[Worker]:
@@ -219,7 +219,7 @@
         ordered = set(known[0].down.values()) if known else set()
         return [worker for worker in self._cell.workers.values() if worker.entry.id in ordered]
 
-    def _list_closing_workers(self) -> list[Worker]:
+    def _list_draining_workers(self) -> list[Worker]:
         return [worker for worker in self._cell.workers.values() if worker.draining_since]
 
     async def _order_missing(self, wave: Wave, record: WaveRecord, version: int) -> bool:
@@ -279,7 +279,7 @@
                 return
             answer = await self._client.begin_upkeep(name, wave.number, self._cell.token)
             _log.info(
-                "maintenance of a machine ordered",
+                "upkeep of a machine ordered",
                 event="upkeep.ordered",
                 machine=name,
                 answer=answer.value,
@@ -292,7 +292,7 @@
             # has an outdated view of the wave; both read it again.
         except (CallError, PlatformError) as error:
             _log.warning(
-                "order for maintenance of a machine failed",
+                "order for upkeep of a machine failed",
                 event="upkeep.failed",
                 machine=name,
                 reason=error,
