--- a/standins/memory.py
+++ b/standins/memory.py
@@ -33,23 +33,23 @@
     WorkerFault,
 )
 
-__all__ = ["Line", "MemoryHostList", "MemoryObjects", "MemoryTable", "MemoryWorkers"]
+__all__ = ["FaultyLink", "MemoryHostList", "MemoryObjects", "MemoryTable", "MemoryWorkers"]
 
 MILLISECONDS = 1_000
-TIMEOUT = 2.0
+TIMEOUT_S = 2.0
 
 T = TypeVar("T")
 
 
 @dataclass(frozen=True, slots=True)
-class Late:
+class DelayedOperation:
     """Hold an operation that takes effect after its client has given up."""
 
     due: float
     operation: Callable[[], object]
 
 
-class Line:
+class FaultyLink:
     """
     Carry operations to a core under a plan of faults.
 
@@ -62,19 +62,19 @@
         now: Callable[[], float],
         plan: FaultPlan | None = None,
         sleep: Callable[[float], None] = lambda seconds: None,
-        timeout: float = TIMEOUT,
+        timeout: float = TIMEOUT_S,
     ) -> None:
         self.now = now
         self.plan = FaultPlan() if plan is None else plan
         self._sleep = sleep
         self._timeout = timeout
-        self._late: list[Late] = []
+        self._delayed: list[DelayedOperation] = []
 
-    def carry(
+    def call(
         self, operation: str, client: str, act: Callable[[], T], *names: str
     ) -> Result[T, StoreFault]:
         """Carry out one operation, or the fault that strikes it."""
-        self.settle()
+        self.run_delayed()
         rule = self.plan.strike(operation, client, *names)
         match rule and rule.effect:
             case Effect.DOWN:
@@ -85,41 +85,41 @@
                 act()
                 return Error(Unknown("the connection broke"))
             case Effect.SLOW if rule and rule.delay >= self._timeout:
-                self._late.append(Late(self.now() + rule.delay, act))
+                self._delayed.append(DelayedOperation(self.now() + rule.delay, act))
                 self._sleep(self._timeout)
                 return Error(Unknown("no answer in time"))
             case Effect.SLOW if rule:
                 self._sleep(rule.delay)
         return Ok(act())
 
-    def settle(self) -> None:
+    def run_delayed(self) -> None:
         """Let the late operations that are due take effect, in the order of their instants."""
         now = self.now()
-        due = sorted((it for it in self._late if it.due <= now), key=lambda it: it.due)
-        self._late = [it for it in self._late if it.due > now]
-        for late in due:
-            late.operation()
+        due = sorted((it for it in self._delayed if it.due <= now), key=lambda it: it.due)
+        self._delayed = [it for it in self._delayed if it.due > now]
+        for delayed in due:
+            delayed.operation()
 
 
 class MemoryTable:
     """Reach a table core as one client."""
 
-    def __init__(self, core: TableCore, line: Line, client: str) -> None:
+    def __init__(self, core: TableCore, link: FaultyLink, client: str) -> None:
         self._core = core
-        self._line = line
+        self._link = link
         self._client = client
 
     def read(self, key: str) -> Result[Row | None, StoreFault]:
         """Read one row, None if absent."""
-        return self._line.carry("read", self._client, lambda: self._core.read(key))
+        return self._link.call("read", self._client, lambda: self._core.read(key))
 
     def scan(self, prefix: str, after: int = 0) -> Result[tuple[Row, ...], StoreFault]:
         """Read the rows below a prefix that changed after a version."""
-        return self._line.carry("scan", self._client, lambda: self._core.scan(prefix, after))
+        return self._link.call("scan", self._client, lambda: self._core.scan(prefix, after))
 
     def commit(self, transaction: Transaction) -> Result[Committed, CommitFault]:
         """Apply a transaction, all or nothing."""
-        outcome = self._line.carry("commit", self._client, lambda: self._core.commit(transaction))
+        outcome = self._link.call("commit", self._client, lambda: self._core.commit(transaction))
         match outcome:
             case Result(tag="ok", ok=Committed() as committed):
                 return Ok(committed)
@@ -132,35 +132,35 @@
 class MemoryObjects:
     """Reach an object store core as one client."""
 
-    def __init__(self, core: ObjectsCore, line: Line, client: str) -> None:
+    def __init__(self, core: ObjectsCore, link: FaultyLink, client: str) -> None:
         self._core = core
-        self._line = line
+        self._link = link
         self._client = client
 
     def put(self, name: str, body: bytes) -> Result[None, StoreFault]:
         """Store an object."""
-        return self._line.carry("put", self._client, lambda: self._core.put(name, body))
+        return self._link.call("put", self._client, lambda: self._core.put(name, body))
 
     def get(self, name: str) -> Result[bytes | None, StoreFault]:
         """Read an object, None if absent."""
-        return self._line.carry("get", self._client, lambda: self._core.get(name))
+        return self._link.call("get", self._client, lambda: self._core.get(name))
 
     def names(self, prefix: str) -> Result[tuple[str, ...], StoreFault]:
         """List the names below a prefix."""
-        return self._line.carry("names", self._client, lambda: self._core.names(prefix))
+        return self._link.call("names", self._client, lambda: self._core.names(prefix))
 
 
 class MemoryHostList:
     """Reach a host list core as one client."""
 
-    def __init__(self, core: HostListCore, line: Line, client: str) -> None:
+    def __init__(self, core: HostListCore, link: FaultyLink, client: str) -> None:
         self._core = core
-        self._line = line
+        self._link = link
         self._client = client
 
     def hosts(self) -> Result[tuple[ListedHost, ...], StoreFault]:
         """Read the whole list."""
-        return self._line.carry("hosts", self._client, lambda: self._core.hosts(self._line.now()))
+        return self._link.call("hosts", self._client, lambda: self._core.hosts(self._link.now()))
 
 
 class MemoryWorkers:
@@ -172,12 +172,12 @@
     """
 
     def __init__(
-        self, cores: dict[str, WorkerCore], objects: MemoryObjects, line: Line, client: str
+        self, cores: dict[str, WorkerCore], objects: MemoryObjects, link: FaultyLink, client: str
     ) -> None:
         self.cores = cores
-        self.lost: set[str] = set()
+        self.stopped: set[str] = set()
         self._objects = objects
-        self._line = line
+        self._link = link
         self._client = client
         self._paused: dict[str, list[Poll]] = {}
 
@@ -192,13 +192,13 @@
 
     def poll(self, host: ListedHost, poll: Poll) -> Result[Report, WorkerFault]:
         """Send one poll to the worker of this name."""
-        if host.name not in self.cores or host.name in self.lost:
+        if host.name not in self.cores or host.name in self.stopped:
             return Error(WorkerFault("connection refused", reached=False))
         if host.name in self._paused:
             self._paused[host.name].append(poll)
             return Error(WorkerFault("no answer in time", reached=True))
         core = self.cores[host.name]
-        outcome = self._line.carry(
+        outcome = self._link.call(
             "poll", self._client, lambda: core.poll(self._clock(), poll), host.name
         )
         self._run_effects(core)
@@ -208,15 +208,15 @@
 
     def advance(self) -> None:
         """Let every worker that is there work up to now."""
-        self._line.settle()
+        self._link.run_delayed()
         for name, core in self.cores.items():
-            if name not in self._paused and name not in self.lost:
+            if name not in self._paused and name not in self.stopped:
                 core.advance(self._clock())
                 self._run_effects(core)
 
     def _clock(self) -> int:
         """Return the instant in milliseconds."""
-        return int(self._line.now() * MILLISECONDS)
+        return int(self._link.now() * MILLISECONDS)
 
     def _run_effects(self, core: WorkerCore) -> None:
         """Do once what a core asks of the object store."""
--- a/standins/tests/test_memory.py
+++ b/standins/tests/test_memory.py
@@ -4,7 +4,7 @@
 
 from standins.faults import Effect, FaultPlan, Rule
 from standins.hostlist import HostListCore
-from standins.memory import Line, MemoryHostList, MemoryObjects, MemoryTable
+from standins.memory import FaultyLink, MemoryHostList, MemoryObjects, MemoryTable
 from standins.objects import ObjectsCore
 from standins.table import TableCore
 from toucanpin.platform.ports import (
@@ -38,8 +38,8 @@
     def setUp(self):
         self.clock = Clock()
         self.core = TableCore()
-        self.line = Line(self.clock, FaultPlan(), self.clock.sleep, timeout=2.0)
-        self.table = MemoryTable(self.core, self.line, "e1/control")
+        self.link = FaultyLink(self.clock, FaultPlan(), self.clock.sleep, timeout=2.0)
+        self.table = MemoryTable(self.core, self.link, "e1/control")
 
     def test_versions_grow_over_all_rows(self):
         first = self.table.commit(put("a", "b")).ok.version
@@ -86,7 +86,7 @@
         them apart and sees the same fault; only reading back shows which row is there.
         """
         lost = (Effect.LOSE_BEFORE, Effect.LOSE_AFTER)
-        self.line.plan.rules = tuple(Rule(it, operation="commit", times=1) for it in lost)
+        self.link.plan.rules = tuple(Rule(it, operation="commit", times=1) for it in lost)
         for key in ("a", "b"):
             self.assertIsInstance(self.table.commit(put(key)).error, Unknown)
         self.assertEqual([row.key for row in self.table.scan("").ok], ["b"])
@@ -96,15 +96,15 @@
         The store is slow.  The client waits for its timeout, reads back and sees no row; the row
         comes later.  A client that believes the first reading would lose what then appears.
         """
-        self.line.plan.rules = (Rule(Effect.SLOW, operation="commit", times=1, delay=5.0),)
+        self.link.plan.rules = (Rule(Effect.SLOW, operation="commit", times=1, delay=5.0),)
         self.assertIsInstance(self.table.commit(put("a")).error, Unknown)
         self.assertIsNone(self.table.read("a").ok)
         self.clock.sleep(3.0)
         self.assertIsNotNone(self.table.read("a").ok)
 
     def test_one_client_is_cut_off(self):
-        self.line.plan.rules = (Rule(Effect.DOWN, client="e1/control"),)
-        other = MemoryTable(self.core, self.line, "e2/control")
+        self.link.plan.rules = (Rule(Effect.DOWN, client="e1/control"),)
+        other = MemoryTable(self.core, self.link, "e2/control")
         self.assertIsInstance(self.table.commit(put("a")).error, Unavailable)
         self.assertTrue(other.commit(put("a")).is_ok())
 
@@ -121,7 +121,7 @@
     def test_host_list_lags(self):
         clock = Clock()
         core = HostListCore(lag=3.0)
-        hosts = MemoryHostList(core, Line(clock), "e1")
+        hosts = MemoryHostList(core, FaultyLink(clock), "e1")
         core.add(clock(), ListedHost("w1", HostRole.WORKER, "s", "r", "127.0.0.1", 1))
         core.mark_leaving(clock(), "w1")
         self.assertEqual(hosts.hosts().ok, ())
@@ -133,7 +133,7 @@
         self.assertEqual(hosts.hosts().ok, ())
 
     def test_objects(self):
-        objects = MemoryObjects(ObjectsCore(), Line(Clock()), "e1")
+        objects = MemoryObjects(ObjectsCore(), FaultyLink(Clock()), "e1")
         objects.put("a/1", b"x")
         self.assertEqual(objects.get("a/1").ok, b"x")
         self.assertIsNone(objects.get("a/2").ok)
--- a/toucanpin/bundles/tests/cluster.py
+++ b/toucanpin/bundles/tests/cluster.py
@@ -11,7 +11,7 @@
 from expression import Result
 
 from standins.faults import FaultPlan
-from standins.memory import Line, MemoryTable
+from standins.memory import FaultyLink, MemoryTable
 from standins.table import TableCore
 from toucanpin.bundles.actions import (
     Peer,
@@ -63,7 +63,7 @@
         self.now = 100.0
         self.core = TableCore()
         self.plan = FaultPlan()
-        self.line = Line(lambda: self.now, self.plan)
+        self.line = FaultyLink(lambda: self.now, self.plan)
         self.random = random.Random(seed)
         self.timing = timing or ReplicationTiming()
         self.heartbeats = heartbeats
--- a/toucanpin/bundles/tests/test_acceptance.py
+++ b/toucanpin/bundles/tests/test_acceptance.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from standins.faults import Effect, FaultPlan, Rule
-from standins.memory import Line, MemoryTable
+from standins.memory import FaultyLink, MemoryTable
 from standins.table import TableCore
 from toucanpin.bundles.acceptance import (
     Accepted,
@@ -37,7 +37,7 @@
         self.now = 0.0
         self.core = TableCore()
         self.plan = FaultPlan()
-        self.line = Line(lambda: self.now, self.plan)
+        self.line = FaultyLink(lambda: self.now, self.plan)
         self._tokens = itertools.count()
 
     def begin(self, signed: SignedBundle, expected: int, root: KeyRing = ROOT, who: str = "x"):
@@ -73,7 +73,7 @@
     def current(self) -> Any:
         """Return the record in force."""
         self.now += 100.0
-        self.line.settle()
+        self.line.run_delayed()
         row = self.core.read(CURRENT_KEY)
         return None if row is None else decode_record(row.value).ok
 
--- a/toucanpin/daemon/tests/bundle_nodes.py
+++ b/toucanpin/daemon/tests/bundle_nodes.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from standins.faults import FaultPlan
-from standins.memory import Line, MemoryTable
+from standins.memory import FaultyLink, MemoryTable
 from standins.table import TableCore
 from toucanpin.bundles.tests.fixtures import ROOT
 from toucanpin.daemon.bundle_apps import make_bundle_apps
@@ -40,7 +40,7 @@
     def __init__(self) -> None:
         self.core = TableCore()
         self.plan = FaultPlan()
-        self.line = Line(time.monotonic, self.plan)
+        self.line = FaultyLink(time.monotonic, self.plan)
         self._network = f"127.{64 + os.getpid() % 128}.{next(_networks) % 250}"
 
     def address(self, index: int) -> str:
--- a/toucanpin/daemon/tests/test_control.py
+++ b/toucanpin/daemon/tests/test_control.py
@@ -8,7 +8,7 @@
 
 from expression import Ok
 
-from standins.memory import Line, MemoryObjects, MemoryTable, MemoryWorkers
+from standins.memory import FaultyLink, MemoryObjects, MemoryTable, MemoryWorkers
 from standins.objects import ObjectsCore
 from standins.table import TableCore
 from standins.worker import WorkerCore
@@ -29,7 +29,7 @@
     """Platform services in memory, and stand-ins for the other parts of the process."""
 
     def __init__(self) -> None:
-        line = Line(time.monotonic)
+        line = FaultyLink(time.monotonic)
         self.core = TableCore()
         self.table = MemoryTable(self.core, line, "test")
         self.objects = MemoryObjects(ObjectsCore(), line, "test")
--- a/toucanpin/placement/tests/world.py
+++ b/toucanpin/placement/tests/world.py
@@ -14,7 +14,7 @@
 from expression import Error, Ok
 
 from standins.faults import Effect, FaultPlan, Rule
-from standins.memory import Line, MemoryObjects, MemoryTable, MemoryWorkers
+from standins.memory import FaultyLink, MemoryObjects, MemoryTable, MemoryWorkers
 from standins.objects import ObjectsCore
 from standins.table import TableCore
 from standins.work import Work
@@ -132,7 +132,7 @@
         self.now = 100.0
         self.table = TableCore()
         self.plan = FaultPlan()
-        self.line = Line(lambda: self.now, self.plan)
+        self.line = FaultyLink(lambda: self.now, self.plan)
         self.objects = ObjectsCore()
         self.bundle = Bundle("test", 1)
         self.cores: dict[str, SkewedCore] = {}
@@ -307,7 +307,7 @@
     def kill_worker(self, name: str) -> None:
         """Stop a worker with all its tasks."""
         self.dead_workers[name] = self.now
-        self.workers.lost.add(name)
+        self.workers.stopped.add(name)
 
     def replace_worker(self, name: str) -> None:
         """Start a new incarnation of a worker."""
@@ -315,7 +315,7 @@
         self.retired.append((old, self.dead_workers.pop(name, self.now)))
         number = list(self.cores).index(name) + 1
         self.cores[name] = SkewedCore(name, old.incarnation + "x", old.size, number)
-        self.workers.lost.discard(name)
+        self.workers.stopped.discard(name)
 
     def pause_worker(self, name: str) -> None:
         """Freeze a worker."""
