--- a/standins/tests/test_worker.py
+++ b/standins/tests/test_worker.py
@@ -298,7 +298,7 @@
             self.assertGreaterEqual(run.started_at, ends.get(run.task, 0))
             ends[run.task] = end
         self.assertTrue(live == 0 or now < lease)
-        running = [it.start.size for it in core._live()]
+        running = [it.start.size for it in core._list_running()]
         self.assertLessEqual(sum(it.processors for it in running), SIZE.processors)
         self.assertLessEqual(sum(it.memory for it in running), SIZE.memory)
         self.assertLessEqual(sum(it.accelerators for it in running), SIZE.accelerators)
--- a/standins/worker.py
+++ b/standins/worker.py
@@ -121,12 +121,12 @@
         # The guard goes first: a holder that was paused past its lease must not do another step
         # of work, write a checkpoint or obey an order in the belief that it still holds the lease.
         until = min(now, self._lease_until)
-        for attempt in self._live():
+        for attempt in self._list_running():
             attempt.work_until(until)
         if now >= self._lease_until:
             self._stop_all()
         self._sample(now)
-        for attempt in self._live():
+        for attempt in self._list_running():
             self._end_if_done(attempt, until)
 
     def take_effects(self) -> Iterator[Put | Get]:
@@ -208,7 +208,7 @@
             return "no lease"
         if work is None:
             return "the payload can't be understood"
-        held = [it.start.size for it in self._live()]
+        held = [it.start.size for it in self._list_running()]
         fits = (
             sum(it.processors for it in held) <= self.size.processors
             and sum(it.memory for it in held) <= self.size.memory
@@ -268,7 +268,7 @@
     def _stop_all(self) -> None:
         """Stop every attempt at the end of the lease, and drop what they still meant to write."""
         self._effects.clear()
-        for attempt in self._live():
+        for attempt in self._list_running():
             self._end(attempt, TaskState.STOPPED, "the lease lapsed", self._lease_until)
 
     def _end(self, attempt: Attempt, state: TaskState, detail: str, now: int) -> None:
@@ -286,7 +286,7 @@
             interval.stopped_at = now
             del self._running[attempt.start.task]
 
-    def _live(self) -> list[Attempt]:
+    def _list_running(self) -> list[Attempt]:
         """Return the attempts that hold capacity."""
         return [it for it in self._attempts.values() if it.state is TaskState.RUNNING]
 
@@ -296,7 +296,7 @@
 
     def _find_task(self, task: str) -> Attempt | None:
         """Return the attempt of a task that holds capacity."""
-        return next((it for it in self._live() if it.start.task == task), None)
+        return next((it for it in self._list_running() if it.start.task == task), None)
 
     def _find_live(self, task: str, number: int) -> Attempt | None:
         """Return an attempt that works."""
@@ -310,7 +310,7 @@
         if now < self._next_sample:
             return
         self._next_sample = now + SAMPLE_PERIOD
-        residents = self._live()
+        residents = self._list_running()
         self._samples.extend(service.measure(now, residents) for service in self.services)
 
     def _report(self, now: int, accepted: bool) -> Report:
--- a/toucanpin/placement/tests/test_interference_aware.py
+++ b/toucanpin/placement/tests/test_interference_aware.py
@@ -121,7 +121,7 @@
         world.fault(Effect.LOSE_BEFORE, "poll", times=2)
         world.run(3)
         world.heal()
-        (attempt,) = core._live()
+        (attempt,) = core._list_running()
         self.assertLess(attempt.share, 1.0)
 
 
--- a/toucanpin/placement/tests/test_workers.py
+++ b/toucanpin/placement/tests/test_workers.py
@@ -40,7 +40,7 @@
         world.resume_worker(worker)
         world.run(10)
         self.assertEqual(len(world.running("enc")), 1)
-        self.assertNotIn("enc", [it.start.task for it in world.cores[worker]._live()])
+        self.assertNotIn("enc", [it.start.task for it in world.cores[worker]._list_running()])
 
     def test_delayed_start_is_refused_after_the_worker_was_lost(self):
         """
@@ -153,7 +153,7 @@
         start = Start("ghost", 1, "k", size, describe_work(90_000).encode(), "", "x", False)
         core = world.cores["w00"]
         core.poll(int(world.now * 1000), Poll(1, "", 0, (start,)))
-        self.assertEqual([it.start.task for it in core._live()], ["ghost"])
+        self.assertEqual([it.start.task for it in core._list_running()], ["ghost"])
         world.run(3)
         self.assertEqual(core._attempts, {})
 
@@ -170,7 +170,7 @@
         self.assertEqual(record.checkpoint, max(world.objects.names("checkpoint/")))
         world.kill_worker(record.worker)
         world.run(10)
-        live = [it for core in world.cores.values() for it in core._live()]
+        live = [it for core in world.cores.values() for it in core._list_running()]
         self.assertIn(record.checkpoint, [it.start.checkpoint for it in live])
 
     def test_worker_that_fails_every_task_is_quarantined(self):
