--- a/standins/site/worker.py
+++ b/standins/site/worker.py
@@ -21,7 +21,7 @@
 
 __all__ = ["SiteWorker"]
 
-TICK = 0.02  # s between looks at what has ended
+TICK_S = 0.02  # s between looks at what has ended
 _REASONS = {
     RefusalReason.FENCED: "fence",
     RefusalReason.OLD_ATTEMPT: "old",
@@ -41,7 +41,7 @@
         self.crashing: frozenset[str] = frozenset()  # jobs whose tasks crash this worker
         self.crashed = asyncio.Event()
         self._store = store
-        self._begun = time.monotonic()
+        self._started_at = time.monotonic()
         self._sequence = 1
         self._task: asyncio.Task[None] | None = None
         self._server = Server(self._handle, 16_384, 65_536)
@@ -80,12 +80,12 @@
         self._store.put("servers", entry.id, msgspec.json.encode(fields))
 
     def _now(self) -> float:
-        return time.monotonic() - self._begun + 1.0
+        return time.monotonic() - self._started_at + 1.0
 
     async def _advance(self) -> None:
         while True:
             self.core.advance(self._now())
-            await asyncio.sleep(TICK)
+            await asyncio.sleep(TICK_S)
 
     async def _handle(self, request: Request) -> Response | None:
         if request.headers.get("x-expect-instance") != self.core.entry.id:
@@ -137,7 +137,7 @@
                 return self._answer(report)
             if report.ended or time.monotonic() >= deadline:
                 break
-            await asyncio.sleep(TICK)
+            await asyncio.sleep(TICK_S)
         running = [
             [encode_task(r.task), r.attempt, r.checkpoint, r.percent, 0] for r in report.running
         ]
--- a/tools/soak/workers.py
+++ b/tools/soak/workers.py
@@ -181,7 +181,7 @@
         await self.stop()
 
     def _now(self) -> float:
-        return (time.monotonic() - self._begun) * self._rate + 1.0
+        return (time.monotonic() - self._started_at) * self._rate + 1.0
 
     async def _advance(self) -> None:
         while True:
