--- a/scenarios/surroundings.py
+++ b/scenarios/surroundings.py
@@ -15,7 +15,7 @@
 from scenarios.check import PLATFORM
 from scenarios.model import Scenario, ScenarioError
 from scenarios.world import list_hosts
-from standins.faults import ANY, FOREVER, Effect, Rule
+from standins.faults import UNLIMITED, WILDCARD, Effect, Rule
 from tools.demo.topology import ROLES, Topology, make_topology
 from toucanpin.platform.ports import ListedHost
 
@@ -57,9 +57,9 @@
     )
 
 
-def make_rules(effect: Effect, target: str, client: str, times: int = FOREVER) -> Iterator[Rule]:
+def make_rules(effect: Effect, target: str, client: str, times: int = UNLIMITED) -> Iterator[Rule]:
     """Yield the stand-in's rules for a fault of one of its services."""
     clients = [f"{client}/{role}" for role in ROLES] if client and "/" not in client else [client]
     for operation in OPERATIONS[target]:
         for each in clients:
-            yield Rule(effect, each or ANY, operation, times)
+            yield Rule(effect, each or WILDCARD, operation, times)
--- a/scenarios/witness.py
+++ b/scenarios/witness.py
@@ -11,7 +11,7 @@
 
 from scenarios.evidence import Breach, Evidence, JobTold
 from scenarios.model import JobEnd
-from standins.work import Work, describe_result
+from standins.work import Work, compute_result
 from toucanpin.placement.records import (
     CELL_PREFIX,
     JOB_PREFIX,
@@ -90,4 +90,4 @@
     def _is_right(self, row: JobRow) -> bool:
         """Tell whether the object that a finished job points at is its result."""
         name = self._names.get(row.job, row.job)
-        return self._read_object(row.result) == describe_result(describe_work(name, 0))
+        return self._read_object(row.result) == compute_result(describe_work(name, 0))
--- a/standins/faults.py
+++ b/standins/faults.py
@@ -11,10 +11,10 @@
 
 import msgspec
 
-__all__ = ["ANY", "FOREVER", "Effect", "FaultPlan", "Rule"]
+__all__ = ["UNLIMITED", "WILDCARD", "Effect", "FaultPlan", "Rule"]
 
-ANY = "*"
-FOREVER = -1
+WILDCARD = "*"
+UNLIMITED = -1
 
 
 class Effect(enum.Enum):
@@ -42,9 +42,9 @@
     """
 
     effect: Effect
-    client: str = ANY
-    operation: str = ANY
-    times: int = FOREVER
+    client: str = WILDCARD
+    operation: str = WILDCARD
+    times: int = UNLIMITED
     delay: float = 0.0
 
 
@@ -54,17 +54,17 @@
     def __init__(self, rules: tuple[Rule, ...] = ()) -> None:
         self.rules = rules
 
-    def strike(self, operation: str, *clients: str) -> Rule | None:
+    def take_rule(self, operation: str, *clients: str) -> Rule | None:
         """Return the rule that strikes an operation of a client known by these names."""
         for index, rule in enumerate(self.rules):
             if matches(rule, operation, clients):
-                self._spend(index, rule)
+                self._count_use(index, rule)
                 return rule
         return None
 
-    def _spend(self, index: int, rule: Rule) -> None:
+    def _count_use(self, index: int, rule: Rule) -> None:
         """Count one strike and drop a spent rule."""
-        if rule.times == FOREVER:
+        if rule.times == UNLIMITED:
             return
         left = (msgspec.structs.replace(rule, times=rule.times - 1),) if rule.times > 1 else ()
         self.rules = (*self.rules[:index], *left, *self.rules[index + 1 :])
@@ -72,4 +72,4 @@
 
 def matches(rule: Rule, operation: str, clients: tuple[str, ...]) -> bool:
     """Tell whether a rule is meant for this operation and client."""
-    return rule.operation in (ANY, operation) and rule.client in (ANY, *clients)
+    return rule.operation in (WILDCARD, operation) and rule.client in (WILDCARD, *clients)
--- a/standins/instance.py
+++ b/standins/instance.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from standins.faults import FOREVER
+from standins.faults import UNLIMITED
 
 __all__ = ["Outcome", "InstanceCore", "InstanceFault", "Mode"]
 
@@ -45,7 +45,7 @@
     """
 
     mode: Mode
-    times: int = FOREVER
+    times: int = UNLIMITED
     delay: float = 0.0
     body_bytes: int = 0
 
@@ -69,24 +69,24 @@
         self.slots = slots
         self.fault: InstanceFault | None = None
         self.executions: Counter[str] = Counter()
-        self.present = 0
+        self.active = 0
         self.peak = 0
         self.over_slots = 0
 
     def enter(self) -> None:
         """Count a request that is present, running or waiting for a slot."""
-        self.present += 1
-        self.peak = max(self.peak, self.present)
-        self.over_slots += self.present > self.slots
+        self.active += 1
+        self.peak = max(self.peak, self.active)
+        self.over_slots += self.active > self.slots
 
     def leave(self) -> None:
         """Count a request that has gone."""
-        self.present -= 1
+        self.active -= 1
 
-    def strike(self) -> InstanceFault | None:
+    def take_fault(self) -> InstanceFault | None:
         """Return the fault that strikes a request and count it."""
         fault = self.fault
-        if fault is None or fault.times == FOREVER:
+        if fault is None or fault.times == UNLIMITED:
             return fault
         left = msgspec.structs.replace(fault, times=fault.times - 1)
         self.fault = left if left.times > 0 else None
--- a/standins/instanced.py
+++ b/standins/instanced.py
@@ -17,11 +17,11 @@
 from standins.instance import InstanceCore, InstanceFault, Mode
 from standins.server import (
     Answer,
-    Cut,
+    Disconnect,
     Request,
     Response,
     Server,
-    answer_json,
+    json_response,
     parse_address,
     render,
     serve_until_signal,
@@ -31,7 +31,7 @@
 __all__ = ["InstanceService", "main"]
 
 MILLISECONDS = 1_000
-FREEZE_PERIOD = 0.02
+FREEZE_POLL_PERIOD_S = 0.02
 HALF_CHUNK = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n40\r\n0123456789"
 NOT_RUN = {"Toucanpin-Verdict": Verdict.NOT_RUN.value, "Retry-After": "1"}
 
@@ -50,14 +50,14 @@
     def handle(self, request: Request) -> Answer:
         """Answer one request, or bring about the fault that strikes it."""
         with self._lock:
-            fault = self.core.strike()
+            fault = self.core.take_fault()
         match fault and fault.mode:
             case Mode.DRAINING:
                 return Response(HTTPStatus.SERVICE_UNAVAILABLE, b"draining", NOT_RUN)
             case Mode.ERROR:
                 return Response(HTTPStatus.INTERNAL_SERVER_ERROR, b"error")
             case Mode.RESET_BEFORE:
-                return Cut()
+                return Disconnect()
             case Mode.SLOW if fault:
                 self.stopped.wait(fault.delay)
             case Mode.FREEZE:
@@ -65,13 +65,13 @@
         response = self._run(request)
         match fault and fault.mode:
             case Mode.RESET_AFTER:
-                return Cut()
+                return Disconnect()
             case Mode.HALF_CHUNK:
-                return Cut(HALF_CHUNK, reset=False)
+                return Disconnect(HALF_CHUNK, reset=False)
             case Mode.CUT_BODY if fault:
                 whole = render(response)
                 head = len(whole) - len(response.body)
-                return Cut(whole[: head + fault.body_bytes], reset=False)
+                return Disconnect(whole[: head + fault.body_bytes], reset=False)
         return response
 
     def control(self, request: Request) -> Answer:
@@ -83,16 +83,16 @@
                 return Response(HTTPStatus.NO_CONTENT)
             case "GET", "/executions":
                 with self._lock:
-                    return answer_json(core.executions)
+                    return json_response(core.executions)
             case "GET", "/counts" if self.server:
                 connections = self.server.counts
-                return answer_json(
+                return json_response(
                     {
                         "executions": core.executions.total(),
                         "peak_requests": core.peak,
                         "over_slots": core.over_slots,
                         "peak_connections": connections.peak,
-                        "over_connections": connections.over,
+                        "over_connections": connections.rejected,
                     }
                 )
         return Response(HTTPStatus.NOT_FOUND)
@@ -116,12 +116,12 @@
         finally:
             with self._lock:
                 self.core.leave()
-        return answer_json(outcome)
+        return json_response(outcome)
 
     def _wait_while_frozen(self) -> None:
         """Wait until the fault is lifted."""
         while (fault := self.core.fault) and fault.mode is Mode.FREEZE:
-            if self.stopped.wait(FREEZE_PERIOD):
+            if self.stopped.wait(FREEZE_POLL_PERIOD_S):
                 return
 
     def _set_fault(self, body: bytes) -> None:
@@ -134,7 +134,7 @@
         if fault and fault.mode is Mode.REFUSE:
             self.server.stop()
         else:
-            self.server.listen_again()
+            self.server.restart()
 
 
 @click.command()
--- a/standins/memory.py
+++ b/standins/memory.py
@@ -75,7 +75,7 @@
     ) -> Result[T, StoreFault]:
         """Carry out one operation, or the fault that strikes it."""
         self.run_delayed()
-        rule = self.plan.strike(operation, client, *names)
+        rule = self.plan.take_rule(operation, client, *names)
         match rule and rule.effect:
             case Effect.DOWN:
                 return Error(Unavailable("down"))
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -23,12 +23,12 @@
     Request,
     Response,
     Server,
-    act_under,
-    answer_json,
+    apply_rule,
+    get_object_name,
+    json_response,
     parse_address,
     serve_until_signal,
-    split_name,
-    strike,
+    take_rule,
 )
 from standins.table import TableCore
 from toucanpin.platform.messages import (
@@ -77,10 +77,10 @@
                 self.plan.rules = msgspec.json.decode(request.body, type=tuple[Rule, ...])
                 return Response(HTTPStatus.NO_CONTENT)
             case "GET", "/faults":
-                return answer_json(self.plan.rules)
+                return json_response(self.plan.rules)
             case "GET", "/counts":
                 table, objects = asdict(self.table.counts), asdict(self.objects.counts)
-                return answer_json({"table": table, "objects": objects})
+                return json_response({"table": table, "objects": objects})
             case "PUT", "/hosts":
                 hosts = msgspec.json.decode(request.body, type=tuple[ListedHost, ...])
                 self.host_list.replace(time.monotonic(), hosts)
@@ -92,8 +92,8 @@
         if not operation:
             return Response(HTTPStatus.NOT_FOUND)
         with self._lock:
-            rule = strike(self.plan, operation, request)
-        return act_under(rule, lambda: self._act(operation, request), self.stopped)
+            rule = take_rule(self.plan, operation, request)
+        return apply_rule(rule, lambda: self._act(operation, request), self.stopped)
 
     def _act(self, operation: str, request: Request) -> Response:
         """Carry out one operation of a client."""
@@ -101,33 +101,33 @@
         with self._lock:
             match operation:
                 case "read":
-                    return answer_json(RowAnswer(self.table.read(query["key"])))
+                    return json_response(RowAnswer(self.table.read(query["key"])))
                 case "scan":
                     after = int(query.get("after", "0"))
-                    return answer_json(RowsAnswer(self.table.scan(query["prefix"], after)))
+                    return json_response(RowsAnswer(self.table.scan(query["prefix"], after)))
                 case "commit":
                     return self._commit(msgspec.json.decode(request.body, type=CommitRequest))
                 case "put":
-                    self.objects.put(split_name(request.path, OBJECT_PATH), request.body)
+                    self.objects.put(get_object_name(request.path, OBJECT_PATH), request.body)
                     return Response(HTTPStatus.OK)
                 case "get":
-                    body = self.objects.get(split_name(request.path, OBJECT_PATH))
+                    body = self.objects.get(get_object_name(request.path, OBJECT_PATH))
                     if body is None:
                         absent = {OBJECT_HEADER: OBJECT_ABSENT}
                         return Response(HTTPStatus.NOT_FOUND, b"", absent)
                     return Response(HTTPStatus.OK, body)
                 case "names":
-                    return answer_json(NamesAnswer(self.objects.names(query["prefix"])))
+                    return json_response(NamesAnswer(self.objects.names(query["prefix"])))
                 case _:
-                    return answer_json(HostsAnswer(self.host_list.hosts(time.monotonic())))
+                    return json_response(HostsAnswer(self.host_list.hosts(time.monotonic())))
 
     def _commit(self, commit: CommitRequest) -> Response:
         """Apply a transaction."""
         match self.table.commit(Transaction(commit.token, commit.writes)):
             case Committed(version):
-                return answer_json(CommitAnswer(version))
+                return json_response(CommitAnswer(version))
             case Conflict(rows):
-                return answer_json(ConflictAnswer(rows), HTTPStatus.CONFLICT)
+                return json_response(ConflictAnswer(rows), HTTPStatus.CONFLICT)
 
 
 def name_operation(request: Request) -> str:
--- a/standins/server.py
+++ b/standins/server.py
@@ -26,17 +26,17 @@
 
 __all__ = [
     "Answer",
-    "Cut",
+    "Disconnect",
     "Request",
     "Response",
     "Server",
-    "act_under",
-    "answer_json",
+    "apply_rule",
+    "get_object_name",
+    "json_response",
     "parse_address",
     "render",
     "serve_until_signal",
-    "split_name",
-    "strike",
+    "take_rule",
 ]
 
 METHODS = ("GET", "PUT", "POST", "DELETE", "HEAD", "OPTIONS", "PATCH")
@@ -66,17 +66,17 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Cut:
+class Disconnect:
     """Send these bytes and break the connection, with a reset or by closing it."""
 
     sent: bytes = b""
     reset: bool = True
 
 
-Answer = Response | Cut
+Answer = Response | Disconnect
 
 
-def answer_json(value: Any, status: int = HTTPStatus.OK) -> Response:
+def json_response(value: Any, status: int = HTTPStatus.OK) -> Response:
     """Answer with a JSON body."""
     return Response(status, msgspec.json.encode(value), {"Content-Type": "application/json"})
 
@@ -90,22 +90,22 @@
     return "\r\n".join([*lines, "", ""]).encode("latin-1") + response.body
 
 
-def strike(plan: FaultPlan, operation: str, request: Request) -> Rule | None:
+def take_rule(plan: FaultPlan, operation: str, request: Request) -> Rule | None:
     """Return the rule that strikes a request of its client, by name or address."""
     name = request.headers.get(CLIENT_HEADER.lower(), "")
-    return plan.strike(operation, name, request.address)
+    return plan.take_rule(operation, name, request.address)
 
 
-def act_under(rule: Rule | None, act: Callable[[], Response], stopped: threading.Event) -> Answer:
+def apply_rule(rule: Rule | None, act: Callable[[], Response], stopped: threading.Event) -> Answer:
     """Answer a request, or bring about the fault that strikes it."""
     match rule and rule.effect:
         case Effect.DOWN:
             return Response(HTTPStatus.SERVICE_UNAVAILABLE, b"", {EFFECT_HEADER: EFFECT_NONE})
         case Effect.LOSE_BEFORE:
-            return Cut()
+            return Disconnect()
         case Effect.LOSE_AFTER:
             act()
-            return Cut()
+            return Disconnect()
         case Effect.SLOW if rule:
             stopped.wait(rule.delay)
     return act()
@@ -136,9 +136,9 @@
                 whole = render(answer)
                 sent = len(whole) - (len(answer.body) if self.command == "HEAD" else 0)
                 self._write(whole[:sent])
-            case Cut(sent, reset):
+            case Disconnect(sent, reset):
                 self._write(sent)
-                self._break_off(reset)
+                self._disconnect(reset)
 
     def log_message(self, format: str, *args: Any) -> None:
         """Log nothing."""
@@ -173,7 +173,7 @@
         except OSError:
             self.close_connection = True
 
-    def _break_off(self, reset: bool) -> None:
+    def _disconnect(self, reset: bool) -> None:
         """Close the connection."""
         self.close_connection = True
         if reset:
@@ -191,7 +191,7 @@
 
     open: int = 0
     peak: int = 0
-    over: int = 0
+    rejected: int = 0
 
 
 class Listener(ThreadingTCPServer):
@@ -220,7 +220,7 @@
         with self._lock:
             counts = self.counts
             if counts.open >= self.limit:
-                counts.over += 1
+                counts.rejected += 1
                 return False
             counts.open += 1
             counts.peak = max(counts.peak, counts.open)
@@ -267,7 +267,7 @@
             self.listener.shutdown()
             self.listener.server_close()
 
-    def listen_again(self) -> None:
+    def restart(self) -> None:
         """Listen anew after a stop."""
         if not self._listening:
             self.listener = Listener(self.address, self._handle, self._connections, self.counts)
@@ -280,7 +280,7 @@
     return host, int(port)
 
 
-def split_name(path: str, prefix: str) -> str:
+def get_object_name(path: str, prefix: str) -> str:
     """Return the name that follows a prefix of a path."""
     return unquote(path.removeprefix(prefix))
 
--- a/standins/table.py
+++ b/standins/table.py
@@ -51,14 +51,14 @@
 
     def scan(self, prefix: str, after: int = 0) -> tuple[Row, ...]:
         """Read the rows below a prefix that changed after a version."""
-        rows = tuple(row for row in self._below(prefix) if row.version > after)
+        rows = tuple(row for row in self._iter_prefix(prefix) if row.version > after)
         self.counts.reads += 1
         self.counts.rows_read += len(rows)
         return rows
 
     def commit(self, transaction: Transaction) -> Committed | Conflict:
         """Apply all writes or none; raise ValueError for a transaction that breaks the limits."""
-        check_shape(transaction.writes)
+        check_transaction(transaction.writes)
         stale = tuple(self._find_stale(transaction.writes))
         if stale:
             self.counts.conflicts += 1
@@ -70,7 +70,7 @@
                 self._apply(write)
         return Committed(self._version)
 
-    def _below(self, prefix: str) -> Iterator[Row]:
+    def _iter_prefix(self, prefix: str) -> Iterator[Row]:
         """Yield the rows below a prefix in key order."""
         for key in self._rows.irange(minimum=prefix):
             if not key.startswith(prefix):
@@ -93,7 +93,7 @@
             self._rows[write.key] = Row(write.key, self._version, write.value)
 
 
-def check_shape(writes: tuple[Write, ...]) -> None:
+def check_transaction(writes: tuple[Write, ...]) -> None:
     """Raise ValueError if there are too many writes, none, or two of one row."""
     if not 0 < len(writes) <= MAX_TRANSACTION_ROWS:
         raise ValueError(f"a transaction has 1 to {MAX_TRANSACTION_ROWS} rows, not {len(writes)}")
--- a/standins/work.py
+++ b/standins/work.py
@@ -22,12 +22,12 @@
     "Progress",
     "Service",
     "Work",
-    "describe_result",
-    "read_work",
-    "write_checkpoint",
+    "compute_result",
+    "encode_checkpoint",
+    "parse_work",
 ]
 
-FAIL_SHARE = 0.5
+FAILURE_PROGRESS = 0.5
 
 
 class Work(msgspec.Struct, frozen=True):
@@ -52,7 +52,7 @@
     progress: int
 
 
-def read_work(payload: bytes) -> Work | None:
+def parse_work(payload: bytes) -> Work | None:
     """Read a payload, None if it can't be understood; an empty one is no work."""
     try:
         return msgspec.json.decode(payload or b"{}", type=Work)
@@ -60,12 +60,12 @@
         return None
 
 
-def describe_result(work: Work) -> bytes:
+def compute_result(work: Work) -> bytes:
     """Return the result, which follows from the input alone."""
     return hashlib.sha256(work.input.encode()).hexdigest().encode()
 
 
-def write_checkpoint(task: str, attempt: int, progress: int) -> bytes:
+def encode_checkpoint(task: str, attempt: int, progress: int) -> bytes:
     """Return the body of a checkpoint."""
     return msgspec.json.encode(Progress(task, attempt, progress))
 
@@ -82,7 +82,7 @@
     detail: str = ""
     progress: float = 0.0
     checkpoint: str = ""
-    checkpointed: int = -1
+    checkpoint_progress: int = -1
     loading: bool = False
     writing: bool = False
     stopping: bool = False
@@ -108,7 +108,7 @@
 
     def must_fail(self) -> bool:
         """Tell whether the fault of the payload is due."""
-        due = self.progress >= self.work.work * FAIL_SHARE and not self.loading
+        due = self.progress >= self.work.work * FAILURE_PROGRESS and not self.loading
         match self.work.fail:
             case "always":
                 return due
@@ -130,14 +130,14 @@
         self.loading = False
         self.worked_until = now
         self.progress = float(found.progress)
-        self.note_checkpoint(name, found.progress)
+        self.record_checkpoint(name, found.progress)
         return True
 
-    def note_checkpoint(self, name: str, progress: int) -> None:
+    def record_checkpoint(self, name: str, progress: int) -> None:
         """Remember the checkpoint that holds the most progress."""
-        if progress > self.checkpointed:
+        if progress > self.checkpoint_progress:
             self.checkpoint = name
-            self.checkpointed = progress
+            self.checkpoint_progress = progress
 
     def report(self, sampled_at: int) -> TaskReport:
         """Report the attempt, with its use at a past instant."""
@@ -176,8 +176,8 @@
     load: float
     effects: tuple[tuple[str, float], ...] = ()
 
-    def measure(self, now: int, residents: Iterable[Attempt]) -> UsageSample:
+    def measure(self, now: int, running: Iterable[Attempt]) -> UsageSample:
         """Measure the p99 of the service."""
         effects = dict(self.effects)
-        rise = sum(effects.get(it.start.kind, 0.0) * it.share for it in residents)
+        rise = sum(effects.get(it.start.kind, 0.0) * it.share for it in running)
         return UsageSample(self.name, now, self.base_p99 * (1 + rise * self.load), self.load)
--- a/standins/worker.py
+++ b/standins/worker.py
@@ -14,7 +14,7 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-from standins.work import Attempt, Service, Work, describe_result, read_work, write_checkpoint
+from standins.work import Attempt, Service, Work, compute_result, encode_checkpoint, parse_work
 from toucanpin.platform.ports import (
     Checkpoint,
     Forget,
@@ -32,8 +32,8 @@
 __all__ = ["Get", "Interval", "Purpose", "Put", "WorkerCore"]
 
 MIN_SHARE = 0.05
-SAMPLE_PERIOD = 1_000
-REFUSED = "refused: "
+SAMPLE_PERIOD_MS = 1_000
+REFUSAL_PREFIX = "refused: "
 
 
 class Purpose(enum.Enum):
@@ -97,7 +97,7 @@
         self._epoch = 0
         self._lease_until = 0
         self._attempts: dict[tuple[str, int], Attempt] = {}
-        self._highest: dict[str, int] = {}
+        self._highest_attempts: dict[str, int] = {}
         self._running: dict[str, Interval] = {}
         self._effects: deque[Put | Get] = deque()
         self._samples: deque[UsageSample] = deque()
@@ -113,7 +113,7 @@
             # An old poll that arrives late must neither lengthen the lease nor cut a newer one.
             self._lease_until = max(self._lease_until, poll.lease_until)
             for order in poll.orders:
-                self._obey(now, order)
+                self._apply_order(now, order)
         return self._report(now, accepted)
 
     def advance(self, now: int) -> None:
@@ -141,7 +141,7 @@
         if attempt is None:
             return
         if stored and put.purpose is not Purpose.RESULT:
-            attempt.note_checkpoint(put.name, put.progress)
+            attempt.record_checkpoint(put.name, put.progress)
         if put.purpose is Purpose.LAST_CHECKPOINT:
             self._end(attempt, TaskState.STOPPED, "stopped", now)
         if put.purpose is Purpose.RESULT and attempt.writing and not attempt.stopping:
@@ -163,7 +163,7 @@
         elif not attempt.resume(body, get.name, now):
             self._end(attempt, TaskState.FAILED, "the checkpoint can't be read", now)
 
-    def _obey(self, now: int, order: Order) -> None:
+    def _apply_order(self, now: int, order: Order) -> None:
         """Carry out one order."""
         match order:
             case Start():
@@ -171,10 +171,10 @@
             case Stop():
                 self._stop(now, order)
             case Throttle(task, number, share):
-                if attempt := self._find_live(task, number):
+                if attempt := self._find_active(task, number):
                     attempt.throttle(now, min(1.0, max(MIN_SHARE, share)))
             case Checkpoint(task, number, name):
-                if attempt := self._find_live(task, number):
+                if attempt := self._find_active(task, number):
                     self._put_checkpoint(attempt, name, Purpose.CHECKPOINT)
             case Forget(task, number):
                 attempt = self._find(task, number)
@@ -183,18 +183,18 @@
 
     def _start(self, now: int, start: Start) -> None:
         """Start an attempt unless it is late, or say why it can't run here."""
-        if start.attempt <= self._highest.get(start.task, 0):
+        if start.attempt <= self._highest_attempts.get(start.task, 0):
             return
-        self._highest[start.task] = start.attempt
+        self._highest_attempts[start.task] = start.attempt
         if older := self._find_task(start.task):
             # Two attempts of one task would be the task in two places.
             self._end(older, TaskState.STOPPED, "superseded", now)
-        work = read_work(start.payload)
+        work = parse_work(start.payload)
         attempt = Attempt(start, work or Work(), started_at=now, worked_until=now)
         self._attempts[(start.task, start.attempt)] = attempt
         if refusal := self._find_refusal(now, work):
             attempt.state = TaskState.FAILED
-            attempt.detail = REFUSED + refusal
+            attempt.detail = REFUSAL_PREFIX + refusal
             return
         self._running[start.task] = Interval(start.task, start.attempt, now)
         self.log.append(self._running[start.task])
@@ -218,19 +218,21 @@
 
     def _stop(self, now: int, stop: Stop) -> None:
         """Stop an attempt and every lower one, and refuse them from now on."""
-        unseen = stop.attempt > self._highest.get(stop.task, 0)
-        self._highest[stop.task] = max(stop.attempt, self._highest.get(stop.task, 0))
+        unseen = stop.attempt > self._highest_attempts.get(stop.task, 0)
+        self._highest_attempts[stop.task] = max(
+            stop.attempt, self._highest_attempts.get(stop.task, 0)
+        )
         if attempt := self._find_task(stop.task):
             if attempt.start.attempt <= stop.attempt and not attempt.stopping:
-                self._halt(now, attempt, stop.checkpoint)
+                self._begin_stop(now, attempt, stop.checkpoint)
         elif unseen:
             start = Start(stop.task, stop.attempt, "", Size(0, 0), b"", "", "", False)
             tombstone = Attempt(start, Work(), started_at=now, worked_until=now)
             tombstone.state = TaskState.STOPPED
-            tombstone.detail = REFUSED + "stopped before its start"
+            tombstone.detail = REFUSAL_PREFIX + "stopped before its start"
             self._attempts[(stop.task, stop.attempt)] = tombstone
 
-    def _halt(self, now: int, attempt: Attempt, checkpoint: str) -> None:
+    def _begin_stop(self, now: int, attempt: Attempt, checkpoint: str) -> None:
         """Let an attempt work no more; it counts as stopped once its checkpoint is written."""
         if not checkpoint or attempt.loading:
             self._end(attempt, TaskState.STOPPED, "stopped", now)
@@ -245,7 +247,7 @@
             return
         start = attempt.start
         progress = int(attempt.progress)
-        body = write_checkpoint(start.task, start.attempt, progress)
+        body = encode_checkpoint(start.task, start.attempt, progress)
         self._effects.append(Put(start.task, start.attempt, name, body, progress, purpose))
 
     def _end_if_done(self, attempt: Attempt, now: int) -> None:
@@ -259,7 +261,7 @@
         elif attempt.is_done():
             attempt.writing = True
             start = attempt.start
-            body = describe_result(attempt.work)
+            body = compute_result(attempt.work)
             progress = int(attempt.progress)
             self._effects.append(
                 Put(start.task, start.attempt, start.output, body, progress, Purpose.RESULT)
@@ -298,7 +300,7 @@
         """Return the attempt of a task that holds capacity."""
         return next((it for it in self._list_running() if it.start.task == task), None)
 
-    def _find_live(self, task: str, number: int) -> Attempt | None:
+    def _find_active(self, task: str, number: int) -> Attempt | None:
         """Return an attempt that works."""
         attempt = self._find(task, number)
         if attempt is None or attempt.state is not TaskState.RUNNING or attempt.stopping:
@@ -309,9 +311,9 @@
         """Measure the services once in a period."""
         if now < self._next_sample:
             return
-        self._next_sample = now + SAMPLE_PERIOD
-        residents = self._list_running()
-        self._samples.extend(service.measure(now, residents) for service in self.services)
+        self._next_sample = now + SAMPLE_PERIOD_MS
+        running = self._list_running()
+        self._samples.extend(service.measure(now, running) for service in self.services)
 
     def _report(self, now: int, accepted: bool) -> Report:
         """Report every attempt and the measurements that are old enough."""
--- a/standins/workerd.py
+++ b/standins/workerd.py
@@ -21,11 +21,11 @@
     Request,
     Response,
     Server,
-    act_under,
-    answer_json,
+    apply_rule,
+    json_response,
     parse_address,
     serve_until_signal,
-    strike,
+    take_rule,
 )
 from standins.work import Service
 from standins.worker import Get, Put, WorkerCore
@@ -36,8 +36,8 @@
 __all__ = ["WorkerService", "main"]
 
 MILLISECONDS = 1_000
-GUARD_PERIOD = 0.01
-EFFECTS_PERIOD = 0.02
+LEASE_CHECK_PERIOD_S = 0.01
+EFFECTS_PERIOD_S = 0.02
 
 
 def read_clock() -> int:
@@ -57,7 +57,7 @@
 
     def start(self) -> None:
         """Start the threads of the guard and of the object store."""
-        for loop in (self._guard, self._write_objects):
+        for loop in (self._check_lease, self._write_objects):
             threading.Thread(target=loop, daemon=True).start()
 
     def handle(self, request: Request) -> Answer:
@@ -73,8 +73,8 @@
         match request.method, request.path:
             case "POST", "/poll":
                 with self._lock:
-                    rule = strike(self.plan, "poll", request)
-                return act_under(rule, lambda: self._poll(request), self.stopped)
+                    rule = take_rule(self.plan, "poll", request)
+                return apply_rule(rule, lambda: self._poll(request), self.stopped)
             case "PUT", "/faults":
                 self.plan.rules = msgspec.json.decode(request.body, type=tuple[Rule, ...])
                 return Response(HTTPStatus.NO_CONTENT)
@@ -82,28 +82,28 @@
                 self.core.fail_all = msgspec.json.decode(request.body, type=bool)
                 return Response(HTTPStatus.NO_CONTENT)
             case "GET", "/counts":
-                return answer_json({"polls": self.core.polls})
+                return json_response({"polls": self.core.polls})
             case "GET", "/log":
                 with self._lock:
                     self.core.advance(read_clock())
-                    return answer_json([asdict(it) for it in self.core.log])
+                    return json_response([asdict(it) for it in self.core.log])
         return Response(HTTPStatus.NOT_FOUND)
 
     def _poll(self, request: Request) -> Response:
         """Take one poll."""
         poll = read_poll(msgspec.json.decode(request.body, type=PollRequest))
         with self._lock:
-            return answer_json(self.core.poll(read_clock(), poll))
+            return json_response(self.core.poll(read_clock(), poll))
 
-    def _guard(self) -> None:
+    def _check_lease(self) -> None:
         """Stop every task in time when no poll comes."""
-        while not self.stopped.wait(GUARD_PERIOD):
+        while not self.stopped.wait(LEASE_CHECK_PERIOD_S):
             with self._lock:
                 self.core.advance(read_clock())
 
     def _write_objects(self) -> None:
         """Do what the core asks of the object store."""
-        while not self.stopped.wait(EFFECTS_PERIOD):
+        while not self.stopped.wait(EFFECTS_PERIOD_S):
             with self._lock:
                 effects = list(self.core.take_effects())
             for effect in effects:
@@ -151,8 +151,8 @@
 ) -> None:
     """Serve as the agent of one worker."""
     size = Size(processors, memory, accelerators)
-    beside = tuple(msgspec.json.decode(text, type=Service) for text in services)
-    core = WorkerCore(name, uuid.uuid4().hex, size, lag, beside)
+    colocated = tuple(msgspec.json.decode(text, type=Service) for text in services)
+    core = WorkerCore(name, uuid.uuid4().hex, size, lag, colocated)
     service = WorkerService(core, HttpObjectStore(objects, name))
     service.start()
     serve_until_signal(Server(parse_address(listen), service.handle))
