--- a/scenarios/judge.py
+++ b/scenarios/evaluation.py
@@ -16,7 +16,7 @@
 from scenarios.evidence import BundleInForce, Evidence, TaskRun
 from scenarios.model import Always, JobEnd, Place, RequestEnd, Scenario
 
-__all__ = ["Failure", "judge"]
+__all__ = ["Failure", "evaluate"]
 
 
 @dataclass(frozen=True, slots=True)
@@ -31,46 +31,48 @@
         return f"{self.place}: {self.detail}"
 
 
-def judge(scenario: Scenario, evidence: Evidence) -> Iterator[Failure]:
+def evaluate(scenario: Scenario, evidence: Evidence) -> Iterator[Failure]:
     """Yield the expectations that did not hold, each with what was seen."""
     for expectation in scenario.expectations:
-        for detail in _weigh(scenario, evidence, expectation.expected):
+        for detail in _check_expectation(scenario, evidence, expectation.expected):
             yield Failure(expectation.place, detail)
 
 
-def _weigh(scenario: Scenario, seen: Evidence, expected: model.Expected) -> Iterator[str]:
+def _check_expectation(
+    scenario: Scenario, seen: Evidence, expected: model.Expected
+) -> Iterator[str]:
     """Yield what contradicts one expectation."""
     match expected:
         case model.JobEnds(job, end, within):
             for event in scenario.events:
                 match event.action:
                     case model.SubmitJob(name) if job in ("", name):
-                        yield from _weigh_job(seen, name, end, event.time + within)
+                        yield from _check_job(seen, name, end, event.time + within)
         case model.JobResumes(job):
-            yield from _weigh_resumption(seen, job)
+            yield from _check_resumption(seen, job)
         case model.StandingRuns(task, gap):
-            yield from _weigh_gaps(seen, task, gap)
+            yield from _check_gaps(seen, task, gap)
         case model.BundleEverywhere(version, within):
-            yield from _weigh_spread(seen, version, within)
+            yield from _check_bundle_spread(seen, version, within)
         case model.RequestEnds(request, end, within):
             for name in _list_requests(scenario, request, end):
-                yield from _weigh_request(seen, name, end, within)
+                yield from _check_request(seen, name, end, within)
         case model.NoWork(host, after):
-            yield from _weigh_silence(seen, host, after)
+            yield from _check_no_work(seen, host, after)
         case model.FewEvents(most, kind):
             if seen.kinds[kind] > most:
                 yield f"there are {seen.kinds[kind]} {kind} events, more than {most}"
         case model.AlwaysExpected(Always.ONE_PLACE):
-            yield from _weigh_places(seen)
+            yield from _check_single_place(seen)
         case model.AlwaysExpected(Always.NEVER_OVERCOMMITTED):
             yield from (f"at {each.time:.3f}s {each.detail}" for each in seen.overcommitted)
         case model.AlwaysExpected(Always.NO_REVERT):
-            yield from _weigh_reverts(seen)
+            yield from _check_reverts(seen)
         case model.AlwaysExpected(Always.TRUE_NOT_RUN):
-            yield from _weigh_not_run(seen)
+            yield from _check_not_run(seen)
 
 
-def _weigh_job(seen: Evidence, job: str, end: JobEnd, until: float) -> Iterator[str]:
+def _check_job(seen: Evidence, job: str, end: JobEnd, until: float) -> Iterator[str]:
     """Yield what is wrong with the end of a job."""
     told = [each for each in seen.jobs if each.job == job]
     if len(told) != 1:
@@ -89,7 +91,7 @@
         yield f"job {job} has a wrong result"
 
 
-def _weigh_resumption(seen: Evidence, job: str) -> Iterator[str]:
+def _check_resumption(seen: Evidence, job: str) -> Iterator[str]:
     """Yield what is wrong with a job's one resumption."""
     runs = sorted((run for run in seen.runs if run.task == job), key=lambda run: run.started)
     resumed = [run for run in runs if run.resumed]
@@ -97,7 +99,7 @@
         yield f"job {job} ran {len(runs)} times and resumed {len(resumed)} times"
 
 
-def _weigh_gaps(seen: Evidence, task: str, limit: float) -> Iterator[str]:
+def _check_gaps(seen: Evidence, task: str, limit: float) -> Iterator[str]:
     """Yield the gaps of a standing task that are too long, from the start to the end."""
     runs = sorted((run for run in seen.runs if run.task == task), key=lambda run: run.started)
     last = 0.0
@@ -109,7 +111,7 @@
         yield f"standing task {task} did not run from {last:.3f}s to {seen.ended:.3f}s"
 
 
-def _weigh_spread(seen: Evidence, version: int, within: float) -> Iterator[str]:
+def _check_bundle_spread(seen: Evidence, version: int, within: float) -> Iterator[str]:
     """Yield the processes that served by an older version too late, or don't serve by this one."""
     if version not in seen.accepted:
         yield f"bundle {version} was never accepted"
@@ -139,7 +141,7 @@
         yield from zip((each.time for each in forces), times, forces, strict=True)
 
 
-def _weigh_reverts(seen: Evidence) -> Iterator[str]:
+def _check_reverts(seen: Evidence) -> Iterator[str]:
     """Yield the processes that went back to a lower version, and versions with two contents."""
     served = [each for each in seen.bundles if each.version]
     highest: dict[str, int] = defaultdict(int)
@@ -155,7 +157,7 @@
             yield f"at {each.time:.3f}s bundle {each.version} differs in {each.process}"
 
 
-def _weigh_request(seen: Evidence, request: str, end: RequestEnd, within: float) -> Iterator[str]:
+def _check_request(seen: Evidence, request: str, end: RequestEnd, within: float) -> Iterator[str]:
     """Yield what is wrong with the end of a request."""
     if end is RequestEnd.AT_MOST_ONCE:
         runs = [run for run in seen.request_runs if run.request == request]
@@ -187,7 +189,7 @@
     yield from names
 
 
-def _weigh_not_run(seen: Evidence) -> Iterator[str]:
+def _check_not_run(seen: Evidence) -> Iterator[str]:
     """Yield the requests that ran although every caller of them was told otherwise."""
     ran = {run.request for run in seen.request_runs}
     ends: dict[str, set[RequestEnd]] = defaultdict(set)
@@ -198,7 +200,7 @@
             yield f"request {request} ran, and its caller was told that it had not"
 
 
-def _weigh_silence(seen: Evidence, host: str, after: float) -> Iterator[str]:
+def _check_no_work(seen: Evidence, host: str, after: float) -> Iterator[str]:
     """Yield the work that a host received after an instant."""
     tasks = ((run.started, f"task {run.task}") for run in seen.runs if run.host == host)
     requests = (
@@ -209,7 +211,7 @@
             yield f"{host} received {what} at {started:.3f}s"
 
 
-def _weigh_places(seen: Evidence) -> Iterator[str]:
+def _check_single_place(seen: Evidence) -> Iterator[str]:
     """Yield the tasks of which two attempts ran at one time."""
     by_task: dict[str, list[TaskRun]] = defaultdict(list)
     for run in seen.runs:
--- a/scenarios/runner.py
+++ b/scenarios/runner.py
@@ -13,8 +13,8 @@
 from typing import Protocol
 
 from scenarios import model
+from scenarios.evaluation import Failure, evaluate
 from scenarios.evidence import Evidence
-from scenarios.judge import Failure, judge
 from scenarios.model import FOREVER, Action, Scenario
 from toucanpin.timeline.event import Event
 from toucanpin.timeline.faults import explain_fault
@@ -70,7 +70,7 @@
     world.advance(find_end(scenario))
     evidence = world.close()
     evidence.kinds.update(event.kind for event in world.events())
-    failures = tuple(judge(scenario, evidence))
+    failures = tuple(evaluate(scenario, evidence))
     return Outcome(failures, _write_session(scenario, world, failures))
 
 
--- a/tools/tests/test_golden.py
+++ b/tools/tests/test_golden.py
@@ -4,7 +4,7 @@
 from pathlib import Path
 from tempfile import TemporaryDirectory
 
-from scenarios.judge import Failure
+from scenarios.evaluation import Failure
 from scenarios.model import Place
 from scenarios.runner import Outcome
 from tools.golden import compare, name_golden, review
