--- a/scenarios/check.py
+++ b/scenarios/check.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterable, Iterator
 
 from scenarios import model
-from scenarios.model import Place, Scenario, ScenarioError
+from scenarios.model import Location, Scenario, ScenarioError
 
 __all__ = ["PLATFORM", "ROLES", "find_faults", "name_hosts"]
 
@@ -34,8 +34,8 @@
     """Yield what is wrong with a scenario, in the order of its lines."""
     faults = [*_check_events(scenario), *_check_expectations(scenario)]
     if not scenario.expectations:
-        faults.append(ScenarioError(Place(scenario.file, 1), "the scenario expects nothing"))
-    yield from sorted(faults, key=lambda fault: fault.place.line)
+        faults.append(ScenarioError(Location(scenario.file, 1), "the scenario expects nothing"))
+    yield from sorted(faults, key=lambda fault: fault.location.line)
 
 
 def _check_events(scenario: Scenario) -> Iterator[ScenarioError]:
@@ -48,29 +48,29 @@
     for event in scenario.events:
         match event.action:
             case model.SubmitJob(job, through=entry):
-                yield from _require(event.place, "entry host", entry, entries)
+                yield from _require(event.location, "entry host", entry, entries)
                 if job in seen:
-                    yield ScenarioError(event.place, f"job {job} is submitted twice")
+                    yield ScenarioError(event.location, f"job {job} is submitted twice")
                 seen.add(job)
             case model.CancelJob(job, entry):
-                yield from _require(event.place, "entry host", entry, entries)
-                yield from _require(event.place, "job", job, seen)
+                yield from _require(event.location, "entry host", entry, entries)
+                yield from _require(event.location, "job", job, seen)
             case model.SubmitBundle(through=entry):
-                yield from _require(event.place, "entry host", entry, entries)
+                yield from _require(event.location, "entry host", entry, entries)
             case model.SendRequest(service=service, through=entry):
-                yield from _require(event.place, "entry host", entry, entries)
-                yield from _require(event.place, "service", service, services)
+                yield from _require(event.location, "entry host", entry, entries)
+                yield from _require(event.location, "service", service, services)
             case model.Outage(target, client=client):
-                yield from _require(event.place, "service of the platform", target, PLATFORM)
-                yield from _require(event.place, "host", client, targets | {""})
+                yield from _require(event.location, "service of the platform", target, PLATFORM)
+                yield from _require(event.location, "host", client, targets | {""})
             case model.Cut(source, target) | model.Slow(source, target):
-                yield from _require(event.place, "host", source, targets)
-                yield from _require(event.place, "host", target, targets)
+                yield from _require(event.location, "host", source, targets)
+                yield from _require(event.location, "host", target, targets)
             case model.LoseAnswers(source, target):
-                yield from _require(event.place, "host", source, targets)
-                yield from _require(event.place, "host", target, targets)
+                yield from _require(event.location, "host", source, targets)
+                yield from _require(event.location, "host", target, targets)
             case action:
-                yield from _require(event.place, "host", action.target, targets - {*PLATFORM})
+                yield from _require(event.location, "host", action.target, targets - {*PLATFORM})
 
 
 def _check_expectations(scenario: Scenario) -> Iterator[ScenarioError]:
@@ -81,24 +81,26 @@
     bundles = {action.version for action in actions if isinstance(action, model.SubmitBundle)}
     standing = {task.name for task in scenario.standing}
     for expectation in scenario.expectations:
-        place = expectation.place
+        location = expectation.location
         match expectation.expected:
             case model.JobEnds(job) | model.JobResumes(job):
-                yield from _require(place, "job", job, jobs | ({""} if jobs else set()))
+                yield from _require(location, "job", job, jobs | ({""} if jobs else set()))
             case model.RequestEnds(request):
                 known = requests | ({""} if requests else set())
-                yield from _require(place, "request", request, known)
+                yield from _require(location, "request", request, known)
             case model.StandingRuns(task):
-                yield from _require(place, "standing task", task, standing)
+                yield from _require(location, "standing task", task, standing)
             case model.BundleEverywhere(version):
-                yield from _require(place, "bundle", str(version), map(str, bundles | {1}))
+                yield from _require(location, "bundle", str(version), map(str, bundles | {1}))
             case model.NoWork(host):
-                yield from _require(place, "host", host, name_hosts(scenario.hosts))
+                yield from _require(location, "host", host, name_hosts(scenario.hosts))
 
 
-def _require(place: Place, what: str, name: str, known: Iterable[str]) -> Iterator[ScenarioError]:
+def _require(
+    location: Location, what: str, name: str, known: Iterable[str]
+) -> Iterator[ScenarioError]:
     """Yield a fault if nothing bears a name."""
     names = sorted(name for name in known if name)
     if name not in names and (name or not names or "" not in known):
         missing = f"no {what} is named {name!r}" if name else f"there is no {what}"
-        yield ScenarioError(place, f"{missing}; there are: {', '.join(names) or 'none'}")
+        yield ScenarioError(location, f"{missing}; there are: {', '.join(names) or 'none'}")
--- a/scenarios/evaluation.py
+++ b/scenarios/evaluation.py
@@ -14,7 +14,7 @@
 
 from scenarios import model
 from scenarios.evidence import BundleInForce, Evidence, TaskRun
-from scenarios.model import Always, JobEnd, Place, RequestEnd, Scenario
+from scenarios.model import Always, JobEnd, Location, RequestEnd, Scenario
 
 __all__ = ["Failure", "evaluate"]
 
@@ -23,19 +23,19 @@
 class Failure:
     """Report an expectation that did not hold."""
 
-    place: Place
+    location: Location
     detail: str
 
     def __str__(self) -> str:
         """Write the failure as one line."""
-        return f"{self.place}: {self.detail}"
+        return f"{self.location}: {self.detail}"
 
 
 def evaluate(scenario: Scenario, evidence: Evidence) -> Iterator[Failure]:
     """Yield the expectations that did not hold, each with what was seen."""
     for expectation in scenario.expectations:
         for detail in _check_expectation(scenario, evidence, expectation.expected):
-            yield Failure(expectation.place, detail)
+            yield Failure(expectation.location, detail)
 
 
 def _check_expectation(
--- a/scenarios/language.py
+++ b/scenarios/language.py
@@ -18,7 +18,7 @@
 
 from scenarios import model
 from scenarios.check import find_faults
-from scenarios.model import Event, Expectation, Hosts, Place, Scenario, ScenarioError
+from scenarios.model import Event, Expectation, Hosts, Location, Scenario, ScenarioError
 from toucanpin.bundles.schema import Service, StandingTask, Team
 from toucanpin.platform.ports import Size
 
@@ -95,7 +95,9 @@
     found = text.splitlines()[line - 1][error.column - 1 :] if known and text.strip() else ""
     names = error.allowed if isinstance(error, UnexpectedCharacters) else error.accepts  # type: ignore[attr-defined]
     words = sorted(_show_terminal(name) for name in names or ())
-    return ScenarioError(Place(file, line), f"can't read {found!r}, expected {' or '.join(words)}")
+    return ScenarioError(
+        Location(file, line), f"can't read {found!r}, expected {' or '.join(words)}"
+    )
 
 
 def _show_terminal(name: str) -> str:
@@ -239,9 +241,9 @@
 
     @v_args(meta=True, inline=True)
     def event(self, meta: Meta, time: float, action: Any) -> tuple[Event, ...]:
-        place = Place(self._file, meta.line)
+        location = Location(self._file, meta.line)
         actions = action if isinstance(action, tuple) else (action,)
-        events = (Event(place, time, each) for each in actions)
+        events = (Event(location, time, each) for each in actions)
         return tuple(self._space(events))
 
     def _space(self, events: Iterator[Event]) -> Iterator[Event]:
@@ -326,7 +328,7 @@
 
     @v_args(meta=True, inline=True)
     def expectation(self, meta: Meta, expected: model.Expected) -> Expectation:
-        return Expectation(Place(self._file, meta.line), expected)
+        return Expectation(Location(self._file, meta.line), expected)
 
     def job_ends(self, name: str, end: Token, within: float = model.FOREVER) -> model.JobEnds:
         return model.JobEnds(name, model.JobEnd(str(end)), within)
--- a/scenarios/model.py
+++ b/scenarios/model.py
@@ -38,7 +38,7 @@
     "NoWork",
     "Outage",
     "Pause",
-    "Place",
+    "Location",
     "Replace",
     "RequestEnd",
     "RequestEnds",
@@ -60,7 +60,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Place:
+class Location:
     """Point at a line of a scenario file."""
 
     file: str
@@ -74,9 +74,9 @@
 class ScenarioError(ToucanpinError):
     """Report a fault of a scenario file, with its place."""
 
-    def __init__(self, place: Place, detail: str) -> None:
-        super().__init__(f"{place}: {detail}")
-        self.place = place
+    def __init__(self, location: Location, detail: str) -> None:
+        super().__init__(f"{location}: {detail}")
+        self.location = location
 
 
 @dataclass(frozen=True, slots=True)
@@ -346,7 +346,7 @@
 class Event:
     """Put an action at an instant."""
 
-    place: Place
+    location: Location
     time: float
     action: Action
 
@@ -355,7 +355,7 @@
 class Expectation:
     """Put an expected outcome at its line."""
 
-    place: Place
+    location: Location
     expected: Expected
 
 
--- a/scenarios/surroundings.py
+++ b/scenarios/surroundings.py
@@ -33,13 +33,13 @@
     for event in scenario.events:
         match event.action:
             case model.Slow() | model.StepClock() | model.SubmitBundle() | model.ShutDown():
-                raise ScenarioError(event.place, "processes can't be made to do this yet")
+                raise ScenarioError(event.location, "processes can't be made to do this yet")
             case model.Cut(_, target) | model.LoseAnswers(target) if target not in PLATFORM:
-                raise ScenarioError(event.place, "only the platform can be cut from processes")
+                raise ScenarioError(event.location, "only the platform can be cut from processes")
     for expectation in scenario.expectations:
         match expectation.expected:
             case model.BundleEverywhere() | model.NoWork():
-                raise ScenarioError(expectation.place, "this can't be seen of processes yet")
+                raise ScenarioError(expectation.location, "this can't be seen of processes yet")
 
 
 def place_hosts(scenario: Scenario) -> Topology:
--- a/scenarios/tests/test_language.py
+++ b/scenarios/tests/test_language.py
@@ -5,7 +5,7 @@
 
 from scenarios import model
 from scenarios.language import parse
-from scenarios.model import FOREVER, JobEnd, Place, ScenarioError
+from scenarios.model import FOREVER, JobEnd, Location, ScenarioError
 from toucanpin.platform.ports import Size
 
 HEAD = 'scenario "x"\nhosts 2 entry, 1 worker, 1 instance\nservice verify\n'
@@ -38,7 +38,7 @@
         self.assertEqual(scenario.hosts, model.Hosts(entry=3, worker=4, site=2))
         self.assertEqual(scenario.capacity, Size(16, 1024))
         submit, kill, cut = scenario.events
-        self.assertEqual((submit.time, submit.place), (0.5, Place("night.scenario", 9)))
+        self.assertEqual((submit.time, submit.location), (0.5, Location("night.scenario", 9)))
         self.assertEqual(
             submit.action, model.SubmitJob("render-1", Size(4, 256), work=20, urgent=True)
         )
--- a/tools/tests/test_golden.py
+++ b/tools/tests/test_golden.py
@@ -5,12 +5,12 @@
 from tempfile import TemporaryDirectory
 
 from scenarios.evaluation import Failure
-from scenarios.model import Place
+from scenarios.model import Location
 from scenarios.runner import Outcome
 from tools.golden import compare, name_golden, review
 
 TEXT = 'scenario "x"\nhosts 1 entry\nexpect never two places\n'
-FAILURE = Failure(Place("a.scenario", 3), "task t ran twice")
+FAILURE = Failure(Location("a.scenario", 3), "task t ran twice")
 
 
 class GoldenTest(unittest.TestCase):
