--- a/scenarios/callers.py
+++ b/scenarios/callers.py
@@ -15,17 +15,17 @@
 from urllib3.exceptions import HTTPError
 
 from scenarios import model
-from scenarios.evidence import Evidence, JobTold, RequestTold
 from scenarios.model import JobEnd, RequestEnd
+from scenarios.observations import JobOutcome, Observations, RequestOutcome
 from scenarios.script import Script
-from scenarios.witness import describe_work
+from scenarios.table_observer import make_work
 from tools.demo.topology import Entry
 
 __all__ = ["Callers"]
 
-TRIES = 60
-PAUSE = 0.5
-TIMEOUT = 3.0
+MAX_ATTEMPTS = 60
+RETRY_PAUSE_S = 0.5
+TIMEOUT_S = 3.0
 MILLISECONDS = 1_000
 REFUSED_STATUSES = frozenset({400, 403, 413, 422})
 BUSY_STATUS = 503
@@ -37,18 +37,18 @@
     def __init__(
         self,
         entries: tuple[Entry, ...],
-        evidence: Evidence,
+        observations: Observations,
         script: Script,
         read_time: Callable[[], float],
     ) -> None:
         self._entries = entries
-        self._evidence = evidence
+        self._observations = observations
         self._script = script
         self._read_time = read_time
 
     def submit(self, action: model.SubmitJob) -> None:
         """Submit a job as its owner does."""
-        work = msgspec.json.encode(describe_work(action.job, action.work)).decode()
+        work = msgspec.json.encode(make_work(action.job, action.work)).decode()
         fields = {
             "kind": "master",
             "team": action.team,
@@ -60,14 +60,14 @@
         }
         headers = {"Idempotency-Key": action.job, "Content-Type": "application/json"}
         body = msgspec.json.encode(fields)
-        answer = self._ask(action.through, "POST", "/v1/jobs", body, headers)
+        answer = self._call(action.through, "POST", "/v1/jobs", body, headers)
         if answer is not None and answer.status in REFUSED_STATUSES:
             now = self._read_time()
-            self._evidence.jobs.append(JobTold(action.job, now, JobEnd.REFUSED))
+            self._observations.jobs.append(JobOutcome(action.job, now, JobEnd.REFUSED))
 
     def cancel(self, job: str, entry: str) -> None:
         """Ask to cancel a job."""
-        self._ask(entry, "DELETE", f"/v1/jobs/{self._script.find_job(job)}", b"", {})
+        self._call(entry, "DELETE", f"/v1/jobs/{self._script.find_job(job)}", b"", {})
 
     def send(self, action: model.SendRequest) -> None:
         """Send a request once and note what its caller is told."""
@@ -79,7 +79,7 @@
             "Toucanpin-Deadline-Ms": str(int(action.deadline * MILLISECONDS)),
         }
         url = f"{entry.callers}/v1/services/{action.service}/{action.request}"
-        whole = True
+        valid = True
         try:
             answer = urllib3.request(
                 "POST", url, headers=headers, timeout=action.deadline + 1, retries=False
@@ -93,28 +93,28 @@
             ends = {"not-run": RequestEnd.NOT_RUN, "may-have-run": RequestEnd.MAY_HAVE_RUN}
             end = ends.get(verdict, RequestEnd.ANSWERED)
             if end is RequestEnd.ANSWERED:
-                whole = msgspec.json.decode(answer.data).get("request") == action.request
+                valid = msgspec.json.decode(answer.data).get("request") == action.request
         now = self._read_time()
-        told = RequestTold(action.request, action.through, sent, now, end, whole)
-        self._evidence.requests.append(told)
+        reported = RequestOutcome(action.request, action.through, sent, now, end, valid)
+        self._observations.requests.append(reported)
         self._script.recorder.record("caller.told", {"request": action.request}, end.value)
 
-    def _ask(
+    def _call(
         self, entry: str, method: str, path: str, body: bytes, headers: dict[str, str]
     ) -> urllib3.BaseHTTPResponse | None:
         """Ask an entry host, then the others, until one doesn't say to come back."""
         entries = self._entries
         start = next((at for at, each in enumerate(entries) if each.name == entry), 0)
-        for attempt in range(TRIES):
+        for attempt in range(MAX_ATTEMPTS):
             url = f"{entries[(start + attempt) % len(entries)].callers}{path}"
             try:
                 answer = urllib3.request(
-                    method, url, body=body, headers=headers, timeout=TIMEOUT, retries=False
+                    method, url, body=body, headers=headers, timeout=TIMEOUT_S, retries=False
                 )
             except HTTPError:
-                time.sleep(PAUSE)
+                time.sleep(RETRY_PAUSE_S)
                 continue
             if answer.status != BUSY_STATUS:
                 return answer
-            time.sleep(PAUSE)
+            time.sleep(RETRY_PAUSE_S)
         return None
--- a/scenarios/control.py
+++ b/scenarios/control_process.py
@@ -10,9 +10,9 @@
 from functools import partial
 from typing import Any
 
-from scenarios.actors import poll_worker
-from scenarios.kernel import Loss, Reply
-from scenarios.peer import PeerProcess, Surroundings
+from scenarios.kernel import CallFailure, Reply
+from scenarios.peer import PeerProcess, SimulationContext
+from scenarios.simulation import poll_worker
 from toucanpin.placement import actions
 from toucanpin.placement.actions import Answer
 from toucanpin.placement.controller import release_all, take_turn
@@ -21,20 +21,20 @@
 from toucanpin.placement.state import ClusterView, ControlState
 from toucanpin.placement.submission import Submission, cancel_job, submit_job
 
-__all__ = ["Control"]
+__all__ = ["ControlProcess"]
 
-TURN = 0.25
-PROMISE_TIMEOUT = 1.0
+TURN_PERIOD_S = 0.25
+PROMISE_TIMEOUT_S = 1.0
 
 
-class Control(PeerProcess):
+class ControlProcess(PeerProcess):
     """Live one life of a control process."""
 
-    def __init__(self, around: Surroundings, name: str, life: int, site: str) -> None:
-        super().__init__(around, name, life, site)
-        self.state = ControlState(ControllerId(name, life))
+    def __init__(self, context: SimulationContext, name: str, incarnation: int, site: str) -> None:
+        super().__init__(context, name, incarnation, site)
+        self.state = ControlState(ControllerId(name, incarnation))
         self._draining = False
-        self.after(around.kernel.random.uniform(0.0, TURN), self._turn)
+        self.after(context.kernel.random.uniform(0.0, TURN_PERIOD_S), self._turn)
 
     def shut_down(self) -> None:
         """Release everything after the turn that is under way, and end."""
@@ -67,11 +67,11 @@
                 self.recorder.record(kind, ids, detail)
                 answer(None)
             case actions.Commit(transaction):
-                self.around.platform.commit(self, transaction, answer)
+                self.context.platform.commit(self, transaction, answer)
             case actions.Read(key):
-                self.around.platform.read(self, key, answer)
+                self.context.platform.read(self, key, answer)
             case actions.Scan(prefix, after):
-                self.around.platform.scan(self, prefix, after, answer)
+                self.context.platform.scan(self, prefix, after, answer)
 
     def _turn(self) -> None:
         """Take one turn, then another after a pause."""
@@ -81,21 +81,21 @@
             return
         view = ClusterView(self.read_clock(), self.hosts, self.members(), self.current())
         decision = take_turn(self.state, view)
-        self.drive(decision, self.perform, lambda _: self.after(TURN, self._turn))
+        self.drive(decision, self.perform, lambda _: self.after(TURN_PERIOD_S, self._turn))
 
     def _poll_all(self, polls: tuple[actions.WorkerPoll, ...], answer: Reply) -> None:
         """Poll workers at once and answer when the last has answered."""
         outcomes: dict[int, Any] = {}
 
-        def keep(place: int, outcome: Any) -> None:
+        def collect(index: int, outcome: Any) -> None:
             """Keep one worker's outcome."""
-            outcomes[place] = outcome
+            outcomes[index] = outcome
             if len(outcomes) == len(polls):
                 answer(tuple(outcomes[each] for each in range(len(polls))))
 
-        for place, each in enumerate(polls):
-            find = self.around.workers.get
-            poll_worker(self, each.host.name, find, each.poll, partial(keep, place))
+        for index, each in enumerate(polls):
+            find = self.context.workers.get
+            poll_worker(self, each.host.name, find, each.poll, partial(collect, index))
 
     def _ask_standstill(
         self, holder: ControllerId, peers: tuple[ControllerId, ...], answer: Reply
@@ -103,7 +103,7 @@
         """Ask peers for their promise and answer when the last has answered."""
         outcomes: dict[ControllerId, bool] = {}
 
-        def keep(peer: ControllerId, outcome: object) -> None:
+        def collect(peer: ControllerId, outcome: object) -> None:
             """Keep one peer's word."""
             outcomes[peer] = outcome is True
             if len(outcomes) == len(peers):
@@ -111,12 +111,12 @@
 
         for peer in peers:
             promise = partial(self._promise, peer, holder)
-            self.call(peer.process, promise, partial(keep, peer), timeout=PROMISE_TIMEOUT)
+            self.call(peer.process, promise, partial(collect, peer), timeout=PROMISE_TIMEOUT_S)
 
-    def _promise(self, peer: ControllerId, holder: ControllerId) -> bool | Loss:
+    def _promise(self, peer: ControllerId, holder: ControllerId) -> bool | CallFailure:
         """Let a peer decide on a promise, if it is still in the life that was asked."""
-        match self.around.peers.get(peer.process):
-            case Control(state=state) as control if state.controller_id == peer:
+        match self.context.peers.get(peer.process):
+            case ControlProcess(state=state) as control if state.controller_id == peer:
                 return state.watch.answer_standstill(holder, control.read_clock())
             case _:
-                return Loss("another life", sent=True)
+                return CallFailure("another incarnation", sent=True)
--- a/scenarios/evaluation.py
+++ b/scenarios/evaluation.py
@@ -13,8 +13,8 @@
 from itertools import pairwise
 
 from scenarios import model
-from scenarios.evidence import BundleInForce, Evidence, TaskRun
-from scenarios.model import Always, JobEnd, Location, RequestEnd, Scenario
+from scenarios.model import Invariant, JobEnd, Location, RequestEnd, Scenario
+from scenarios.observations import BundleInForce, Observations, TaskRun
 
 __all__ = ["Failure", "evaluate"]
 
@@ -31,15 +31,15 @@
         return f"{self.location}: {self.detail}"
 
 
-def evaluate(scenario: Scenario, evidence: Evidence) -> Iterator[Failure]:
+def evaluate(scenario: Scenario, observations: Observations) -> Iterator[Failure]:
     """Yield the expectations that did not hold, each with what was seen."""
     for expectation in scenario.expectations:
-        for detail in _check_expectation(scenario, evidence, expectation.expected):
+        for detail in _check_expectation(scenario, observations, expectation.expected):
             yield Failure(expectation.location, detail)
 
 
 def _check_expectation(
-    scenario: Scenario, seen: Evidence, expected: model.Expected
+    scenario: Scenario, seen: Observations, expected: model.Expected
 ) -> Iterator[str]:
     """Yield what contradicts one expectation."""
     match expected:
@@ -59,39 +59,39 @@
                 yield from _check_request(seen, name, end, within)
         case model.NoWork(host, after):
             yield from _check_no_work(seen, host, after)
-        case model.FewEvents(most, kind):
-            if seen.kinds[kind] > most:
-                yield f"there are {seen.kinds[kind]} {kind} events, more than {most}"
-        case model.AlwaysExpected(Always.ONE_PLACE):
+        case model.MaxEvents(limit, kind):
+            if seen.event_counts[kind] > limit:
+                yield f"there are {seen.event_counts[kind]} {kind} events, more than {limit}"
+        case model.InvariantHolds(Invariant.ONE_PLACE):
             yield from _check_single_place(seen)
-        case model.AlwaysExpected(Always.NEVER_OVERCOMMITTED):
+        case model.InvariantHolds(Invariant.NEVER_OVERCOMMITTED):
             yield from (f"at {each.time:.3f}s {each.detail}" for each in seen.overcommitted)
-        case model.AlwaysExpected(Always.NO_REVERT):
+        case model.InvariantHolds(Invariant.NO_REVERT):
             yield from _check_reverts(seen)
-        case model.AlwaysExpected(Always.TRUE_NOT_RUN):
+        case model.InvariantHolds(Invariant.NO_FALSE_NOT_RUN):
             yield from _check_not_run(seen)
 
 
-def _check_job(seen: Evidence, job: str, end: JobEnd, until: float) -> Iterator[str]:
+def _check_job(seen: Observations, job: str, end: JobEnd, until: float) -> Iterator[str]:
     """Yield what is wrong with the end of a job."""
-    told = [each for each in seen.jobs if each.job == job]
-    if len(told) != 1:
-        ends = ", ".join(f"{each.end.value} at {each.time:.3f}s" for each in told) or "none"
-        yield f"job {job} has {len(told)} ends: {ends}"
+    reported = [each for each in seen.jobs if each.job == job]
+    if len(reported) != 1:
+        ends = ", ".join(f"{each.end.value} at {each.time:.3f}s" for each in reported) or "none"
+        yield f"job {job} has {len(reported)} ends: {ends}"
         return
-    if end is not JobEnd.ENDED and told[0].end is not end:
-        yield f"job {job} ended as {told[0].end.value!r}"
-    if told[0].time > until:
-        yield f"job {job} ended at {told[0].time:.3f}s, after {until:.3f}s"
-    if told[0].end is JobEnd.CANCELLED:
+    if end is not JobEnd.ENDED and reported[0].end is not end:
+        yield f"job {job} ended as {reported[0].end.value!r}"
+    if reported[0].time > until:
+        yield f"job {job} ended at {reported[0].time:.3f}s, after {until:.3f}s"
+    if reported[0].end is JobEnd.CANCELLED:
         for run in seen.runs:
             if run.task == job and min(run.stopped, seen.ended) > until:
                 yield f"cancelled job {job} still ran at {run.host} after {until:.3f}s"
-    if not told[0].right:
+    if not reported[0].correct:
         yield f"job {job} has a wrong result"
 
 
-def _check_resumption(seen: Evidence, job: str) -> Iterator[str]:
+def _check_resumption(seen: Observations, job: str) -> Iterator[str]:
     """Yield what is wrong with a job's one resumption."""
     runs = sorted((run for run in seen.runs if run.task == job), key=lambda run: run.started)
     resumed = [run for run in runs if run.resumed]
@@ -99,7 +99,7 @@
         yield f"job {job} ran {len(runs)} times and resumed {len(resumed)} times"
 
 
-def _check_gaps(seen: Evidence, task: str, limit: float) -> Iterator[str]:
+def _check_gaps(seen: Observations, task: str, limit: float) -> Iterator[str]:
     """Yield the gaps of a standing task that are too long, from the start to the end."""
     runs = sorted((run for run in seen.runs if run.task == task), key=lambda run: run.started)
     last = 0.0
@@ -111,7 +111,7 @@
         yield f"standing task {task} did not run from {last:.3f}s to {seen.ended:.3f}s"
 
 
-def _check_bundle_spread(seen: Evidence, version: int, within: float) -> Iterator[str]:
+def _check_bundle_spread(seen: Observations, version: int, within: float) -> Iterator[str]:
     """Yield the processes that served by an older version too late, or don't serve by this one."""
     if version not in seen.accepted:
         yield f"bundle {version} was never accepted"
@@ -123,25 +123,25 @@
                 f"bundle {each.version} was in force in {each.process} from {start:.3f}s "
                 f"to {end:.3f}s, and bundle {version} should be from {until:.3f}s"
             )
-    for process, since in sorted(seen.living.items()):
+    for process, since in sorted(seen.running_since.items()):
         own = [each for each in seen.bundles if each.process == process and each.time >= since]
         late = seen.ended > since + within
         if late and (not own or own[-1].version < version):
             yield f"bundle {version} is not in force in {process} at the end"
 
 
-def _list_spans(seen: Evidence) -> Iterator[tuple[float, float, BundleInForce]]:
+def _list_spans(seen: Observations) -> Iterator[tuple[float, float, BundleInForce]]:
     """Yield from when to when each version was in force in each life of a process."""
-    by_life: dict[tuple[str, int], list[BundleInForce]] = defaultdict(list)
+    by_incarnation: dict[tuple[str, int], list[BundleInForce]] = defaultdict(list)
     for each in seen.bundles:
-        by_life[each.process, each.life].append(each)
-    for (process, life), forces in sorted(by_life.items()):
-        ended = seen.lives_ended.get((process, life), seen.ended)
+        by_incarnation[each.process, each.incarnation].append(each)
+    for (process, incarnation), forces in sorted(by_incarnation.items()):
+        ended = seen.ended_incarnations.get((process, incarnation), seen.ended)
         times = [*(each.time for each in forces[1:]), ended]
         yield from zip((each.time for each in forces), times, forces, strict=True)
 
 
-def _check_reverts(seen: Evidence) -> Iterator[str]:
+def _check_reverts(seen: Observations) -> Iterator[str]:
     """Yield the processes that went back to a lower version, and versions with two contents."""
     served = [each for each in seen.bundles if each.version]
     highest: dict[str, int] = defaultdict(int)
@@ -157,20 +157,22 @@
             yield f"at {each.time:.3f}s bundle {each.version} differs in {each.process}"
 
 
-def _check_request(seen: Evidence, request: str, end: RequestEnd, within: float) -> Iterator[str]:
+def _check_request(
+    seen: Observations, request: str, end: RequestEnd, within: float
+) -> Iterator[str]:
     """Yield what is wrong with the end of a request."""
     if end is RequestEnd.AT_MOST_ONCE:
         runs = [run for run in seen.request_runs if run.request == request]
         if len(runs) > 1:
             yield f"request {request} ran at {', '.join(run.host for run in runs)}"
         return
-    told = [each for each in seen.requests if each.request == request]
-    if not told:
+    reported = [each for each in seen.requests if each.request == request]
+    if not reported:
         yield f"the caller of request {request} was told nothing"
-    for each in told:
+    for each in reported:
         if each.end is not end:
             yield f"the caller of request {request} was told {each.end.value!r}"
-        if not each.whole:
+        if not each.valid:
             yield f"request {request} got an answer that is not its own, or not whole"
         if each.time > each.sent + within:
             yield f"request {request} took {each.time - each.sent:.3f}s"
@@ -189,18 +191,18 @@
     yield from names
 
 
-def _check_not_run(seen: Evidence) -> Iterator[str]:
+def _check_not_run(seen: Observations) -> Iterator[str]:
     """Yield the requests that ran although every caller of them was told otherwise."""
     ran = {run.request for run in seen.request_runs}
     ends: dict[str, set[RequestEnd]] = defaultdict(set)
-    for told in seen.requests:
-        ends[told.request].add(told.end)
+    for reported in seen.requests:
+        ends[reported.request].add(reported.end)
     for request in sorted(ran):
         if ends[request] == {RequestEnd.NOT_RUN}:
             yield f"request {request} ran, and its caller was told that it had not"
 
 
-def _check_no_work(seen: Evidence, host: str, after: float) -> Iterator[str]:
+def _check_no_work(seen: Observations, host: str, after: float) -> Iterator[str]:
     """Yield the work that a host received after an instant."""
     tasks = ((run.started, f"task {run.task}") for run in seen.runs if run.host == host)
     requests = (
@@ -211,7 +213,7 @@
             yield f"{host} received {what} at {started:.3f}s"
 
 
-def _check_single_place(seen: Evidence) -> Iterator[str]:
+def _check_single_place(seen: Observations) -> Iterator[str]:
     """Yield the tasks of which two attempts ran at one time."""
     by_task: dict[str, list[TaskRun]] = defaultdict(list)
     for run in seen.runs:
--- a/scenarios/hosting.py
+++ b/scenarios/host_launcher.py
@@ -16,12 +16,12 @@
 from tools.demo.processes import Launcher
 from tools.demo.topology import ROLES, Entry, Instance, Topology, Worker, settings_path
 
-__all__ = ["Hosting"]
+__all__ = ["HostLauncher"]
 
 MILLISECONDS = 1_000
 
 
-class Hosting:
+class HostLauncher:
     """Know the hosts of a scenario and start their processes."""
 
     def __init__(
@@ -34,7 +34,7 @@
 
     def start(self, name: str) -> None:
         """Start what runs on a host."""
-        match self.find(name):
+        match self.find_host(name):
             case Entry() as entry:
                 for role in ROLES:
                     path = settings_path(self._folder, entry, role)
@@ -48,22 +48,22 @@
                 arguments += ["--accelerators", str(size.accelerators)]
                 self._launcher.start(name, "standins.workerd", arguments)
             case Instance() as instance:
-                served = self._serve(name)
+                served = self._find_service(name)
                 arguments = ["--listen", f"{instance.address}:{instance.port}", "--name", name]
                 arguments += ["--control", f"{instance.address}:{instance.control_port}"]
                 arguments += ["--service", served.service.name]
-                arguments += ["--service-time", str(int(served.takes * MILLISECONDS))]
+                arguments += ["--service-time", str(int(served.service_time * MILLISECONDS))]
                 self._launcher.start(name, "standins.instanced", arguments)
 
     def name_processes(self, target: str) -> Iterator[str]:
         """Yield the processes of a target as the launcher names them."""
         host, _, role = target.partition("/")
-        if isinstance(self.find(host), Entry):
+        if isinstance(self.find_host(host), Entry):
             yield from (f"{host}-{each}" for each in ROLES if role in ("", each))
         else:
             yield host
 
-    def find(self, name: str) -> Entry | Worker | Instance:
+    def find_host(self, name: str) -> Entry | Worker | Instance:
         """Return the host of a name."""
         topology = self._topology
         hosts: tuple[Entry | Worker | Instance, ...] = (
@@ -73,7 +73,7 @@
         )
         return next(host for host in hosts if host.name == name.partition("/")[0])
 
-    def _serve(self, name: str) -> model.ServedService:
+    def _find_service(self, name: str) -> model.ServedService:
         """Return the service that an instance serves."""
         listed = next(each for each in list_hosts(self._scenario) if each.name == name)
         return next(it for it in self._scenario.services if it.service.name == listed.service)
--- a/scenarios/kernel.py
+++ b/scenarios/kernel.py
@@ -20,10 +20,10 @@
 
 Reply = Callable[[Any], None]
 
-__all__ = ["Kernel", "Loss", "Network", "Reply", "covers"]
+__all__ = ["Kernel", "CallFailure", "Network", "Reply", "covers"]
 
-LATENCY = (0.0005, 0.004)
-CALL_TIMEOUT = 2.0
+LATENCY_RANGE_S = (0.0005, 0.004)
+CALL_TIMEOUT_S = 2.0
 
 
 class Kernel:
@@ -32,12 +32,12 @@
     def __init__(self, seed: int) -> None:
         self.now = 0.0
         self.random = random.Random(seed)
-        self._numbers = itertools.count()
+        self._sequence = itertools.count()
         self._heap: list[tuple[float, int, Callable[[], None]]] = []
 
     def call_at(self, time: float, callback: Callable[[], None]) -> None:
         """Run a callback at an instant, not before now."""
-        heapq.heappush(self._heap, (max(time, self.now), next(self._numbers), callback))
+        heapq.heappush(self._heap, (max(time, self.now), next(self._sequence), callback))
 
     def call_after(self, delay: float, callback: Callable[[], None]) -> None:
         """Run a callback after a delay."""
@@ -52,7 +52,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Loss:
+class CallFailure:
     """Tell a caller that no answer came; ``sent`` is False if the target certainly did nothing."""
 
     detail: str
@@ -122,22 +122,22 @@
         target: str,
         act: Callable[[], object],
         reply: Callable[[object], None],
-        timeout: float = CALL_TIMEOUT,
+        timeout: float = CALL_TIMEOUT_S,
     ) -> None:
         """Let ``act`` happen at the target and its outcome, or a Loss, reach the source."""
-        self.ask(source, target, lambda answer: answer(act()), reply, timeout)
+        self.request(source, target, lambda answer: answer(act()), reply, timeout)
 
-    def ask(
+    def request(
         self,
         source: str,
         target: str,
         handle: Callable[[Reply], None],
         reply: Reply,
-        timeout: float = CALL_TIMEOUT,
+        timeout: float = CALL_TIMEOUT_S,
     ) -> None:
         """Let the target handle a question that it answers when it can."""
         open_call = [True]
-        question = self._stamp(source)
+        request_cause = self._make_cause(source)
 
         def close(outcome: object) -> None:
             """Answer the caller once."""
@@ -153,37 +153,37 @@
             if resumed > self._kernel.now:
                 self._kernel.call_at(resumed, arrive)
                 return
-            self._hear(target, question)
+            self._observe_cause(target, request_cause)
             handle(answer)
 
         def answer(outcome: object) -> None:
             """Send the answer back unless it gets lost."""
-            stamp = self._stamp(target)
+            cause = self._make_cause(target)
 
-            def bring() -> None:
+            def deliver() -> None:
                 """Let the caller have the answer."""
-                self._hear(source, stamp)
+                self._observe_cause(source, cause)
                 close(outcome)
 
-            if not self._is_cut(target, source) and not self._loses_answer(target, source):
-                self._kernel.call_after(self._draw(target, source), bring)
+            if not self._is_cut(target, source) and not self._take_lost_answer(target, source):
+                self._kernel.call_after(self._draw_latency(target, source), deliver)
 
         if self.is_gone(target) or self._refuses(target, source):
-            refused = Loss("refused", sent=False)
-            self._kernel.call_after(self._draw(source, target), lambda: close(refused))
+            refused = CallFailure("refused", sent=False)
+            self._kernel.call_after(self._draw_latency(source, target), lambda: close(refused))
             return
         # A connection that stood before the cut takes the bytes; only a new one fails untouched.
         sent = self._kernel.random.random() < 0.5
-        lost = Loss("no answer in time", sent=True)
+        lost = CallFailure("no answer in time", sent=True)
         if self._is_cut(source, target):
-            lost = Loss("no answer in time", sent=sent)
+            lost = CallFailure("no answer in time", sent=sent)
         else:
-            self._kernel.call_after(self._draw(source, target), arrive)
+            self._kernel.call_after(self._draw_latency(source, target), arrive)
         self._kernel.call_after(timeout, lambda: close(lost))
 
-    def tell(self, source: str, target: str, act: Callable[[], None]) -> None:
+    def send(self, source: str, target: str, act: Callable[[], None]) -> None:
         """Send a message that has no answer, such as a heartbeat."""
-        stamp = self._stamp(source)
+        cause = self._make_cause(source)
 
         def arrive() -> None:
             """Act at the target, once it isn't paused."""
@@ -191,34 +191,34 @@
             if resumed > self._kernel.now:
                 self._kernel.call_at(resumed, arrive)
             elif not self.is_gone(target):
-                self._hear(target, stamp)
+                self._observe_cause(target, cause)
                 act()
 
         if not self._is_cut(source, target):
-            self._kernel.call_after(self._draw(source, target), arrive)
+            self._kernel.call_after(self._draw_latency(source, target), arrive)
 
-    def _stamp(self, name: str) -> Cause | None:
+    def _make_cause(self, name: str) -> Cause | None:
         """Name the newest event of a sender, as each inner message does."""
         recorder = self.recorders.get(name)
         if recorder is None:
             return None
         return Cause(recorder.process, recorder.last_sequence, recorder.incarnation)
 
-    def _hear(self, name: str, cause: Cause | None) -> None:
+    def _observe_cause(self, name: str, cause: Cause | None) -> None:
         """Let a receiver's next event come after what a message named."""
         recorder = self.recorders.get(name)
         if recorder is not None and cause is not None:
             recorder.observe(cause)
 
-    def _draw(self, source: str, target: str) -> float:
+    def _draw_latency(self, source: str, target: str) -> float:
         """Draw the latency of one message."""
         now = self._kernel.now
         extra = sum(
             slow.delay
             for slow, end in self._slows
-            if now < end and self._joins(slow.source, slow.target, source, target)
+            if now < end and self._connects(slow.source, slow.target, source, target)
         )
-        return self._kernel.random.uniform(*LATENCY) + extra
+        return self._kernel.random.uniform(*LATENCY_RANGE_S) + extra
 
     def _is_cut(self, source: str, target: str) -> bool:
         """Tell whether messages from source to target get lost."""
@@ -228,12 +228,12 @@
             and (
                 (covers(cut.source, source) and covers(cut.target, target))
                 if cut.one_way
-                else self._joins(cut.source, cut.target, source, target)
+                else self._connects(cut.source, cut.target, source, target)
             )
             for cut, end in self._cuts
         )
 
-    def _joins(self, left: str, right: str, source: str, target: str) -> bool:
+    def _connects(self, left: str, right: str, source: str, target: str) -> bool:
         """Tell whether a message runs between two targets of a fault, either way."""
         return (covers(left, source) and covers(right, target)) or (
             covers(left, target) and covers(right, source)
@@ -248,7 +248,7 @@
             for outage, end in self._outages
         )
 
-    def _loses_answer(self, source: str, target: str) -> bool:
+    def _take_lost_answer(self, source: str, target: str) -> bool:
         """Tell whether this answer is one of those to lose, and count it."""
         for entry in self._lost_answers:
             if entry[2] > 0 and covers(entry[0], source) and covers(entry[1], target):
--- a/scenarios/language.py
+++ b/scenarios/language.py
@@ -28,7 +28,7 @@
 STANDING_KIND = "encoder"
 DEFAULT_SIZE = Size(1, 256)
 DEFAULT_TEAM = Team("team", 10**6, 10**9, 10**6)
-_SHAPES = {
+_TERMINAL_NAMES = {
     "$END": "the end of the file",
     "_NL": "the end of the line",
     "NAME": "a name",
@@ -66,7 +66,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Word:
+class _Option:
     """Hold one optional word of a statement: the field that it sets, and to what."""
 
     field: str
@@ -74,14 +74,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Through:
+class _EntryHosts:
     """Hold the entry hosts that something goes through."""
 
     entries: tuple[str, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class _Spaced:
+class _DelayedAction:
     """Put an action a while after its statement's instant."""
 
     delay: float
@@ -102,8 +102,8 @@
 
 def _show_terminal(name: str) -> str:
     """Write what a terminal stands for."""
-    if name in _SHAPES:
-        return _SHAPES[name]
+    if name in _TERMINAL_NAMES:
+        return _TERMINAL_NAMES[name]
     words = _parser.get_terminal(name).pattern.value.strip("(?:)").replace("\\", "")
     return " or ".join(f'"{each}"' for each in words.split("|"))
 
@@ -114,19 +114,19 @@
     return round(float(token.removesuffix(unit)) * _SECONDS[unit], 6)
 
 
-def _collect(words: list[Any], kind: type[T]) -> list[T]:
+def _filter_type(words: list[Any], kind: type[T]) -> list[T]:
     """Return the statement's parts of one kind."""
     return [word for word in words if isinstance(word, kind)]
 
 
-def _read_words(words: list[Any]) -> dict[str, Any]:
+def _read_options(words: list[Any]) -> dict[str, Any]:
     """Return the fields that words set."""
-    return {word.field: word.value for word in _collect(words, _Word)}
+    return {word.field: word.value for word in _filter_type(words, _Option)}
 
 
 def _read_size(words: list[Any], default: Size = DEFAULT_SIZE) -> Size:
     """Return the size that words give, the default's parts where they give none."""
-    given = _read_words(words)
+    given = _read_options(words)
     return Size(
         given.get("processors", default.processors),
         given.get("memory", default.memory),
@@ -136,7 +136,7 @@
 
 def _read_entries(words: list[Any]) -> tuple[str, ...]:
     """Return the entry hosts that are named, one empty name if none is."""
-    return next((word.entries for word in _collect(words, _Through)), ("",))
+    return next((word.entries for word in _filter_type(words, _EntryHosts)), ("",))
 
 
 @v_args(inline=True)
@@ -158,86 +158,86 @@
 
     @v_args(inline=False)
     def start(self, parts: list[Any]) -> Scenario:
-        hosts = _collect(parts, Hosts)
-        capacity = _collect(parts, Size)
-        settings = _read_words(parts)
+        hosts = _filter_type(parts, Hosts)
+        capacity = _filter_type(parts, Size)
+        settings = _read_options(parts)
         return Scenario(
             file=self._file,
             title=settings["title"],
             seed=settings.get("seed", 0),
             hosts=hosts[-1] if hosts else Hosts(),
             capacity=capacity[-1] if capacity else model.DEFAULT_CAPACITY,
-            services=tuple(_collect(parts, model.ServedService)),
-            standing=tuple(_collect(parts, StandingTask)),
-            teams=(DEFAULT_TEAM, *_collect(parts, Team)),
+            services=tuple(_filter_type(parts, model.ServedService)),
+            standing=tuple(_filter_type(parts, StandingTask)),
+            teams=(DEFAULT_TEAM, *_filter_type(parts, Team)),
             events=tuple(sorted(self._flatten(parts), key=lambda event: event.time)),
-            expectations=tuple(_collect(parts, Expectation)),
+            expectations=tuple(_filter_type(parts, Expectation)),
         )
 
     def _flatten(self, parts: list[Any]) -> Iterator[Event]:
-        for events in _collect(parts, tuple):
+        for events in _filter_type(parts, tuple):
             yield from events
 
-    def title(self, text: str) -> _Word:
-        return _Word("title", text)
+    def title(self, text: str) -> _Option:
+        return _Option("title", text)
 
-    def seed(self, number: int) -> _Word:
-        return _Word("seed", number)
+    def seed(self, number: int) -> _Option:
+        return _Option("seed", number)
 
     def role(self, word: Token) -> str:
         return str(word)
 
-    def count(self, number: int, role: str) -> _Word:
-        return _Word(role, number)
+    def count(self, number: int, role: str) -> _Option:
+        return _Option(role, number)
 
-    def hosts(self, *counts: _Word) -> Hosts:
-        return Hosts(**_read_words(list(counts)))
+    def hosts(self, *counts: _Option) -> Hosts:
+        return Hosts(**_read_options(list(counts)))
 
-    def capacity(self, *words: _Word) -> Size:
+    def capacity(self, *words: _Option) -> Size:
         return _read_size(list(words), model.DEFAULT_CAPACITY)
 
-    def service(self, name: str, *words: _Word) -> model.ServedService:
-        given = _read_words(list(words))
-        takes = given.pop("takes", model.DEFAULT_TAKES)
-        return model.ServedService(Service(name, **given), takes)
+    def service(self, name: str, *words: _Option) -> model.ServedService:
+        given = _read_options(list(words))
+        service_time = given.pop("takes", model.DEFAULT_SERVICE_TIME_S)
+        return model.ServedService(Service(name, **given), service_time)
 
-    def standing(self, name: str, *words: _Word) -> StandingTask:
+    def standing(self, name: str, *words: _Option) -> StandingTask:
         size = _read_size(list(words))
         parts = (size.processors, size.memory, size.accelerators)
         return StandingTask(name, DEFAULT_TEAM.name, STANDING_KIND, *parts)
 
-    def team(self, name: str, *words: _Word) -> Team:
-        return Team(name, **{"memory": DEFAULT_TEAM.memory, **_read_words(list(words))})
+    def team(self, name: str, *words: _Option) -> Team:
+        return Team(name, **{"memory": DEFAULT_TEAM.memory, **_read_options(list(words))})
 
-    def amount(self, part: Token, number: int) -> _Word:
-        return _Word(str(part), number)
+    def amount(self, part: Token, number: int) -> _Option:
+        return _Option(str(part), number)
 
-    def slots(self, number: int) -> _Word:
-        return _Word("slots", number)
+    def slots(self, number: int) -> _Option:
+        return _Option("slots", number)
 
-    def connections(self, number: int) -> _Word:
-        return _Word("connections", number)
+    def connections(self, number: int) -> _Option:
+        return _Option("connections", number)
 
-    def takes(self, seconds: float) -> _Word:
-        return _Word("takes", seconds)
+    def takes(self, seconds: float) -> _Option:
+        return _Option("takes", seconds)
 
-    def work(self, seconds: int) -> _Word:
-        return _Word("work", seconds)
+    def work(self, seconds: int) -> _Option:
+        return _Option("work", seconds)
 
-    def job_team(self, name: str) -> _Word:
-        return _Word("team", name)
+    def job_team(self, name: str) -> _Option:
+        return _Option("team", name)
 
-    def urgent(self) -> _Word:
-        return _Word("urgent", True)
+    def urgent(self) -> _Option:
+        return _Option("urgent", True)
 
-    def through(self, *entries: str) -> _Through:
-        return _Through(entries)
+    def through(self, *entries: str) -> _EntryHosts:
+        return _EntryHosts(entries)
 
-    def repeatable(self, word: Token) -> _Word:
-        return _Word("idempotent", word == "idempotent")
+    def repeatable(self, word: Token) -> _Option:
+        return _Option("idempotent", word == "idempotent")
 
-    def deadline(self, seconds: float) -> _Word:
-        return _Word("deadline", seconds)
+    def deadline(self, seconds: float) -> _Option:
+        return _Option("deadline", seconds)
 
     @v_args(meta=True, inline=True)
     def event(self, meta: Meta, time: float, action: Any) -> tuple[Event, ...]:
@@ -249,13 +249,13 @@
     def _space(self, events: Iterator[Event]) -> Iterator[Event]:
         for event in events:
             match event.action:
-                case _Spaced(delay, action):
+                case _DelayedAction(delay, action):
                     yield replace(event, time=event.time + delay, action=action)
                 case _:
                     yield event
 
     def submit_job(self, name: str, *words: Any) -> model.SubmitJob:
-        given = _read_words(list(words))
+        given = _read_options(list(words))
         wanted = {key: given[key] for key in ("work", "team", "urgent") if key in given}
         entry = _read_entries(list(words))[0]
         return model.SubmitJob(name, _read_size(list(words)), through=entry, **wanted)
@@ -296,28 +296,34 @@
         count = parts[0] if isinstance(parts[0], int) else 1
         return model.LoseAnswers(parts[-2], parts[-1], count)
 
-    def submit_bundle(self, version: int, through: _Through) -> model.SubmitBundle:
+    def submit_bundle(self, version: int, through: _EntryHosts) -> model.SubmitBundle:
         return model.SubmitBundle(version, through.entries[0])
 
-    def race(self, version: int, through: _Through) -> tuple[model.SubmitBundle, ...]:
+    def race(self, version: int, through: _EntryHosts) -> tuple[model.SubmitBundle, ...]:
         return tuple(
             model.SubmitBundle(version, entry, variant)
             for variant, entry in enumerate(through.entries)
         )
 
     def send_request(
-        self, name: str, service: str, through: _Through, *words: _Word
+        self, name: str, service: str, through: _EntryHosts, *words: _Option
     ) -> tuple[model.SendRequest, ...]:
-        given = _read_words(list(words))
+        given = _read_options(list(words))
         return tuple(model.SendRequest(name, service, entry, **given) for entry in through.entries)
 
     def send_requests(
-        self, number: int, name: str, service: str, through: _Through, every: float, *words: _Word
+        self,
+        number: int,
+        name: str,
+        service: str,
+        through: _EntryHosts,
+        every: float,
+        *words: _Option,
     ) -> tuple[Any, ...]:
-        given = _read_words(list(words))
+        given = _read_options(list(words))
         entries = through.entries
         return tuple(
-            _Spaced(
+            _DelayedAction(
                 round(every * index, 6),
                 model.SendRequest(
                     f"{name}-{index + 1}", service, entries[index % len(entries)], **given
@@ -340,7 +346,7 @@
     standing_runs = model.StandingRuns
     bundle_everywhere = model.BundleEverywhere
     no_work = model.NoWork
-    few_events = model.FewEvents
+    few_events = model.MaxEvents
 
     def request_ends(
         self, name: str, end: Token, within: float = model.FOREVER
@@ -350,5 +356,5 @@
     def requests_end(self, end: Token, within: float = model.FOREVER) -> model.RequestEnds:
         return model.RequestEnds("", model.RequestEnd(str(end)), within)
 
-    def always(self, words: Token) -> model.AlwaysExpected:
-        return model.AlwaysExpected(model.Always(str(words)))
+    def always(self, words: Token) -> model.InvariantHolds:
+        return model.InvariantHolds(model.Invariant(str(words)))
--- a/scenarios/model.py
+++ b/scenarios/model.py
@@ -16,18 +16,18 @@
 
 __all__ = [
     "DEFAULT_CAPACITY",
-    "DEFAULT_TAKES",
+    "DEFAULT_SERVICE_TIME_S",
     "FOREVER",
     "Action",
-    "Always",
-    "AlwaysExpected",
+    "Invariant",
+    "InvariantHolds",
     "BundleEverywhere",
     "CancelJob",
     "Cut",
     "Event",
     "Expectation",
     "Expected",
-    "FewEvents",
+    "MaxEvents",
     "Hosts",
     "JobEnd",
     "JobEnds",
@@ -56,7 +56,7 @@
 
 FOREVER = float("inf")
 DEFAULT_CAPACITY = Size(8, 16_384)
-DEFAULT_TAKES = 0.02
+DEFAULT_SERVICE_TIME_S = 0.02
 
 
 @dataclass(frozen=True, slots=True)
@@ -95,7 +95,7 @@
     """Describe a service and the seconds that its instances take for a request."""
 
     service: Service
-    takes: float = DEFAULT_TAKES
+    service_time: float = DEFAULT_SERVICE_TIME_S
 
 
 @dataclass(frozen=True, slots=True)
@@ -257,13 +257,13 @@
     AT_MOST_ONCE = "run at most once"
 
 
-class Always(enum.Enum):
+class Invariant(enum.Enum):
     """Name a promise that must hold all the time."""
 
     ONE_PLACE = "never two places"
     NEVER_OVERCOMMITTED = "never overcommitted"
     NO_REVERT = "bundles never revert"
-    TRUE_NOT_RUN = "no false not run"
+    NO_FALSE_NOT_RUN = "no false not run"
 
 
 @dataclass(frozen=True, slots=True)
@@ -316,18 +316,18 @@
 
 
 @dataclass(frozen=True, slots=True)
-class FewEvents:
+class MaxEvents:
     """Expect no more events of a kind on the time line."""
 
-    most: int
+    limit: int
     kind: str
 
 
 @dataclass(frozen=True, slots=True)
-class AlwaysExpected:
+class InvariantHolds:
     """Expect a promise to hold all the time."""
 
-    promise: Always
+    invariant: Invariant
 
 
 Expected = (
@@ -337,8 +337,8 @@
     | BundleEverywhere
     | RequestEnds
     | NoWork
-    | FewEvents
-    | AlwaysExpected
+    | MaxEvents
+    | InvariantHolds
 )
 
 
--- a/scenarios/evidence.py
+++ b/scenarios/observations.py
@@ -13,7 +13,15 @@
 
 from scenarios.model import FOREVER, JobEnd, RequestEnd
 
-__all__ = ["Breach", "BundleInForce", "Evidence", "JobTold", "RequestRun", "RequestTold", "TaskRun"]
+__all__ = [
+    "Violation",
+    "BundleInForce",
+    "Observations",
+    "JobOutcome",
+    "RequestRun",
+    "RequestOutcome",
+    "TaskRun",
+]
 
 
 @dataclass(slots=True)
@@ -29,13 +37,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class JobTold:
+class JobOutcome:
     """Hold an end of a job as its submitter can read it; ``right`` tells of the result's body."""
 
     job: str
     time: float
     end: JobEnd
-    right: bool = True
+    correct: bool = True
 
 
 @dataclass(frozen=True, slots=True)
@@ -48,7 +56,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RequestTold:
+class RequestOutcome:
     """Hold what a caller was told; ``whole`` says that the answer is complete and its own."""
 
     request: str
@@ -56,7 +64,7 @@
     sent: float
     time: float
     end: RequestEnd
-    whole: bool = True
+    valid: bool = True
 
 
 @dataclass(frozen=True, slots=True)
@@ -68,14 +76,14 @@
     """
 
     process: str
-    life: int
+    incarnation: int
     version: int
     time: float
     digest: str = ""
 
 
 @dataclass(frozen=True, slots=True)
-class Breach:
+class Violation:
     """Hold a promise that was seen broken."""
 
     time: float
@@ -83,7 +91,7 @@
 
 
 @dataclass(slots=True)
-class Evidence:
+class Observations:
     """
     Gather everything that was seen until ``ended``.
 
@@ -94,12 +102,12 @@
 
     ended: float = 0.0
     runs: list[TaskRun] = field(default_factory=list)
-    jobs: list[JobTold] = field(default_factory=list)
-    requests: list[RequestTold] = field(default_factory=list)
+    jobs: list[JobOutcome] = field(default_factory=list)
+    requests: list[RequestOutcome] = field(default_factory=list)
     request_runs: list[RequestRun] = field(default_factory=list)
     accepted: dict[int, float] = field(default_factory=dict)
     bundles: list[BundleInForce] = field(default_factory=list)
-    living: dict[str, float] = field(default_factory=dict)
-    lives_ended: dict[tuple[str, int], float] = field(default_factory=dict)
-    overcommitted: list[Breach] = field(default_factory=list)
-    kinds: Counter[str] = field(default_factory=Counter)
+    running_since: dict[str, float] = field(default_factory=dict)
+    ended_incarnations: dict[tuple[str, int], float] = field(default_factory=dict)
+    overcommitted: list[Violation] = field(default_factory=list)
+    event_counts: Counter[str] = field(default_factory=Counter)
--- a/scenarios/peer.py
+++ b/scenarios/peer.py
@@ -14,9 +14,9 @@
 
 from expression import Result
 
-from scenarios.actors import Platform, Process, SimulatedWorker
-from scenarios.evidence import BundleInForce, Evidence
 from scenarios.kernel import Kernel, Network, Reply
+from scenarios.observations import BundleInForce, Observations
+from scenarios.simulation import Platform, Process, SimulatedWorker
 from toucanpin.bundles import acceptance
 from toucanpin.bundles.acceptance import Accepted, Submission, accept_bundle
 from toucanpin.bundles.actions import (
@@ -38,23 +38,23 @@
 from toucanpin.membership.view import View
 from toucanpin.platform.ports import ListedHost
 
-__all__ = ["PeerProcess", "Surroundings"]
+__all__ = ["PeerProcess", "SimulationContext"]
 
-ASK_PERIOD = 0.1
-PAUSED = 1.0
-HOST_LIST_PERIOD = 1.0
+REPLICATION_PERIOD_S = 0.1
+MAX_UNPAUSED_GAP_S = 1.0
+HOST_LIST_PERIOD_S = 1.0
 TIMING = Timing(interval=0.2)
-THERE = (Standing.ALIVE, Standing.SUSPECT)
+PRESENT = (Standing.ALIVE, Standing.SUSPECT)
 
 
 @dataclass(slots=True)
-class Surroundings:
+class SimulationContext:
     """Hold what the actors of a world share; the maps give whatever bears a name now."""
 
     kernel: Kernel
     network: Network
     platform: Platform
-    evidence: Evidence
+    observations: Observations
     ring: KeyRing
     workers: dict[str, SimulatedWorker] = field(default_factory=dict)
     peers: dict[str, PeerProcess] = field(default_factory=dict)
@@ -64,22 +64,22 @@
 class PeerProcess(Process):
     """Live one life of a process of the system; ``site`` is where its host stands."""
 
-    def __init__(self, around: Surroundings, name: str, life: int, site: str) -> None:
-        super().__init__(around.kernel, around.network, name, life)
-        self.around = around
+    def __init__(self, context: SimulationContext, name: str, incarnation: int, site: str) -> None:
+        super().__init__(context.kernel, context.network, name, incarnation)
+        self.context = context
         self.site = site
         self.hosts: tuple[ListedHost, ...] = ()
         role = name.partition("/")[2]
-        own = Member(name, self.host, site, role, make_incarnation(life), name, 1)
+        own = Member(name, self.host, site, role, make_incarnation(incarnation), name, 1)
         self.view = View(own, TIMING, self.read_clock())
-        self.spread = BundleReplica(name, around.ring, ReplicationTiming(), self.read_clock())
-        self._sent = 0
-        self._tokens = 0
-        self._in_force = 0
-        self._seen_at = around.kernel.now
-        self.after(around.kernel.random.uniform(0.0, TIMING.interval), self._beat)
-        self._spread_on()
-        self._list_hosts()
+        self.replica = BundleReplica(name, context.ring, ReplicationTiming(), self.read_clock())
+        self._sequence = 0
+        self._token_count = 0
+        self._version_in_force = 0
+        self._updated_at = context.kernel.now
+        self.after(context.kernel.random.uniform(0.0, TIMING.interval), self._send_heartbeats)
+        self._replicate()
+        self._read_host_list()
 
     def members(self) -> tuple[Member, ...]:
         """Return every known member, this process included."""
@@ -88,8 +88,8 @@
     def current(self) -> Bundle | None:
         """Return the bundle in force, None while this process must not serve by it."""
         reached, known = self.view.count_reachable()
-        ready = self.spread.readiness(reached, known, self.read_clock()).ready
-        return self.spread.bundle if ready else None
+        ready = self.replica.readiness(reached, known, self.read_clock()).ready
+        return self.replica.bundle if ready else None
 
     def shut_down(self) -> None:
         """Say that this process leaves."""
@@ -102,7 +102,7 @@
             self.recorder.record("process.stopped", {})
         self.alive = False
         self.network.remove(self.name)
-        self.around.evidence.lives_ended[self.name, self.life] = self.kernel.now
+        self.context.observations.ended_incarnations[self.name, self.incarnation] = self.kernel.now
 
     def accept(self, submission: Submission, reply: Reply) -> None:
         """Decide on a submitted bundle and hand it on if it was accepted."""
@@ -111,150 +111,150 @@
             """Put an accepted bundle in force here."""
             match outcome:
                 case Accepted(record):
-                    self.spread.offer(record, Source.ACCEPTANCE, self.read_clock())
-                    self._see_bundle("acceptance")
+                    self.replica.offer(record, Source.ACCEPTANCE, self.read_clock())
+                    self._update_bundle("acceptance")
             reply(outcome)
 
-        decision = accept_bundle(self.around.ring, submission, self._name_token)
+        decision = accept_bundle(self.context.ring, submission, self._make_token)
         self.drive(decision, self._perform_acceptance, finish)
 
-    def _name_token(self) -> str:
+    def _make_token(self) -> str:
         """Name one transaction."""
-        self._tokens += 1
-        return f"{self.name}/{self.life}/bundle/{self._tokens}"
+        self._token_count += 1
+        return f"{self.name}/{self.incarnation}/bundle/{self._token_count}"
 
     def _perform_acceptance(self, action: acceptance.Action, reply: Reply) -> None:
         """Carry out an action of the acceptance."""
         match action:
             case acceptance.Read(key):
-                self.around.platform.read(self, key, reply)
+                self.context.platform.read(self, key, reply)
             case acceptance.Commit(transaction):
-                self.around.platform.commit(self, transaction, reply)
+                self.context.platform.commit(self, transaction, reply)
             case acceptance.Pause(seconds):
                 self.after(seconds, partial(reply, None))
 
-    def _beat(self) -> None:
+    def _send_heartbeats(self) -> None:
         """Age the view and tell the others that this process is there."""
         for change in self.view.tick(self.read_clock()):
-            self._note(change)
+            self._record_change(change)
         self._send_round()
-        self.after(TIMING.interval, self._beat)
+        self.after(TIMING.interval, self._send_heartbeats)
 
     def _send_round(self) -> None:
         """Send one round of heartbeats, also to processes never heard of."""
         names = {member.name for member in self.view.list_targets()}
         known = {member.name for member in self.members()}
-        names |= self.around.peers.keys() - known
+        names |= self.context.peers.keys() - known
         beat = self.view.make_beat(0)
         for name in sorted(names):
             self._send(name, beat.records)
 
     def _send(self, name: str, records: tuple[Record, ...]) -> None:
         """Send one heartbeat."""
-        self._sent += 1
-        beat = Beat(Record(self.view.own, self._sent), self.view.digest(), records)
-        age = self.spread.confirmed_age(self.read_clock())
-        self.network.tell(self.name, name, partial(self._deliver, name, beat, age))
+        self._sequence += 1
+        beat = Beat(Record(self.view.own, self._sequence), self.view.digest(), records)
+        age = self.replica.confirmed_age(self.read_clock())
+        self.network.send(self.name, name, partial(self._deliver, name, beat, age))
 
     def _deliver(self, name: str, beat: Beat, age: float | None) -> None:
         """Let whatever bears a name now take a heartbeat."""
-        self.around.peers[name].receive(beat, age)
+        self.context.peers[name].receive(beat, age)
 
     def receive(self, beat: Beat, age: float | None) -> None:
         """Take a heartbeat and answer if its sender's view differs."""
         now = self.read_clock()
         for change in self.view.receive(beat, now):
-            self._note(change)
+            self._record_change(change)
         sender = beat.sender.member
         if self.view.needs_answer(beat, now):
             self._send(sender.name, self.view.list_answers(sender.name))
         if sender.name != self.name:
-            self.spread.receive_heartbeat(sender.bundle, age, now)
+            self.replica.receive_heartbeat(sender.bundle, age, now)
 
-    def _note(self, change: Any) -> None:
+    def _record_change(self, change: Any) -> None:
         """Put a change of the view on the time line."""
         self.recorder.record(
             f"member.{change.kind.value}", {"host": change.member.host}, change.member.name
         )
 
-    def _spread_on(self) -> None:
+    def _replicate(self) -> None:
         """Ask for what is in force, again and again."""
-        peers = (m for m in self.members()[1:] if m.standing in THERE)
-        asked = tuple(Peer(member.name, member.bundle) for member in peers)
-        for ask in self.spread.plan_actions(asked, self.read_clock()):
-            self._ask(ask)
-        self._see_bundle("readiness")
-        self.after(ASK_PERIOD, self._spread_on)
-
-    def _ask(self, ask: ReplicationAction) -> None:
+        peers = (m for m in self.members()[1:] if m.standing in PRESENT)
+        targets = tuple(Peer(member.name, member.bundle) for member in peers)
+        for action in self.replica.plan_actions(targets, self.read_clock()):
+            self._perform_replication(action)
+        self._update_bundle("readiness")
+        self.after(REPLICATION_PERIOD_S, self._replicate)
+
+    def _perform_replication(self, action: ReplicationAction) -> None:
         """Carry out what the spread asks for."""
-        match ask:
+        match action:
             case ReadTable(after):
                 take = partial(self._take_rows, self.read_clock())
-                self.around.platform.scan(self, CURRENT_KEY, after, take)
+                self.context.platform.scan(self, CURRENT_KEY, after, take)
             case PullFrom(peer, above):
-                self.call(peer, partial(self._give, peer, above), self._take_pulled)
+                self.call(peer, partial(self._pull_from, peer, above), self._take_pulled)
             case PushTo(peer, record):
-                self.call(peer, partial(self._hand, peer, record), lambda outcome: None)
+                self.call(peer, partial(self._push_to, peer, record), lambda outcome: None)
 
-    def _take_rows(self, asked_at: float, found: Result) -> None:
+    def _take_rows(self, requested_at: float, found: Result) -> None:
         """Take the table's answer."""
         if found.is_ok():
-            self.spread.receive_rows(found.ok, asked_at, self.read_clock())
+            self.replica.receive_rows(found.ok, requested_at, self.read_clock())
         else:
-            self.spread.note_failed_read(self.read_clock())
-        self._see_bundle("table")
+            self.replica.note_failed_read(self.read_clock())
+        self._update_bundle("table")
 
-    def _give(self, peer: str, above: int) -> BundleRecord | None:
+    def _pull_from(self, peer: str, above: int) -> BundleRecord | None:
         """Let a peer give its bundle if it is newer."""
-        record = self.around.peers[peer].spread.record
+        record = self.context.peers[peer].replica.record
         return record if record is not None and record.version > above else None
 
     def _take_pulled(self, outcome: object) -> None:
         """Take what a peer gave."""
         match outcome:
             case BundleRecord():
-                self.spread.offer(outcome, Source.PEER, self.read_clock())
-                self._see_bundle("peer")
+                self.replica.offer(outcome, Source.PEER, self.read_clock())
+                self._update_bundle("peer")
             case _:
-                self.spread.note_failed_pull(self.read_clock())
+                self.replica.note_failed_pull(self.read_clock())
 
-    def _hand(self, peer: str, record: BundleRecord) -> None:
+    def _push_to(self, peer: str, record: BundleRecord) -> None:
         """Let a peer take a bundle."""
-        target = self.around.peers[peer]
-        target.spread.offer(record, Source.PEER, target.read_clock())
-        target._see_bundle("push")
+        target = self.context.peers[peer]
+        target.replica.offer(record, Source.PEER, target.read_clock())
+        target._update_bundle("push")
 
-    def _see_bundle(self, source: str) -> None:
+    def _update_bundle(self, source: str) -> None:
         """Stamp heartbeats with the version in force and note when one comes into force."""
-        self.view.set_bundle(self.spread.version)
+        self.view.set_bundle(self.replica.version)
         bundle = self.current()
         version = 0 if bundle is None else bundle.version
-        if self.kernel.now - self._seen_at > PAUSED:
+        if self.kernel.now - self._updated_at > MAX_UNPAUSED_GAP_S:
             # While it was paused nothing was served by any bundle; what counts is what it wakes to.
-            self._note_force(0, self._seen_at)
-            self._in_force = 0
-        self._seen_at = self.kernel.now
-        if version == self._in_force:
+            self._record_bundle_in_force(0, self._updated_at)
+            self._version_in_force = 0
+        self._updated_at = self.kernel.now
+        if version == self._version_in_force:
             return
-        self._in_force = version
+        self._version_in_force = version
         kind = "bundle.in-force" if version else "bundle.withheld"
         self.recorder.record(kind, {"bundle": str(version)} if version else {}, source)
-        self._note_force(version, self.kernel.now)
+        self._record_bundle_in_force(version, self.kernel.now)
 
-    def _note_force(self, version: int, time: float) -> None:
+    def _record_bundle_in_force(self, version: int, time: float) -> None:
         """Note for the judge what is in force from an instant on."""
-        record = self.spread.record
+        record = self.replica.record
         digest = record.digest if version and record is not None else ""
-        force = BundleInForce(self.name, self.life, version, time, digest)
-        self.around.evidence.bundles.append(force)
+        force = BundleInForce(self.name, self.incarnation, version, time, digest)
+        self.context.observations.bundles.append(force)
 
-    def _list_hosts(self) -> None:
+    def _read_host_list(self) -> None:
         """Read the host list again and again."""
 
         def keep(found: Result) -> None:
             """Keep the newest list that was read."""
             self.hosts = found.ok if found.is_ok() else self.hosts
-            self.after(HOST_LIST_PERIOD, self._list_hosts)
+            self.after(HOST_LIST_PERIOD_S, self._read_host_list)
 
-        self.around.platform.list_hosts(self, keep)
+        self.context.platform.list_hosts(self, keep)
--- a/scenarios/surroundings.py
+++ b/scenarios/process_support.py
@@ -19,7 +19,7 @@
 from tools.demo.topology import ROLES, Topology, make_topology
 from toucanpin.platform.ports import ListedHost
 
-__all__ = ["check_able", "make_rules", "place_hosts"]
+__all__ = ["check_supported", "make_rules", "place_hosts"]
 
 OPERATIONS = {
     "table": ("read", "scan", "commit"),
@@ -28,7 +28,7 @@
 }
 
 
-def check_able(scenario: Scenario) -> None:
+def check_supported(scenario: Scenario) -> None:
     """Raise ScenarioError for what real processes on one machine can't be made to do."""
     for event in scenario.events:
         match event.action:
--- a/scenarios/processes.py
+++ b/scenarios/processes.py
@@ -26,15 +26,15 @@
 
 from scenarios import model
 from scenarios.callers import Callers
-from scenarios.evidence import Evidence, RequestRun, TaskRun
-from scenarios.hosting import Hosting
+from scenarios.host_launcher import HostLauncher
 from scenarios.language import read
 from scenarios.model import Action, Scenario
+from scenarios.observations import Observations, RequestRun, TaskRun
+from scenarios.process_support import check_supported, make_rules, place_hosts
 from scenarios.runner import run
 from scenarios.script import Script
 from scenarios.signing import make_ring, make_submission
-from scenarios.surroundings import check_able, make_rules, place_hosts
-from scenarios.witness import Witness
+from scenarios.table_observer import TableObserver
 from scenarios.world import list_hosts
 from standins.faults import Effect, Rule
 from tools.demo.bundle import run_tool
@@ -53,10 +53,10 @@
 __all__ = ["ProcessWorld", "main"]
 
 FOLDER = Path("var/scenario")
-WATCH_PERIOD = 0.1
-CALLERS = 32
-PAUSE = 0.5
-TIMEOUT = 3.0
+WATCH_PERIOD_S = 0.1
+CALLER_THREADS = 32
+LOG_TIMEOUT_S = 0.5
+TIMEOUT_S = 3.0
 MILLISECONDS = 1_000
 
 
@@ -64,48 +64,48 @@
     """Run one scenario with real processes; close it to end them all."""
 
     def __init__(self, scenario: Scenario) -> None:
-        check_able(scenario)
+        check_supported(scenario)
         self._scenario = scenario
         shutil.rmtree(FOLDER, ignore_errors=True)
         FOLDER.mkdir(parents=True)
         self._folder = FOLDER.resolve()
         self._launcher = Launcher(self._folder)
         self._topology = place_hosts(scenario)
-        self._hosting = Hosting(scenario, self._topology, self._folder, self._launcher)
-        self._evidence = Evidence()
-        self._zero = time.monotonic()
+        self._host_launcher = HostLauncher(scenario, self._topology, self._folder, self._launcher)
+        self._observations = Observations()
+        self._started_at = time.monotonic()
         self._script = Script(self._read_time)
         self._callers = Callers(
-            self._topology.entries, self._evidence, self._script, self._read_time
+            self._topology.entries, self._observations, self._script, self._read_time
         )
-        self._pool = ThreadPoolExecutor(CALLERS)
-        self._later: list[tuple[float, Callable[[], None]]] = []
+        self._pool = ThreadPoolExecutor(CALLER_THREADS)
+        self._pending_lifts: list[tuple[float, Callable[[], None]]] = []
         self._rules: list[Rule] = []
         self._runs: dict[tuple[str, str, int], TaskRun] = {}
         self._leaving: set[str] = set()
-        self._halt = threading.Event()
+        self._stopped = threading.Event()
         url = self._topology.platform_url
         self._objects = HttpObjectStore(url, "witness")
         self._table = HttpTable(url, "witness")
-        self._witness = Witness(
-            self._read_object, self._evidence, scenario.capacity, self._script.names
+        self._observer = TableObserver(
+            self._read_object, self._observations, scenario.capacity, self._script.names
         )
         try:
             self._start()
         except BaseException:
             self._launcher.end_all()
             raise
-        self._zero = time.monotonic()
+        self._started_at = time.monotonic()
         self._watcher = threading.Thread(target=self._watch, daemon=True)
         self._watcher.start()
 
     def advance(self, time_: float) -> None:
         """Wait until an instant, and lift the faults that end before it."""
-        while self._later and self._later[0][0] <= time_:
-            due, lift = self._later.pop(0)
-            time.sleep(max(0.0, self._zero + due - time.monotonic()))
+        while self._pending_lifts and self._pending_lifts[0][0] <= time_:
+            due, lift = self._pending_lifts.pop(0)
+            time.sleep(max(0.0, self._started_at + due - time.monotonic()))
             lift()
-        time.sleep(max(0.0, self._zero + time_ - time.monotonic()))
+        time.sleep(max(0.0, self._started_at + time_ - time.monotonic()))
 
     def apply(self, action: Action) -> None:
         """Bring about an action now."""
@@ -122,33 +122,33 @@
                 self._kill(target)
             case model.Replace(target):
                 self._kill(target)
-                self._hosting.start(target)
+                self._host_launcher.start(target)
             case model.Pause(target, duration):
                 self._signal(target, signal.SIGSTOP)
-                self._after(duration, lambda: self._signal(target, signal.SIGCONT))
+                self._schedule_lift(duration, lambda: self._signal(target, signal.SIGCONT))
             case model.Leave(target):
                 self._leaving.add(target)
-                self._list_hosts()
+                self._publish_host_list()
             case model.Outage(target, duration, client):
-                self._strike(Effect.DOWN, target, client, duration)
+                self._inject_fault(Effect.DOWN, target, client, duration)
             case model.Cut(client, target, duration=duration):
-                self._strike(Effect.LOSE_BEFORE, target, client, duration)
+                self._inject_fault(Effect.LOSE_BEFORE, target, client, duration)
             case model.LoseAnswers(target, client, count):
                 rules = list(make_rules(Effect.LOSE_AFTER, target, client, count))
                 self._put_rules([*rules, *self._rules])
 
-    def close(self) -> Evidence:
+    def close(self) -> Observations:
         """End every process and return what was seen."""
-        self._halt.set()
+        self._stopped.set()
         self._watcher.join()
-        self._look()
-        self._evidence.ended = self._read_time()
+        self._read_worker_logs()
+        self._observations.ended = self._read_time()
         self._count_requests()
-        self._events = list(self._gather())
+        self._events = list(self._collect_events())
         self._pool.shutdown(wait=False, cancel_futures=True)
         self._launcher.end_all()
-        self._evidence.runs = list(self._runs.values())
-        return self._evidence
+        self._observations.runs = list(self._runs.values())
+        return self._observations
 
     def events(self) -> Iterable[Event]:
         """Return the events of every process, lost ones too."""
@@ -156,7 +156,7 @@
 
     def _read_time(self) -> float:
         """Return the scenario's time."""
-        return time.monotonic() - self._zero
+        return time.monotonic() - self._started_at
 
     def _start(self) -> None:
         """Start everything and put the first bundle in force."""
@@ -170,9 +170,9 @@
         platform = f"{self._topology.platform}:{PLATFORM_PORT}"
         self._launcher.start("platform", "standins.platform", ["--listen", platform])
         self._launcher.wait_ready("platform", f"{self._topology.platform_url}/counts")
-        self._list_hosts()
+        self._publish_host_list()
         for name in self._name_hosts():
-            self._hosting.start(name)
+            self._host_launcher.start(name)
         entry = self._topology.entries[0]
         self._launcher.wait_ready(f"{entry.name}-control", f"{entry.operators('control')}/livez")
         signed = make_submission(self._scenario, 1, 0, 0.0).signed
@@ -192,13 +192,13 @@
         yield from (instance.name for instance in topology.instances)
         yield from (entry.name for entry in topology.entries)
 
-    def _list_hosts(self) -> None:
+    def _publish_host_list(self) -> None:
         """Put the host list into the platform."""
         hosts = [
             replace(
                 each,
-                address=self._hosting.find(each.name).address,
-                port=getattr(self._hosting.find(each.name), "port", 0),
+                address=self._host_launcher.find_host(each.name).address,
+                port=getattr(self._host_launcher.find_host(each.name), "port", 0),
                 leaving=each.name in self._leaving,
             )
             for each in list_hosts(self._scenario)
@@ -208,14 +208,14 @@
 
     def _put(self, url: str, value: Any) -> None:
         """Put a value to a stand-in."""
-        answer = urllib3.request("PUT", url, body=msgspec.json.encode(value), timeout=TIMEOUT)
+        answer = urllib3.request("PUT", url, body=msgspec.json.encode(value), timeout=TIMEOUT_S)
         if answer.status >= 400:
             raise RuntimeError(f"{url} refused: {answer.data.decode()}")
 
     def _kill(self, target: str) -> None:
         """End the processes of a target at once."""
-        self._look()
-        for name in self._hosting.name_processes(target):
+        self._read_worker_logs()
+        for name in self._host_launcher.name_processes(target):
             self._launcher.kill(name)
         for run_ in self._runs.values():
             if run_.host == target:
@@ -223,16 +223,16 @@
 
     def _signal(self, target: str, number: signal.Signals) -> None:
         """Send a signal to the processes of a target."""
-        for name in self._hosting.name_processes(target):
+        for name in self._host_launcher.name_processes(target):
             self._launcher.send_signal(name, number)
 
-    def _after(self, delay: float, lift: Callable[[], None]) -> None:
+    def _schedule_lift(self, delay: float, lift: Callable[[], None]) -> None:
         """Lift a fault after a while."""
         due = self._read_time() + delay
-        self._later.append((due, lift))
-        self._later.sort(key=lambda entry: entry[0])
+        self._pending_lifts.append((due, lift))
+        self._pending_lifts.sort(key=lambda entry: entry[0])
 
-    def _strike(self, effect: Effect, target: str, client: str, duration: float) -> None:
+    def _inject_fault(self, effect: Effect, target: str, client: str, duration: float) -> None:
         """Let the platform do wrong for a while."""
         rules = list(make_rules(effect, target, client))
         self._put_rules([*self._rules, *rules])
@@ -244,7 +244,7 @@
             self._put_rules(self._rules)
 
         if duration != model.FOREVER:
-            self._after(duration, lift)
+            self._schedule_lift(duration, lift)
 
     def _put_rules(self, rules: list[Rule]) -> None:
         """Put the faults in force."""
@@ -253,19 +253,21 @@
     def _watch(self) -> None:
         """Look again and again."""
         seen = 0
-        while not self._halt.wait(WATCH_PERIOD):
-            self._look()
+        while not self._stopped.wait(WATCH_PERIOD_S):
+            self._read_worker_logs()
             found = self._table.scan("", seen)
             if found.is_ok():
                 for row in sorted(found.ok, key=lambda row: row.version):
-                    self._witness.see(self._read_time(), row)
+                    self._observer.observe(self._read_time(), row)
                     seen = max(seen, row.version)
 
-    def _look(self) -> None:
+    def _read_worker_logs(self) -> None:
         """Read the workers' logs; their clock is this machine's."""
         for worker in self._topology.workers:
             try:
-                answer = urllib3.request("GET", f"{worker.url}/log", timeout=PAUSE, retries=False)
+                answer = urllib3.request(
+                    "GET", f"{worker.url}/log", timeout=LOG_TIMEOUT_S, retries=False
+                )
             except HTTPError:
                 continue
             for entry in msgspec.json.decode(answer.data):
@@ -274,26 +276,26 @@
     def _note_run(self, worker: str, entry: dict[str, Any]) -> None:
         """Note when one attempt ran."""
         key = (worker, entry["task"], entry["started_at"])
-        started = entry["started_at"] / MILLISECONDS - self._zero
+        started = entry["started_at"] / MILLISECONDS - self._started_at
         task = self._script.names.get(entry["task"], entry["task"])
-        fresh = TaskRun(task, entry["attempt"], worker, started, resumed=entry["attempt"] > 1)
-        known = self._runs.setdefault(key, fresh)
+        new_run = TaskRun(task, entry["attempt"], worker, started, resumed=entry["attempt"] > 1)
+        run_ = self._runs.setdefault(key, new_run)
         if entry["stopped_at"] is not None:
-            known.stopped = min(known.stopped, entry["stopped_at"] / MILLISECONDS - self._zero)
+            run_.stopped = min(run_.stopped, entry["stopped_at"] / MILLISECONDS - self._started_at)
 
     def _count_requests(self) -> None:
         """Read how often each request ran; what a killed instance ran is not known."""
         for instance in self._topology.instances:
             try:
                 url = f"{instance.control}/executions"
-                answer = urllib3.request("GET", url, timeout=TIMEOUT, retries=False)
+                answer = urllib3.request("GET", url, timeout=TIMEOUT_S, retries=False)
             except HTTPError:
                 continue
             for request, count in msgspec.json.decode(answer.data).items():
                 run_ = RequestRun(request, instance.name, 0.0)
-                self._evidence.request_runs += [run_] * count
+                self._observations.request_runs += [run_] * count
 
-    def _gather(self) -> Iterator[Event]:
+    def _collect_events(self) -> Iterator[Event]:
         """Fetch the merged time line with the operators' tool."""
         sources = [
             part
@@ -309,7 +311,7 @@
             text = run_tool(self._folder, *command[:1], *command[-2:], "--output", "json")
         for item in decode_lines("timeline", text.encode()):
             if isinstance(item, Event):
-                yield replace(item, wall=item.monotonic - self._zero)
+                yield replace(item, wall=item.monotonic - self._started_at)
 
     def _read_object(self, name: str) -> bytes | None:
         """Read an object for the witness."""
--- a/scenarios/requesting.py
+++ b/scenarios/request_process.py
@@ -14,11 +14,11 @@
 from random import Random
 from typing import Any
 
-from scenarios.actors import Process
-from scenarios.evidence import RequestRun
-from scenarios.kernel import Loss, Reply
+from scenarios.kernel import CallFailure, Reply
 from scenarios.model import SendRequest, ServedService
-from scenarios.peer import PeerProcess, Surroundings
+from scenarios.observations import RequestRun
+from scenarios.peer import PeerProcess, SimulationContext
+from scenarios.simulation import Process
 from standins.instance import InstanceCore, Outcome
 from toucanpin.bundles.schema import Bundle, Service
 from toucanpin.membership.member import Standing
@@ -33,17 +33,17 @@
 from toucanpin.requests.shares import SlotShares
 from toucanpin.verdict import Reason, Refusal, Verdict
 
-__all__ = ["Fronting", "SimulatedInstance"]
+__all__ = ["RequestProcess", "SimulatedInstance"]
 
-REFRESH = 0.2
-GRANT = 0.05
-SETTLE = 2.0
+REFRESH_PERIOD_S = 0.2
+GRANT_PERIOD_S = 0.05
+SHARES_SETTLE_S = 2.0
 NOT_READY = Refusal(Verdict.NOT_RUN, Reason.NOT_READY, "not ready yet", 1.0)
-STORE_LATE = Refusal(Verdict.NOT_RUN, Reason.STORE_UNCERTAIN, "the store is late", 2.0)
+STORE_TIMEOUT = Refusal(Verdict.NOT_RUN, Reason.STORE_UNCERTAIN, "the store is late", 2.0)
 
 
 @dataclass(frozen=True, slots=True)
-class Asked:
+class InstanceRequest:
     """Hold a request as an instance receives it."""
 
     request: str
@@ -53,17 +53,19 @@
 class SimulatedInstance(Process):
     """Run requests of one service, as many at a time as it has slots."""
 
-    def __init__(self, around: Surroundings, name: str, life: int, served: ServedService) -> None:
-        super().__init__(around.kernel, around.network, name, life)
+    def __init__(
+        self, context: SimulationContext, name: str, incarnation: int, served: ServedService
+    ) -> None:
+        super().__init__(context.kernel, context.network, name, incarnation)
         self.core = InstanceCore(served.service.name, name, served.service.slots)
-        self._takes = served.takes
-        self._evidence = around.evidence
+        self._service_time = served.service_time
+        self._observations = context.observations
         self._running = 0
-        self._waiting: deque[tuple[Asked, Reply]] = deque()
+        self._waiting: deque[tuple[InstanceRequest, Reply]] = deque()
 
-    def handle(self, asked: Asked, answer: Reply) -> None:
+    def handle(self, received: InstanceRequest, answer: Reply) -> None:
         """Run a request when a slot is free."""
-        self._waiting.append((asked, answer))
+        self._waiting.append((received, answer))
         self._start_next()
 
     def end(self) -> None:
@@ -74,15 +76,15 @@
     def _start_next(self) -> None:
         """Start the next request if there is a slot, unless it comes too late."""
         while self._waiting and self._running < self.core.slots:
-            asked, answer = self._waiting.popleft()
-            if self.kernel.now >= asked.deadline:
+            received, answer = self._waiting.popleft()
+            if self.kernel.now >= received.deadline:
                 answer(None)
                 continue
             self._running += 1
-            run = RequestRun(asked.request, self.name, self.kernel.now)
-            self._evidence.request_runs.append(run)
-            outcome = self.core.run(asked.request, "POST", f"/{asked.request}", b"", 0)
-            self.after(self._takes, partial(self._finish, outcome, answer))
+            run = RequestRun(received.request, self.name, self.kernel.now)
+            self._observations.request_runs.append(run)
+            outcome = self.core.run(received.request, "POST", f"/{received.request}", b"", 0)
+            self.after(self._service_time, partial(self._finish, outcome, answer))
 
     def _finish(self, outcome: Outcome, answer: Reply) -> None:
         """Answer and go on."""
@@ -91,20 +93,20 @@
         self._start_next()
 
 
-class Fronting(PeerProcess):
+class RequestProcess(PeerProcess):
     """Live one life of a request process."""
 
-    def __init__(self, around: Surroundings, name: str, life: int, site: str) -> None:
-        super().__init__(around, name, life, site)
-        self._book = SlotShares(name, SETTLE)
+    def __init__(self, context: SimulationContext, name: str, incarnation: int, site: str) -> None:
+        super().__init__(context, name, incarnation, site)
+        self._slot_shares = SlotShares(name, SHARES_SETTLE_S)
         self._states: dict[str, ServiceState] = {}
         self._waiters: dict[Ticket, Callable[[], None]] = {}
-        self._random = Random(around.kernel.random.random())
-        self._busy = 0
+        self._random = Random(context.kernel.random.random())
+        self._in_flight = 0
         self._draining = False
         self._claims = 0
         self._refresh()
-        self._grant()
+        self._grant_slots()
 
     def shut_down(self) -> None:
         """Take nothing new, and end once nothing is in flight."""
@@ -114,7 +116,7 @@
     def serve(self, sent: SendRequest, answer: Reply) -> None:
         """Lead a caller's request to its answer."""
         state = self._states.get(sent.service)
-        ready = self.current() is not None and self._book.owns_any and not self._draining
+        ready = self.current() is not None and self._slot_shares.owns_any and not self._draining
         if state is None or not ready:
             answer(NOT_READY)
             return
@@ -122,13 +124,13 @@
         request = messages.Request(
             sent.service, "caller", sent.request, sent.idempotent, now, now + sent.deadline
         )
-        self._busy += 1
+        self._in_flight += 1
         perform = partial(self._perform, state, sent, answer)
-        self.drive(serve_request(request, state), perform, partial(self._leave, state))
+        self.drive(serve_request(request, state), perform, partial(self._finish_request, state))
 
-    def _leave(self, state: ServiceState, _: object) -> None:
+    def _finish_request(self, state: ServiceState, _: object) -> None:
         """Count a request that has its answer."""
-        self._busy -= 1
+        self._in_flight -= 1
         self._wake(state)
 
     def _perform(
@@ -181,20 +183,20 @@
     def _forward(self, sent: SendRequest, instance: str, deadline: float, reply: Reply) -> None:
         """Make one attempt at an instance."""
         left = max(0.001, deadline - self.read_clock())
-        asked = Asked(sent.request, self.kernel.now + left)
+        received = InstanceRequest(sent.request, self.kernel.now + left)
         self.recorder.record("request.forwarded", {"request": sent.request, "host": instance})
 
         def handle(respond: Reply) -> None:
             """Let whatever bears the name now take the request."""
-            self.around.instances[instance].handle(asked, respond)
+            self.context.instances[instance].handle(received, respond)
 
-        def hear(outcome: object) -> None:
+        def on_outcome(outcome: object) -> None:
             """Tell the path how the attempt ended."""
             now = self.read_clock()
             match outcome:
-                case Loss(detail, False):
+                case CallFailure(detail, False):
                     reply(messages.Refused(now, detail))
-                case Loss():
+                case CallFailure():
                     reply(messages.TimedOut(now))
                 case Outcome(request=request):
                     body = request.encode()
@@ -203,18 +205,18 @@
                     late = messages.Response(503, "", (), b"", not_run=True)
                     reply(messages.Responded(now, late))
 
-        self.network.ask(self.name, instance, handle, self.guard(hear), timeout=left)
+        self.network.request(self.name, instance, handle, self.guard(on_outcome), timeout=left)
 
     def _claim(self, request_id: str, deadline: float, reply: Reply) -> None:
         """Claim a request id, giving up at the deadline."""
         given_up = [False]
-        pending = prepare_claim(request_id, self._name_token())
+        pending = prepare_claim(request_id, self._make_token())
 
         def give_up() -> None:
             """Tell the path that the store is late."""
             if not given_up[0]:
                 given_up[0] = True
-                reply(messages.NotClaimed(self.read_clock(), STORE_LATE))
+                reply(messages.NotClaimed(self.read_clock(), STORE_TIMEOUT))
 
         def settle(outcomes: dict[bytes, Any]) -> None:
             """Tell the path, or release what nobody waits for any more."""
@@ -232,21 +234,21 @@
                     reply(messages.NotClaimed(now, outcome))
 
         self.after(max(0.0, deadline - self.read_clock()), give_up)
-        self.drive(insert_claims((pending,), self._name_token), self._perform_claim, settle)
+        self.drive(insert_claims((pending,), self._make_token), self._perform_claim, settle)
 
     def _perform_claim(self, action: claims.Commit | claims.ReadRow, reply: Reply) -> None:
         """Carry out an action of a claim."""
         match action:
             case claims.Commit(transaction):
-                self.around.platform.commit(self, transaction, reply)
+                self.context.platform.commit(self, transaction, reply)
             case claims.ReadRow(key):
-                self.around.platform.read(self, key, reply)
+                self.context.platform.read(self, key, reply)
 
     def _release(self, claim: HeldClaim) -> None:
         """Delete a claim row."""
         write = Write(claim.key, claim.version, None)
-        transaction = Transaction(self._name_token(), (write,))
-        self.around.platform.commit(self, transaction, lambda outcome: None)
+        transaction = Transaction(self._make_token(), (write,))
+        self.context.platform.commit(self, transaction, lambda outcome: None)
 
     def _refresh(self) -> None:
         """Take in members, hosts and bundle as they are now."""
@@ -256,14 +258,14 @@
             for member in self.members()
             if member.role == "request" and member.standing is not Standing.GONE
         )
-        self._book.update(names, now)
+        self._slot_shares.update(names, now)
         bundle = self.current()
         if bundle is not None:
             for service in bundle.services:
                 self._refresh_service(bundle, service, now)
-        if self._draining and not self._busy:
+        if self._draining and not self._in_flight:
             self.end(graceful=True)
-        self.after(REFRESH, self._refresh)
+        self.after(REFRESH_PERIOD_S, self._refresh)
 
     def _refresh_service(self, bundle: Bundle, service: Service, now: float) -> None:
         """Take in the instances of one service."""
@@ -279,12 +281,12 @@
 
     def _share(self, host: ListedHost, service: Service) -> InstanceShare:
         """Return this process's share of one instance."""
-        slots = self._book.share(host.name, host.slots or service.slots)
+        slots = self._slot_shares.share(host.name, host.slots or service.slots)
         return InstanceShare(host.name, host.site, slots, host.leaving)
 
-    def _grant(self) -> None:
+    def _grant_slots(self) -> None:
         """Grant what time has freed."""
         for state in self._states.values():
             state.grant(self.read_clock())
             self._wake(state)
-        self.after(GRANT, self._grant)
+        self.after(GRANT_PERIOD_S, self._grant_slots)
--- a/scenarios/runner.py
+++ b/scenarios/runner.py
@@ -14,8 +14,8 @@
 
 from scenarios import model
 from scenarios.evaluation import Failure, evaluate
-from scenarios.evidence import Evidence
 from scenarios.model import FOREVER, Action, Scenario
+from scenarios.observations import Observations
 from toucanpin.timeline.event import Event
 from toucanpin.timeline.faults import explain_fault
 from toucanpin.timeline.merge import merge
@@ -24,8 +24,8 @@
 __all__ = ["FILES", "Outcome", "World", "find_scenarios", "run"]
 
 FILES = Path(__file__).with_name("files")
-SETTLING = 1.0
-LEAST_TIME = 30.0
+SETTLING_TIME_S = 1.0
+MIN_DURATION_S = 30.0
 
 
 class World(Protocol):
@@ -39,7 +39,7 @@
         """Bring about an action now."""
         ...
 
-    def close(self) -> Evidence:
+    def close(self) -> Observations:
         """End everything and return what was seen."""
         ...
 
@@ -68,21 +68,21 @@
         world.advance(event.time)
         world.apply(event.action)
     world.advance(find_end(scenario))
-    evidence = world.close()
-    evidence.kinds.update(event.kind for event in world.events())
-    failures = tuple(evaluate(scenario, evidence))
+    observations = world.close()
+    observations.event_counts.update(event.kind for event in world.events())
+    failures = tuple(evaluate(scenario, observations))
     return Outcome(failures, _write_session(scenario, world, failures))
 
 
 def find_end(scenario: Scenario) -> float:
     """Return the instant at which a scenario ends."""
     last = max((event.time for event in scenario.events), default=0.0)
-    spans = [_find_span(each.expected) for each in scenario.expectations]
-    faults = [_find_duration(event) for event in scenario.events]
-    return max(LEAST_TIME, last + max((*spans, 0.0)), *faults) + SETTLING
+    spans = [_find_deadline(each.expected) for each in scenario.expectations]
+    faults = [_find_fault_end(event) for event in scenario.events]
+    return max(MIN_DURATION_S, last + max((*spans, 0.0)), *faults) + SETTLING_TIME_S
 
 
-def _find_span(expected: model.Expected) -> float:
+def _find_deadline(expected: model.Expected) -> float:
     """Return how long after the last action an expectation may be due."""
     match expected:
         case model.JobEnds(within=span) | model.RequestEnds(within=span):
@@ -93,7 +93,7 @@
             return 0.0
 
 
-def _find_duration(event: model.Event) -> float:
+def _find_fault_end(event: model.Event) -> float:
     """Return the instant at which a fault ends."""
     duration = getattr(event.action, "duration", 0.0)
     return event.time + (0.0 if duration == FOREVER else duration)
--- a/scenarios/script.py
+++ b/scenarios/script.py
@@ -19,15 +19,15 @@
 
 __all__ = ["Script"]
 
-NAME = "scenario"
-IDS = {"job": "job", "request": "request", "version": "bundle"}
+PROCESS_NAME = "scenario"
+ID_KEYS = {"job": "job", "request": "request", "version": "bundle"}
 
 
 class Script:
     """Record the script, and translate the ids that the system gives to jobs."""
 
     def __init__(self, read_time: Callable[[], float]) -> None:
-        self.recorder = Recorder(NAME, "1", read_time, read_time)
+        self.recorder = Recorder(PROCESS_NAME, "1", read_time, read_time)
         self.names: dict[str, str] = {}
 
     def name_job(self, team: str, job: str) -> str:
@@ -47,8 +47,8 @@
             for each in dataclasses.fields(action)
             if getattr(action, each.name) != each.default
         }
-        ids = {IDS[name]: str(value) for name, value in given.items() if name in IDS}
-        words = (f"{key} {_describe(value)}" for key, value in given.items() if key not in IDS)
+        ids = {ID_KEYS[name]: str(value) for name, value in given.items() if name in ID_KEYS}
+        words = (f"{key} {_describe(value)}" for key, value in given.items() if key not in ID_KEYS)
         self.recorder.record(f"script.{type(action).__name__.lower()}", ids, ", ".join(words))
 
     def translate(self, events: Iterable[Event]) -> Iterator[Event]:
--- a/scenarios/actors.py
+++ b/scenarios/simulation.py
@@ -13,8 +13,8 @@
 
 from expression import Error, Ok, Result
 
-from scenarios.evidence import Evidence, TaskRun
-from scenarios.kernel import Kernel, Loss, Network
+from scenarios.kernel import CallFailure, Kernel, Network
+from scenarios.observations import Observations, TaskRun
 from standins.hostlist import HostListCore
 from standins.objects import ObjectsCore
 from standins.table import TableCore
@@ -37,12 +37,12 @@
 __all__ = ["Platform", "Process", "SimulatedWorker"]
 
 MILLISECONDS = 1_000
-TICK = 0.05
-WORKER_TIMEOUT = 1.0
-CLOCK_DRIFT = 0.0095
-CLOCK_START = 10_000.0
-WALL_SKEW = 0.005
-HOST_LIST_LAG = 2.0
+TICK_S = 0.05
+WORKER_TIMEOUT_S = 1.0
+MAX_CLOCK_DRIFT = 0.0095
+MIN_CLOCK_START_S = 10_000.0
+MAX_WALL_SKEW_S = 0.005
+HOST_LIST_LAG_S = 2.0
 
 
 class Process:
@@ -52,25 +52,25 @@
     A callback of a paused process waits until it resumes; one of a dead process never runs.
     """
 
-    def __init__(self, kernel: Kernel, network: Network, name: str, life: int) -> None:
+    def __init__(self, kernel: Kernel, network: Network, name: str, incarnation: int) -> None:
         self.kernel = kernel
         self.network = network
         self.name = name
         self.host = name.split("/", 1)[0]
-        self.life = life
+        self.incarnation = incarnation
         self.alive = True
-        self.since = kernel.now
-        self.wall_step = kernel.random.uniform(-WALL_SKEW, WALL_SKEW)
-        self._rate = 1.0 + kernel.random.uniform(-CLOCK_DRIFT, CLOCK_DRIFT)
-        self.recorder = Recorder(name, str(life), self.read_clock, self.read_wall)
+        self.started_at = kernel.now
+        self.wall_offset = kernel.random.uniform(-MAX_WALL_SKEW_S, MAX_WALL_SKEW_S)
+        self._clock_rate = 1.0 + kernel.random.uniform(-MAX_CLOCK_DRIFT, MAX_CLOCK_DRIFT)
+        self.recorder = Recorder(name, str(incarnation), self.read_clock, self.read_wall)
 
     def read_clock(self) -> float:
         """Return the process's monotonic clock, which started at 0 and runs at its own rate."""
-        return (self.kernel.now - self.since) * self._rate
+        return (self.kernel.now - self.started_at) * self._clock_rate
 
     def read_wall(self) -> float:
         """Return the wall clock of the process's host."""
-        return self.kernel.now + self.wall_step
+        return self.kernel.now + self.wall_offset
 
     def guard(self, callback: Callable[..., None]) -> Callable[..., None]:
         """Return a callback that runs in this life only, and not while it is paused."""
@@ -127,8 +127,8 @@
     def __init__(self, kernel: Kernel) -> None:
         self.table = TableCore()
         self.objects = ObjectsCore()
-        self.hosts = HostListCore(lag=HOST_LIST_LAG)
-        self.watchers: list[Callable[[Row], None]] = []
+        self.hosts = HostListCore(lag=HOST_LIST_LAG_S)
+        self.row_listeners: list[Callable[[Row], None]] = []
         self._kernel = kernel
 
     def commit(
@@ -142,30 +142,30 @@
             if not isinstance(outcome, Conflict):
                 for write in transaction.writes:
                     row = Row(write.key, outcome.version, write.value or b"")
-                    for watch in () if write.check_only else self.watchers:
-                        watch(row)
+                    for listener in () if write.check_only else self.row_listeners:
+                        listener(row)
             return outcome
 
-        caller.call("table", act, lambda outcome: reply(_explain(outcome)))
+        caller.call("table", act, lambda outcome: reply(_to_result(outcome)))
 
     def read(self, caller: Process, key: str, reply: Callable[[Result], None]) -> None:
         """Read one row for a process."""
         act = partial(self.table.read, key)
-        caller.call("table", act, lambda outcome: reply(_explain(outcome)))
+        caller.call("table", act, lambda outcome: reply(_to_result(outcome)))
 
     def scan(
         self, caller: Process, prefix: str, after: int, reply: Callable[[Result], None]
     ) -> None:
         """Read the changed rows below a prefix for a process."""
         act = partial(self.table.scan, prefix, after)
-        caller.call("table", act, lambda outcome: reply(_explain(outcome)))
+        caller.call("table", act, lambda outcome: reply(_to_result(outcome)))
 
     def list_hosts(self, caller: Process, reply: Callable[[Result], None]) -> None:
         """Read the host list for a process."""
         caller.call(
             "hostlist",
             lambda: self.hosts.hosts(self._kernel.now),
-            lambda outcome: reply(_explain(outcome)),
+            lambda outcome: reply(_to_result(outcome)),
         )
 
 
@@ -177,23 +177,23 @@
         kernel: Kernel,
         network: Network,
         platform: Platform,
-        evidence: Evidence,
+        observations: Observations,
         name: str,
-        life: int,
+        incarnation: int,
         size: Size,
     ) -> None:
-        super().__init__(kernel, network, name, life)
-        self.core = WorkerCore(name, str(life), size)
+        super().__init__(kernel, network, name, incarnation)
+        self.core = WorkerCore(name, str(incarnation), size)
         self._platform = platform
-        self._evidence = evidence
-        self._seen: dict[int, TaskRun] = {}
+        self._observations = observations
+        self._recorded_runs: dict[int, TaskRun] = {}
         self._resumed: set[tuple[str, int]] = set()
-        self._start = CLOCK_START + kernel.random.uniform(0.0, CLOCK_START)
-        self.after(TICK, self._tick)
+        self._clock_start = MIN_CLOCK_START_S + kernel.random.uniform(0.0, MIN_CLOCK_START_S)
+        self.after(TICK_S, self._tick)
 
     def read_milliseconds(self) -> int:
         """Return the worker's monotonic clock."""
-        return int((self.read_clock() + self._start) * MILLISECONDS)
+        return int((self.read_clock() + self._clock_start) * MILLISECONDS)
 
     def poll(self, poll: Poll) -> Report:
         """Take a poll."""
@@ -202,31 +202,31 @@
                 case Start(task, attempt, checkpoint=checkpoint) if checkpoint:
                     self._resumed.add((task, attempt))
         report = self.core.poll(self.read_milliseconds(), poll)
-        self._follow()
+        self._process_effects()
         return report
 
     def end(self) -> None:
         """Lose everything at once."""
         # A worker that is killed while it is paused has done nothing since, also after its lease.
         self.core.advance(self.read_milliseconds())
-        self._look(self.kernel.now)
+        self._record_runs(self.kernel.now)
         self.alive = False
-        for run in self._seen.values():
+        for run in self._recorded_runs.values():
             run.stopped = min(run.stopped, self.kernel.now)
 
     def _tick(self) -> None:
         """Let the tasks work."""
         self.core.advance(self.read_milliseconds())
-        self._follow()
-        self.after(TICK, self._tick)
+        self._process_effects()
+        self.after(TICK_S, self._tick)
 
-    def _follow(self) -> None:
+    def _process_effects(self) -> None:
         """Carry out what the core asks of the object store and log what ran."""
         for effect in list(self.core.take_effects()):
-            self._carry(effect)
-        self._look(self.kernel.now)
+            self._run_effect(effect)
+        self._record_runs(self.kernel.now)
 
-    def _carry(self, effect: Put | Get) -> None:
+    def _run_effect(self, effect: Put | Get) -> None:
         """Carry one effect to the object store."""
         match effect:
             case Put(name=name, body=body):
@@ -238,31 +238,35 @@
 
     def _finish_put(self, put: Put, outcome: object) -> None:
         """Tell the core how a write ended."""
-        self.core.finish_put(self.read_milliseconds(), put, not isinstance(outcome, Loss))
-        self._follow()
+        self.core.finish_put(self.read_milliseconds(), put, not isinstance(outcome, CallFailure))
+        self._process_effects()
 
     def _finish_get(self, get: Get, outcome: Any) -> None:
         """Tell the core how a read ended."""
-        answered = not isinstance(outcome, Loss)
+        answered = not isinstance(outcome, CallFailure)
         body = outcome if answered else None
         self.core.finish_get(self.read_milliseconds(), get, body, answered)
-        self._follow()
+        self._process_effects()
 
-    def _look(self, now: float) -> None:
+    def _record_runs(self, now: float) -> None:
         """Note the runs that started or stopped; the core stops them on the worker's own clock."""
         for number, interval in enumerate(self.core.log):
-            run = self._seen.get(number)
+            run = self._recorded_runs.get(number)
             if run is None:
                 resumed = (interval.task, interval.attempt) in self._resumed
                 run = TaskRun(interval.task, interval.attempt, self.name, now, resumed=resumed)
-                self._seen[number] = run
-                self._evidence.runs.append(run)
+                self._recorded_runs[number] = run
+                self._observations.runs.append(run)
             if interval.stopped_at is not None and run.stopped > now:
-                run.stopped = max(run.started, min(now, self._to_true(interval.stopped_at)))
+                run.stopped = max(
+                    run.started, min(now, self._to_simulated_time(interval.stopped_at))
+                )
 
-    def _to_true(self, milliseconds: int) -> float:
+    def _to_simulated_time(self, milliseconds: int) -> float:
         """Convert a reading of the worker's clock into the world's time."""
-        return self.since + (milliseconds / MILLISECONDS - self._start) / self._rate
+        return (
+            self.started_at + (milliseconds / MILLISECONDS - self._clock_start) / self._clock_rate
+        )
 
 
 def poll_worker(
@@ -277,23 +281,23 @@
     def act() -> object:
         """Let the worker take the poll."""
         worker = find(name)
-        return Loss("refused", sent=False) if worker is None else worker.poll(poll)
+        return CallFailure("refused", sent=False) if worker is None else worker.poll(poll)
 
-    def tell(outcome: object) -> None:
+    def on_outcome(outcome: object) -> None:
         """Turn a missing answer into the port's fault."""
         match outcome:
-            case Loss(detail, sent):
+            case CallFailure(detail, sent):
                 reply(Error(WorkerFault(detail, reached=sent)))
             case Report():
                 reply(Ok(outcome))
 
-    caller.call(name, act, tell, timeout=WORKER_TIMEOUT)
+    caller.call(name, act, on_outcome, timeout=WORKER_TIMEOUT_S)
 
 
-def _explain(outcome: Any) -> Result[Any, StoreFault | Conflict]:
+def _to_result(outcome: Any) -> Result[Any, StoreFault | Conflict]:
     """Turn a missing answer into the port's fault."""
     match outcome:
-        case Loss(detail, sent):
+        case CallFailure(detail, sent):
             return Error(Unknown(detail) if sent else Unavailable(detail))
         case Conflict():
             return Error(outcome)
--- a/scenarios/witness.py
+++ b/scenarios/table_observer.py
@@ -9,8 +9,8 @@
 
 from collections.abc import Callable
 
-from scenarios.evidence import Breach, Evidence, JobTold
 from scenarios.model import JobEnd
+from scenarios.observations import JobOutcome, Observations, Violation
 from standins.work import Work, compute_result
 from toucanpin.placement.records import (
     CELL_PREFIX,
@@ -22,9 +22,9 @@
 )
 from toucanpin.platform.ports import Row, Size
 
-__all__ = ["Witness", "describe_work"]
+__all__ = ["TableObserver", "make_work"]
 
-ENDS = {
+JOB_ENDS = {
     JobState.FINISHED: JobEnd.FINISHED,
     JobState.CANCELLED: JobEnd.CANCELLED,
     JobState.FAILED: JobEnd.FAILED,
@@ -33,12 +33,12 @@
 VERSION_PREFIX = "bundle/version/"
 
 
-def describe_work(job: str, seconds: int) -> Work:
+def make_work(job: str, seconds: int) -> Work:
     """Return what a job of a scenario does."""
     return Work(work=seconds * MILLISECONDS, input=job)
 
 
-class Witness:
+class TableObserver:
     """
     Note the ends of jobs and hosts that are committed beyond their size.
 
@@ -48,26 +48,26 @@
     def __init__(
         self,
         read_object: Callable[[str], bytes | None],
-        evidence: Evidence,
+        observations: Observations,
         capacity: Size,
         names: dict[str, str],
     ) -> None:
         self._read_object = read_object
-        self._evidence = evidence
+        self._observations = observations
         self._capacity = capacity
         self._names = names
         self._ended: dict[str, JobRow] = {}
 
-    def see(self, now: float, row: Row) -> None:
+    def observe(self, now: float, row: Row) -> None:
         """Take in one changed row."""
         if row.key.startswith(CELL_PREFIX) and row.value:
-            self._see_cell(now, decode(row.value, CellRow))
+            self._check_cell(now, decode(row.value, CellRow))
         elif row.key.startswith(VERSION_PREFIX):
-            self._evidence.accepted.setdefault(int(row.key.removeprefix(VERSION_PREFIX)), now)
+            self._observations.accepted.setdefault(int(row.key.removeprefix(VERSION_PREFIX)), now)
         elif row.key.startswith(JOB_PREFIX) and row.value:
-            self._see_job(now, decode(row.value, JobRow))
+            self._record_job(now, decode(row.value, JobRow))
 
-    def _see_cell(self, now: float, cell: CellRow) -> None:
+    def _check_cell(self, now: float, cell: CellRow) -> None:
         """Note the workers on which more is committed than they have."""
         # The sums are made here anew: the product's own would share a fault with what is judged.
         for worker in sorted({task.worker for task in cell.tasks.values()}):
@@ -76,18 +76,18 @@
                 total = sum(getattr(size, part) for size in sizes)
                 if total > getattr(self._capacity, part):
                     detail = f"{worker} is committed to {total} {part}"
-                    self._evidence.overcommitted.append(Breach(now, detail))
+                    self._observations.overcommitted.append(Violation(now, detail))
 
-    def _see_job(self, now: float, row: JobRow) -> None:
+    def _record_job(self, now: float, row: JobRow) -> None:
         """Note the end of a job, and any other end that follows it."""
-        if row.state not in ENDS or row == self._ended.get(row.job):
+        if row.state not in JOB_ENDS or row == self._ended.get(row.job):
             return
         self._ended[row.job] = row
-        right = row.state is not JobState.FINISHED or self._is_right(row)
+        correct = row.state is not JobState.FINISHED or self._is_correct(row)
         name = self._names.get(row.job, row.job)
-        self._evidence.jobs.append(JobTold(name, now, ENDS[row.state], right))
+        self._observations.jobs.append(JobOutcome(name, now, JOB_ENDS[row.state], correct))
 
-    def _is_right(self, row: JobRow) -> bool:
+    def _is_correct(self, row: JobRow) -> bool:
         """Tell whether the object that a finished job points at is its result."""
         name = self._names.get(row.job, row.job)
-        return self._read_object(row.result) == compute_result(describe_work(name, 0))
+        return self._read_object(row.result) == compute_result(make_work(name, 0))
--- a/scenarios/tests/test_evaluation.py
+++ b/scenarios/tests/test_evaluation.py
@@ -6,17 +6,17 @@
 from typing import Any
 
 from scenarios.evaluation import evaluate
-from scenarios.evidence import (
-    Breach,
+from scenarios.language import parse
+from scenarios.model import JobEnd, RequestEnd
+from scenarios.observations import (
     BundleInForce,
-    Evidence,
-    JobTold,
+    JobOutcome,
+    Observations,
+    RequestOutcome,
     RequestRun,
-    RequestTold,
     TaskRun,
+    Violation,
 )
-from scenarios.language import parse
-from scenarios.model import JobEnd, RequestEnd
 
 HEAD = """scenario "x"
 hosts 2 entry, 2 worker, 2 instance
@@ -26,13 +26,13 @@
 at 1s submit bundle 2 through entry-a
 at 1s send request r to verify through entry-a
 """
-ANSWERED = RequestTold("r", "entry-a", 1.0, 1.2, RequestEnd.ANSWERED)
+ANSWERED = RequestOutcome("r", "entry-a", 1.0, 1.2, RequestEnd.ANSWERED)
 
 
 def evaluate_line(line, **seen):
     """Return what is wrong with evidence under one expectation."""
     scenario = parse(HEAD + line, "x.scenario")
-    return [failure.detail for failure in evaluate(scenario, Evidence(ended=30.0, **seen))]
+    return [failure.detail for failure in evaluate(scenario, Observations(ended=30.0, **seen))]
 
 
 class EvaluationTest(unittest.TestCase):
@@ -43,21 +43,23 @@
 
     def test_job_finishes_exactly_once(self):
         line = "expect job a finished once within 10s"
-        once = JobTold("a", 5.0, JobEnd.FINISHED)
+        once = JobOutcome("a", 5.0, JobEnd.FINISHED)
         self.assertEqual(evaluate_line(line, jobs=[once]), [])
         self.assert_fails_with(line, "0 ends", jobs=[])
         self.assert_fails_with(line, "2 ends", jobs=[once, once])
         self.assert_fails_with(line, "'cancelled'", jobs=[replace(once, end=JobEnd.CANCELLED)])
         self.assert_fails_with(line, "after 11.000s", jobs=[replace(once, time=12.0)])
-        self.assert_fails_with(line, "wrong result", jobs=[replace(once, right=False)])
+        self.assert_fails_with(line, "wrong result", jobs=[replace(once, correct=False)])
 
     def test_cancelled_job_must_stop(self):
         line = "expect job a cancelled within 10s"
-        told, run = JobTold("a", 5.0, JobEnd.CANCELLED), TaskRun("a", 1, "w1", 0.0, 6.0)
-        self.assertEqual(evaluate_line(line, jobs=[told], runs=[run]), [])
-        self.assert_fails_with(line, "still ran", jobs=[told], runs=[replace(run, stopped=11.5)])
-        self.assertEqual(evaluate_line("expect job a ended once", jobs=[told]), [])
-        self.assert_fails_with("expect job a ended once", "2 ends", jobs=[told, told])
+        reported, run = JobOutcome("a", 5.0, JobEnd.CANCELLED), TaskRun("a", 1, "w1", 0.0, 6.0)
+        self.assertEqual(evaluate_line(line, jobs=[reported], runs=[run]), [])
+        self.assert_fails_with(
+            line, "still ran", jobs=[reported], runs=[replace(run, stopped=11.5)]
+        )
+        self.assertEqual(evaluate_line("expect job a ended once", jobs=[reported]), [])
+        self.assert_fails_with("expect job a ended once", "2 ends", jobs=[reported, reported])
 
     def test_job_resumes_exactly_once(self):
         line = "expect job a resumed once"
@@ -81,13 +83,13 @@
 
     def test_bundle_reaches_every_process_and_never_reverts(self):
         line, back = "expect bundle 2 everywhere within 3s", "expect bundles never revert"
-        living = {"p": 0.0, "q": 10.0}
+        running_since = {"p": 0.0, "q": 10.0}
         first = BundleInForce("p", 1, 1, 0.0)
         forces = [first, replace(first, version=2, time=3.0), BundleInForce("q", 2, 2, 11.0)]
-        seen: dict[str, Any] = {"accepted": {2: 1.0}, "living": living}
+        seen: dict[str, Any] = {"accepted": {2: 1.0}, "running_since": running_since}
         self.assertEqual(evaluate_line(line, bundles=forces, **seen), [])
         self.assertEqual(evaluate_line(back, bundles=forces), [])
-        self.assert_fails_with(line, "never accepted", living=living, bundles=forces)
+        self.assert_fails_with(line, "never accepted", running_since=running_since, bundles=forces)
         late = [first, replace(forces[1], time=4.5), forces[2]]
         self.assert_fails_with(line, "bundle 1 was in force in p", bundles=late, **seen)
         withheld = [first, replace(first, version=0, time=2.0), replace(forces[1], time=9.0)]
@@ -95,8 +97,8 @@
         again = [*withheld[:2], replace(first, time=8.0), withheld[2], forces[2]]
         self.assert_fails_with(line, "from 8.000s to 9.000s", bundles=again, **seen)
         self.assert_fails_with(line, "in q at the end", bundles=forces[:2], **seen)
-        earlier_life = [*forces[:2], replace(forces[2], life=1, time=9.0)]
-        self.assert_fails_with(line, "in q at the end", bundles=earlier_life, **seen)
+        earlier_incarnation = [*forces[:2], replace(forces[2], incarnation=1, time=9.0)]
+        self.assert_fails_with(line, "in q at the end", bundles=earlier_incarnation, **seen)
         lower = BundleInForce("p", 2, 1, 20.0)
         self.assert_fails_with(back, "from bundle 2 to 1", bundles=[*forces, lower])
         other = replace(forces[2], digest="other")
@@ -106,7 +108,7 @@
         line = "expect request r answered within 1s"
         self.assertEqual(evaluate_line(line, requests=[ANSWERED]), [])
         self.assert_fails_with(line, "told nothing")
-        self.assert_fails_with(line, "not whole", requests=[replace(ANSWERED, whole=False)])
+        self.assert_fails_with(line, "not whole", requests=[replace(ANSWERED, valid=False)])
         self.assert_fails_with(line, "took 1.100s", requests=[replace(ANSWERED, time=2.1)])
         refused = replace(ANSWERED, end=RequestEnd.NOT_RUN)
         self.assert_fails_with(line, "'not run'", requests=[refused])
@@ -127,12 +129,12 @@
 
     def test_too_many_events_fail(self):
         line = "expect at most 3 cell.take events"
-        self.assertEqual(evaluate_line(line, kinds=Counter({"cell.take": 3})), [])
-        self.assert_fails_with(line, "4 cell.take", kinds=Counter({"cell.take": 4}))
+        self.assertEqual(evaluate_line(line, event_counts=Counter({"cell.take": 3})), [])
+        self.assert_fails_with(line, "4 cell.take", event_counts=Counter({"cell.take": 4}))
 
     def test_overcommitted_host_fails(self):
-        breach = Breach(3.0, "w1 holds too much")
-        self.assert_fails_with("expect never overcommitted", "w1", overcommitted=[breach])
+        violation = Violation(3.0, "w1 holds too much")
+        self.assert_fails_with("expect never overcommitted", "w1", overcommitted=[violation])
 
 
 if __name__ == "__main__":
--- a/scenarios/tests/test_kernel.py
+++ b/scenarios/tests/test_kernel.py
@@ -4,7 +4,7 @@
 from typing import Any
 
 from scenarios import model
-from scenarios.kernel import Kernel, Loss, Network
+from scenarios.kernel import CallFailure, Kernel, Network
 
 
 class KernelTest(unittest.TestCase):
@@ -44,43 +44,47 @@
 
     def test_cut_one_way_loses_the_answer_but_not_the_act(self):
         self.network.apply(model.Cut("w1", "entry-a", one_way=True))
-        self.assertEqual(self.call("entry-a/control", "w1"), [Loss("no answer in time", sent=True)])
+        self.assertEqual(
+            self.call("entry-a/control", "w1"), [CallFailure("no answer in time", sent=True)]
+        )
         self.assertEqual(len(self.acts), 1)
         self.assertEqual(self.call("w1", "entry-a/control")[0].detail, "no answer in time")
         self.assertEqual(len(self.acts), 1)
 
     def test_cut_of_one_process_spares_the_other_of_its_host(self):
         self.network.apply(model.Cut("entry-a/control", "table", one_way=False, duration=10.0))
-        self.assertIsInstance(self.call("entry-a/control", "table")[0], Loss)
+        self.assertIsInstance(self.call("entry-a/control", "table")[0], CallFailure)
         self.assertEqual(self.call("entry-a/request", "table"), ["done"])
         self.kernel.run_until(11.0)
         self.assertEqual(self.call("entry-a/control", "table"), ["done"])
 
     def test_paused_target_acts_when_it_wakes_though_the_caller_gave_up(self):
         self.network.apply(model.Pause("w1", 4.0))
-        self.assertEqual(self.call("entry-a", "w1"), [Loss("no answer in time", sent=True)])
+        self.assertEqual(self.call("entry-a", "w1"), [CallFailure("no answer in time", sent=True)])
         self.assertEqual(self.acts, [4.0])
 
     def test_slow_answer_comes_late_or_never(self):
         self.network.apply(model.Slow("entry-a", "table", 0.5))
         self.assertEqual(self.call("entry-a", "table"), ["done"])
         self.network.apply(model.Slow("entry-a", "table", 3.0))
-        self.assertEqual(self.call("entry-a", "table"), [Loss("no answer in time", sent=True)])
+        self.assertEqual(
+            self.call("entry-a", "table"), [CallFailure("no answer in time", sent=True)]
+        )
         self.assertEqual(len(self.acts), 2)
 
     def test_next_answers_are_lost_and_counted(self):
         self.network.apply(model.LoseAnswers("table", "entry-a", 2))
-        lost = Loss("no answer in time", sent=True)
+        lost = CallFailure("no answer in time", sent=True)
         answers = [self.call("entry-a", "table")[0] for _ in range(3)]
         self.assertEqual(answers, [lost, lost, "done"])
         self.assertEqual(len(self.acts), 3)
 
     def test_outage_and_death_refuse_with_nothing_done(self):
         self.network.apply(model.Outage("table", 10.0, "entry-a"))
-        self.assertEqual(self.call("entry-a", "table"), [Loss("refused", sent=False)])
+        self.assertEqual(self.call("entry-a", "table"), [CallFailure("refused", sent=False)])
         self.assertEqual(self.call("entry-b", "table"), ["done"])
         self.network.remove("w1")
-        self.assertEqual(self.call("entry-a", "w1"), [Loss("refused", sent=False)])
+        self.assertEqual(self.call("entry-a", "w1"), [CallFailure("refused", sent=False)])
         self.network.restore("w1")
         self.assertEqual(self.call("entry-a", "w1"), ["done"])
 
--- a/scenarios/tests/test_surroundings.py
+++ b/scenarios/tests/test_process_support.py
@@ -4,7 +4,7 @@
 
 from scenarios.language import parse
 from scenarios.model import ScenarioError
-from scenarios.surroundings import check_able, make_rules, place_hosts
+from scenarios.process_support import check_supported, make_rules, place_hosts
 from standins.faults import Effect
 
 HEAD = 'scenario "x"\nhosts 2 entry, 2 worker, 2 instance, 2 site\nservice verify\n'
@@ -13,7 +13,7 @@
 class SurroundingsTest(unittest.TestCase):
     def check(self, line):
         """Check a scenario of one event."""
-        check_able(parse(f"{HEAD}at 1s {line}\nexpect never two places\n", "x.scenario"))
+        check_supported(parse(f"{HEAD}at 1s {line}\nexpect never two places\n", "x.scenario"))
 
     def test_says_with_its_place_what_processes_can_not_do(self):
         for line in (
--- a/scenarios/world.py
+++ b/scenarios/world.py
@@ -17,17 +17,17 @@
 from expression import Ok
 
 from scenarios import model
-from scenarios.actors import Platform, SimulatedWorker
 from scenarios.check import name_entries
-from scenarios.control import Control
-from scenarios.evidence import Evidence, JobTold, RequestTold
-from scenarios.kernel import Kernel, Loss, Network, Reply, covers
+from scenarios.control_process import ControlProcess
+from scenarios.kernel import CallFailure, Kernel, Network, Reply, covers
 from scenarios.model import Action, JobEnd, RequestEnd, Scenario
-from scenarios.peer import PeerProcess, Surroundings
-from scenarios.requesting import Fronting, SimulatedInstance
+from scenarios.observations import JobOutcome, Observations, RequestOutcome
+from scenarios.peer import PeerProcess, SimulationContext
+from scenarios.request_process import RequestProcess, SimulatedInstance
 from scenarios.script import Script
 from scenarios.signing import make_ring, make_submission
-from scenarios.witness import Witness, describe_work
+from scenarios.simulation import Platform, SimulatedWorker
+from scenarios.table_observer import TableObserver, make_work
 from toucanpin.bundles.acceptance import (
     Accepted,
     Commit,
@@ -47,11 +47,13 @@
 
 JOB_KIND = "master"
 CALLER = "caller"
-CALLER_PAUSE = 1.0
-CALLER_TIMEOUT = 5.0
-CALLER_PATIENCE = 1.0
-LONG_AGO = -1_000.0
-FINAL = frozenset({Reason.NEVER_FITS, Reason.FORBIDDEN, Reason.BAD_REQUEST, Reason.TOO_LARGE})
+CALLER_RETRY_S = 1.0
+CALLER_TIMEOUT_S = 5.0
+CALLER_GRACE_S = 1.0
+BEFORE_START = -1_000.0
+FINAL_REASONS = frozenset(
+    {Reason.NEVER_FITS, Reason.FORBIDDEN, Reason.BAD_REQUEST, Reason.TOO_LARGE}
+)
 
 
 class VirtualWorld:
@@ -62,22 +64,22 @@
         self._kernel = Kernel(scenario.seed)
         self._network = Network(self._kernel)
         self._platform = Platform(self._kernel)
-        self._evidence = Evidence()
-        self._around = Surroundings(
-            self._kernel, self._network, self._platform, self._evidence, make_ring()
+        self._observations = Observations()
+        self._context = SimulationContext(
+            self._kernel, self._network, self._platform, self._observations, make_ring()
         )
-        self._lives: dict[str, int] = {}
+        self._incarnations: dict[str, int] = {}
         self._script = Script(self._read_time)
         self._recorders = [self._script.recorder]
         self._network.recorders[CALLER] = self._script.recorder
         self._script.recorder.record("script.start", {}, f"seed {scenario.seed}")
-        witness = Witness(
-            self._platform.objects.get, self._evidence, scenario.capacity, self._script.names
+        observer = TableObserver(
+            self._platform.objects.get, self._observations, scenario.capacity, self._script.names
         )
-        self._platform.watchers.append(lambda row: witness.see(self._kernel.now, row))
+        self._platform.row_listeners.append(lambda row: observer.observe(self._kernel.now, row))
         self._accept_first_bundle()
         self._hosts = {each.name: each for each in list_hosts(scenario)}
-        self._platform.hosts.replace(LONG_AGO, tuple(self._hosts.values()))
+        self._platform.hosts.replace(BEFORE_START, tuple(self._hosts.values()))
         for name in self._hosts:
             self._start_host(name)
 
@@ -109,19 +111,19 @@
                     process.shut_down()
             case model.StepClock(target, amount):
                 for process in self._find_processes(target):
-                    process.wall_step += amount
+                    process.wall_offset += amount
             case _:
                 self._network.apply(action)
 
-    def close(self) -> Evidence:
+    def close(self) -> Observations:
         """Return what was seen."""
-        self._evidence.ended = self._kernel.now
-        self._evidence.living = {
-            each.name: each.since for each in self._around.peers.values() if each.alive
+        self._observations.ended = self._kernel.now
+        self._observations.running_since = {
+            each.name: each.started_at for each in self._context.peers.values() if each.alive
         }
-        for run in self._evidence.runs:
+        for run in self._observations.runs:
             run.task = self._script.names.get(run.task, run.task)
-        return self._evidence
+        return self._observations
 
     def events(self) -> Iterable[Event]:
         """Return the events of every life of every process, with the scenario's names of jobs."""
@@ -135,44 +137,46 @@
     def _start_host(self, name: str) -> None:
         """Start what runs on a host."""
         if name.startswith("w"):
-            life = self._begin_life(name)
+            incarnation = self._start_incarnation(name)
             worker = SimulatedWorker(
                 self._kernel,
                 self._network,
                 self._platform,
-                self._evidence,
+                self._observations,
                 name,
-                life,
+                incarnation,
                 self._scenario.capacity,
             )
-            self._around.workers[name] = worker
+            self._context.workers[name] = worker
             return
         host = self._hosts[name]
         if host.role is HostRole.INSTANCE:
             served = next(it for it in self._scenario.services if it.service.name == host.service)
-            life = self._begin_life(name)
-            self._around.instances[name] = SimulatedInstance(self._around, name, life, served)
+            incarnation = self._start_incarnation(name)
+            self._context.instances[name] = SimulatedInstance(
+                self._context, name, incarnation, served
+            )
             return
-        self._start_process(Control, f"{name}/control", host.site)
+        self._start_process(ControlProcess, f"{name}/control", host.site)
         if self._scenario.services:
-            self._start_process(Fronting, f"{name}/request", host.site)
+            self._start_process(RequestProcess, f"{name}/request", host.site)
 
     def _start_process(self, kind: type[PeerProcess], name: str, site: str) -> None:
         """Start one process of an entry host."""
-        process = kind(self._around, name, self._begin_life(name), site)
-        self._around.peers[name] = process
+        process = kind(self._context, name, self._start_incarnation(name), site)
+        self._context.peers[name] = process
         self._recorders.append(process.recorder)
         self._network.recorders[name] = process.recorder
 
-    def _begin_life(self, name: str) -> int:
+    def _start_incarnation(self, name: str) -> int:
         """Count a new life of a process."""
-        self._lives[name] = self._lives.get(name, 0) + 1
+        self._incarnations[name] = self._incarnations.get(name, 0) + 1
         self._network.restore(name)
-        return self._lives[name]
+        return self._incarnations[name]
 
     def _kill(self, target: str) -> None:
         """End everything that a target covers."""
-        for name, other in (*self._around.workers.items(), *self._around.instances.items()):
+        for name, other in (*self._context.workers.items(), *self._context.instances.items()):
             if covers(target, name) and other.alive:
                 other.end()
                 self._network.remove(name)
@@ -181,7 +185,7 @@
 
     def _find_processes(self, target: str) -> Iterator[PeerProcess]:
         """Yield the living processes that a target covers."""
-        for name, process in self._around.peers.items():
+        for name, process in self._context.peers.items():
             if covers(target, name) and process.alive:
                 yield process
 
@@ -200,7 +204,7 @@
 
     def _submit(self, action: model.SubmitJob) -> None:
         """Submit a job as its owner does: again under the same key until it is told an end."""
-        work = msgspec.json.encode(describe_work(action.job, action.work)).decode()
+        work = msgspec.json.encode(make_work(action.job, action.work)).decode()
         size = action.size
         request = Submission(
             JOB_KIND,
@@ -213,60 +217,64 @@
         )
         self._script.name_job(action.team, action.job)
 
-        def ask(control: Control, answer: Reply) -> None:
+        def send_call(control: ControlProcess, answer: Reply) -> None:
             """Put the question to a process."""
             control.submit(request, action.job, answer)
 
         def refuse() -> None:
             """Note that the job was refused."""
             now = self._kernel.now
-            self._evidence.jobs.append(JobTold(action.job, now, JobEnd.REFUSED))
+            self._observations.jobs.append(JobOutcome(action.job, now, JobEnd.REFUSED))
 
-        self._insist(action.through, ask, refuse)
+        self._call_until_final(action.through, send_call, refuse)
 
     def _cancel(self, job: str, entry: str) -> None:
         """Ask to cancel a job until it is told an end."""
         name = self._script.find_job(job)
-        self._insist(entry, lambda control, answer: control.cancel(name, answer), lambda: None)
+        self._call_until_final(
+            entry, lambda control, answer: control.cancel(name, answer), lambda: None
+        )
 
     def _send(self, action: model.SendRequest) -> None:
         """Send a request as a caller does, once, and note what the caller is told."""
         sent = self._kernel.now
         name = f"{action.through}/request"
 
-        def hear(outcome: object) -> None:
+        def on_answer(outcome: object) -> None:
             """Note the answer; a caller that hears nothing has to assume that it may have run."""
-            whole = True
+            valid = True
             match outcome:
-                case Loss(sent=False) | Refusal(verdict=Verdict.NOT_RUN):
+                case CallFailure(sent=False) | Refusal(verdict=Verdict.NOT_RUN):
                     end = RequestEnd.NOT_RUN
                 case Response(body=body):
                     end = RequestEnd.ANSWERED
-                    whole = body == action.request.encode()
+                    valid = body == action.request.encode()
                 case _:
                     end = RequestEnd.MAY_HAVE_RUN
             now = self._kernel.now
-            told = RequestTold(action.request, action.through, sent, now, end, whole)
-            self._evidence.requests.append(told)
+            reported = RequestOutcome(action.request, action.through, sent, now, end, valid)
+            self._observations.requests.append(reported)
             self._script.recorder.record("caller.told", {"request": action.request}, end.value)
 
         def handle(answer: Reply) -> None:
             """Let the process that bears the name now decide."""
-            process = self._around.peers[name]
-            if isinstance(process, Fronting):
+            process = self._context.peers[name]
+            if isinstance(process, RequestProcess):
                 process.serve(action, answer)
 
-        self._network.ask(CALLER, name, handle, hear, timeout=action.deadline + CALLER_PATIENCE)
+        self._network.request(
+            CALLER, name, handle, on_answer, timeout=action.deadline + CALLER_GRACE_S
+        )
 
     def _submit_bundle(self, version: int, entry: str, variant: int) -> None:
         """Submit a bundle as an operator does: the same one again until it is told an end."""
         submission = make_submission(self._scenario, version, variant, self._kernel.now)
-        self._offer_bundle(submission, f"{entry}/control", str(version))
+        self._send_bundle(submission, f"{entry}/control", str(version))
 
-    def _offer_bundle(self, submission: BundleSubmission, name: str, version: str) -> None:
+    def _send_bundle(self, submission: BundleSubmission, name: str, version: str) -> None:
         """Submit a bundle through a process, and after a while through another."""
 
-        def hear(outcome: object) -> None:
+        def on_answer(outcome: object) -> None:
             """Note the end, or repeat the submission."""
             match outcome:
                 case Accepted() | Refused() | Conflicted():
@@ -274,43 +282,52 @@
                     ids = {"bundle": version}
                     self._script.recorder.record(kind, ids, submission.operator)
                 case _:
-                    other = self._kernel.random.choice(self._name_controls())
-                    again = partial(self._offer_bundle, submission, other, version)
-                    self._kernel.call_after(CALLER_PAUSE, again)
+                    other = self._kernel.random.choice(self._list_control_processes())
+                    again = partial(self._send_bundle, submission, other, version)
+                    self._kernel.call_after(CALLER_RETRY_S, again)
 
         def handle(answer: Reply) -> None:
             """Let the process that bears the name now decide."""
-            self._around.peers[name].accept(submission, answer)
+            self._context.peers[name].accept(submission, answer)
 
-        self._network.ask(CALLER, name, handle, hear, timeout=CALLER_TIMEOUT)
+        self._network.request(CALLER, name, handle, on_answer, timeout=CALLER_TIMEOUT_S)
 
-    def _name_controls(self) -> list[str]:
+    def _list_control_processes(self) -> list[str]:
         """Return the names of all control processes."""
-        return sorted(name for name in self._around.peers if name.endswith("/control"))
+        return sorted(name for name in self._context.peers if name.endswith("/control"))
 
-    def _insist(
-        self, entry: str, ask: Callable[[Control, Reply], None], refuse: Callable[[], None]
+    def _call_until_final(
+        self,
+        entry: str,
+        send_call: Callable[[ControlProcess, Reply], None],
+        refuse: Callable[[], None],
     ) -> None:
         """Ask through an entry host, and after a while through another, until there is an end."""
-        name = f"{entry}/control" if entry else self._kernel.random.choice(self._name_controls())
+        name = (
+            f"{entry}/control"
+            if entry
+            else self._kernel.random.choice(self._list_control_processes())
+        )
 
         def handle(answer: Reply) -> None:
             """Let the process that bears the name now decide."""
-            process = self._around.peers[name]
-            if isinstance(process, Control):
-                ask(process, answer)
+            process = self._context.peers[name]
+            if isinstance(process, ControlProcess):
+                send_call(process, answer)
 
-        def hear(outcome: Any) -> None:
+        def on_answer(outcome: Any) -> None:
             """Take the answer, or ask again."""
-            if not isinstance(outcome, Loss):
+            if not isinstance(outcome, CallFailure):
                 if outcome.is_ok():
                     return
-                if outcome.error.reason in FINAL:
+                if outcome.error.reason in FINAL_REASONS:
                     refuse()
                     return
-            self._kernel.call_after(CALLER_PAUSE, lambda: self._insist("", ask, refuse))
+            self._kernel.call_after(
+                CALLER_RETRY_S, lambda: self._call_until_final("", send_call, refuse)
+            )
 
-        self._network.ask(CALLER, name, handle, hear, timeout=CALLER_TIMEOUT)
+        self._network.request(CALLER, name, handle, on_answer, timeout=CALLER_TIMEOUT_S)
 
 
 def list_hosts(scenario: Scenario) -> Iterator[ListedHost]:
