--- a/toucanpin/scheduling/tests/fleet.py
+++ b/toucanpin/scheduling/tests/fleet.py
@@ -130,7 +130,7 @@
         entries += [entry for _, entry in self._down]
         listed = [entry for entry in entries if entry.id not in self.unlisted]
         update_workers(self.cell, listed, self.now())
-        self._hold_all()
+        self._poll_workers()
         expire_leases(self.cell, self.now())
         fail_crashing_jobs(self.cell, self.now())
         begin_due(self.cell, self.now())
@@ -151,7 +151,7 @@
         for entry in restarted:
             self.add_worker(f"{entry.id}'", entry.cpu)
 
-    def _hold_all(self) -> None:
+    def _poll_workers(self) -> None:
         for worker in list(self.cell.workers.values()):
             core = self.workers.get(worker.entry.id)
             order = plan_poll(self.cell, worker, self.now())
@@ -164,38 +164,38 @@
             if core.silent:
                 mark_silent(worker)
                 continue
-            held = core.poll(self.cell.token, order.acknowledged, order.deadline, self.time)
-            assert isinstance(held, PollAnswer), held
-            apply_answer(self.cell, worker, held, self.time, self.now())
+            answer = core.poll(self.cell.token, order.acknowledged, order.deadline, self.time)
+            assert isinstance(answer, PollAnswer), answer
+            apply_answer(self.cell, worker, answer, self.time, self.now())
 
     def _send_starts(self) -> None:
-        again = []
+        unsettled = []
         for run in self.pending:
             worker = self.cell.workers.get(run.worker)
             if worker is None or run.phase is not Phase.ORDERED:
                 continue
             deadline = plan_start(self.cell, worker, run, self.now())
             if not deadline:
-                again.append(run)
+                unsettled.append(run)
                 continue
             core = self.workers.get(run.worker)
             if core is None or core.silent:
-                following = apply_start_failure(self.cell, worker, run, False, self.now())
+                outcome = apply_start_failure(self.cell, worker, run, False, self.now())
             elif core.delays_orders:
                 order = (self.time + 6.0, run.task, run.attempt, deadline, self.cell.token)
                 core.delayed_starts.append(order)
-                following = apply_start_failure(self.cell, worker, run, False, self.now())
+                outcome = apply_start_failure(self.cell, worker, run, False, self.now())
             elif run.task in self.crashing:
                 self.crashes.append(run.task)
                 self.crash(run.worker)
-                following = apply_start_failure(self.cell, worker, run, False, self.now())
+                outcome = apply_start_failure(self.cell, worker, run, False, self.now())
             else:
                 token = self.cell.token
                 answer = core.start(run.task, run.attempt, deadline, token, self.time)
-                following = apply_start_answer(self.cell, worker, run, answer, self.now())
-            if following is not StartOutcome.SETTLED:
-                again.append(run)
-        self.pending = again
+                outcome = apply_start_answer(self.cell, worker, run, answer, self.now())
+            if outcome is not StartOutcome.SETTLED:
+                unsettled.append(run)
+        self.pending = unsettled
 
     def _send_orders(self) -> None:
         orders = self.stops + [o for o in self.cell.orders if isinstance(o, StopOrder)]
--- a/toucanpin/scheduling/tests/test_advising.py
+++ b/toucanpin/scheduling/tests/test_advising.py
@@ -25,7 +25,7 @@
         self.fleet.run(0.2)
         self.fleet.submit(make_job(steps=(Step(count=2, cpu=1_000),), advised=True))
 
-    def _ask(self, free: int = 5) -> list[AdviceRequest]:
+    def _plan_requests(self, free: int = 5) -> list[AdviceRequest]:
         for worker in self.fleet.cell.workers.values():
             worker.answered_at = self.fleet.time
         return plan_advice_requests(self.fleet.cell, self.fleet.model, free, self.fleet.now())
@@ -33,30 +33,30 @@
     def test_no_task_is_placed_without_ticket(self) -> None:
         place_tasks(self.fleet.cell, self.fleet.model, self.fleet.now())
         self.assertFalse(self.fleet.cell.placed)
-        (order,) = self._ask()
-        self.assertEqual(3, len(order.workers))
-        self.assertFalse(self._ask(), "one question at a time")
+        (request,) = self._plan_requests()
+        self.assertEqual(3, len(request.workers))
+        self.assertFalse(self._plan_requests(), "one request at a time")
 
     def test_only_approved_workers_get_tasks(self) -> None:
-        (order,) = self._ask()
-        record_advice(self.fleet.cell, order, Advice({"w1": "t1"}, 3.0), self.fleet.now())
+        (request,) = self._plan_requests()
+        record_advice(self.fleet.cell, request, Advice({"w1": "t1"}, 3.0), self.fleet.now())
         place_tasks(self.fleet.cell, self.fleet.model, self.fleet.now())
         self.assertEqual({("w1", "t1")}, {(r.worker, r.ticket) for r in self.fleet.cell.placed})
 
     def test_expiring_ticket_is_not_used(self) -> None:
-        (order,) = self._ask()
-        record_advice(self.fleet.cell, order, Advice({"w1": "t1"}, 3.0), self.fleet.now())
+        (request,) = self._plan_requests()
+        record_advice(self.fleet.cell, request, Advice({"w1": "t1"}, 3.0), self.fleet.now())
         self.fleet.time += 2.8
         self.assertEqual("", find_ticket(self.fleet.cell, GROUP, "w1", self.fleet.now()))
-        (again,) = self._ask()
-        self.assertEqual(("w1",), again.workers)
+        (repeated,) = self._plan_requests()
+        self.assertEqual(("w1",), repeated.workers)
 
     def test_unanswered_request_is_repeated(self) -> None:
-        (order,) = self._ask()
-        record_advice(self.fleet.cell, order, None, self.fleet.now())
-        self.assertFalse(self._ask())
+        (request,) = self._plan_requests()
+        record_advice(self.fleet.cell, request, None, self.fleet.now())
+        self.assertFalse(self._plan_requests())
         self.fleet.time += 0.5
-        self.assertEqual(1, len(self._ask()))
+        self.assertEqual(1, len(self._plan_requests()))
 
     def test_requests_are_ordered_by_urgency(self) -> None:
         """
@@ -66,14 +66,14 @@
         step = Step(cpu=1_000)
         self.fleet.submit(make_job("j0", (step,), advised=True, priority=2))
         self.fleet.submit(make_job("j2", (step,), advised=True, priority=0, accepted=-5_000))
-        orders = self._ask(free=2)
-        self.assertEqual(["j2", "j1"], [order.group.job for order in orders])
+        requests = self._plan_requests(free=2)
+        self.assertEqual(["j2", "j1"], [request.group.job for request in requests])
 
     def test_no_request_names_a_full_worker(self) -> None:
         self.fleet.cell.workers["w0"].memory = 8_000
         self.fleet.submit(make_job("j0", (Step(cpu=100, memory=10),), advised=True))
-        asked = {order.group.job: order.workers for order in self._ask()}
-        self.assertNotIn("w0", asked["j0"])
+        requested = {request.group.job: request.workers for request in self._plan_requests()}
+        self.assertNotIn("w0", requested["j0"])
 
 
 if __name__ == "__main__":
--- a/toucanpin/scheduling/tests/test_crashing.py
+++ b/toucanpin/scheduling/tests/test_crashing.py
@@ -16,7 +16,7 @@
 from toucanpin.scheduling.progress import JobState, encode_progress
 from toucanpin.scheduling.tests.fleet import Fleet, make_job
 
-# A task is started at most twice more after three workers have crashed under it.
+# A task is started at most twice more after it has crashed three workers.
 MAX_STARTS = 5
 
 
@@ -162,9 +162,11 @@
                 worker.duration = 4.0
             fleet.submit(make_job(name, (Step(count=2, cpu=1_000),)))
             fleet.run(0.5)
-            due = [life for life in fleet.workers if life.rstrip("'") in machines]
-            for life in due if fleet.time % 4.0 < 0.5 else ():
-                fleet.crash(life)
+            due = [
+                incarnation for incarnation in fleet.workers if incarnation.rstrip("'") in machines
+            ]
+            for incarnation in due if fleet.time % 4.0 < 0.5 else ():
+                fleet.crash(incarnation)
         fleet.run(40.0)
         self.assertEqual({JobState.COMPLETED}, {fleet.state(name) for name in names})
 
@@ -210,9 +212,9 @@
         for _ in range(4):
             fleet.run(1.0)
             (name,) = [name for name, worker in fleet.workers.items() if worker.runs]
-            leaving = fleet.workers[name]
-            leaving.entry = dataclasses.replace(leaving.entry, ready=False)
-            leaving.delays_orders = True
+            draining = fleet.workers[name]
+            draining.entry = dataclasses.replace(draining.entry, ready=False)
+            draining.delays_orders = True
             fleet.run(0.5)
             fleet.crash(name)
             fleet.run(6.0)
--- a/toucanpin/scheduling/tests/test_durations.py
+++ b/toucanpin/scheduling/tests/test_durations.py
@@ -59,39 +59,39 @@
     def test_predictions_scale_with_durations(self) -> None:
         """Guards against a constant that fits one workload only."""
         self._learn(ESTIMATE_DEVIATION)
-        twice = Durations({})
+        doubled = Durations({})
         self.random.seed(1)
         for _ in range(200):
             took = 3_400 * self.random.lognormvariate(0, 0.5)
-            twice.record(
+            doubled.record(
                 "q", int(took * self.random.lognormvariate(0, ESTIMATE_DEVIATION)), took / 1_000
             )
         for estimate in (300, 1_700, 10_000):
             once = self.durations.predict("q", estimate)
-            self.assertAlmostEqual(2 * once, twice.predict("q", 2 * estimate), delta=once * 0.02)
+            self.assertAlmostEqual(2 * once, doubled.predict("q", 2 * estimate), delta=once * 0.02)
 
 
 class FullLoadTest(unittest.TestCase):
     """Replays a load that four workers can just handle, with inaccurate estimates."""
 
     def _count_late(self) -> int:
-        chooser = random.Random(1)
+        rng = random.Random(1)
         fleet = Fleet(workers=4, cpu=1_000)
         ends: dict[str, float] = {}
         for number in range(JOBS):
-            estimate = int(1_000 * TASK_TIME_S * chooser.lognormvariate(0, ESTIMATE_DEVIATION))
+            estimate = int(1_000 * TASK_TIME_S * rng.lognormvariate(0, ESTIMATE_DEVIATION))
             step = Step(cpu=1_000, estimate=estimate)
             accepted = int(fleet.time * 1_000)
             job = make_job(f"j{number:03}", (step,), accepted=accepted, stretch=STRETCH, aim=AIM_MS)
             fleet.submit(job)
             for _ in range(TURNS_PER_JOB):
                 fleet.run(TURN_S)
-                self._note_ends(fleet, ends)
+                self._record_ends(fleet, ends)
         self.assertGreater(len(ends), 0.9 * JOBS)
         allowed = AIM_MS / 1_000 + STRETCH * TASK_TIME_S
         return sum(end > fleet.jobs[job].accepted / 1_000 + allowed for job, end in ends.items())
 
-    def _note_ends(self, fleet: Fleet, ends: dict[str, float]) -> None:
+    def _record_ends(self, fleet: Fleet, ends: dict[str, float]) -> None:
         for job in fleet.jobs.keys() - ends.keys():
             if job in fleet.rows and decode_progress(fleet.rows[job]).state == JobState.COMPLETED:
                 ends[job] = fleet.time
--- a/toucanpin/scheduling/tests/test_evacuating.py
+++ b/toucanpin/scheduling/tests/test_evacuating.py
@@ -16,7 +16,7 @@
 from toucanpin.scheduling.tests.fleet import Fleet, make_job
 from toucanpin.scheduling.worker import Phase
 
-BOUND = 5.0  # s within which an evacuation has to be in force
+EVACUATION_BOUND_S = 5.0  # s within which an evacuation has to be in force
 
 
 class EvacuatingTest(unittest.TestCase):
@@ -28,7 +28,7 @@
 
     def _evacuate(self, *data_centres: str) -> bool:
         known = EvacuationList(frozenset(data_centres), self.fleet.time + 1_000.0)
-        return apply_evacuations(self.fleet.cell, known, BOUND)
+        return apply_evacuations(self.fleet.cell, known, EVACUATION_BOUND_S)
 
     def test_nothing_starts_in_an_evacuated_data_centre(self) -> None:
         """Guards against tasks that are sent to workers of an evacuated data centre."""
@@ -94,7 +94,11 @@
         """Guards against an owner without access to the store that relies on an outdated list."""
         cell = self.fleet.cell
         self.fleet.submit(make_job())
-        apply_evacuations(cell, EvacuationList(frozenset(), self.fleet.time - BOUND), BOUND)
+        apply_evacuations(
+            cell,
+            EvacuationList(frozenset(), self.fleet.time - EVACUATION_BOUND_S),
+            EVACUATION_BOUND_S,
+        )
         self.assertFalse(has_current_evacuations(cell, self.fleet.now()))
         self.fleet.run(1.0)
         self.assertFalse(self.evacuated_core.starts + self.other_core.starts)
--- a/toucanpin/scheduling/tests/test_long_running.py
+++ b/toucanpin/scheduling/tests/test_long_running.py
@@ -11,7 +11,7 @@
 LONG_RUNNING = Step(cpu=1_000, memory=1_000, long_running=True)
 
 
-class LastingTaskTest(unittest.TestCase):
+class LongRunningTaskTest(unittest.TestCase):
     def setUp(self) -> None:
         self.fleet = Fleet(workers=2, cpu=4_000)
         for worker in self.fleet.workers.values():
@@ -96,8 +96,8 @@
         self.fleet.submit(make_job("lasts", (LONG_RUNNING,), priority=0))
         self.fleet.run(1.0)
         self._fail_task()
-        fill = Step(count=2, cpu=1_000, memory=8_000, best_effort=True, checkpoints=True)
-        self.fleet.submit(make_job("fill", (fill,), priority=2))
+        best_effort = Step(count=2, cpu=1_000, memory=8_000, best_effort=True, checkpoints=True)
+        self.fleet.submit(make_job("fill", (best_effort,), priority=2))
         self.fleet.run(3.0)
         self.assertTrue(self._is_running("lasts"))
 
--- a/toucanpin/scheduling/tests/test_moving.py
+++ b/toucanpin/scheduling/tests/test_moving.py
@@ -56,8 +56,8 @@
         fleet.workers["w1"].duration = 2.0
         fleet.submit(make_job(steps=(Step(count=6, cpu=1_000),)))
         fleet.run(1.9)
-        unheard = next(iter(fleet.cell.workers["w0"].runs.values()))
-        unheard.phase = Phase.ORDERED
+        unreported = next(iter(fleet.cell.workers["w0"].runs.values()))
+        unreported.phase = Phase.ORDERED
         fleet.run(12.0)
         self.assertEqual(JobState.COMPLETED, fleet.state("j1"))
         self.assertFalse(fleet.duplicate_runs)
--- a/toucanpin/scheduling/tests/test_ownership.py
+++ b/toucanpin/scheduling/tests/test_ownership.py
@@ -1,4 +1,4 @@
-"""When a cell may be taken over."""
+"""Takeover of a cell, and reads of its owner's row."""
 
 from __future__ import annotations
 
@@ -87,9 +87,9 @@
         were these reads. Hosts far down the order read rarely while the owner writes, and as often
         as the others once it is silent, since the first successors may have failed too.
         """
-        sound = self._watch([(0.0, 1), (1.2, 4)], OWNER)
-        self.assertEqual(0.4, plan_next_read(sound, 0))
-        self.assertEqual(1.2, plan_next_read(sound, 50))
+        healthy = self._watch([(0.0, 1), (1.2, 4)], OWNER)
+        self.assertEqual(0.4, plan_next_read(healthy, 0))
+        self.assertEqual(1.2, plan_next_read(healthy, 50))
         silent = self._watch([(0.0, 1), (1.2, 1)], OWNER)
         self.assertEqual(0.4, plan_next_read(silent, 50))
         self.assertEqual(0.4, plan_next_read(self._watch([(0.0, 0)], None), 50))
--- a/toucanpin/scheduling/tests/test_pending_counts.py
+++ b/toucanpin/scheduling/tests/test_pending_counts.py
@@ -1,4 +1,4 @@
-"""Which jobs count as pending."""
+"""Jobs that count as pending."""
 
 from __future__ import annotations
 
--- a/toucanpin/scheduling/tests/test_preempting.py
+++ b/toucanpin/scheduling/tests/test_preempting.py
@@ -11,7 +11,7 @@
 from toucanpin.scheduling.progress import JobState
 from toucanpin.scheduling.tests.fleet import Fleet, make_job
 
-STOP = 0.9  # s that workers may take to stop a task
+STOP_TIME_S = 0.9  # s that workers may take to stop a task
 
 
 class PreemptionTest(unittest.TestCase):
@@ -39,31 +39,31 @@
         stops = [e for w in self.fleet.workers.values() for e in w.ended + w.acknowledged_ends]
         self.assertEqual(1, sum(ended.end is RunEnd.STOPPED for ended in stops))
 
-    def test_freed_resources_are_held_during_slow_stop(self) -> None:
+    def test_freed_resources_are_reserved_during_slow_stop(self) -> None:
         """
         Guards against other tasks that take the freed resources while the preempted task is still
         stopping.
         """
-        self.fleet.cell.stop_time = STOP
+        self.fleet.cell.stop_time = STOP_TIME_S
         self.fleet.submit(make_job("slow", (Step(count=4, cpu=2_000),), priority=2))
         self.fleet.run(1.0)
         with patch.object(WorkerCore, "stop", lambda *order: None):
             self.fleet.submit(make_job("urgent", (Step(cpu=2_000),), priority=0))
             self.fleet.run(0.1)
             begun = self.fleet.time
-            keeping = [w for w in self.fleet.cell.workers.values() if w.reserved_until > begun]
-            self.fleet.run(STOP)
-        self.assertEqual(1, len(keeping))
-        self.assertGreater(keeping[0].reserved_until, self.fleet.time)
+            reserved = [w for w in self.fleet.cell.workers.values() if w.reserved_until > begun]
+            self.fleet.run(STOP_TIME_S)
+        self.assertEqual(1, len(reserved))
+        self.assertGreater(reserved[0].reserved_until, self.fleet.time)
 
     def test_stop_is_not_repeated_while_task_may_be_stopping(self) -> None:
         """Guards against stop orders that are sent again and again where stops are slow."""
-        self.fleet.cell.stop_time = STOP
+        self.fleet.cell.stop_time = STOP_TIME_S
         self.fleet.submit(make_job("slow", (Step(count=4, cpu=2_000),), priority=2))
         self.fleet.run(1.0)
         self.fleet.submit(make_job("urgent", (Step(cpu=2_000),), priority=0))
         with patch.object(WorkerCore, "stop") as stop:
-            self.fleet.run(STOP)
+            self.fleet.run(STOP_TIME_S)
         self.assertEqual(1, stop.call_count)
 
     def test_resumable_tasks_are_preempted_first(self) -> None:
@@ -88,8 +88,8 @@
         self.assertEqual(JobState.PENDING, self.fleet.state("urgent"))
 
     def test_best_effort_memory_is_freed(self) -> None:
-        fill = Step(count=2, cpu=1_000, memory=8_000, best_effort=True, checkpoints=True)
-        self.fleet.submit(make_job("fill", (fill,), priority=2))
+        best_effort = Step(count=2, cpu=1_000, memory=8_000, best_effort=True, checkpoints=True)
+        self.fleet.submit(make_job("fill", (best_effort,), priority=2))
         self.fleet.run(1.0)
         self.fleet.submit(make_job("urgent", (Step(cpu=1_000, memory=4_000),), priority=0))
         self.fleet.run(0.5)
--- a/toucanpin/scheduling/tests/test_stale_views.py
+++ b/toucanpin/scheduling/tests/test_stale_views.py
@@ -41,7 +41,7 @@
         self.assertEqual(JobState.COMPLETED, fleet.cell.jobs["j1"].progress.state)
 
 
-class WokenOwnerTest(unittest.TestCase):
+class ResumedOwnerTest(unittest.TestCase):
     def test_tasks_are_not_stalled_for_a_resumed_owner(self) -> None:
         """
         The owner's process is suspended for two seconds and keeps its cell. Guards against stopping
@@ -65,14 +65,14 @@
         """
         fleet = Fleet(workers=1)
         fleet.workers["w0"].duration = 30.0
-        critical = Step(cpu=1_000, long_running=True, target=100, image="serves")
-        best_effort = Step(cpu=1_000, best_effort=True, checkpoints=True, image="fills")
+        critical = Step(cpu=1_000, long_running=True, target=100, image="web")
+        best_effort = Step(cpu=1_000, best_effort=True, checkpoints=True, image="batch")
         fleet.submit(make_job("s", (critical,)))
         fleet.submit(make_job("b", (best_effort,)))
         fleet.run(0.5)
-        (served,) = fleet.cell.runs["s"]
+        (service_run,) = fleet.cell.runs["s"]
         self.assertTrue(fleet.cell.runs["b"])
-        served.measure = 101.0
+        service_run.measure = 101.0
         fleet.cell.workers["w0"].slowed_down_at = fleet.time
         control_pace(fleet.cell, fleet.model, fleet.now())
         fleet.time += 0.25
--- a/toucanpin/scheduling/tests/test_turn_cost.py
+++ b/toucanpin/scheduling/tests/test_turn_cost.py
@@ -27,14 +27,14 @@
         self.fleet = Fleet(workers=WORKERS, cpu=4_000)
         for worker in self.fleet.workers.values():
             worker.duration = 600.0
-        lasting = Step(count=WORKERS - RESERVED, cpu=3_000, long_running=True)
-        self.fleet.submit(make_job("lasts", (lasting,)))
+        long_running_step = Step(count=WORKERS - RESERVED, cpu=3_000, long_running=True)
+        self.fleet.submit(make_job("lasts", (long_running_step,)))
         self.fleet.run(1.0)
         self.fleet.submit(make_job("brief", (Step(count=RESERVED, cpu=3_000),)))
         self.fleet.run(1.0)
         self.assertEqual({3_000}, {worker.cpu for worker in self.fleet.cell.workers.values()})
-        fill = Step(count=WORKERS, cpu=500, best_effort=True, image="f", checkpoints=True)
-        self.fleet.submit(make_job("fills", (fill,), priority=2))
+        best_effort = Step(count=WORKERS, cpu=500, best_effort=True, image="f", checkpoints=True)
+        self.fleet.submit(make_job("fills", (best_effort,), priority=2))
         self.fleet.run(1.0)
 
     def _count(self, name: str) -> int:
@@ -51,9 +51,9 @@
         original = CandidateWorkers._make_entry
         entries = []
 
-        def make_entry(places: CandidateWorkers, number: int) -> object:
+        def make_entry(candidates: CandidateWorkers, number: int) -> object:
             entries.append(number)
-            return original(places, number)
+            return original(candidates, number)
 
         with patch.object(CandidateWorkers, "_make_entry", make_entry):
             place_tasks(self.fleet.cell, self.fleet.model, self.fleet.now())
@@ -145,10 +145,10 @@
         turn's time on a large fleet with ten best-effort steps a second.  The loads behind it are
         measured five times a second.
         """
-        self._submit_fill("g0")
+        self._submit_best_effort("g0")
         place_tasks(self.fleet.cell, self.fleet.model, self.fleet.now())
         self.fleet.time += 0.01
-        self._submit_fill("g1")
+        self._submit_best_effort("g1")
         with patch.object(
             choosing, "estimate_utilization", wraps=choosing.estimate_utilization
         ) as counted:
@@ -156,19 +156,19 @@
         self.assertEqual(0, counted.call_count)
 
     def test_cached_utilization_expires(self) -> None:
-        self._submit_fill("g0")
+        self._submit_best_effort("g0")
         place_tasks(self.fleet.cell, self.fleet.model, self.fleet.now())
         self.fleet.time += 0.25
-        self._submit_fill("g1")
+        self._submit_best_effort("g1")
         with patch.object(
             choosing, "estimate_utilization", wraps=choosing.estimate_utilization
         ) as counted:
             place_tasks(self.fleet.cell, self.fleet.model, self.fleet.now())
         self.assertEqual(WORKERS, counted.call_count)
 
-    def _submit_fill(self, name: str) -> None:
-        fill = Step(count=4, cpu=1_500, best_effort=True, image=name)
-        self.fleet.submit(make_job(name, (fill,), priority=2))
+    def _submit_best_effort(self, name: str) -> None:
+        best_effort = Step(count=4, cpu=1_500, best_effort=True, image=name)
+        self.fleet.submit(make_job(name, (best_effort,), priority=2))
 
     def test_unplaceable_images_are_retried_together(self) -> None:
         """
@@ -178,8 +178,8 @@
         """
         period = UNPLACEABLE_PERIOD_S * WORKERS
         for number in range(3):
-            fill = Step(count=4, cpu=1_500, best_effort=True, image=f"g{number}")
-            self.fleet.submit(make_job(f"g{number}", (fill,), priority=2))
+            best_effort = Step(count=4, cpu=1_500, best_effort=True, image=f"g{number}")
+            self.fleet.submit(make_job(f"g{number}", (best_effort,), priority=2))
             place_tasks(self.fleet.cell, self.fleet.model, self.fleet.now())
             self.fleet.time += period / 4
         turns = 40
--- a/toucanpin/scheduling/tests/test_upkeep.py
+++ b/toucanpin/scheduling/tests/test_upkeep.py
@@ -33,48 +33,48 @@
         begun = int(self.fleet.time * 1_000)
         self.record = WaveRecord(begun, {}, [])
 
-    def _next(self, wave: Wave) -> list[str]:
+    def _list_next(self, wave: Wave) -> list[str]:
         chosen = list_next_workers(
             self.fleet.cell, wave, self.record, self.machines, 2.0, self.fleet.now()
         )
         return [worker.entry.id for worker in chosen]
 
-    def _empty(self, name: str) -> bool:
+    def _drain(self, name: str) -> bool:
         return drain_worker(self.fleet.cell, self.fleet.cell.workers[name], self.fleet.now())
 
     def test_as_few_machines_at_once_as_the_time_allows(self) -> None:
         names = ("m0", "m1", "m2", "m3")
-        self.assertEqual(1, len(self._next(Wave(1, names, 60.0, 4))))
-        self.assertEqual(2, len(self._next(Wave(1, names, 12.0, 4))))
-        self.assertEqual(4, len(self._next(Wave(1, names, 3.0, 4))))
+        self.assertEqual(1, len(self._list_next(Wave(1, names, 60.0, 4))))
+        self.assertEqual(2, len(self._list_next(Wave(1, names, 12.0, 4))))
+        self.assertEqual(4, len(self._list_next(Wave(1, names, 3.0, 4))))
 
     def test_cap_of_the_wave_is_respected(self) -> None:
         wave = Wave(1, ("m0", "m1", "m2", "m3"), 1.0, 2)
         self.record.down = {"m0": "w0"}
-        self.assertEqual(1, len(self._next(wave)))
+        self.assertEqual(1, len(self._list_next(wave)))
         self.record.down = {"m0": "w0", "m1": "w1"}
-        self.assertFalse(self._next(wave))
+        self.assertFalse(self._list_next(wave))
 
     def test_worker_that_loses_least_is_drained_first(self) -> None:
         self.fleet.submit(make_job(steps=(Step(count=3, cpu=1_000, per_worker=1),)))
         self.fleet.run(2.0)
         idle = [name for name, worker in self.fleet.workers.items() if not worker.runs]
-        self.assertEqual(idle, self._next(Wave(1, ("m0", "m1", "m2", "m3"), 60.0, 1)))
+        self.assertEqual(idle, self._list_next(Wave(1, ("m0", "m1", "m2", "m3"), 60.0, 1)))
 
     def test_tasks_without_checkpoints_get_a_grace_period(self) -> None:
         self.fleet.submit(make_job("saves", (Step(cpu=4_000, checkpoints=True),)))
         self.fleet.submit(make_job("plain", (Step(cpu=4_000),)))
         self.fleet.run(0.5)
-        place = {t.job: n for n, w in self.fleet.workers.items() for t in w.runs}
-        for name in place.values():
-            self.assertFalse(self._empty(name))
+        worker_names = {t.job: n for n, w in self.fleet.workers.items() for t in w.runs}
+        for name in worker_names.values():
+            self.assertFalse(self._drain(name))
         self.fleet.run(0.5)
-        self.assertTrue(self._empty(place["saves"]))
-        self.assertFalse(self._empty(place["plain"]))
+        self.assertTrue(self._drain(worker_names["saves"]))
+        self.assertFalse(self._drain(worker_names["plain"]))
         self.fleet.run(2.5)
-        self._empty(place["plain"])
+        self._drain(worker_names["plain"])
         self.fleet.run(0.3)
-        self.assertTrue(self._empty(place["plain"]), "the grace period is limited")
+        self.assertTrue(self._drain(worker_names["plain"]), "the grace period is limited")
 
     def test_max_unavailable_is_respected(self) -> None:
         """
@@ -87,8 +87,8 @@
         holders = [name for name, worker in self.fleet.workers.items() if worker.runs]
         for run in self.fleet.cell.runs["s"]:
             run.percent = 100
-        self._empty(holders[0])
-        self._empty(holders[1])
+        self._drain(holders[0])
+        self._drain(holders[1])
         stops = [order.worker for order in self.fleet.cell.orders]
         self.assertEqual([holders[0]], stops)
 
