--- a/standins/faults.py
+++ b/standins/faults.py
@@ -1,8 +1,8 @@
 """
-Faults that stand-ins bring about
-=================================
+Fault injection
+===============
 
-A plan of rules: for whom, for which operation, how often, and what goes wrong.
+Rules that say which operations of which clients fail, how, and how often.
 """
 
 from __future__ import annotations
@@ -19,11 +19,11 @@
 
 class Effect(enum.Enum):
     """
-    Say what goes wrong.
+    The effect of a fault on an operation.
 
-    ``down`` answers that nothing was done; ``lose-before`` breaks the connection with nothing
-    done; ``lose-after`` does the work and breaks the connection; ``slow`` waits ``delay`` seconds
-    and does the work then, also if the client has given up.
+    ``down`` refuses the operation; ``lose-before`` closes the connection without performing it;
+    ``lose-after`` performs it and closes the connection; ``slow`` performs it after ``delay``
+    seconds, also if the client has given up.
     """
 
     DOWN = "down"
@@ -34,11 +34,11 @@
 
 class Rule(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """
-    Describe one fault.
+    One injected fault.
 
-    ``client`` is a client's name, its address or ANY; ``operation`` is ``read``, ``scan``,
-    ``commit``, ``put``, ``get``, ``names``, ``hosts``, ``poll`` or ANY; ``times`` is how many
-    operations the rule strikes before it is spent.
+    ``client`` is a client's name, its address or WILDCARD; ``operation`` is ``read``, ``scan``,
+    ``commit``, ``put``, ``get``, ``names``, ``hosts``, ``poll`` or WILDCARD; ``times`` is the
+    number of operations that the rule applies to before it is removed.
     """
 
     effect: Effect
@@ -49,13 +49,13 @@
 
 
 class FaultPlan:
-    """Hold the rules in force; the first that matches an operation strikes it."""
+    """The active rules; the first one that matches an operation applies to it."""
 
     def __init__(self, rules: tuple[Rule, ...] = ()) -> None:
         self.rules = rules
 
     def take_rule(self, operation: str, *clients: str) -> Rule | None:
-        """Return the rule that strikes an operation of a client known by these names."""
+        """Return the rule for an operation of a client with these names, and count its use."""
         for index, rule in enumerate(self.rules):
             if matches(rule, operation, clients):
                 self._count_use(index, rule)
@@ -63,7 +63,7 @@
         return None
 
     def _count_use(self, index: int, rule: Rule) -> None:
-        """Count one strike and drop a spent rule."""
+        """Decrement the remaining uses of a rule and remove it after the last."""
         if rule.times == UNLIMITED:
             return
         left = (msgspec.structs.replace(rule, times=rule.times - 1),) if rule.times > 1 else ()
@@ -71,5 +71,5 @@
 
 
 def matches(rule: Rule, operation: str, clients: tuple[str, ...]) -> bool:
-    """Tell whether a rule is meant for this operation and client."""
+    """Return whether a rule matches an operation and a client."""
     return rule.operation in (WILDCARD, operation) and rule.client in (WILDCARD, *clients)
--- a/standins/instance.py
+++ b/standins/instance.py
@@ -18,12 +18,12 @@
 
 class Mode(enum.Enum):
     """
-    Say what goes wrong with a request.
+    The effect of a fault on a request.
 
-    ``reset-before`` breaks the connection and runs nothing; ``reset-after``, ``cut-body`` and
-    ``half-chunk`` run the request first; ``error`` and ``draining`` answer at once and run nothing;
-    ``freeze`` holds the request until the fault is lifted and runs it then; ``refuse`` closes the
-    listening socket.
+    ``reset-before`` resets the connection without running the request; ``reset-after``,
+    ``cut-body`` and ``half-chunk`` run it first; ``error`` and ``draining`` answer at once without
+    running it; ``freeze`` delays it until the fault is cleared; ``refuse`` closes the listening
+    socket.
     """
 
     REFUSE = "refuse"
@@ -39,9 +39,10 @@
 
 class InstanceFault(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """
-    Describe the fault in force, which strikes ``times`` requests.
+    The active fault, which applies to ``times`` requests.
 
-    ``delay`` is in seconds; ``body_bytes`` is how much of the body is sent before the cut.
+    ``delay`` is in seconds; ``body_bytes`` is the number of bytes of the body that are
+    sent before the connection is closed.
     """
 
     mode: Mode
@@ -51,7 +52,7 @@
 
 
 class Outcome(msgspec.Struct, frozen=True):
-    """Answer a request by what follows from the request alone, and say who answered."""
+    """The answer to a request; ``digest`` depends on the request alone."""
 
     service: str
     instance: str
@@ -61,7 +62,7 @@
 
 
 class InstanceCore:
-    """Answer requests, and count how often each ran and how many at a time."""
+    """Run requests, and count the executions of each and the concurrent ones."""
 
     def __init__(self, service: str, name: str, slots: int) -> None:
         self.service = service
@@ -74,17 +75,17 @@
         self.over_slots = 0
 
     def enter(self) -> None:
-        """Count a request that is present, running or waiting for a slot."""
+        """Count a request that runs or waits for a slot."""
         self.active += 1
         self.peak = max(self.peak, self.active)
         self.over_slots += self.active > self.slots
 
     def leave(self) -> None:
-        """Count a request that has gone."""
+        """Count the end of a request."""
         self.active -= 1
 
     def take_fault(self) -> InstanceFault | None:
-        """Return the fault that strikes a request and count it."""
+        """Return the fault that applies to a request, and count its use."""
         fault = self.fault
         if fault is None or fault.times == UNLIMITED:
             return fault
@@ -93,7 +94,7 @@
         return fault
 
     def run(self, request: str, method: str, target: str, body: bytes, padding: int) -> Outcome:
-        """Run a request once more and return its outcome."""
+        """Run a request and return its outcome."""
         self.executions[request] += 1
         content = f"{method} {target}\n".encode() + body
         digest = hashlib.sha256(content).hexdigest()
--- a/standins/instanced.py
+++ b/standins/instanced.py
@@ -2,7 +2,7 @@
 Service instance stand-in as a process
 ======================================
 
-Serves requests on one address and takes faults on another.
+Serves requests on one address and configures faults on another.
 """
 
 from __future__ import annotations
@@ -37,7 +37,7 @@
 
 
 class InstanceService:
-    """Serve requests in slots; ``service_time`` is in seconds."""
+    """Serve requests in a limited number of slots; ``service_time`` is in seconds."""
 
     def __init__(self, core: InstanceCore, service_time: float) -> None:
         self.core = core
@@ -48,7 +48,7 @@
         self._lock = threading.Lock()
 
     def handle(self, request: Request) -> Answer:
-        """Answer one request, or bring about the fault that strikes it."""
+        """Answer one request, or inject the fault that applies to it."""
         with self._lock:
             fault = self.core.take_fault()
         match fault and fault.mode:
@@ -75,7 +75,7 @@
         return response
 
     def control(self, request: Request) -> Answer:
-        """Answer a request of the operator of a test."""
+        """Answer a control request of a test."""
         core = self.core
         match request.method, request.path:
             case "PUT", "/faults":
@@ -119,13 +119,13 @@
         return json_response(outcome)
 
     def _wait_while_frozen(self) -> None:
-        """Wait until the fault is lifted."""
+        """Wait until the fault is cleared."""
         while (fault := self.core.fault) and fault.mode is Mode.FREEZE:
             if self.stopped.wait(FREEZE_POLL_PERIOD_S):
                 return
 
     def _set_fault(self, body: bytes) -> None:
-        """Change the fault in force; null lifts it."""
+        """Replace the active fault; null clears it."""
         fault = msgspec.json.decode(body, type=InstanceFault | None)
         with self._lock:
             self.core.fault = fault
--- a/standins/memory.py
+++ b/standins/memory.py
@@ -1,8 +1,9 @@
 """
-Ports in memory
+In-memory ports
 ===============
 
-The four ports directly over the cores, with the faults of a plan, for unit tests and scenarios.
+The platform's four ports on top of the stand-in cores, with injected faults, for unit tests and
+scenarios.
 """
 
 from __future__ import annotations
@@ -43,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DelayedOperation:
-    """Hold an operation that takes effect after its client has given up."""
+    """An operation that takes effect after its client has given up."""
 
     due: float
     operation: Callable[[], object]
@@ -51,10 +52,10 @@
 
 class FaultyLink:
     """
-    Carry operations to a core under a plan of faults.
+    Call a core, with the faults of a plan.
 
-    ``now`` and ``sleep`` are in seconds; a delay at or over ``timeout`` loses the answer, and the
-    operation takes effect when the delay is over.
+    ``now`` and ``sleep`` are in seconds.  With a delay of at least ``timeout`` the answer is lost
+    and the operation takes effect at the end of the delay.
     """
 
     def __init__(
@@ -73,7 +74,7 @@
     def call(
         self, operation: str, client: str, act: Callable[[], T], *names: str
     ) -> Result[T, StoreFault]:
-        """Carry out one operation, or the fault that strikes it."""
+        """Perform one operation, or inject the fault that applies to it."""
         self.run_delayed()
         rule = self.plan.take_rule(operation, client, *names)
         match rule and rule.effect:
@@ -93,7 +94,7 @@
         return Ok(act())
 
     def run_delayed(self) -> None:
-        """Let the late operations that are due take effect, in the order of their instants."""
+        """Perform the delayed operations that are due, in order of their due times."""
         now = self.now()
         due = sorted((it for it in self._delayed if it.due <= now), key=lambda it: it.due)
         self._delayed = [it for it in self._delayed if it.due > now]
@@ -102,7 +103,7 @@
 
 
 class MemoryTable:
-    """Reach a table core as one client."""
+    """Access a table core as one client."""
 
     def __init__(self, core: TableCore, link: FaultyLink, client: str) -> None:
         self._core = core
@@ -110,15 +111,15 @@
         self._client = client
 
     def read(self, key: str) -> Result[Row | None, StoreFault]:
-        """Read one row, None if absent."""
+        """Return one row, None if it does not exist."""
         return self._link.call("read", self._client, lambda: self._core.read(key))
 
     def scan(self, prefix: str, after: int = 0) -> Result[tuple[Row, ...], StoreFault]:
-        """Read the rows below a prefix that changed after a version."""
+        """Return the rows with a key prefix that changed after a version."""
         return self._link.call("scan", self._client, lambda: self._core.scan(prefix, after))
 
     def commit(self, transaction: Transaction) -> Result[Committed, CommitFault]:
-        """Apply a transaction, all or nothing."""
+        """Apply all writes of a transaction or none."""
         outcome = self._link.call("commit", self._client, lambda: self._core.commit(transaction))
         match outcome:
             case Result(tag="ok", ok=Committed() as committed):
@@ -130,7 +131,7 @@
 
 
 class MemoryObjects:
-    """Reach an object store core as one client."""
+    """Access an object store core as one client."""
 
     def __init__(self, core: ObjectsCore, link: FaultyLink, client: str) -> None:
         self._core = core
@@ -142,16 +143,16 @@
         return self._link.call("put", self._client, lambda: self._core.put(name, body))
 
     def get(self, name: str) -> Result[bytes | None, StoreFault]:
-        """Read an object, None if absent."""
+        """Return an object, None if it does not exist."""
         return self._link.call("get", self._client, lambda: self._core.get(name))
 
     def names(self, prefix: str) -> Result[tuple[str, ...], StoreFault]:
-        """List the names below a prefix."""
+        """Return the object names with a prefix."""
         return self._link.call("names", self._client, lambda: self._core.names(prefix))
 
 
 class MemoryHostList:
-    """Reach a host list core as one client."""
+    """Access a host list core as one client."""
 
     def __init__(self, core: HostListCore, link: FaultyLink, client: str) -> None:
         self._core = core
@@ -159,16 +160,16 @@
         self._client = client
 
     def hosts(self) -> Result[tuple[ListedHost, ...], StoreFault]:
-        """Read the whole list."""
+        """Return the whole list."""
         return self._link.call("hosts", self._client, lambda: self._core.hosts(self._link.now()))
 
 
 class MemoryWorkers:
     """
-    Reach worker cores by name as one client.
+    Access worker cores by name as one client.
 
-    ``lost`` names the workers that are gone.  A rule's client may also be a worker's name.  The
-    workers write to ``objects``.
+    ``stopped`` holds the names of workers that refuse connections.  The client of a fault rule may
+    also be a worker's name.  Workers write to ``objects``.
     """
 
     def __init__(
@@ -182,11 +183,11 @@
         self._paused: dict[str, list[Poll]] = {}
 
     def pause(self, name: str) -> None:
-        """Let a worker make no step; the polls that reach it wait in its socket."""
+        """Pause a worker; the polls that reach it are queued as in its socket."""
         self._paused.setdefault(name, [])
 
     def resume(self, name: str) -> None:
-        """Wake a worker, which then takes the polls that waited."""
+        """Resume a worker, which then handles the queued polls."""
         for poll in self._paused.pop(name, []):
             self.cores[name].poll(self._clock(), poll)
 
@@ -207,7 +208,7 @@
         )
 
     def advance(self) -> None:
-        """Let every worker that is there work up to now."""
+        """Advance every worker that runs up to now."""
         self._link.run_delayed()
         for name, core in self.cores.items():
             if name not in self._paused and name not in self.stopped:
@@ -215,11 +216,11 @@
                 self._run_effects(core)
 
     def _clock(self) -> int:
-        """Return the instant in milliseconds."""
+        """Return the current time in milliseconds."""
         return int(self._link.now() * MILLISECONDS)
 
     def _run_effects(self, core: WorkerCore) -> None:
-        """Do once what a core asks of the object store."""
+        """Perform the object store effects of a core once."""
         for effect in list(core.take_effects()):
             match effect:
                 case Put(name=name, body=body):
--- a/standins/objects.py
+++ b/standins/objects.py
@@ -14,14 +14,14 @@
 
 @dataclass(slots=True)
 class ObjectCounts:
-    """Count what the store was asked."""
+    """Numbers of operations of the object store."""
 
     reads: int = 0
     writes: int = 0
 
 
 class ObjectsCore:
-    """Keep byte strings by name."""
+    """An object store in memory."""
 
     def __init__(self) -> None:
         self.counts = ObjectCounts()
@@ -33,11 +33,11 @@
         self._bodies[name] = body
 
     def get(self, name: str) -> bytes | None:
-        """Read an object."""
+        """Return an object, None if it does not exist."""
         self.counts.reads += 1
         return self._bodies.get(name)
 
     def names(self, prefix: str) -> tuple[str, ...]:
-        """List the names below a prefix."""
+        """Return the object names with a prefix."""
         self.counts.reads += 1
         return tuple(name for name in self._bodies if name.startswith(prefix))
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -52,7 +52,7 @@
 
 
 class PlatformService:
-    """Answer the platform's HTTP dialect over the cores."""
+    """Serve the platform's HTTP interface on top of the stand-in cores."""
 
     def __init__(self, lag: float = 0.0) -> None:
         self.table = TableCore()
@@ -71,7 +71,7 @@
             return Response(HTTPStatus.BAD_REQUEST, str(error).encode(), refused)
 
     def _route(self, request: Request) -> Answer:
-        """Tell the requests of operators, which no fault strikes, from those of clients."""
+        """Route a request; faults apply only to requests of clients, not to control requests."""
         match request.method, request.path:
             case "PUT", "/faults":
                 self.plan.rules = msgspec.json.decode(request.body, type=tuple[Rule, ...])
@@ -96,7 +96,7 @@
         return apply_rule(rule, lambda: self._act(operation, request), self.stopped)
 
     def _act(self, operation: str, request: Request) -> Response:
-        """Carry out one operation of a client."""
+        """Perform one operation of a client."""
         query = request.query
         with self._lock:
             match operation:
@@ -131,7 +131,7 @@
 
 
 def name_operation(request: Request) -> str:
-    """Return the operation that a request asks for, empty if there is none."""
+    """Return the operation of a request, empty if there is none."""
     match request.method, request.path:
         case "GET", "/table/row":
             return "read"
--- a/standins/server.py
+++ b/standins/server.py
@@ -2,7 +2,7 @@
 HTTP server of the stand-ins
 ============================
 
-A thin server with one thread for each connection, which can also break its answers off.
+A small server with one thread for each connection, which can also truncate its answers.
 """
 
 from __future__ import annotations
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """Hold one whole request; header names are in lower case."""
+    """One complete request; header names are in lower case."""
 
     method: str
     path: str
@@ -58,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Response:
-    """Answer a request."""
+    """A complete answer to a request."""
 
     status: int = HTTPStatus.OK
     body: bytes = b""
@@ -67,7 +67,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Disconnect:
-    """Send these bytes and break the connection, with a reset or by closing it."""
+    """Send ``sent`` and close the connection, with a reset if ``reset`` is set."""
 
     sent: bytes = b""
     reset: bool = True
@@ -77,12 +77,12 @@
 
 
 def json_response(value: Any, status: int = HTTPStatus.OK) -> Response:
-    """Answer with a JSON body."""
+    """Return a response with a JSON body."""
     return Response(status, msgspec.json.encode(value), {"Content-Type": "application/json"})
 
 
 def render(response: Response) -> bytes:
-    """Return the bytes of an answer."""
+    """Return the encoded bytes of a response."""
     lines = [f"HTTP/1.1 {int(response.status)} {HTTPStatus(response.status).phrase}"]
     lines += [f"{name}: {value}" for name, value in response.headers.items()]
     if response.status != HTTPStatus.NO_CONTENT:
@@ -91,13 +91,13 @@
 
 
 def take_rule(plan: FaultPlan, operation: str, request: Request) -> Rule | None:
-    """Return the rule that strikes a request of its client, by name or address."""
+    """Return the rule for a request of its client, matched by name or address."""
     name = request.headers.get(CLIENT_HEADER.lower(), "")
     return plan.take_rule(operation, name, request.address)
 
 
 def apply_rule(rule: Rule | None, act: Callable[[], Response], stopped: threading.Event) -> Answer:
-    """Answer a request, or bring about the fault that strikes it."""
+    """Answer a request, or inject the fault of a rule."""
     match rule and rule.effect:
         case Effect.DOWN:
             return Response(HTTPStatus.SERVICE_UNAVAILABLE, b"", {EFFECT_HEADER: EFFECT_NONE})
@@ -112,7 +112,7 @@
 
 
 class Handler(BaseHTTPRequestHandler):
-    """Read requests of one connection and answer them."""
+    """Answer the requests of one connection."""
 
     protocol_version = "HTTP/1.1"
     disable_nagle_algorithm = True
@@ -141,10 +141,10 @@
                 self._disconnect(reset)
 
     def log_message(self, format: str, *args: Any) -> None:
-        """Log nothing."""
+        """Suppress the access log."""
 
     def _read_body(self) -> bytes | None:
-        """Read the whole body, None if the client left in the middle."""
+        """Return the request body, None if the client disconnected before its end."""
         if self.headers.get("Transfer-Encoding", "").lower() == "chunked":
             return self._read_chunks()
         length = int(self.headers.get("Content-Length", "0"))
@@ -152,7 +152,7 @@
         return body if len(body) == length else None
 
     def _read_chunks(self) -> bytes | None:
-        """Read a chunked body, None if the client left in the middle."""
+        """Return a chunked body, None if the client disconnected before its end."""
         parts: list[bytes] = []
         while True:
             line = self.rfile.readline()
@@ -167,7 +167,7 @@
             parts.append(part[:-2])
 
     def _write(self, content: bytes) -> None:
-        """Send bytes, unless the client has left."""
+        """Send bytes unless the client has disconnected."""
         try:
             self.wfile.write(content)
         except OSError:
@@ -187,7 +187,7 @@
 
 @dataclass(slots=True)
 class ConnectionCounts:
-    """Count connections: open now, most at a time, and closed because over the limit."""
+    """Numbers of connections: open now, the maximum so far, and rejected over the limit."""
 
     open: int = 0
     peak: int = 0
@@ -216,7 +216,7 @@
         self._lock = threading.Lock()
 
     def verify_request(self, request: Any, client_address: Any) -> bool:
-        """Count a connection and close one that is over the limit."""
+        """Count a connection; return False to close it if the limit is reached."""
         with self._lock:
             counts = self.counts
             if counts.open >= self.limit:
@@ -235,11 +235,11 @@
                 self.counts.open -= 1
 
     def handle_error(self, request: Any, client_address: Any) -> None:
-        """Let a broken connection end in silence."""
+        """Suppress the traceback of a broken connection."""
 
 
 class Server:
-    """Listen on one address, and stop listening on demand."""
+    """Listen on one address; listening can be stopped and restarted."""
 
     def __init__(
         self,
@@ -255,33 +255,33 @@
         self._listening = False
 
     def start(self) -> None:
-        """Accept connections in a thread of its own."""
+        """Accept connections in a separate thread."""
         self._listening = True
         loop = threading.Thread(target=self.listener.serve_forever, args=(0.05,), daemon=True)
         loop.start()
 
     def stop(self) -> None:
-        """Close the listening socket; open connections live on."""
+        """Close the listening socket; open connections continue."""
         if self._listening:
             self._listening = False
             self.listener.shutdown()
             self.listener.server_close()
 
     def restart(self) -> None:
-        """Listen anew after a stop."""
+        """Listen again after a stop."""
         if not self._listening:
             self.listener = Listener(self.address, self._handle, self._connections, self.counts)
             self.start()
 
 
 def parse_address(text: str) -> tuple[str, int]:
-    """Read ``IP:PORT``."""
+    """Parse ``IP:PORT``."""
     host, _, port = text.rpartition(":")
     return host, int(port)
 
 
 def get_object_name(path: str, prefix: str) -> str:
-    """Return the name that follows a prefix of a path."""
+    """Return the decoded object name after a path prefix."""
     return unquote(path.removeprefix(prefix))
 
 
--- a/standins/site/__init__.py
+++ b/standins/site/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins of the users' platform: its store and its workers, spoken to by the published calls."""
+"""Stand-ins for the users' platform: store, machines and workers with their HTTP interfaces."""
--- a/standins/site/machines.py
+++ b/standins/site/machines.py
@@ -2,7 +2,7 @@
 Machines
 ========
 
-The platform's machines: a list of them, and upkeep that replaces the worker on one.
+The platform's machine service: it lists machines, and upkeep of a machine replaces its worker.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 class SiteMachines:
-    """Answer calls about machines, each of which is one worker of a site at a time."""
+    """Serve the machines of a site, each of which runs one worker at a time."""
 
     def __init__(self, site: Site, upkeep: float = 0.3) -> None:
         self._site = site
@@ -31,26 +31,26 @@
         self.orders: list[tuple[str, str, int]] = []
         self.max_down = 0
         self.lose_answers = 0
-        self.refuse_orders = 0  # so many orders are answered with 503, and nothing is done
+        self.refuse_orders = 0  # number of orders to refuse with 503
         self.refused: list[str] = []
         self.unknown_orders: dict[str, int] = (
             {}
-        )  # so many orders are answered as if not of their wave
-        self.omissions: dict[str, int] = {}  # so many lists leave a machine out
-        self.states: dict[str, str] = {}  # shown whatever the machine does
+        )  # orders to refuse as not of their wave, by machine
+        self.omissions: dict[str, int] = {}  # number of lists that omit a machine
+        self.states: dict[str, str] = {}  # states shown instead of the actual ones
 
     async def listen(self, address: str) -> None:
-        """Listen for calls."""
+        """Listen on an address."""
         await self._server.listen(address)
 
     async def close(self) -> None:
-        """End everything."""
+        """Cancel all upkeep and stop listening."""
         for task in self._tasks:
             task.cancel()
         await self._server.drain(0.0)
 
     def add(self, name: str, worker: SiteWorker) -> None:
-        """Add a machine that is a worker now."""
+        """Add a machine that runs a worker."""
         self.workers[name] = worker
 
     async def _handle(self, request: Request) -> Response | None:
--- a/standins/site/site.py
+++ b/standins/site/site.py
@@ -1,8 +1,8 @@
 """
-A small site
-============
+Site
+====
 
-Entry hosts, a store and workers in one event loop, on addresses of this machine.
+Entry hosts, a store and workers in one event loop, on loopback addresses.
 """
 
 from __future__ import annotations
@@ -28,8 +28,8 @@
 PREFIX = "/jobs/"
 HOST = "site.example"
 FIRST_PORT = 11_000
-PORTS_PER_PROCESS = 200  # of one process
-PORT_RANGES = 100  # of processes; all end below the ports of outgoing connections
+PORTS_PER_PROCESS = 200
+PORT_RANGES = 100  # all ranges end below the ports of outgoing connections
 _counter = itertools.count()
 
 
@@ -37,8 +37,8 @@
     """
     Return a port of 127.0.0.1 that nothing listens on.
 
-    Left to the system, ports come from those of outgoing connections, and another process may take
-    one before it is listened on.  So each process has some of its own below these.
+    The system would choose from the ports of outgoing connections, where another process may take a
+    port before a server listens on it.  Therefore each process has a range of its own below these.
     """
     first = FIRST_PORT + os.getpid() % PORT_RANGES * PORTS_PER_PROCESS
     for _ in range(PORTS_PER_PROCESS):
@@ -49,11 +49,11 @@
             except OSError:
                 continue
             return port
-    raise OSError(f"no port from {first} on is free")
+    raise OSError(f"no free port from {first} to {first + PORTS_PER_PROCESS - 1}")
 
 
 class Site:
-    """Run hosts and workers against one store."""
+    """Entry hosts and workers that share one store."""
 
     def __init__(self, machines: str = "") -> None:
         self.machines = machines
@@ -65,7 +65,7 @@
         self._servers: list = []
 
     def configure(self, version: int = 1, prefix: str = PREFIX) -> None:
-        """Write a configuration with one queue."""
+        """Store a configuration with one queue."""
         route = {
             "name": "q",
             "host": HOST,
@@ -78,15 +78,15 @@
         self.store.put("op", "config", msgspec.json.encode(document))
 
     def evacuate(self, data_centre: str) -> None:
-        """Ask as operators do that nothing more starts in a data centre."""
+        """Start the evacuation of a data centre, as an operator does."""
         self.store.put("op", f"evacuate/{data_centre}", b"{}")
 
     def cancel_evacuation(self, data_centre: str) -> None:
-        """End a data centre's evacuation."""
+        """End the evacuation of a data centre."""
         self.store.delete("op", f"evacuate/{data_centre}")
 
     async def add_host(self, cores: float = 1.0) -> EntryProcess:
-        """Start an entry host with a store address of its own."""
+        """Start an entry host with its own address of the store."""
         address = f"127.0.0.1:{free_port()}"
         faults = StoreFaults()
         self._servers.append(await self.store.listen(address, faults))
@@ -120,7 +120,7 @@
         address: str = "",
         data_centre: str = "dc",
     ) -> SiteWorker:
-        """Start a worker, or another life of one at its address."""
+        """Start a worker, or a new incarnation of one at its address."""
         name = f"w{len(self.workers)}"
         address = address or f"127.0.0.1:{free_port()}"
         entry = WorkerEntry(name, "c", address, data_centre, True, cpu, 8_000, 0)
@@ -131,7 +131,7 @@
         return worker
 
     async def close(self) -> None:
-        """End everything."""
+        """Stop all hosts, workers and servers."""
         for host in self.hosts:
             await host.abort()
         for worker in self.workers:
@@ -144,24 +144,24 @@
     async def call(
         self, method: str, path: str, body: bytes = b"", host: int = 0, deadline: int = 3_000
     ) -> Answer:
-        """Call a host as a caller does."""
+        """Send a caller's request to a host."""
         headers = (("Host", HOST), ("X-Deadline-Ms", str(deadline)))
         return await self.clients[host].call(method, path, body, headers, 10.0)
 
     async def submit(
         self, job: str = JOB, host: int = 0, deadline: int = 3_000, **step: object
     ) -> Answer:
-        """Hand in a job of one step."""
+        """Submit a job with one step."""
         body = {"spec": "work", "pipeline": [{"count": 1, "cpu": 1_000, **step}]}
         return await self.call("POST", PREFIX + job, msgspec.json.encode(body), host, deadline)
 
     async def state(self, job: str = JOB, host: int = 0) -> str:
-        """Ask for a job's state."""
+        """Return the state of a job, empty if it is unknown."""
         answer = await self.call("GET", PREFIX + job, host=host)
         return msgspec.json.decode(answer.body)["state"] if answer.status == 200 else ""
 
     async def wait_until(self, condition: Callable, turns: int = 300) -> bool:
-        """Wait until a condition holds, for a bounded number of turns."""
+        """Return whether a condition holds within a number of turns of 50 ms."""
         for _ in range(turns):
             found = condition()
             if asyncio.iscoroutine(found):
@@ -172,7 +172,7 @@
         return False
 
     async def wait_for_state(self, state: str, job: str = JOB, host: int = 0) -> bool:
-        """Wait until a job is in a state."""
+        """Return whether a job reaches a state in time."""
 
         async def check() -> bool:
             return await self.state(job, host) == state
@@ -180,7 +180,7 @@
         return await self.wait_until(check)
 
     async def wait_until_ready(self, host: int = 0) -> bool:
-        """Wait until a host knows a configuration."""
+        """Return whether a host loads a configuration in time."""
 
         async def check() -> bool:
             return (await self.call("GET", PREFIX, host=host)).status == 200
--- a/standins/site/store.py
+++ b/standins/site/store.py
@@ -2,7 +2,7 @@
 Store
 =====
 
-Rows in tables with conditional transactions and a feed, on as many addresses as a test needs.
+Tables with conditional transactions and a change feed, served on any number of addresses.
 """
 
 from __future__ import annotations
@@ -29,16 +29,16 @@
 
 @dataclass(slots=True)
 class StoreFaults:
-    """Say how one address of the store misbehaves."""
+    """Injected faults of one address of the store."""
 
-    status: int = 0  # status of every answer, 0 for none
+    status: int = 0  # HTTP status of every answer, 0 to answer normally
     silent: bool = False
-    lose_writes: int = 0  # so many transactions are done and not answered
-    late_writes: int = 0  # so many transactions are done later, without an answer
+    lose_writes: int = 0  # number of transactions to apply without an answer
+    late_writes: int = 0  # number of transactions to apply late and without an answer
     late_delay: float = 1.0  # s
-    unavailable_table: str = ""  # table of which ranges aren't read
-    unavailable_feed: str = ""  # table whose changes aren't told
-    failed_reads: int = 0  # ranges that weren't read
+    unavailable_table: str = ""  # table whose reads fail
+    unavailable_feed: str = ""  # table whose feed fails
+    failed_reads: int = 0  # number of reads that failed
 
 
 @dataclass(slots=True)
@@ -58,21 +58,21 @@
 
 @dataclass(slots=True)
 class SiteStore:
-    """Keep rows; each address has faults of its own, so that single hosts can be turned away."""
+    """Versioned rows; each address has its own faults, so that they can affect a single host."""
 
     rows: SortedDict[tuple[str, str, str], _Stored] = field(default_factory=SortedDict)
     version: int = 0
     changes: list[_Change] = field(default_factory=list)
     forgotten_version: int = 0
-    hides_changes: bool = False  # changes aren't told of, as if there were none
+    hides_changes: bool = False  # the feed reports no changes
     changed: asyncio.Event = field(default_factory=asyncio.Event)
     started_at: float = field(default_factory=time.monotonic)
     transactions: int = 0
-    read_counts: Counter[str] = field(default_factory=Counter)  # reads by table
-    row_counts: Counter[str] = field(default_factory=Counter)  # rows of their answers by table
+    read_counts: Counter[str] = field(default_factory=Counter)  # number of reads by table
+    row_counts: Counter[str] = field(default_factory=Counter)  # number of returned rows by table
 
     async def listen(self, address: str, faults: StoreFaults) -> Server:
-        """Serve one address under its own faults."""
+        """Serve an address with its own faults."""
 
         async def handle(request: Request) -> Response | None:
             return await self._handle(request, faults)
@@ -86,11 +86,11 @@
         self._apply([(table, part, key, value)])
 
     def delete(self, table: str, key: str, part: str = "") -> None:
-        """Drop a row."""
+        """Delete a row."""
         self._apply([(table, part, key, None)])
 
     def forget_history(self) -> None:
-        """Forget all changes so far."""
+        """Drop the history, so that older versions can no longer be followed."""
         self.changes.clear()
         self.forgotten_version = self.version
 
--- a/standins/site/worker.py
+++ b/standins/site/worker.py
@@ -2,7 +2,7 @@
 Worker
 ======
 
-A worker that registers in the store and takes orders over HTTP.
+A worker that registers itself in the store and receives orders over HTTP.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 __all__ = ["SiteWorker"]
 
-TICK_S = 0.02  # s between looks at what has ended
+TICK_S = 0.02  # period of checks for ended runs
 _REASONS = {
     RefusalReason.FENCED: "fence",
     RefusalReason.OLD_ATTEMPT: "old",
@@ -31,7 +31,7 @@
 
 
 class SiteWorker:
-    """Serve one worker's calls."""
+    """Serve the HTTP interface of one worker."""
 
     def __init__(self, store: SiteStore, entry: WorkerEntry) -> None:
         self.core = WorkerCore(entry)
@@ -54,18 +54,18 @@
         self._task = asyncio.ensure_future(self._advance())
 
     async def stop(self) -> None:
-        """End without a word."""
+        """Stop without removing the worker's entry."""
         if self._task is not None:
             self._task.cancel()
         await self._server.drain(0.0)
 
     async def leave(self) -> None:
-        """End, and let the entry go."""
+        """Stop and remove the worker's entry from the store."""
         await self.stop()
         self._store.delete("servers", self.core.entry.id)
 
     def register(self) -> None:
-        """Write the worker's entry."""
+        """Write the worker's entry to the store."""
         entry = self.core.entry
         fields = {
             "service": entry.service,
--- a/standins/site/worker_core.py
+++ b/standins/site/worker_core.py
@@ -2,7 +2,7 @@
 Core of a worker
 ================
 
-What a worker of the platform does with orders; time is an argument.
+A worker's handling of orders, with the time as an argument.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 @dataclass(slots=True)
 class Run:
-    """Hold one run that a worker carries out."""
+    """One running attempt of a task."""
 
     attempt: int
     started: float
@@ -35,7 +35,7 @@
 
 @dataclass(slots=True)
 class WorkerCore:
-    """Carry out orders as the platform's workers do, on a clock that is an argument."""
+    """Carry out orders as the platform's workers do."""
 
     entry: WorkerEntry
     token: int = 0
@@ -48,7 +48,7 @@
     silent: bool = False
     delays_orders: bool = False
     failing: bool = False
-    refusing: int = 0  # so many starts are refused
+    refusing: int = 0  # number of starts to refuse
     refusal: RefusalReason = RefusalReason.NO_ROOM
     acknowledged_ends: list[EndedRun] = field(default_factory=list)
     stuck: bool = False
@@ -59,7 +59,7 @@
     def start(
         self, task: TaskKey, attempt: int, deadline: int, token: int, now: float
     ) -> StartAnswer:
-        """Start a task, or say why not."""
+        """Start a task, or return the reason for refusing it."""
         clock = int(now * 1_000)
         if token < self.token:
             return StartAnswer(clock, RefusalReason.FENCED)
@@ -80,7 +80,7 @@
         return StartAnswer(clock, None)
 
     def stop(self, task: TaskKey, attempt: int, token: int) -> RefusalReason | None:
-        """Stop an attempt for good."""
+        """Stop an attempt and all lower ones of its task."""
         if token < self.token:
             return RefusalReason.FENCED
         self.highest[task] = max(self.highest.get(task, 0), attempt)
@@ -92,7 +92,7 @@
     def poll(
         self, token: int, acknowledged: int, deadline: int, now: float
     ) -> PollAnswer | RefusalReason:
-        """Renew the lease, forget acknowledged ends, and list what is left."""
+        """Renew the lease, drop acknowledged ends and report the running tasks and other ends."""
         if token < self.token:
             return RefusalReason.FENCED
         self.token = token
@@ -107,20 +107,20 @@
         return PollAnswer(int(now * 1_000), running, tuple(self.ended))
 
     def percent(self, run: Run, now: float) -> int:
-        """Return how far a run has come."""
+        """Return the progress of a run in percent."""
         if self.stuck:
             return 0
         return min(99, int(100 * (now - run.started) / run.duration))
 
     def end(self, task: TaskKey, end: RunEnd) -> None:
-        """End a run."""
+        """End a run and record how it ended."""
         run = self.runs.pop(task)
         self.highest[task] = max(self.highest.get(task, 0), run.attempt)
         self.sequence += 1
         self.ended.append(EndedRun(self.sequence, task, run.attempt, end, ""))
 
     def advance(self, now: float) -> None:
-        """Carry out late orders, and end what has lapsed, failed or is done."""
+        """Carry out delayed starts, and end the runs that lapsed, failed or finished."""
         for order in [order for order in self.delayed_starts if order[0] <= now]:
             self.delayed_starts.remove(order)
             _, task, attempt, deadline, token = order
--- a/standins/table.py
+++ b/standins/table.py
@@ -25,7 +25,7 @@
 
 @dataclass(slots=True)
 class TableCounts:
-    """Count what the table was asked; a scan is one read, a refused commit a conflict."""
+    """Numbers of operations; a scan counts as one read, a rejected commit as one conflict."""
 
     reads: int = 0
     rows_read: int = 0
@@ -35,7 +35,7 @@
 
 
 class TableCore:
-    """Keep rows in key order under one sequence of commits."""
+    """A table of versioned rows, ordered by key."""
 
     def __init__(self) -> None:
         self.counts = TableCounts()
@@ -43,21 +43,21 @@
         self._version = ABSENT
 
     def read(self, key: str) -> Row | None:
-        """Read one row."""
+        """Return one row, None if it does not exist."""
         row = self._rows.get(key)
         self.counts.reads += 1
         self.counts.rows_read += row is not None
         return row
 
     def scan(self, prefix: str, after: int = 0) -> tuple[Row, ...]:
-        """Read the rows below a prefix that changed after a version."""
+        """Return the rows with a key prefix that changed after a version."""
         rows = tuple(row for row in self._iter_prefix(prefix) if row.version > after)
         self.counts.reads += 1
         self.counts.rows_read += len(rows)
         return rows
 
     def commit(self, transaction: Transaction) -> Committed | Conflict:
-        """Apply all writes or none; raise ValueError for a transaction that breaks the limits."""
+        """Apply all writes or none; raise ValueError if the transaction exceeds the limits."""
         check_transaction(transaction.writes)
         stale = tuple(self._find_stale(transaction.writes))
         if stale:
@@ -71,21 +71,21 @@
         return Committed(self._version)
 
     def _iter_prefix(self, prefix: str) -> Iterator[Row]:
-        """Yield the rows below a prefix in key order."""
+        """Yield the rows with a key prefix in key order."""
         for key in self._rows.irange(minimum=prefix):
             if not key.startswith(prefix):
                 return
             yield self._rows[key]
 
     def _find_stale(self, writes: tuple[Write, ...]) -> Iterator[Row]:
-        """Yield the rows that aren't at the expected version."""
+        """Yield the rows that are not at the expected version."""
         for write in writes:
             row = self._rows.get(write.key, Row(write.key, ABSENT, b""))
             if row.version != write.expected:
                 yield row
 
     def _apply(self, write: Write) -> None:
-        """Change one row."""
+        """Apply one write."""
         self.counts.rows_written += 1
         if write.value is None:
             self._rows.pop(write.key, None)
@@ -94,7 +94,7 @@
 
 
 def check_transaction(writes: tuple[Write, ...]) -> None:
-    """Raise ValueError if there are too many writes, none, or two of one row."""
+    """Raise ValueError if there are no or too many writes, or two writes to one row."""
     if not 0 < len(writes) <= MAX_TRANSACTION_ROWS:
         raise ValueError(f"a transaction has 1 to {MAX_TRANSACTION_ROWS} rows, not {len(writes)}")
     if len({write.key for write in writes}) != len(writes):
--- a/standins/tests/test_memory.py
+++ b/standins/tests/test_memory.py
@@ -1,4 +1,4 @@
-"""Tests of the ports in memory: versions, transactions and faults."""
+"""Tests of the in-memory ports: versions, transactions and faults."""
 
 import unittest
 
@@ -41,14 +41,14 @@
         self.link = FaultyLink(self.clock, FaultPlan(), self.clock.sleep, timeout=2.0)
         self.table = MemoryTable(self.core, self.link, "e1/control")
 
-    def test_versions_grow_over_all_rows(self):
+    def test_versions_increase_across_rows(self):
         first = self.table.commit(put("a", "b")).ok.version
         second = self.table.commit(put("c")).ok.version
         self.assertGreater(second, first)
         self.assertEqual([row.version for row in self.table.scan("").ok], [first, first, second])
         self.assertEqual([row.key for row in self.table.scan("", after=first).ok], ["c"])
 
-    def test_one_stale_row_stops_the_whole_transaction(self):
+    def test_one_stale_row_rejects_the_whole_transaction(self):
         version = self.table.commit(put("a")).ok.version
         writes = (Write("a", version, b"new"), Write("b", 5, b"new"), Write("c", 0, b"new"))
         conflict = self.table.commit(Transaction("t", writes)).error
@@ -56,7 +56,7 @@
         self.assertEqual([(row.key, row.version) for row in conflict.rows], [("b", 0)])
         self.assertEqual([row.value for row in self.table.scan("").ok], [b"v"])
 
-    def test_check_leaves_the_row_and_guards_the_rest(self):
+    def test_check_only_write_keeps_the_row_and_guards_the_others(self):
         version = self.table.commit(put("a")).ok.version
         checked = Transaction("t", (Write("a", version, None, True), Write("b", 0, b"v")))
         self.table.commit(checked)
@@ -65,7 +65,7 @@
         self.assertIsInstance(self.table.commit(stale).error, Conflict)
         self.assertIsNone(self.table.read("c").ok)
 
-    def test_deleted_row_may_be_made_anew(self):
+    def test_deleted_row_can_be_created_again(self):
         version = self.table.commit(put("a")).ok.version
         self.table.commit(Transaction("t", (Write("a", version, None),)))
         self.assertIsNone(self.table.read("a").ok)
@@ -80,10 +80,10 @@
         self.table.commit(put("cell/1", "cell/2", "cells", "job/1"))
         self.assertEqual([row.key for row in self.table.scan("cell/").ok], ["cell/1", "cell/2"])
 
-    def test_lost_answers_on_both_sides_of_the_effect(self):
+    def test_lost_answer_is_unknown_before_and_after_the_effect(self):
         """
-        Two commits lose their answers, one before and one after it applied.  The client can't tell
-        them apart and sees the same fault; only reading back shows which row is there.
+        Two commits lose their answers, one before and one after it was applied.  The client cannot
+        distinguish them and gets the same fault; only reading back shows which row exists.
         """
         lost = (Effect.LOSE_BEFORE, Effect.LOSE_AFTER)
         self.link.plan.rules = tuple(Rule(it, operation="commit", times=1) for it in lost)
@@ -93,8 +93,8 @@
 
     def test_commit_takes_effect_after_its_client_gave_up(self):
         """
-        The store is slow.  The client waits for its timeout, reads back and sees no row; the row
-        comes later.  A client that believes the first reading would lose what then appears.
+        The client of a slow store times out, reads back and sees no row, which appears later.
+        Guards against treating that first read as final.
         """
         self.link.plan.rules = (Rule(Effect.SLOW, operation="commit", times=1, delay=5.0),)
         self.assertIsInstance(self.table.commit(put("a")).error, Unknown)
@@ -102,7 +102,7 @@
         self.clock.sleep(3.0)
         self.assertIsNotNone(self.table.read("a").ok)
 
-    def test_one_client_is_cut_off(self):
+    def test_fault_of_one_client_spares_the_others(self):
         self.link.plan.rules = (Rule(Effect.DOWN, client="e1/control"),)
         other = MemoryTable(self.core, self.link, "e2/control")
         self.assertIsInstance(self.table.commit(put("a")).error, Unavailable)
@@ -118,7 +118,7 @@
 
 
 class OtherPortsTest(unittest.TestCase):
-    def test_host_list_lags(self):
+    def test_host_list_changes_are_visible_after_the_lag(self):
         clock = Clock()
         core = HostListCore(lag=3.0)
         hosts = MemoryHostList(core, FaultyLink(clock), "e1")
--- a/standins/tests/test_processes.py
+++ b/standins/tests/test_processes.py
@@ -28,7 +28,7 @@
 
 class ProcessTest(unittest.TestCase):
     def launch(self, module, *arguments):
-        """Start a stand-in and return its addresses; it must end with 0 on SIGTERM."""
+        """Start a stand-in and return its addresses; it must exit with 0 on SIGTERM."""
         command = [sys.executable, "-m", module, *arguments]
         process = subprocess.Popen(command, stdout=subprocess.PIPE)
         assert process.stdout is not None
@@ -53,8 +53,8 @@
 
     def test_table_under_faults(self):
         """
-        One entry host is cut off, then its commit loses the answer after it was applied.  The other
-        host works on, and finds the row that the first can't be sure of.
+        One entry host is cut off, then its commit loses the answer after it was applied.  Another
+        host is not affected and reads the row whose commit is uncertain.
         """
         table = self.use(HttpTable(self.url, "e1/control"))
         other = self.use(HttpTable(self.url, "e2/control"))
@@ -76,7 +76,7 @@
         counts = msgspec.json.decode(HTTP.request("GET", f"{self.url}/counts").data)
         self.assertEqual(counts["table"]["writes"], 2)
 
-    def test_bad_transaction_states_that_it_had_no_effect(self):
+    def test_invalid_transaction_is_reported_without_effect(self):
         table = self.use(HttpTable(self.url, "e1"))
         self.assertIsInstance(table.commit(Transaction("t", ())).error, Unavailable)
 
@@ -94,7 +94,7 @@
 
 
 class WorkerTest(ProcessTest):
-    def test_job_through_the_adapters(self):
+    def test_job_through_the_http_adapters(self):
         (store,) = self.launch("standins.platform")
         (address,) = self.launch("standins.workerd", "--name", "w1", "--objects", f"http://{store}")
         host, _, port = address.partition(":")
@@ -129,7 +129,7 @@
         answer = HTTP.request("GET", f"http://{self.control}/executions")
         return msgspec.json.decode(answer.data)
 
-    def test_answer_follows_from_the_request(self):
+    def test_digest_depends_on_the_request_alone(self):
         first, second = self.ask("r1"), self.ask("r2")
         outcomes = [msgspec.json.decode(it.data) for it in (first, second)]
         self.assertEqual([it["request"] for it in outcomes], ["r1", "r2"])
@@ -143,7 +143,7 @@
         answer = HTTP.request("POST", url, body=parts, chunked=True)
         self.assertEqual(msgspec.json.decode(answer.data)["digest"], whole)
 
-    def test_faults_that_break_the_answer(self):
+    def test_faults_that_truncate_the_answer(self):
         for mode, runs in (
             ("reset-before", 0),
             ("reset-after", 1),
@@ -156,7 +156,7 @@
                     self.ask(mode)
                 self.assertEqual(self.count().get(mode, 0), runs)
 
-    def test_draining_says_that_nothing_ran(self):
+    def test_draining_instance_answers_not_run(self):
         self.set_fault(mode="draining", times=1)
         answer = self.ask()
         self.assertEqual((answer.status, answer.headers["Toucanpin-Verdict"]), (503, "not-run"))
--- a/standins/tests/test_worker.py
+++ b/standins/tests/test_worker.py
@@ -1,4 +1,4 @@
-"""Tests of the worker's agent: guard, fences, attempts, work and measurements."""
+"""Tests of the worker's agent: leases, fencing, attempts, work and measurements."""
 
 import hashlib
 import unittest
@@ -31,7 +31,9 @@
 
 class WorkerTest(unittest.TestCase):
     def setUp(self):
-        self.core = WorkerCore("w1", "life1", SIZE, lag=200, services=(Service("s", 10.0, 0.5),))
+        self.core = WorkerCore(
+            "w1", "incarnation-1", SIZE, lag=200, services=(Service("s", 10.0, 0.5),)
+        )
         self.objects = ObjectsCore()
         self.store_up = True
 
@@ -57,7 +59,7 @@
         self.assertEqual(len(found), 1)
         return found[0]
 
-    def test_job_runs_to_its_result(self):
+    def test_finished_job_has_its_result(self):
         self.poll(0, start(), lease=5_000)
         self.run_effects(1_000)
         done = self.task(1_500)
@@ -66,10 +68,10 @@
         self.poll(1_600, Forget("t", 1))
         self.assertEqual(self.poll(1_700).tasks, ())
 
-    def test_result_waits_for_the_object_store(self):
+    def test_job_finishes_only_once_its_result_is_stored(self):
         """
-        The store is down when a job ends.  The job must not be reported as finished before its
-        result can be read, or an owner would point at nothing.
+        The store is down when a job ends.  Guards against a job that is reported as finished before
+        its result can be read.
         """
         self.poll(0, start(), lease=9_000)
         self.store_up = False
@@ -79,11 +81,11 @@
         self.run_effects(1_300)
         self.assertIs(self.task(1_400).state, TaskState.FINISHED)
 
-    def test_holder_that_was_paused_stops_before_anything_else(self):
+    def test_paused_worker_stops_its_tasks_before_handling_a_poll(self):
         """
-        The worker is frozen past the end of its lease, and another one runs its task by then.  On
-        waking it finds a poll of its old owner in its socket.  It must have stopped the task before
-        it reads the new lease, and nothing of the pause counts as work.
+        The worker is paused past the end of its lease, while another one starts its task.  After
+        the pause it receives an old poll of its owner.  It must stop the task before it applies the
+        new lease, and the pause must not count as work.
         """
         self.poll(0, start(standing=True), lease=1_000)
         report = self.poll(60_000, lease=90_000)
@@ -91,39 +93,39 @@
         self.assertEqual(report.tasks[0].progress, 1_000)
         self.assertEqual(self.core.log[0].stopped_at, 1_000)
 
-    def test_paused_holder_writes_nothing_when_it_wakes(self):
+    def test_paused_worker_writes_nothing_after_its_lease(self):
         """
-        A checkpoint was ordered, and the worker was frozen before it wrote it.  After waking the
-        task belongs to another attempt, so the old one's objects must not appear.
+        The worker is paused before it writes an ordered checkpoint.  After the pause the task
+        belongs to another attempt, so objects of the old one must not appear.
         """
         self.core.poll(0, Poll(1, "", 1_000, (start(), Checkpoint("t", 1, "c1"))))
         self.run_effects(60_000)
         self.assertEqual(self.objects.names(""), ())
 
-    def test_delayed_poll_cannot_lengthen_the_lease(self):
-        """A poll that took long to arrive carries an end computed from an old clock reading."""
+    def test_delayed_poll_does_not_extend_the_lease(self):
+        """A delayed poll carries the end of a lease computed from an old clock reading."""
         self.poll(0, start(), lease=800)
         self.assertTrue(self.poll(900, lease=850).lapsed)
         self.assertIs(self.task(901).state, TaskState.STOPPED)
 
-    def test_late_poll_cannot_cut_the_lease(self):
+    def test_reordered_poll_does_not_shorten_the_lease(self):
         self.poll(0, start(), lease=5_000)
         self.poll(10, lease=200)
         self.assertIs(self.task(300).state, TaskState.RUNNING)
 
-    def test_lower_epoch_and_other_life_change_nothing(self):
+    def test_lower_epoch_or_other_incarnation_is_refused(self):
         """
-        An owner that was replaced still sends orders, and another one writes to an earlier life of
-        this worker.  Both are refused whole: no lease, no order, no epoch.
+        A replaced owner still sends orders, and another one addresses an earlier incarnation of
+        this worker.  Neither poll may change the lease, the tasks or the epoch.
         """
         self.poll(0, epoch=5, lease=100)
-        for fenced in ({"epoch": 4}, {"epoch": 9, "incarnation": "life0"}):
+        for fenced in ({"epoch": 4}, {"epoch": 9, "incarnation": "incarnation-0"}):
             report = self.poll(10, start(), lease=9_000, **fenced)
             self.assertEqual((report.accepted, report.epoch, report.tasks), (False, 5, ()))
         self.assertTrue(self.poll(100, epoch=5).lapsed)
 
-    def test_start_is_taken_once(self):
-        """A start order is doubled on the way, and its copy comes after the job has ended."""
+    def test_repeated_start_is_ignored(self):
+        """A start order is duplicated by the network, and the copy arrives after the job ended."""
         self.poll(0, start(), lease=9_000)
         self.run_effects(1_000)
         self.poll(1_100, Forget("t", 1))
@@ -132,8 +134,8 @@
 
     def test_stop_that_overtakes_its_start(self):
         """
-        An owner sends a start and then a stop, and the stop arrives first.  A worker that forgets
-        it would start a task that its owner believes stopped and runs elsewhere.
+        A stop arrives before its start.  Guards against starting a task that its owner considers
+        stopped and has placed elsewhere.
         """
         self.poll(0, Stop("t", 2), lease=9_000)
         self.poll(1, start(attempt=2), start(attempt=1))
@@ -172,10 +174,10 @@
         self.poll(0, start(checkpoint="gone"), lease=9_000)
         self.assertIs(self.task(1).state, TaskState.FAILED)
 
-    def test_stop_without_a_store_names_the_checkpoint_that_is_there(self):
+    def test_stop_without_a_store_reports_the_last_stored_checkpoint(self):
         """
-        The store goes down between two checkpoints and the job is evicted.  It stops all the same,
-        and its report names the older checkpoint, from which it can truly resume.
+        The store goes down between two checkpoints and the job is evicted.  It stops nevertheless,
+        and its report names the older checkpoint, which exists.
         """
         self.poll(0, start(), lease=9_000)
         self.poll(200, Checkpoint("t", 1, "c1"))
@@ -186,8 +188,8 @@
 
     def test_stop_that_races_a_finish_has_one_outcome(self):
         """
-        A job has done its work and its result is on the way to the store when a stop arrives.  The
-        attempt ends as stopped, and the store's late answer doesn't change that.
+        A stop arrives while the result of a finished job is being written.  The attempt ends as
+        stopped, and the store's later answer does not change that.
         """
         for attempt, checkpoint in ((1, ""), (2, "c1")):
             now = attempt * 2_000
@@ -206,7 +208,7 @@
         self.assertEqual((report.progress, report.processors), (100, 1.0))
         self.assertEqual(report.sampled_at, 200)
 
-    def test_failures_of_payloads_and_of_the_worker(self):
+    def test_task_fails_by_its_payload_or_its_worker(self):
         always = b'{"work": 100, "fail": "always"}'
         once = b'{"work": 100, "fail": "once"}'
         self.poll(0, start("a", payload=always), start("b", payload=once), lease=9_000)
@@ -221,7 +223,7 @@
         self.assertIn("fails every task", self.poll(301).tasks[-1].detail)
         self.assertEqual(self.poll(302, start("d", payload=b"?")).tasks[-1].progress, 0)
 
-    def test_measurements_come_late(self):
+    def test_measurements_are_delayed_by_the_lag(self):
         core = WorkerCore("w", "l", SIZE, 500, (Service("s", 10.0, 0.5, (("batch", 2.0),)),))
         core.poll(0, Poll(1, "", 9_000, (start(payload=b'{"work": 9000}'),)))
         core.advance(1_000)
--- a/standins/work.py
+++ b/standins/work.py
@@ -1,9 +1,9 @@
 """
-Work of the worker stand-in
-===========================
+Simulated work
+==============
 
-What an attempt does: units of work at one a millisecond and full share, a result that follows from
-the input alone, and effects on the latency of services beside it.
+The work of a task attempt: one unit per millisecond at full share, a result that depends on the
+input alone, and interference with the latency of services on the same worker.
 """
 
 from __future__ import annotations
@@ -32,10 +32,10 @@
 
 class Work(msgspec.Struct, frozen=True):
     """
-    Read the payload of a task.
+    The payload of a task.
 
-    ``work`` is in units; ``use`` is the share of the declared processors and memory that the task
-    truly takes; ``fail`` says on which attempts it fails half-way.
+    ``work`` is in units; ``use`` is the fraction of the declared processors and memory that the
+    task uses; ``fail`` selects the attempts that fail half-way.
     """
 
     work: int = 0
@@ -45,7 +45,7 @@
 
 
 class Progress(msgspec.Struct, frozen=True):
-    """Hold a checkpoint."""
+    """The content of a checkpoint."""
 
     task: str
     attempt: int
@@ -53,7 +53,7 @@
 
 
 def parse_work(payload: bytes) -> Work | None:
-    """Read a payload, None if it can't be understood; an empty one is no work."""
+    """Parse a payload; return None if it is malformed.  An empty payload means no work."""
     try:
         return msgspec.json.decode(payload or b"{}", type=Work)
     except msgspec.MsgspecError:
@@ -61,18 +61,18 @@
 
 
 def compute_result(work: Work) -> bytes:
-    """Return the result, which follows from the input alone."""
+    """Return the result of a task, which depends on its input alone."""
     return hashlib.sha256(work.input.encode()).hexdigest().encode()
 
 
 def encode_checkpoint(task: str, attempt: int, progress: int) -> bytes:
-    """Return the body of a checkpoint."""
+    """Return the encoded body of a checkpoint."""
     return msgspec.json.encode(Progress(task, attempt, progress))
 
 
 @dataclass(slots=True)
 class Attempt:
-    """Hold one attempt of a task; times are milliseconds."""
+    """The state of one attempt of a task; times are in milliseconds."""
 
     start: Start
     work: Work
@@ -90,11 +90,11 @@
 
     @property
     def share(self) -> float:
-        """Return the share of its processors that the attempt may use."""
+        """Return the current fraction of its processors that the attempt may use."""
         return self.shares[-1][1] if self.shares else 1.0
 
     def work_until(self, now: int) -> None:
-        """Make progress up to an instant."""
+        """Advance the progress up to a time."""
         worked = max(0, now - self.worked_until)
         self.worked_until = max(now, self.worked_until)
         if not (self.loading or self.writing or self.stopping):
@@ -103,11 +103,11 @@
             self.progress = min(self.progress, self.work.work)
 
     def throttle(self, now: int, share: float) -> None:
-        """Change the share from now on."""
+        """Set the share from now on."""
         self.shares.append((now, share))
 
     def must_fail(self) -> bool:
-        """Tell whether the fault of the payload is due."""
+        """Return whether the failure that the payload asks for is due."""
         due = self.progress >= self.work.work * FAILURE_PROGRESS and not self.loading
         match self.work.fail:
             case "always":
@@ -118,11 +118,11 @@
                 return False
 
     def is_done(self) -> bool:
-        """Tell whether all work is done."""
+        """Return whether all work is done."""
         return not (self.start.standing or self.loading) and self.progress >= self.work.work
 
     def resume(self, body: bytes, name: str, now: int) -> bool:
-        """Go on from a checkpoint; return False if it can't be read."""
+        """Resume from a checkpoint; return False if it is malformed."""
         try:
             found = msgspec.json.decode(body, type=Progress)
         except msgspec.MsgspecError:
@@ -134,13 +134,13 @@
         return True
 
     def record_checkpoint(self, name: str, progress: int) -> None:
-        """Remember the checkpoint that holds the most progress."""
+        """Record a checkpoint if it has more progress than the latest one."""
         if progress > self.checkpoint_progress:
             self.checkpoint = name
             self.checkpoint_progress = progress
 
     def report(self, sampled_at: int) -> TaskReport:
-        """Report the attempt, with its use at a past instant."""
+        """Return a report of the attempt, with its usage at an earlier time."""
         sampled_at = max(self.started_at, sampled_at)
         working = self.state is TaskState.RUNNING
         share = self._find_share(sampled_at) * self.work.use if working else 0.0
@@ -157,7 +157,7 @@
         )
 
     def _find_share(self, instant: int) -> float:
-        """Return the share that was in force at an instant."""
+        """Return the share that applied at a time."""
         shares = [share for since, share in self.shares if since <= instant]
         return shares[-1] if shares else 1.0
 
@@ -165,10 +165,10 @@
 @dataclass(frozen=True, slots=True)
 class Service:
     """
-    Model the latency of a service beside the tasks of a worker.
+    A model of the latency of a service on the same worker as tasks.
 
     ``base_p99`` is in milliseconds; ``load`` is between 0 and 1; ``effects`` gives, for each kind
-    of task, the rise of the latency that one task at full share and full load causes.
+    of task, the relative rise in latency that one task at full share causes at full load.
     """
 
     name: str
@@ -177,7 +177,7 @@
     effects: tuple[tuple[str, float], ...] = ()
 
     def measure(self, now: int, running: Iterable[Attempt]) -> UsageSample:
-        """Measure the p99 of the service."""
+        """Return a measurement of the p99 latency."""
         effects = dict(self.effects)
         rise = sum(effects.get(it.start.kind, 0.0) * it.share for it in running)
         return UsageSample(self.name, now, self.base_p99 * (1 + rise * self.load), self.load)
--- a/standins/worker.py
+++ b/standins/worker.py
@@ -2,9 +2,9 @@
 Core of the worker stand-in
 ===========================
 
-The agent of one worker: lease and guard, attempts, deterministic work, late measurements.  Times
-are milliseconds of the worker's own monotonic clock.  What touches the object store leaves the core
-as an effect, whose outcome the caller brings back.
+The agent of one worker: lease expiry, attempts, deterministic work and delayed measurements.  Times
+are milliseconds of the worker's own monotonic clock.  Accesses to the object store leave the core
+as effects; the caller performs them and reports their outcomes.
 """
 
 from __future__ import annotations
@@ -37,7 +37,7 @@
 
 
 class Purpose(enum.Enum):
-    """Say why an object is written."""
+    """The reason for writing an object."""
 
     RESULT = "result"
     CHECKPOINT = "checkpoint"
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Put:
-    """Ask the caller to write an object and to call ``finish_put``."""
+    """An effect: the caller writes an object and calls ``finish_put``."""
 
     task: str
     attempt: int
@@ -58,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Get:
-    """Ask the caller to read an object and to call ``finish_get``."""
+    """An effect: the caller reads an object and calls ``finish_get``."""
 
     task: str
     attempt: int
@@ -67,7 +67,7 @@
 
 @dataclass(slots=True)
 class Interval:
-    """Log when an attempt ran; ``stopped_at`` is None while it does."""
+    """The time that an attempt ran; ``stopped_at`` is None while it runs."""
 
     task: str
     attempt: int
@@ -76,7 +76,7 @@
 
 
 class WorkerCore:
-    """Act as the agent of one worker."""
+    """The agent of one worker."""
 
     def __init__(
         self,
@@ -104,22 +104,22 @@
         self._next_sample = 0
 
     def poll(self, now: int, poll: Poll) -> Report:
-        """Take one poll and report."""
+        """Handle one poll and return a report."""
         self.advance(now)
         self.polls += 1
         accepted = poll.epoch >= self._epoch and poll.incarnation in ("", self.incarnation)
         if accepted:
             self._epoch = poll.epoch
-            # An old poll that arrives late must neither lengthen the lease nor cut a newer one.
+            # A delayed poll must neither extend the lease nor shorten a newer one.
             self._lease_until = max(self._lease_until, poll.lease_until)
             for order in poll.orders:
                 self._apply_order(now, order)
         return self._report(now, accepted)
 
     def advance(self, now: int) -> None:
-        """Run the guard, then let the tasks work up to this instant."""
-        # The guard goes first: a holder that was paused past its lease must not do another step
-        # of work, write a checkpoint or obey an order in the belief that it still holds the lease.
+        """Stop the tasks if the lease has expired, then advance them up to a time."""
+        # The lease is checked first: a worker that was paused past the end of its lease must not
+        # work, write a checkpoint or carry out an order as if it still held the lease.
         until = min(now, self._lease_until)
         for attempt in self._list_running():
             attempt.work_until(until)
@@ -130,12 +130,12 @@
             self._end_if_done(attempt, until)
 
     def take_effects(self) -> Iterator[Put | Get]:
-        """Yield what the caller has to do with the object store."""
+        """Yield the pending object store effects and remove them."""
         while self._effects:
             yield self._effects.popleft()
 
     def finish_put(self, now: int, put: Put, stored: bool) -> None:
-        """Take the outcome of a write; a result that wasn't stored is tried again."""
+        """Handle the outcome of a write; a result that was not stored is written again."""
         self.advance(now)
         attempt = self._find(put.task, put.attempt)
         if attempt is None:
@@ -151,7 +151,7 @@
                 self._effects.append(put)
 
     def finish_get(self, now: int, get: Get, body: bytes | None, answered: bool) -> None:
-        """Take the checkpoint to resume from; one that wasn't read is asked for again."""
+        """Resume from a checkpoint that was read; retry if the store did not answer."""
         self.advance(now)
         attempt = self._find(get.task, get.attempt)
         if attempt is None or attempt.state is not TaskState.RUNNING:
@@ -182,12 +182,12 @@
                     del self._attempts[(task, number)]
 
     def _start(self, now: int, start: Start) -> None:
-        """Start an attempt unless it is late, or say why it can't run here."""
+        """Start an attempt unless it is outdated; fail it with the reason if it cannot run here."""
         if start.attempt <= self._highest_attempts.get(start.task, 0):
             return
         self._highest_attempts[start.task] = start.attempt
         if older := self._find_task(start.task):
-            # Two attempts of one task would be the task in two places.
+            # Two running attempts of a task would violate its single placement.
             self._end(older, TaskState.STOPPED, "superseded", now)
         work = parse_work(start.payload)
         attempt = Attempt(start, work or Work(), started_at=now, worked_until=now)
@@ -203,7 +203,7 @@
             self._effects.append(Get(start.task, start.attempt, start.checkpoint))
 
     def _find_refusal(self, now: int, work: Work | None) -> str:
-        """Return why the newest start is refused, empty if it isn't."""
+        """Return the reason for refusing the newest attempt, empty if it is accepted."""
         if now >= self._lease_until:
             return "no lease"
         if work is None:
@@ -217,7 +217,7 @@
         return "" if fits else "no capacity"
 
     def _stop(self, now: int, stop: Stop) -> None:
-        """Stop an attempt and every lower one, and refuse them from now on."""
+        """Stop an attempt and all lower ones of its task, and refuse them from now on."""
         unseen = stop.attempt > self._highest_attempts.get(stop.task, 0)
         self._highest_attempts[stop.task] = max(
             stop.attempt, self._highest_attempts.get(stop.task, 0)
@@ -233,7 +233,7 @@
             self._attempts[(stop.task, stop.attempt)] = tombstone
 
     def _begin_stop(self, now: int, attempt: Attempt, checkpoint: str) -> None:
-        """Let an attempt work no more; it counts as stopped once its checkpoint is written."""
+        """Halt the work of an attempt; it is stopped once its checkpoint is written."""
         if not checkpoint or attempt.loading:
             self._end(attempt, TaskState.STOPPED, "stopped", now)
             return
@@ -242,7 +242,7 @@
         self._put_checkpoint(attempt, checkpoint, Purpose.LAST_CHECKPOINT)
 
     def _put_checkpoint(self, attempt: Attempt, name: str, purpose: Purpose) -> None:
-        """Ask for the writing of a checkpoint."""
+        """Add the effect that writes a checkpoint."""
         if attempt.loading:
             return
         start = attempt.start
@@ -251,7 +251,7 @@
         self._effects.append(Put(start.task, start.attempt, name, body, progress, purpose))
 
     def _end_if_done(self, attempt: Attempt, now: int) -> None:
-        """Fail an attempt whose fault is due, or write the result of one that is done."""
+        """Fail an attempt whose failure is due, or write the result of one that is done."""
         if attempt.stopping or attempt.writing:
             return
         if self.fail_all:
@@ -268,13 +268,13 @@
             )
 
     def _stop_all(self) -> None:
-        """Stop every attempt at the end of the lease, and drop what they still meant to write."""
+        """Stop every attempt at the end of the lease and drop the pending effects."""
         self._effects.clear()
         for attempt in self._list_running():
             self._end(attempt, TaskState.STOPPED, "the lease lapsed", self._lease_until)
 
     def _end(self, attempt: Attempt, state: TaskState, detail: str, now: int) -> None:
-        """Give an attempt its last state, unless it has one."""
+        """Set the final state of an attempt unless it has one."""
         if attempt.state is not TaskState.RUNNING:
             return
         attempt.state = state
@@ -282,33 +282,33 @@
         self._close_interval(attempt, now)
 
     def _close_interval(self, attempt: Attempt, now: int) -> None:
-        """Log the end of an attempt's run."""
+        """Log the end of an attempt."""
         interval = self._running.get(attempt.start.task)
         if interval is not None and interval.attempt == attempt.start.attempt:
             interval.stopped_at = now
             del self._running[attempt.start.task]
 
     def _list_running(self) -> list[Attempt]:
-        """Return the attempts that hold capacity."""
+        """Return the attempts that occupy capacity."""
         return [it for it in self._attempts.values() if it.state is TaskState.RUNNING]
 
     def _find(self, task: str, number: int) -> Attempt | None:
-        """Return an attempt by its number."""
+        """Return an attempt by task and number."""
         return self._attempts.get((task, number))
 
     def _find_task(self, task: str) -> Attempt | None:
-        """Return the attempt of a task that holds capacity."""
+        """Return the attempt of a task that occupies capacity."""
         return next((it for it in self._list_running() if it.start.task == task), None)
 
     def _find_active(self, task: str, number: int) -> Attempt | None:
-        """Return an attempt that works."""
+        """Return an attempt that runs and is not stopping."""
         attempt = self._find(task, number)
         if attempt is None or attempt.state is not TaskState.RUNNING or attempt.stopping:
             return None
         return attempt
 
     def _sample(self, now: int) -> None:
-        """Measure the services once in a period."""
+        """Measure the services once per period."""
         if now < self._next_sample:
             return
         self._next_sample = now + SAMPLE_PERIOD_MS
@@ -316,7 +316,7 @@
         self._samples.extend(service.measure(now, running) for service in self.services)
 
     def _report(self, now: int, accepted: bool) -> Report:
-        """Report every attempt and the measurements that are old enough."""
+        """Return a report of all attempts and of the measurements older than the lag."""
         due = []
         while self._samples and self._samples[0].sampled_at <= now - self.lag:
             due.append(self._samples.popleft())
--- a/standins/workerd.py
+++ b/standins/workerd.py
@@ -41,12 +41,12 @@
 
 
 def read_clock() -> int:
-    """Read the monotonic clock in milliseconds."""
+    """Return the monotonic clock in milliseconds."""
     return int(time.monotonic() * MILLISECONDS)
 
 
 class WorkerService:
-    """Run the guard and the effects of a core, and answer polls."""
+    """Run a worker core: check its lease, perform its effects and answer polls."""
 
     def __init__(self, core: WorkerCore, objects: ObjectStore) -> None:
         self.core = core
@@ -56,7 +56,7 @@
         self._lock = threading.Lock()
 
     def start(self) -> None:
-        """Start the threads of the guard and of the object store."""
+        """Start the threads that check the lease and perform effects."""
         for loop in (self._check_lease, self._write_objects):
             threading.Thread(target=loop, daemon=True).start()
 
@@ -69,7 +69,7 @@
             return Response(HTTPStatus.BAD_REQUEST, str(error).encode(), refused)
 
     def _route(self, request: Request) -> Answer:
-        """Find what a request asks for."""
+        """Route a request."""
         match request.method, request.path:
             case "POST", "/poll":
                 with self._lock:
@@ -90,19 +90,19 @@
         return Response(HTTPStatus.NOT_FOUND)
 
     def _poll(self, request: Request) -> Response:
-        """Take one poll."""
+        """Answer one poll."""
         poll = read_poll(msgspec.json.decode(request.body, type=PollRequest))
         with self._lock:
             return json_response(self.core.poll(read_clock(), poll))
 
     def _check_lease(self) -> None:
-        """Stop every task in time when no poll comes."""
+        """Advance the core periodically, so that tasks stop when the lease expires."""
         while not self.stopped.wait(LEASE_CHECK_PERIOD_S):
             with self._lock:
                 self.core.advance(read_clock())
 
     def _write_objects(self) -> None:
-        """Do what the core asks of the object store."""
+        """Perform the object store effects of the core."""
         while not self.stopped.wait(EFFECTS_PERIOD_S):
             with self._lock:
                 effects = list(self.core.take_effects())
@@ -110,7 +110,7 @@
                 self._run_effect(effect)
 
     def _run_effect(self, effect: Put | Get) -> None:
-        """Write or read one object and bring the outcome back."""
+        """Write or read one object and report the outcome to the core."""
         match effect:
             case Put(name=name, body=body):
                 stored = self._objects.put(name, body).is_ok()
@@ -129,8 +129,8 @@
 @click.command()
 @click.option("--listen", default="127.0.0.1:0", help="Address to listen on.")
 @click.option("--name", required=True, help="Name in the host list.")
-@click.option("--site", default="", help="Site; only shown.")
-@click.option("--rack", default="", help="Rack; only shown.")
+@click.option("--site", default="", help="Site, for information only.")
+@click.option("--rack", default="", help="Rack, for information only.")
 @click.option("--processors", default=64)
 @click.option("--memory", default=250_000, help="MiB.")
 @click.option("--accelerators", default=0)
