--- a/standins/site/worker_core.py
+++ b/standins/site/worker_core.py
@@ -48,7 +48,7 @@
     silent: bool = False
     delays_orders: bool = False
     failing: bool = False
-    refusing: int = 0  # number of starts to refuse
+    refusals_left: int = 0  # number of starts to refuse
     refusal: RefusalReason = RefusalReason.NO_ROOM
     acknowledged_ends: list[EndedRun] = field(default_factory=list)
     stuck: bool = False
@@ -67,8 +67,8 @@
         if deadline <= clock:
             return StartAnswer(clock, RefusalReason.LATE)
         self.deadline = max(self.deadline, deadline / 1_000)
-        if self.refusing:
-            self.refusing -= 1
+        if self.refusals_left:
+            self.refusals_left -= 1
             return StartAnswer(clock, self.refusal)
         present = self.runs.get(task)
         if present is not None and present.attempt == attempt:
--- a/toucanpin/scheduling/tests/test_failures.py
+++ b/toucanpin/scheduling/tests/test_failures.py
@@ -98,7 +98,7 @@
         """Guards against a loop of placements, writes and refusals as fast as the store answers."""
         fleet = Fleet()
         for worker in fleet.workers.values():
-            worker.refusing = 1_000
+            worker.refusals_left = 1_000
             worker.refusal = RefusalReason.MALFORMED
         fleet.submit(make_job())
         fleet.run(5.0)
--- a/toucanpin/scheduling/tests/test_gangs.py
+++ b/toucanpin/scheduling/tests/test_gangs.py
@@ -97,7 +97,7 @@
         Guards against an incomplete gang that occupies its workers: one member's start is refused,
         so the others are stopped and all start again together.
         """
-        self.fleet.workers["w0"].refusing = 1
+        self.fleet.workers["w0"].refusals_left = 1
         self.fleet.submit(make_job(steps=(GANG,)))
         self.fleet.run(1.0)
         running = [task for worker in self.fleet.workers.values() for task in worker.runs]
