--- a/toucanpin/placement/cells.py
+++ b/toucanpin/placement/cells.py
@@ -56,7 +56,7 @@
     failed: bool = False
     next_poll: float = 0.0
     renewed_at: float = 0.0
-    lapsed: bool = True
+    lease_expired: bool = True
     incarnations: dict[str, WorkerIncarnation] = field(default_factory=dict)
     tasks: dict[tuple[str, int], TaskReport] = field(default_factory=dict)
     shares: dict[tuple[str, int], float] = field(default_factory=dict)
@@ -86,7 +86,7 @@
         """Update the state from the report of an accepted poll."""
         self.update_clock(report, received)
         self.incarnation_state(report.incarnation).reached = True
-        self.lapsed = report.lapsed
+        self.lease_expired = report.lapsed
         self.tasks = {(it.task, it.attempt): it for it in report.tasks}
         self.shares = {key: it for key, it in self.shares.items() if key in self.tasks}
         self.unsent_shares &= self.shares.keys()
@@ -95,7 +95,7 @@
         """Update the worker's clock, size and incarnation."""
         if report.incarnation != self.incarnation:
             self.tasks = {}
-            self.lapsed = True
+            self.lease_expired = True
         self.incarnation = report.incarnation
         self.size = report.size
         self.clock = report.clock
@@ -160,11 +160,11 @@
                 self._grouped.setdefault(record.worker, []).append(record)
         return list(self._grouped.get(worker, ()))
 
-    def back_off(self, task: str, now: float, first: float, longest: float) -> None:
+    def back_off(self, task: str, now: float, initial: float, maximum: float) -> None:
         """Delay the next start of a task, doubling the delay for consecutive calls."""
         known = self.backoffs.get(task, Backoff(0, 0.0))
-        count = known.count + 1 if now < known.until + longest else 1
-        delay = min(longest, first * 2 ** min(count - 1, MAX_BACKOFF_DOUBLINGS))
+        count = known.count + 1 if now < known.until + maximum else 1
+        delay = min(maximum, initial * 2 ** min(count - 1, MAX_BACKOFF_DOUBLINGS))
         self.backoffs[task] = Backoff(count, now + delay)
 
     def request_stop(self, task: str, reason: StopReason) -> None:
--- a/toucanpin/placement/drains.py
+++ b/toucanpin/placement/drains.py
@@ -41,7 +41,7 @@
     since: float
 
 
-def set_drain(drain: DrainRow, wanted: bool) -> Decision[Result[bool, Refusal]]:
+def set_drain(drain: DrainRow, drained: bool) -> Decision[Result[bool, Refusal]]:
     """
     Start or end the drain of a host; return whether anything changed.
 
@@ -52,11 +52,11 @@
         found = yield Read(DRAIN_PREFIX + drain.host)
         match found.value:
             case Result(tag="ok", ok=row):
-                if (row is not None) == wanted:
+                if (row is not None) == drained:
                     return Ok(uncertain)
             case Result(error=fault):
                 return Error(_refuse(fault.detail, uncertain))
-        write = _make_write(drain, row, wanted)
+        write = _make_write(drain, row, drained)
         answer = yield Commit(Transaction(f"drain/{drain.host}/{drain.since}/{attempt}", (write,)))
         match answer.value:
             case Result(tag="ok", ok=Committed()):
@@ -79,10 +79,10 @@
     return tuple(decode(row.value, DrainRow) for row in rows)
 
 
-def _make_write(drain: DrainRow, row: Row | None, wanted: bool) -> Write:
+def _make_write(drain: DrainRow, row: Row | None, drained: bool) -> Write:
     """Return the write that inserts or deletes a drain's row."""
     version = ABSENT if row is None else row.version
-    return Write(DRAIN_PREFIX + drain.host, version, encode(drain) if wanted else None)
+    return Write(DRAIN_PREFIX + drain.host, version, encode(drain) if drained else None)
 
 
 def _refuse(detail: str, uncertain: bool) -> Refusal:
--- a/toucanpin/placement/interference_aware.py
+++ b/toucanpin/placement/interference_aware.py
@@ -94,13 +94,13 @@
 
     def act(self, now: float, cell: CellRow) -> tuple[PolicyAction, ...]:
         """Return the actions that follow from the reports since the last call."""
-        acts: list[PolicyAction] = []
+        actions: list[PolicyAction] = []
         for name in cell.workers:
             tracker = self._hosts.get(name)
             if tracker is not None and tracker.changed:
                 tracker.changed = False
-                acts.extend(self._act_on(now, tracker))
-        return tuple(acts)
+                actions.extend(self._act_on(now, tracker))
+        return tuple(actions)
 
     def _act_on(self, now: float, tracker: HostTracker) -> Iterator[PolicyAction]:
         """Yield the actions for one host."""
@@ -129,8 +129,8 @@
         known = tracker.attempts.get(task)
         if known is None:
             return
-        known.wanted = known.wanted if share is None else share
-        bounded = min(known.wanted, known.ceiling)
+        known.requested = known.requested if share is None else share
+        bounded = min(known.requested, known.ceiling)
         if bounded != known.share:
             known.share, known.changed_at = bounded, now
             yield Limit(task, bounded)
--- a/toucanpin/placement/jobs.py
+++ b/toucanpin/placement/jobs.py
@@ -92,8 +92,8 @@
 
     def matches(self, status: JobStatus) -> bool:
         """Return whether a job passes the filter."""
-        wanted = ((self.team, status.team), (self.kind, status.kind), (self.state, status.state))
-        return all(not want or want == found for want, found in wanted)
+        fields = ((self.team, status.team), (self.kind, status.kind), (self.state, status.state))
+        return all(not value or value == found for value, found in fields)
 
 
 def refuse(reason: Reason, detail: str, retry_after: float | None = None) -> Refusal:
@@ -152,7 +152,7 @@
             return Ok(show_job(row, None))
 
 
-def list_jobs(wanted: JobFilter) -> Decision[Result[tuple[JobStatus, ...], Refusal]]:
+def list_jobs(job_filter: JobFilter) -> Decision[Result[tuple[JobStatus, ...], Refusal]]:
     """List the newest jobs that match a filter, in order of submission."""
     cells: dict[str, CellRow] = {}
     answer = yield Scan(CELL_PREFIX)
@@ -165,7 +165,7 @@
         return Error(refuse(Reason.STORE_UNAVAILABLE, detail, RETRY_AFTER_S))
     jobs = sorted((decode(it.value, JobRow) for it in answer.value.ok), key=_submission_time)
     shown = (show_job(job, cells.get(job.cell)) for job in jobs)
-    return Ok(tuple([it for it in shown if wanted.matches(it)][-wanted.limit :]))
+    return Ok(tuple([it for it in shown if job_filter.matches(it)][-job_filter.limit :]))
 
 
 def list_standing() -> Decision[Result[tuple[StandingStatus, ...], Refusal]]:
@@ -183,8 +183,10 @@
         for task, record in decode(row.value, CellRow).tasks.items()
         if record.standing
     }
-    places = (decode(row.value, StandingRow) for row in rows[0])
-    return Ok(tuple(_show_standing(it, committed.get(it.task)) for it in places if not it.removed))
+    standing_rows = (decode(row.value, StandingRow) for row in rows[0])
+    return Ok(
+        tuple(_show_standing(it, committed.get(it.task)) for it in standing_rows if not it.removed)
+    )
 
 
 def _show_standing(row: StandingRow, record: TaskRecord | None) -> StandingStatus:
--- a/toucanpin/placement/lease_renewal.py
+++ b/toucanpin/placement/lease_renewal.py
@@ -56,10 +56,10 @@
     polls = tuple(_make_poll(state, cell, link) for cell, link in due)
     answer = yield PollAll(polls)
     state.now = max(state.now, answer.now)
-    for (cell, link), asked, outcome in zip(due, polls, answer.value, strict=True):
+    for (cell, link), worker_poll, outcome in zip(due, polls, answer.value, strict=True):
         match outcome:
             case Result(tag="ok", ok=Report() as report):
-                _update_clock(cell, link, asked.poll, report, answer.now)
+                _update_clock(cell, link, worker_poll.poll, report, answer.now)
                 _observe_samples(state, cell, link, report, answer.now)
 
 
@@ -81,7 +81,7 @@
         for name in cell.row.workers:
             link = cell.link(name)
             late = state.now >= max(link.next_poll, link.renewed_at + state.options.poll)
-            if link.incarnation and not link.failed and not link.lapsed and late:
+            if link.incarnation and not link.failed and not link.lease_expired and late:
                 yield cell, link
 
 
--- a/toucanpin/placement/leases.py
+++ b/toucanpin/placement/leases.py
@@ -24,7 +24,7 @@
     Durations of leases and authority in seconds; ``drift`` is a ratio.
 
     ``lease`` must be well above ``takeover_after``, so that the new owner of a dead owner's cells
-    renews the workers before their leases lapse, and below ``authority``.
+    renews the workers before their leases expire, and below ``authority``.
     """
 
     lease: float = 6.0
@@ -43,7 +43,7 @@
         Return how long the row of an owner that is not alive must be unchanged before a takeover.
 
         A live owner's row is unchanged for a whole renewal interval.  After a shorter wait cells
-        would be taken from live but unheard owners, which would take them back at once.
+        would be taken from live owners that were merely slow, which would take them back at once.
         """
         return self.renew_every + RENEWAL_SLACK_S
 
@@ -88,5 +88,5 @@
     length = min(terms.lease, terms.subtract_drift(authority_until - received))
     if length <= 0:
         return NO_GRANT
-    whole = int(length * MS_PER_S)
-    return Grant(clock + whole, received + terms.add_drift(whole / MS_PER_S))
+    length_ms = int(length * MS_PER_S)
+    return Grant(clock + length_ms, received + terms.add_drift(length_ms / MS_PER_S))
--- a/toucanpin/placement/ledger.py
+++ b/toucanpin/placement/ledger.py
@@ -58,12 +58,12 @@
     )
 
 
-def fits(wanted: Size, free: Size) -> bool:
+def fits(size: Size, free: Size) -> bool:
     """Return whether every component of a size fits into a free size."""
     return (
-        wanted.processors <= free.processors
-        and wanted.memory <= free.memory
-        and wanted.accelerators <= free.accelerators
+        size.processors <= free.processors
+        and size.memory <= free.memory
+        and size.accelerators <= free.accelerators
     )
 
 
@@ -147,21 +147,21 @@
         if worker in self._free:
             self.set(worker, add(self._free[worker], size))
 
-    def candidates(self, wanted: Size, limit: int, scan: int = 64) -> list[str]:
+    def candidates(self, size: Size, limit: int, scan: int = 64) -> list[str]:
         """Return up to ``limit`` fitting workers, tightest first, inspecting ``scan`` per group."""
         found: list[str] = []
-        for worker in self._ascending(wanted, scan):
-            if fits(wanted, self._free[worker]):
+        for worker in self._ascending(size, scan):
+            if fits(size, self._free[worker]):
                 found.append(worker)
                 if len(found) == limit:
                     break
         return found
 
-    def _ascending(self, wanted: Size, scan: int) -> Iterator[str]:
+    def _ascending(self, size: Size, scan: int) -> Iterator[str]:
         for accelerators in sorted(self._lists):
-            if accelerators < wanted.accelerators:
+            if accelerators < size.accelerators:
                 continue
-            entries = self._lists[accelerators].irange((wanted.processors, 0, ""))
+            entries = self._lists[accelerators].irange((size.processors, 0, ""))
             for _, (_, _, worker) in zip(range(scan), entries, strict=False):
                 yield worker
 
--- a/toucanpin/placement/ownership.py
+++ b/toucanpin/placement/ownership.py
@@ -238,7 +238,7 @@
             known = WorkerRow(host.name, host.site, host.rack, host.address, host.port, host.size)
             changed[host.name] = known
         leaving = WorkerState.LEAVING if host.leaving else WorkerState.ACTIVE
-        wanted = msgspec.structs.replace(
+        updated = msgspec.structs.replace(
             known,
             address=host.address,
             port=host.port,
@@ -246,9 +246,9 @@
             state=leaving if known.state is not WorkerState.QUARANTINED else known.state,
         )
         if known.state is WorkerState.LOST and not host.leaving:
-            wanted = msgspec.structs.replace(wanted, state=WorkerState.LOST)
-        if wanted != known:
-            changed[host.name] = wanted
+            updated = msgspec.structs.replace(updated, state=WorkerState.LOST)
+        if updated != known:
+            changed[host.name] = updated
     return changed
 
 
--- a/toucanpin/placement/placing.py
+++ b/toucanpin/placement/placing.py
@@ -68,9 +68,9 @@
     owned = {name for cell in state.cells.values() for name in cell.row.workers}
     state.policy.prepare(view.now, view.bundle, owned)
     for cell in state.cells.values():
-        for act in state.policy.act(view.now, cell.row):
-            record = cell.row.tasks.get(act.task)
-            match act:
+        for action in state.policy.act(view.now, cell.row):
+            record = cell.row.tasks.get(action.task)
+            match action:
                 case Evict(task) if record is not None and not record.standing:
                     cell.request_stop(task, StopReason.EVICT)
                 case Limit(task, share) if record is not None:
@@ -252,7 +252,7 @@
 
 
 def move_tasks(state: ControlState, view: ClusterView) -> Decision[None]:
-    """Move tasks that have waited too long, or can never run in their cell, to cells with room."""
+    """Move tasks that have waited too long, or can never run in their cell, to other cells."""
     if view.now < state.next_move_at:
         return
     shapes = {it.name: it for it in view.shapes}
--- a/toucanpin/placement/policy.py
+++ b/toucanpin/placement/policy.py
@@ -137,15 +137,15 @@
 
     def act(self, now: float, cell: CellRow) -> tuple[PolicyAction, ...]:
         """Return the policy's actions, with an event if the policy has failed."""
-        acts: tuple[PolicyAction, ...] = ()
+        actions: tuple[PolicyAction, ...] = ()
         try:
-            acts = self.policy.act(now, cell)
+            actions = self.policy.act(now, cell)
         except Exception as error:
             self._record_failure(error)
         if self._failure:
-            acts = (*acts, PolicyEvent("policy.fail", "", self._failure))
+            actions = (*actions, PolicyEvent("policy.fail", "", self._failure))
             self._failure = ""
-        return acts
+        return actions
 
     def _record_failure(self, error: Exception) -> None:
         """Keep the first failure until it is recorded."""
--- a/toucanpin/placement/polling.py
+++ b/toucanpin/placement/polling.py
@@ -59,7 +59,7 @@
 def poll_workers(state: ControlState, view: ClusterView) -> Decision[None]:
     """Poll at once all workers that are due or have orders."""
     now = max(view.now, state.now)
-    asked: list[tuple[Cell, WorkerLink, Poll]] = []
+    polled: list[tuple[Cell, WorkerLink, Poll]] = []
     polls: list[WorkerPoll] = []
     for cell in state.cells.values():
         if cell.refused:
@@ -75,12 +75,12 @@
             until = state.authority.until if state.authority.holds(now) else 0.0
             grant = link.grant(until, state.terms)
             poll = Poll(cell.row.epoch, link.incarnation, grant.lease_until, orders)
-            asked.append((cell, link, poll))
+            polled.append((cell, link, poll))
             polls.append(WorkerPoll(worker_host(worker), poll))
     if not polls:
         return
     answer = yield PollAll(tuple(polls))
-    for (cell, link, poll), outcome in zip(asked, answer.value, strict=True):
+    for (cell, link, poll), outcome in zip(polled, answer.value, strict=True):
         match outcome:
             case Result(tag="ok", ok=Report() as report):
                 yield from _handle_report(state, cell, link, poll, report, answer.now)
@@ -161,8 +161,8 @@
 def _find_payload(cell: Cell, record: TaskRecord, bundle: Bundle | None) -> bytes | None:
     """Return the payload of a task, None if it has not been read yet."""
     if record.standing:
-        wanted = bundle.standing if bundle else ()
-        return next((it.payload.encode() for it in wanted if it.name == record.task), None)
+        standing = bundle.standing if bundle else ()
+        return next((it.payload.encode() for it in standing if it.name == record.task), None)
     if not record.has_payload:
         return b""
     return cell.payloads.get(record.task)
--- a/toucanpin/placement/reports.py
+++ b/toucanpin/placement/reports.py
@@ -102,7 +102,7 @@
 
 
 def _requeue_all(cell: Cell, worker: WorkerRow, view: ClusterView) -> Iterator[Change]:
-    """Yield the requeueing, or the end, of every task on a lost worker."""
+    """Yield the change that requeues or ends each task on a lost worker."""
     for record in cell.tasks_on(worker.name):
         reported = cell.link(worker.name).tasks.get((record.task, record.attempt))
         checkpoint = reported.checkpoint if reported else ""
--- a/toucanpin/placement/standing.py
+++ b/toucanpin/placement/standing.py
@@ -50,10 +50,10 @@
 
 def refresh_record(record: TaskRecord, bundle: Bundle) -> TaskRecord:
     """Return a stopped task's record with its description in a bundle."""
-    wanted = next((it for it in bundle.standing if it.name == record.task), None)
-    if wanted is None:
+    task = next((it for it in bundle.standing if it.name == record.task), None)
+    if task is None:
         return record
-    fresh = _make_record(wanted, bundle)
+    fresh = _make_record(task, bundle)
     return msgspec.structs.replace(
         record,
         kind=fresh.kind,
@@ -86,34 +86,34 @@
     if bundle is None or state.health.down:
         return
     shapes = view.shapes
-    wanted = {it.name: it for it in bundle.standing}
+    described = {it.name: it for it in bundle.standing}
     for task in bundle.standing:
         size = Size(task.processors, task.memory, task.accelerators)
-        home = choose_cell(task.name, size, shapes)
-        if home in state.cells and state.health.may_commit():
-            yield from _insert(state, task, bundle, home)
+        target = choose_cell(task.name, size, shapes)
+        if target in state.cells and state.health.may_commit():
+            yield from _insert(state, task, bundle, target)
     for cell in list(state.cells.values()):
-        _stop_outdated(cell, wanted, bundle)
-        yield from _update_waiting(state, cell, wanted, bundle)
+        _stop_outdated(cell, described, bundle)
+        yield from _update_waiting(state, cell, described, bundle)
 
 
-def _insert(state: ControlState, task: StandingTask, bundle: Bundle, home: str) -> Decision[None]:
+def _insert(state: ControlState, task: StandingTask, bundle: Bundle, target: str) -> Decision[None]:
     """Insert the record of a standing task, unless any process has already done so."""
     known, version = state.standing.get(task.name, (None, ABSENT))
     if known is not None and (known.removed == 0 or known.removed >= bundle.version):
         return
     record = _make_record(task, bundle, known.attempt if known else 0)
-    row = StandingRow(task.name, home, bundle.version)
+    row = StandingRow(task.name, target, bundle.version)
     writes = (
         Write(standing_key(task.name), version, encode(row)),
-        Write(queue_key(home, task.name), ABSENT, encode(QueueRow(record))),
+        Write(queue_key(target, task.name), ABSENT, encode(QueueRow(record))),
     )
     state.health.count_commit()
     answer = yield Commit(Transaction(f"standing/{task.name}/{bundle.version}", writes))
     match answer.value:
         case Result(tag="ok", ok=Committed(committed)):
             state.standing[task.name] = (row, committed)
-            yield RecordEvent("standing.add", {"task": task.name, "cell": home})
+            yield RecordEvent("standing.add", {"task": task.name, "cell": target})
         case Result(tag="error", error=Conflict(rows)):
             for found in rows:
                 if found.key == standing_key(task.name) and found.version != ABSENT:
@@ -132,23 +132,23 @@
     return all(it.name != record.task for it in bundle.standing)
 
 
-def _is_changed(record: TaskRecord, wanted: dict[str, StandingTask], bundle: Bundle) -> bool:
-    if not record.standing or record.task not in wanted or bundle.version <= record.bundle:
+def _is_changed(record: TaskRecord, described: dict[str, StandingTask], bundle: Bundle) -> bool:
+    if not record.standing or record.task not in described or bundle.version <= record.bundle:
         return False
-    return digest_description(wanted[record.task]) != record.digest
+    return digest_description(described[record.task]) != record.digest
 
 
-def _stop_outdated(cell: Cell, wanted: dict[str, StandingTask], bundle: Bundle) -> None:
+def _stop_outdated(cell: Cell, described: dict[str, StandingTask], bundle: Bundle) -> None:
     """Request the stop of running tasks that the bundle has removed or changed."""
     for record in cell.row.tasks.values():
         if is_removed(record, bundle):
             cell.request_stop(record.task, StopReason.REMOVE)
-        elif _is_changed(record, wanted, bundle):
+        elif _is_changed(record, described, bundle):
             cell.request_stop(record.task, StopReason.REPLACE)
 
 
 def _update_waiting(
-    state: ControlState, cell: Cell, wanted: dict[str, StandingTask], bundle: Bundle
+    state: ControlState, cell: Cell, described: dict[str, StandingTask], bundle: Bundle
 ) -> Decision[None]:
     """Remove or replace the waiting tasks that the bundle has removed or changed."""
     changes: list[lifecycle.Change] = []
@@ -160,7 +160,7 @@
                     cell.name, waiting.record, version, bundle.version, waiting
                 )
             )
-        elif _is_changed(waiting.record, wanted, bundle):
+        elif _is_changed(waiting.record, described, bundle):
             changes.append(_replace_waiting(cell, waiting, bundle))
     for group in split_changes(changes):
         yield from write_cell(cell, state.health, group)
--- a/toucanpin/placement/state.py
+++ b/toucanpin/placement/state.py
@@ -83,7 +83,7 @@
         Return the control processes that are alive, and not suspected, according to membership.
 
         Cells are divided among these.  If suspects were included until they are declared dead, the
-        leases of a dead owner's workers would lapse and all its tasks would stop.
+        leases of a dead owner's workers would expire and all its tasks would stop.
         """
         return self._list_controllers((Standing.ALIVE,))
 
--- a/toucanpin/placement/tests/helpers.py
+++ b/toucanpin/placement/tests/helpers.py
@@ -7,7 +7,7 @@
 
 from toucanpin.placement.tests.world import Effect, Process, World
 
-__all__ = ["TABLE", "cut_table", "find_gaps", "find_owner", "start_standing"]
+__all__ = ["TABLE", "make_table_unavailable", "find_gaps", "find_owner", "start_standing"]
 
 TABLE = ("commit", "read", "scan")
 
@@ -39,7 +39,7 @@
     raise AssertionError(f"no owned cell has task {task}")
 
 
-def cut_table(world: World) -> None:
+def make_table_unavailable(world: World) -> None:
     """Make the table unavailable to all clients."""
     for operation in TABLE:
         world.fault(Effect.DOWN, operation)
--- a/toucanpin/placement/tests/test_authority.py
+++ b/toucanpin/placement/tests/test_authority.py
@@ -92,8 +92,8 @@
             self.lose_table(float(now), frozenset({PEER}))
         self.assertEqual(self.authority.until, 100.0)
 
-    def test_lapsed_authority_is_not_restored_by_promises(self):
-        """Another process may have fenced the owner after the lapse, before it lost the table."""
+    def test_expired_authority_is_not_restored_by_promises(self):
+        """Another process may have fenced the owner after the expiry, before it lost the table."""
         self.lose_table(9.5, frozenset({PEER}))
         self.assertFalse(self.authority.holds(9.6))
 
@@ -179,7 +179,7 @@
         self.assertAlmostEqual(grant.latest_end, 55.1)
 
     def test_lease_never_outlives_authority(self):
-        """This holds on the slowest clock, so a new owner need not hear from the worker."""
+        """This holds on the slowest clock, so a new owner needs no answer from the worker."""
         grant = compute_grant(1_000, 50.0, 52.04, TERMS)
         self.assertLessEqual(grant.lease_until, 3_000)
         self.assertLessEqual(grant.latest_end, 52.04)
--- a/toucanpin/placement/tests/test_drains.py
+++ b/toucanpin/placement/tests/test_drains.py
@@ -44,8 +44,8 @@
         self.row = None if write.value is None else Row(write.key, self.version, write.value)
 
 
-def run(table, wanted):
-    decision = set_drain(DRAIN, wanted)
+def run(table, drained):
+    decision = set_drain(DRAIN, drained)
     action = next(decision)
     try:
         while True:
--- a/toucanpin/placement/tests/test_faults.py
+++ b/toucanpin/placement/tests/test_faults.py
@@ -3,7 +3,7 @@
 import unittest
 
 from toucanpin.placement.records import JobState
-from toucanpin.placement.tests.helpers import cut_table
+from toucanpin.placement.tests.helpers import make_table_unavailable
 from toucanpin.placement.tests.world import Effect, World
 
 
@@ -69,7 +69,7 @@
             case "lose poll":
                 world.fault(Effect.LOSE_BEFORE, "poll", times=2)
             case "table out":
-                cut_table(world)
+                make_table_unavailable(world)
                 world.run(3)
                 world.heal()
             case "lose worker":
--- a/toucanpin/placement/tests/test_interference_aware.py
+++ b/toucanpin/placement/tests/test_interference_aware.py
@@ -28,11 +28,11 @@
     world = World(workers=workers)
     world.bundle = Bundle("test", 2, weights=WEIGHTS)
     for process in world.processes.values():
-        advise(process, budget)
+        set_policy(process, budget)
     return world
 
 
-def advise(process, budget: Budget | None = None) -> None:
+def set_policy(process, budget: Budget | None = None) -> None:
     """Set the interference-aware policy of a process."""
     policy = InterferenceAwarePolicy(budget, Tuning(eviction_delay=EVICTION_DELAY_S))
     process.state.policy = GuardedPolicy(policy)
--- a/toucanpin/placement/tests/test_outages.py
+++ b/toucanpin/placement/tests/test_outages.py
@@ -4,9 +4,9 @@
 
 from toucanpin.placement.tests.helpers import (
     TABLE,
-    cut_table,
     find_gaps,
     find_owner,
+    make_table_unavailable,
     start_standing,
 )
 from toucanpin.placement.tests.world import Effect, World
@@ -21,7 +21,7 @@
         every process on the owner's roster repeatedly promises not to fence it.
         """
         world = start_standing(processes=3)
-        cut_table(world)
+        make_table_unavailable(world)
         world.run(50)
         self.assertEqual(find_gaps(world, "enc"), [])
         world.heal()
@@ -31,11 +31,11 @@
     def test_outage_with_a_missing_promise_stops_the_task_and_never_doubles_it(self):
         """
         A process on the roster dies during the outage and can't promise, so it might be taking
-        over.  The task stops when its lease lapses, and starts again once the table answers.
+        over.  The task stops when its lease expires, and starts again once the table answers.
         """
         world = start_standing(processes=3)
         owner = find_owner(world, "enc")
-        cut_table(world)
+        make_table_unavailable(world)
         world.run(2)
         other = next(it for it in world.processes.values() if it is not owner)
         other.killed_at = world.now
@@ -72,7 +72,7 @@
         for number in range(40):
             world.submit(str(number), work=3_000)
         world.run(2)
-        cut_table(world)
+        make_table_unavailable(world)
         world.run(15)
         self.assertEqual(len(world.ended), 0)
         world.heal()
@@ -84,7 +84,7 @@
     def test_submission_during_an_outage_has_not_run(self):
         """The submitter is told at once that nothing was accepted, and when to retry."""
         world = World()
-        cut_table(world)
+        make_table_unavailable(world)
         refusal = world.submit("a").error
         self.assertEqual(refusal.verdict.value, "not-run")
         self.assertIsNotNone(refusal.retry_after)
--- a/toucanpin/placement/tests/test_owners.py
+++ b/toucanpin/placement/tests/test_owners.py
@@ -8,9 +8,9 @@
 from toucanpin.placement.records import JobState
 from toucanpin.placement.tests.helpers import (
     TABLE,
-    cut_table,
     find_gaps,
     find_owner,
+    make_table_unavailable,
     start_standing,
 )
 from toucanpin.placement.tests.world import Effect, World
@@ -22,7 +22,7 @@
     def test_death_of_an_owner_makes_no_gap(self):
         """
         After the owner has been killed, another process takes the cell with a higher epoch and
-        renews the worker's lease before it lapses, so the standing task runs on.
+        renews the worker's lease before it expires, so the standing task runs on.
         """
         world = start_standing(processes=3)
         find_owner(world, "enc").killed_at = world.now
@@ -209,7 +209,7 @@
             world.pass_time(0.02)
             first.step()
             second.finish_turn()
-        cut_table(world)
+        make_table_unavailable(world)
         world.run(25)
         world.heal()
         world.run(10)
--- a/toucanpin/placement/tests/test_queue.py
+++ b/toucanpin/placement/tests/test_queue.py
@@ -164,7 +164,7 @@
         evicted = [it.record.evictions for it in world.jobs().values()]
         self.assertEqual(sum(evicted), 1)
 
-    def test_waiting_task_moves_to_a_cell_with_room(self):
+    def test_waiting_task_moves_to_a_cell_with_free_capacity(self):
         """A task that waits too long in a full cell is moved, and can be cancelled there."""
         world = World(racks=2, workers=1, processes=2)
         shapes = list_cell_shapes(world.hosts)
--- a/toucanpin/placement/tests/test_workers.py
+++ b/toucanpin/placement/tests/test_workers.py
@@ -66,7 +66,7 @@
         world.run(12)
         world.resume_worker(record.worker)
         world.run(3)
-        self.assertFalse(owner.state.cells["s.r0"].links[record.worker].lapsed)
+        self.assertFalse(owner.state.cells["s.r0"].links[record.worker].lease_expired)
         for poll in starts:
             report = world.cores[record.worker].poll(int(world.now * 1000), poll)
             self.assertFalse(report.accepted)
--- a/toucanpin/placement/tests/world.py
+++ b/toucanpin/placement/tests/world.py
@@ -45,9 +45,9 @@
 WORKER_SIZE = Size(8, 8_000, 1)
 TERMS = LeaseTerms(max_authority=60.0)
 OPTIONS = ControlOptions(poll=0.5, checkpoint=5.0, quarantine=30.0)
-TURN = 0.25
-NOTICE = 1.0
-ROUNDING = 2
+TURN_PERIOD_S = 0.25
+NOTICE_DELAY_S = 1.0
+ROUNDING_MS = 2
 
 
 def describe_work(units: int, fail: Any = "never", use: float = 1.0) -> str:
@@ -97,7 +97,7 @@
         if self.turn is None:
             if self.world.now < self.next_turn:
                 return
-            self.next_turn = self.world.now + TURN
+            self.next_turn = self.world.now + TURN_PERIOD_S
             self.turn = take_turn(self.state, self.world.view(self))
             self._send(None)
             return
@@ -177,7 +177,7 @@
                 1,
             )
             for name, it in self.processes.items()
-            if it.silent_since is None or self.now - it.silent_since < NOTICE
+            if it.silent_since is None or self.now - it.silent_since < NOTICE_DELAY_S
         )
         return ClusterView(asker.now, tuple(self.hosts), members, self.bundle)
 
@@ -226,7 +226,7 @@
         """Advance the time in small steps with whole turns of every process."""
         until = self.now + seconds
         while self.now < until:
-            self.pass_time(TURN / 2)
+            self.pass_time(TURN_PERIOD_S / 2)
             for process in list(self.processes.values()):
                 process.finish_turn()
             if check:
@@ -347,7 +347,9 @@
     def running(self, task: str) -> list[str]:
         """Return the workers on which a task is running."""
         now = int(self.now * 1000)
-        return [w for start, end, w, _ in self.intervals().get(task, []) if now <= end + ROUNDING]
+        return [
+            w for start, end, w, _ in self.intervals().get(task, []) if now <= end + ROUNDING_MS
+        ]
 
     def jobs(self) -> dict[str, JobRow]:
         """Return the rows of all jobs."""
@@ -367,7 +369,7 @@
             assert len(set(attempts)) == len(attempts), f"an attempt of {task} ran twice: {runs}"
             for (_, end, here, one), (start, _, there, two) in zip(runs, runs[1:], strict=False):
                 assert (
-                    start >= end - ROUNDING
+                    start >= end - ROUNDING_MS
                 ), f"{task}/{one} on {here} and {two} on {there} at {start}"
         places: dict[str, str] = {}
         for name, cell in self.cells().items():
--- a/toucanpin/placement/tracking.py
+++ b/toucanpin/placement/tracking.py
@@ -33,7 +33,7 @@
     """
     Orders and measurements of one attempt; times are on the owner's clock unless noted.
 
-    ``share`` is in force, ``wanted`` is what the policy asked for.  ``sampled_at`` is on the
+    ``share`` is in force, ``requested`` is the share that the policy set.  ``sampled_at`` is on the
     worker's clock.  ``excess`` counts consecutive samples far above the declared size; ``ceiling``
     is the highest share allowed meanwhile.
     """
@@ -41,7 +41,7 @@
     attempt: int
     saved_at: float
     share: float = 1.0
-    wanted: float = 1.0
+    requested: float = 1.0
     changed_at: float = float("-inf")
     checkpoint: str = ""
     sampled_at: int = -1
--- a/toucanpin/placement/writing.py
+++ b/toucanpin/placement/writing.py
@@ -43,9 +43,9 @@
 
 __all__ = ["TableHealth", "split_changes", "write_cell"]
 
-MAX_ROWS_BESIDE_CELL = MAX_TRANSACTION_ROWS - 1
-MIN_RETRY_PAUSE_S = 0.125
-MAX_RETRY_PAUSE_S = 1.0
+MAX_CHANGE_ROWS = MAX_TRANSACTION_ROWS - 1  # one row is the cell's own
+BASE_BACKOFF_S = 0.125
+MAX_BACKOFF_S = 1.0
 FAILURES_UNTIL_OUTAGE = 2  # consecutive
 
 
@@ -88,10 +88,10 @@
         self._commits_left -= 1
 
     def record_failure(self) -> None:
-        """Record that the table did not answer; the pause before a retry grows up to a second."""
+        """Record that the table did not answer; the back-off grows up to a second."""
         self.down = True
         self._failures += 1
-        pause = min(MAX_RETRY_PAUSE_S, MIN_RETRY_PAUSE_S * 2 ** min(self._failures, 8))
+        pause = min(MAX_BACKOFF_S, BASE_BACKOFF_S * 2 ** min(self._failures, 8))
         self._retry_at = self._now + pause
 
     def record_success(self, now: float) -> None:
@@ -106,7 +106,7 @@
     group: list[Change] = []
     rows = 0
     for change in changes:
-        if group and rows + len(change.writes) > MAX_ROWS_BESIDE_CELL:
+        if group and rows + len(change.writes) > MAX_CHANGE_ROWS:
             yield group
             group, rows = [], 0
         group.append(change)
