--- a/scenarios/peer.py
+++ b/scenarios/peer.py
@@ -202,7 +202,7 @@
         if found.is_ok():
             self.replica.receive_rows(found.ok, requested_at, self.read_clock())
         else:
-            self.replica.note_failed_read(self.read_clock())
+            self.replica.record_failed_read(self.read_clock())
         self._update_bundle("table")
 
     def _pull_from(self, peer: str, above: int) -> BundleRecord | None:
@@ -217,7 +217,7 @@
                 self.replica.offer(outcome, Source.PEER, self.read_clock())
                 self._update_bundle("peer")
             case _:
-                self.replica.note_failed_pull(self.read_clock())
+                self.replica.record_failed_pull(self.read_clock())
 
     def _push_to(self, peer: str, record: BundleRecord) -> None:
         """Let a peer take a bundle."""
--- a/toucanpin/bundles/acceptance.py
+++ b/toucanpin/bundles/acceptance.py
@@ -142,7 +142,7 @@
 
 
 def accept_bundle(
-    root: KeyRing, submission: Submission, next_token: Callable[[], str]
+    key_ring: KeyRing, submission: Submission, next_token: Callable[[], str]
 ) -> Acceptance:
     """
     Yield reads and one conditional write, and return the outcome of the submission.
@@ -153,7 +153,7 @@
     proves nothing.  The same conditional write is repeated instead: the first one to take effect
     changes the row's version and makes the other fail, and both contain the same bundle.
     """
-    match verify_bundle(root, submission.signed):
+    match verify_bundle(key_ring, submission.signed):
         case Result(tag="ok", ok=verified):
             pass
         case Result(error=error):
--- a/toucanpin/bundles/record.py
+++ b/toucanpin/bundles/record.py
@@ -57,9 +57,9 @@
         return Error(BundleError((f"not a record of a bundle: {error}",)))
 
 
-def verify_record(root: KeyRing, record: BundleRecord) -> Result[Verified, BundleError]:
+def verify_record(key_ring: KeyRing, record: BundleRecord) -> Result[Verified, BundleError]:
     """Verify a record's signatures, and its version and digest against its bundle."""
-    match verify_bundle(root, record.signed):
+    match verify_bundle(key_ring, record.signed):
         case Result(tag="ok", ok=verified):
             same = (verified.bundle.version, verified.digest) == (record.version, record.digest)
             if same:
--- a/toucanpin/bundles/replication.py
+++ b/toucanpin/bundles/replication.py
@@ -135,7 +135,7 @@
             self._confirm(asked_at)
         return offer
 
-    def note_failed_read(self, now: float) -> None:
+    def record_failed_read(self, now: float) -> None:
         """Note that a ReadTable failed."""
         self._detect_freeze(now)
         self._reading = False
@@ -158,7 +158,7 @@
             return OfferResult(OfferStatus.KEPT, "not yet sure that it is the newest")
         return offer
 
-    def note_failed_pull(self, now: float) -> None:
+    def record_failed_pull(self, now: float) -> None:
         """Note that a PullFrom returned no record."""
         self._detect_freeze(now)
         self._pulling = False
--- a/toucanpin/bundles/signature.py
+++ b/toucanpin/bundles/signature.py
@@ -154,11 +154,11 @@
     return tuple(ring.document for ring in newer[: len(older)]) == documents
 
 
-def verify_bundle(root: KeyRing, signed: SignedBundle) -> Result[Verified, BundleError]:
+def verify_bundle(key_ring: KeyRing, signed: SignedBundle) -> Result[Verified, BundleError]:
     """Verify a bundle's rings, signatures, canonical bytes, schema and deployment."""
     if len(signed.signatures) > MAX_SIGNATURES or len(signed.rings) > MAX_RINGS:
         return Error(BundleError(("too many signatures or key rings",)))
-    match _follow_rings(root, signed.rings):
+    match _follow_rings(key_ring, signed.rings):
         case Result(tag="ok", ok=ring):
             return _verify_document(ring, signed)
         case Result(error=error):
@@ -181,15 +181,17 @@
             return Error(error)
 
 
-def _follow_rings(root: KeyRing, rings: tuple[SignedRing, ...]) -> Result[KeyRing, BundleError]:
-    ring = root
+def _follow_rings(
+    root_ring: KeyRing, rings: tuple[SignedRing, ...]
+) -> Result[KeyRing, BundleError]:
+    ring = root_ring
     for link in rings:
         match _decode_ring(link.document):
             case Result(tag="ok", ok=successor):
                 pass
             case Result(error=error):
                 return Error(error)
-        if successor.version <= root.version:
+        if successor.version <= root_ring.version:
             continue  # the root ring of the settings is as new as this one
         faults = _check_link(ring, successor, link)
         if faults:
--- a/toucanpin/bundles/tests/cluster.py
+++ b/toucanpin/bundles/tests/cluster.py
@@ -39,7 +39,7 @@
     replica: BundleReplica
     table: MemoryTable
     peer_versions: dict[str, int] = field(default_factory=dict)
-    heard_at: dict[str, float] = field(default_factory=dict)
+    heartbeat_at: dict[str, float] = field(default_factory=dict)
     history: list[tuple[float, int]] = field(default_factory=list)
     served: list[tuple[float, int]] = field(default_factory=list)
     frozen: bool = False
@@ -135,8 +135,8 @@
     def is_ready(self, name: str) -> bool:
         """Return whether a process may serve."""
         process = self.processes[name]
-        reached = sum(self.now - at < 2.0 for at in process.heard_at.values())
-        return process.replica.readiness(reached, len(process.heard_at), self.now).ready
+        reached = sum(self.now - at < 2.0 for at in process.heartbeat_at.values())
+        return process.replica.readiness(reached, len(process.heartbeat_at), self.now).ready
 
     def serve(self, name: str) -> int:
         """Return the version that a process would serve a request with, 0 for none."""
@@ -190,7 +190,7 @@
     ) -> Callable[[], None]:
         def receive() -> None:
             receiver.peer_versions[sender] = version
-            receiver.heard_at[sender] = self.now
+            receiver.heartbeat_at[sender] = self.now
             seen = receiver.replica.highest_seen
             # A request may arrive after the view was updated but before the replica is.
             self._record_version(receiver)
@@ -218,7 +218,7 @@
                 case Result(tag="ok", ok=rows):
                     process.replica.receive_rows(rows, asked_at, self.now)
                 case _:
-                    process.replica.note_failed_read(self.now)
+                    process.replica.record_failed_read(self.now)
             self._record_version(process)
 
         self._schedule(5 * self.delay, process, answer)
@@ -238,7 +238,7 @@
         def answer() -> None:
             record = other.replica.record if other is not None and able and not broken else None
             if record is None or record.version <= above:
-                process.replica.note_failed_pull(self.now)
+                process.replica.record_failed_pull(self.now)
             else:
                 process.replica.offer(record, Source.PEER, self.now)
             self._record_version(process)
--- a/toucanpin/bundles/tests/test_rollback.py
+++ b/toucanpin/bundles/tests/test_rollback.py
@@ -199,7 +199,7 @@
         self.cluster.accept(make_record(2), FIRST)
         self.cluster.run(300)
         process = self.cluster.processes[SECOND]
-        process.heard_at = dict.fromkeys(process.heard_at, self.cluster.now)
+        process.heartbeat_at = dict.fromkeys(process.heartbeat_at, self.cluster.now)
         woken = self.cluster.now
         self.assertEqual(self.cluster.serve(SECOND), 0)
         self.cluster.resume(SECOND)
@@ -316,7 +316,7 @@
         process must wait until the heartbeats of the remaining peers would have arrived.
         """
         self.is_ready(1, 60.0)
-        self.replica.note_failed_read(60.0)
+        self.replica.record_failed_read(60.0)
         self.assertFalse(self.is_ready(4, 60.5))
         self.assertTrue(self.is_ready(4, 64.0))
 
--- a/toucanpin/daemon/bundle_apps.py
+++ b/toucanpin/daemon/bundle_apps.py
@@ -45,7 +45,7 @@
 __all__ = [
     "BundleRollout",
     "History",
-    "ProcessForce",
+    "ProcessBundle",
     "SubmitAnswer",
     "SubmitRequest",
     "VersionEntry",
@@ -100,7 +100,7 @@
     versions: tuple[VersionEntry, ...]
 
 
-class ProcessForce(msgspec.Struct, frozen=True):
+class ProcessBundle(msgspec.Struct, frozen=True):
     """Version that a process reports to have in force."""
 
     name: str
@@ -114,7 +114,7 @@
 
     version: int
     everywhere: bool
-    processes: tuple[ProcessForce, ...]
+    processes: tuple[ProcessBundle, ...]
 
 
 def make_bundle_apps(
@@ -129,7 +129,7 @@
     return {
         "/v1/bundle": apps.serve_bundle,
         "/v1/bundle/history": apps.serve_history,
-        "/v1/bundle/force": apps.serve_force,
+        "/v1/bundle/force": apps.serve_rollout,
     }
 
 
@@ -167,10 +167,10 @@
             return _refuse(start, f"limit is {text!r}; allowed: 1 to {MAX_HISTORY_VERSIONS}")
         return answer_json(start, History(tuple(self._list_versions(int(text)))))
 
-    def serve_force(self, environ: dict[str, Any], start: StartResponse) -> Iterable[bytes]:
+    def serve_rollout(self, environ: dict[str, Any], start: StartResponse) -> Iterable[bytes]:
         """Show which version is in force in each process."""
         processes = tuple(
-            ProcessForce(m.name, m.site, m.standing.value, m.bundle)
+            ProcessBundle(m.name, m.site, m.standing.value, m.bundle)
             for m in self._gossip.members()
             if m.standing is not Standing.GONE
         )
--- a/toucanpin/daemon/bundles.py
+++ b/toucanpin/daemon/bundles.py
@@ -215,7 +215,7 @@
             case Result(error=fault):
                 _log.warning("bundle could not be read from the table: {}", fault)
                 with self._lock:
-                    self._replica.note_failed_read(now)
+                    self._replica.record_failed_read(now)
 
     def _pull(self, peer: str, above: int) -> None:
         received = self._call_pull(peer, above)
@@ -226,7 +226,7 @@
                     self._offer(record, Source.PEER, (_to_cause(received.envelope),))
                     return
         with self._lock:
-            self._replica.note_failed_pull(time.monotonic())
+            self._replica.record_failed_pull(time.monotonic())
 
     def _call_pull(self, peer: str, above: int) -> Received | None:
         member = self._find_member(peer)
--- a/toucanpin/daemon/gossip.py
+++ b/toucanpin/daemon/gossip.py
@@ -17,7 +17,7 @@
 from toucanpin.exception import WireError
 from toucanpin.membership.beat import Beat, Change, Record, Timing
 from toucanpin.membership.member import Member, Standing
-from toucanpin.membership.view import MAX_RECORDS, View
+from toucanpin.membership.view import MAX_BEAT_RECORDS, View
 from toucanpin.wire.datagram import DatagramSocket
 from toucanpin.wire.identity import Identity
 from toucanpin.wire.keys import PeerKeys
@@ -194,8 +194,8 @@
 
     def _send_answers(self, member: Member, digest: int, records: tuple[Record, ...]) -> None:
         endpoints = ((member.address, member.port),)
-        for start in range(0, len(records), MAX_RECORDS):
-            self._send_records(endpoints, digest, records[start : start + MAX_RECORDS])
+        for start in range(0, len(records), MAX_BEAT_RECORDS):
+            self._send_records(endpoints, digest, records[start : start + MAX_BEAT_RECORDS])
 
     def _send_round(self) -> None:
         with self._lock:
--- a/toucanpin/daemon/timeline.py
+++ b/toucanpin/daemon/timeline.py
@@ -26,7 +26,7 @@
 __all__ = ["TimelineStreamer", "make_object_name", "make_timeline_app"]
 
 SEND_PERIOD_S = 2.0
-MAX_DELAY_S = 60.0
+MAX_BACKOFF_S = 60.0
 MAX_BATCH_EVENTS = 2_000
 _JITTER = 0.2
 _MAX_SEQUENCE_DIGITS = 18
@@ -135,7 +135,7 @@
         """Return the seconds until the next batch, with exponential back-off after failures."""
         delay = self._period * 2.0 ** min(self._failures, 10)
         jitter = 1.0 + _JITTER * (2.0 * self._random.random() - 1.0)
-        return min(delay, MAX_DELAY_S) * jitter
+        return min(delay, MAX_BACKOFF_S) * jitter
 
     def run(self) -> None:
         """Send periodically until stopped, then send the rest until the store fails."""
--- a/toucanpin/interference/budget.py
+++ b/toucanpin/interference/budget.py
@@ -10,7 +10,7 @@
 
 __all__ = ["Budget", "EvictionBudget"]
 
-MINUTE = 60.0
+MINUTE_S = 60.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -32,7 +32,7 @@
 
     def allows(self, now: float, job: str) -> bool:
         """Return whether a job may be evicted now."""
-        drop_before(self._recent, now - MINUTE)
+        drop_before(self._recent, now - MINUTE_S)
         if len(self._recent) >= self._budget.per_minute:
             return False
         own = self._jobs.get(job)
--- a/toucanpin/membership/tests/mesh.py
+++ b/toucanpin/membership/tests/mesh.py
@@ -6,7 +6,7 @@
 
 from toucanpin.membership.beat import Beat, Change, Record, Timing
 from toucanpin.membership.member import Member, Standing
-from toucanpin.membership.view import MAX_RECORDS, View
+from toucanpin.membership.view import MAX_BEAT_RECORDS, View
 
 __all__ = ["Mesh", "make_member"]
 
@@ -105,8 +105,8 @@
             return
         sender = beat.sender.member
         answers = view.list_answers(sender.name)
-        for start in range(0, len(answers), MAX_RECORDS):
-            part = self.make_beat(receiver, answers[start : start + MAX_RECORDS])
+        for start in range(0, len(answers), MAX_BEAT_RECORDS):
+            part = self.make_beat(receiver, answers[start : start + MAX_BEAT_RECORDS])
             self._send(receiver, (sender.address, sender.port), part)
 
     def _find(self, endpoint: tuple[str, int]) -> str | None:
--- a/toucanpin/membership/view.py
+++ b/toucanpin/membership/view.py
@@ -29,7 +29,7 @@
 
 __all__ = ["View"]
 
-MAX_RECORDS = 8
+MAX_BEAT_RECORDS = 8
 MAX_ANSWERS_PER_INTERVAL = 2
 RELAY_ROUNDS = 3
 PROBE_PERIOD_ROUNDS = 5
@@ -43,15 +43,15 @@
     """
     What is known of one member.
 
-    ``heard_at`` is the instant of its last own heartbeat, ``evidence_at`` that of the last newer
+    ``heartbeat_at`` is the instant of its last own heartbeat, ``updated_at`` that of the last newer
     record of it, also relayed by others.  ``departed`` is True if it left or was replaced, so that
     it is not expected to be heard.
     """
 
     member: Member
     sequence: int
-    heard_at: float
-    evidence_at: float
+    heartbeat_at: float
+    updated_at: float
     relays_left: int = RELAY_ROUNDS
     answered_at: float = float("-inf")
     departed: bool = False
@@ -137,7 +137,7 @@
         """Return this round's heartbeat, with the records of changed and suspected members."""
         records: list[Record] = []
         for entry in self._entries.values():
-            if len(records) == MAX_RECORDS:
+            if len(records) == MAX_BEAT_RECORDS:
                 break
             if entry.relays_left > 0 or entry.member.standing is Standing.SUSPECT:
                 entry.relays_left = max(0, entry.relays_left - 1)
@@ -206,8 +206,8 @@
         # that time would remove all members at once.  The others have removed this process in the
         # meantime, so it returns as a new incarnation.
         for entry in self._entries.values():
-            entry.heard_at += pause
-            entry.evidence_at += pause
+            entry.heartbeat_at += pause
+            entry.updated_at += pause
         yield self._raise_incarnation(self.own.incarnation + 1)
 
     def _raise_incarnation(self, incarnation: int) -> Change:
@@ -216,9 +216,9 @@
 
     def _check_silence(self, entry: _Entry, now: float) -> Iterator[Change]:
         timing = self._timing
-        silent = now - entry.evidence_at
+        silent = now - entry.updated_at
         match entry.member.standing:
-            case Standing.ALIVE if now - entry.heard_at > timing.suspect_after:
+            case Standing.ALIVE if now - entry.heartbeat_at > timing.suspect_after:
                 yield Change(ChangeKind.SUSPECTED, entry.set_standing(Standing.SUSPECT))
             case Standing.SUSPECT | Standing.LEAVING if silent > timing.gone_after:
                 yield Change(ChangeKind.GONE, entry.set_standing(Standing.GONE))
@@ -239,7 +239,7 @@
             # removal.  The sender gets an answer, and returns as a new incarnation.
             return
         entry.sequence = record.sequence
-        entry.heard_at = entry.evidence_at = now
+        entry.heartbeat_at = entry.updated_at = now
         yield from self._update_member(entry, member)
 
     def _update_member(self, entry: _Entry, member: Member) -> Iterator[Change]:
@@ -293,7 +293,7 @@
             yield from self._update_member(entry, member)
         elif record.sequence > entry.sequence:
             entry.sequence = record.sequence
-            entry.evidence_at = now
+            entry.updated_at = now
             bundle = max(entry.member.bundle, member.bundle)
             entry.member = dataclasses.replace(entry.member, bundle=bundle)
         elif member.standing is Standing.SUSPECT and record.sequence < entry.sequence:
--- a/toucanpin/requests/admission.py
+++ b/toucanpin/requests/admission.py
@@ -88,7 +88,7 @@
         )
 
     def check(self, caller: str, deadline: float, now: float, free: bool) -> Refusal | None:
-        """Refuse a request that cannot be served in time or for which the queue has no room."""
+        """Refuse a request that cannot be served in time or that finds the queue full."""
         if deadline <= now:
             return Refusal(Verdict.NOT_RUN, Reason.DEADLINE, "the deadline has passed")
         if free:
--- a/toucanpin/requests/attempt_timing.py
+++ b/toucanpin/requests/attempt_timing.py
@@ -3,7 +3,7 @@
 =======================================
 
 How long one attempt of an idempotent request may take before another instance is tried, and after
-which delay a second attempt starts beside it.
+which delay a second attempt starts in parallel.
 """
 
 from __future__ import annotations
@@ -43,9 +43,9 @@
         """Return the timeout of an attempt, of the caller's ``remaining`` seconds."""
         if not self._timeout_quantile.is_warm:
             return remaining * MAX_TIMEOUT_SHARE
-        wanted = max(MIN_TIMEOUT_S, self._timeout_quantile.value * TIMEOUT_FACTOR)
-        # With too little time left for two attempts, cutting the first would only waste its slot.
-        return wanted if wanted <= remaining * MAX_TIMEOUT_SHARE else remaining
+        timeout = max(MIN_TIMEOUT_S, self._timeout_quantile.value * TIMEOUT_FACTOR)
+        # With too little time for two attempts, ending the first early would only waste its slot.
+        return timeout if timeout <= remaining * MAX_TIMEOUT_SHARE else remaining
 
     def hedge_delay(self, mean: float) -> float | None:
         """
--- a/toucanpin/requests/claims.py
+++ b/toucanpin/requests/claims.py
@@ -3,7 +3,7 @@
 =====================
 
 A non-idempotent request with a caller's id runs only after its claim row was inserted, whichever
-entry host it came through.  Many claims share one transaction.  The row's key depends on the id
+entry host received it.  Many claims share one transaction.  The row's key depends on the id
 alone: with the wall time in the key, two hosts whose clocks differ would each insert a row, and the
 request would run twice.
 """
--- a/toucanpin/requests/messages.py
+++ b/toucanpin/requests/messages.py
@@ -119,7 +119,7 @@
 
 
 class Hedge(msgspec.Struct, frozen=True):
-    """Begin a second attempt beside the pending one; the outcome is the first end of the two."""
+    """Begin a second attempt in parallel; the outcome is the end of whichever ends first."""
 
     instance: str
     deadline: float
@@ -204,7 +204,7 @@
 
 
 class CallerFailed(msgspec.Struct, frozen=True):
-    """The caller's own body ended early, was late or was too large."""
+    """The caller's request body ended early, was late or was too large."""
 
     at: float
     refusal: Refusal
--- a/toucanpin/requests/path.py
+++ b/toucanpin/requests/path.py
@@ -171,7 +171,7 @@
         return first.started + delay
 
     def _hedge(self, first: _Attempt, running: dict[str, _Attempt]) -> _Steps:
-        """Start a second attempt beside the first if allowed; the first final answer wins."""
+        """Start a second attempt in parallel if allowed; the first final answer wins."""
         second = self._service.take_hedge_slot(self._tried | {first.instance}, self._now)
         if second is None:
             ended = yield AwaitAttempt()
--- a/toucanpin/requests/service.py
+++ b/toucanpin/requests/service.py
@@ -2,7 +2,7 @@
 State of one service
 ====================
 
-What one request process knows of one service: its queue, routing, retry budget and attempt timing.
+State that a request process keeps for one service: queue, routing, retry budget and timing.
 """
 
 from __future__ import annotations
@@ -25,11 +25,11 @@
 
 class ServiceState:
     """
-    Combine admission, routing and retries of one service.
+    Admission, routing and retries of one service.
 
     Not thread-safe: the daemon takes a lock around each step.  ``settled_tickets`` collects the
     tickets whose wait ended in this step, so that the daemon wakes their threads.
-    ``max_requests`` is how many requests the process can hold at one time, in flight and queued.
+    ``max_requests`` is how many requests the process can serve at one time, in flight and queued.
     """
 
     __slots__ = (
--- a/toucanpin/requests/sweeps.py
+++ b/toucanpin/requests/sweeps.py
@@ -82,7 +82,7 @@
     """Delete a partition's expired rows and return their number; stop at a failed write."""
     found = yield Scan(prefix)
     rows: tuple[Row, ...] = found.ok if found.is_ok() else ()
-    # The clock is read after the answer, so that no row is taken for older than it is.
+    # The clock is read after the answer, so that no row counts as older than it is.
     now = clock()
     ages.record(now, max((row.version for row in rows), default=0))
     expired_version = ages.find_expired_version(now)
--- a/toucanpin/requests/tests/test_hedging.py
+++ b/toucanpin/requests/tests/test_hedging.py
@@ -112,7 +112,7 @@
 
     def test_never_hedges_a_non_idempotent_request(self):
         """
-        A second attempt beside a slow one would run a non-idempotent request twice.
+        A second attempt in parallel to a slow one would run a non-idempotent request twice.
         """
         _, forward = begin(make_state(), idempotent=False)
         self.assertIsNone(forward.pending_at)
--- a/toucanpin/requests/tests/test_path.py
+++ b/toucanpin/requests/tests/test_path.py
@@ -197,7 +197,7 @@
                 self.assertLess(record.answered_at - record.request.arrived, 0.05)
             self.assertLessEqual(max(load.peak.values()), 8)
 
-    def test_a_caller_with_few_requests_is_served_beside_a_flood(self):
+    def test_a_caller_with_few_requests_is_served_during_a_flood(self):
         """
         One caller fills the queue; the full queue refuses the newest request of the caller with the
         most queued requests, so that the other caller's are served.
@@ -232,9 +232,9 @@
 
     def test_slow_attempts_rarely_time_out(self):
         """
-        Answer times vary widely, and the timeout of attempts is learnt from them.
+        Answer times vary widely, and the timeout of attempts is derived from them.
 
-        If it were learnt without the attempts that timed out, it would shrink with each of them
+        If it were derived without the attempts that timed out, it would shrink with each of them
         until most attempts time out.
         """
         rng = Random(3)
