--- a/tools/demo/__init__.py
+++ b/tools/demo/__init__.py
@@ -1,1 +1,1 @@
-"""The demonstration: the whole path as separate processes on embedded stand-ins."""
+"""Demonstration of the whole system as separate processes with stand-ins."""
--- a/tools/demo/__main__.py
+++ b/tools/demo/__main__.py
@@ -2,7 +2,8 @@
 Demonstration
 =============
 
-Start the whole system and its surroundings as separate processes, load it, break it, count.
+Run the whole system and its environment as separate processes, put it under load, kill hosts, and
+compare the counts of all outcomes with the expected ones.
 """
 
 from __future__ import annotations
@@ -61,7 +62,7 @@
 
 
 def _run(topology: Topology, folder: Path, launcher: Launcher) -> Report:
-    """Start, load, break and count."""
+    """Start the system, run the load with failures, and return the report."""
     make_keys(folder)
     write_settings(topology, folder)
     start_environment(topology, launcher)
@@ -82,7 +83,7 @@
 
 
 def _wait_for_standing(observer: Observer) -> None:
-    """Wait until each standing task was seen just now."""
+    """Wait until each standing task was seen within the last second."""
     deadline = time.monotonic() + STANDING_TIMEOUT_S
     while time.monotonic() < deadline:
         now = time.monotonic()
@@ -96,14 +97,14 @@
 def _load(
     topology: Topology, folder: Path, launcher: Launcher, observer: Observer
 ) -> tuple[RequestCounts, JobCounts]:
-    """Send requests and jobs, and break hosts in the middle."""
+    """Submit jobs and send requests, and kill hosts in the middle."""
     jobs = JobCounts()
     names = submit_jobs(topology.entries, JOBS, jobs)
     time.sleep(JOB_START_DELAY_S)
     hosts_broken = threading.Event()
 
     def break_hosts(ended: int) -> None:
-        """Kill an entry host and a worker once enough requests ended."""
+        """Kill an entry host and a worker once KILL_AT_REQUEST requests have ended."""
         if ended >= KILL_AT_REQUEST and not hosts_broken.is_set():
             hosts_broken.set()
             _break(topology, folder, launcher, observer)
@@ -114,7 +115,7 @@
 
 
 def _break(topology: Topology, folder: Path, launcher: Launcher, observer: Observer) -> None:
-    """Kill the second entry host and the first standing task's worker; drain another worker."""
+    """Kill the second entry host and the worker of a standing task; drain another worker."""
     entry = topology.entries[1]
     for role in ROLES:
         launcher.kill(f"{entry.name}-{role}")
@@ -127,7 +128,7 @@
 
 
 def _count_executions(topology: Topology) -> dict[str, int]:
-    """Return how often each request ran, over all instances."""
+    """Return the number of executions of each request over all instances."""
     totals: dict[str, int] = {}
     for instance in topology.instances:
         answer = urllib3.request("GET", f"{instance.control}/executions", timeout=5.0)
@@ -137,7 +138,7 @@
 
 
 def _draw_timeline(topology: Topology, folder: Path) -> Path:
-    """Merge every process's events and draw them; a killed process left what it had sent."""
+    """Merge and plot the events of all processes; killed ones count with what they had sent."""
     live: tuple[Entry, ...] = (topology.entries[0], *topology.entries[2:])
     sources = [
         part for entry in live for role in ROLES for part in ("--from", f"{entry.operators(role)}")
@@ -158,7 +159,7 @@
     executions: dict[str, int],
     timeline_page: Path,
 ) -> Report:
-    """Compare the counts with what they must be."""
+    """Compare the counts with the expected ones."""
     non_idempotent = {f"request-{number}" for number in range(1, REQUESTS, 2)}
     duplicates = sum(1 for name in non_idempotent if executions.get(name, 0) > 1)
     lines = [
--- a/tools/demo/bundle.py
+++ b/tools/demo/bundle.py
@@ -2,7 +2,7 @@
 Bundle of the demonstration
 ===========================
 
-Write a bundle, make keys, sign and submit it with the tool ``toucanpin`` as an operator would.
+Create keys and a bundle, then sign and submit it with the command ``toucanpin``.
 """
 
 from __future__ import annotations
@@ -22,12 +22,12 @@
 
 def run_tool(folder: Path, *arguments: str) -> str:
     """
-    Run ``toucanpin`` in a folder and return what it printed.
+    Run ``toucanpin`` in a folder and return its standard output.
 
     Raises
     ------
     RuntimeError
-        If it ends with another code than 0.
+        If its exit code is not 0.
     """
     completed = subprocess.run(
         [sys.executable, "-m", "toucanpin.cli.main", *arguments],
@@ -45,14 +45,14 @@
 
 
 def make_keys(folder: Path) -> None:
-    """Make the signer's key and the key ring that every process trusts at its start."""
+    """Create the signer's key and the key ring that every process trusts initially."""
     signer = run_tool(folder, "bundle", "keys", "new", "supervisor", "--out", "supervisor.key")
     head = f'deployment = "{DEPLOYMENT}"\nversion = 1\nthreshold = 1\n'
     (folder / "ring.toml").write_text(f"{head}{signer}")
 
 
 def submit_bundle(folder: Path, entry: Entry, text: str | None = None) -> str:
-    """Check, sign, submit and wait for the first bundle; return the tool's last line."""
+    """Check, sign, submit and await the first bundle; return the output of the wait."""
     (folder / "bundle.toml").write_text(text or _write_bundle())
     operators = ("--operators", entry.operators("request"))
     run_tool(folder, "bundle", "check", "bundle.toml")
@@ -64,7 +64,7 @@
 
 
 def _write_bundle() -> str:
-    """Write the bundle's text."""
+    """Return the bundle as TOML."""
     standing = "".join(
         f'[[standing]]\nname = "{name}"\nteam = "{TEAM}"\nkind = "watch"\n'
         "processors = 2\nmemory = 1024\n"
--- a/tools/demo/callers.py
+++ b/tools/demo/callers.py
@@ -2,8 +2,8 @@
 Callers of the demonstration
 ============================
 
-Send requests through every entry host, behave as a careful caller where an answer fails, and
-compare each answer with what its request must get.
+Send requests through all entry hosts, repeat them only where that is safe, and compare each answer
+with the expected one.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 
 @dataclass(slots=True)
 class RequestCounts:
-    """Count what callers saw; ``uncertain`` requests got no answer and may have run."""
+    """Counts of requests by outcome; ``uncertain`` ones got no answer and may have run."""
 
     asked: int = 0
     right: int = 0
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerRequest:
-    """Hold one request; every second one is not idempotent."""
+    """A numbered request; every second one is not idempotent."""
 
     number: int
 
@@ -65,12 +65,12 @@
 
     @property
     def digest(self) -> str:
-        """Return the digest that the right answer carries."""
+        """Return the digest that the correct answer contains."""
         content = f"{self.method} {self.path}\n".encode() + self.body
         return hashlib.sha256(content).hexdigest()
 
     def is_answered_by(self, body: bytes) -> bool:
-        """Say whether an answer belongs to this request and is whole."""
+        """Return whether a body is the complete answer to this request."""
         try:
             fields = msgspec.json.decode(body)
             return bool(
@@ -83,13 +83,13 @@
 def send_requests(
     entries: tuple[Entry, ...], count: int, after: Callable[[int], None]
 ) -> RequestCounts:
-    """Send requests in parallel and call ``after`` with the number of those that ended."""
+    """Send requests in parallel; call ``after`` with the number of ended ones after each."""
     counts = RequestCounts()
     lock = threading.Lock()
     pool = urllib3.PoolManager(retries=False, maxsize=CALLERS)
 
     def send_one(number: int) -> None:
-        """Ask one question and count its end."""
+        """Send one request and count its outcome."""
         outcome = _send_until_known(pool, entries, CallerRequest(number), counts, lock)
         with lock:
             counts.asked += 1
@@ -109,14 +109,14 @@
     counts: RequestCounts,
     lock: threading.Lock,
 ) -> str:
-    """Ask, at the next entry host after each failure that allows it; return what to count."""
+    """Send a request, with retries at the next entry host where safe; return the counter's name."""
     for attempt in range(MAX_TRIES):
         entry = entries[(request.number + attempt) % len(entries)]
         outcome = _send_once(pool, entry, request)
         if outcome in ("right", "wrong"):
             return outcome
         if outcome == "may-have-run" and request.method == "POST":
-            # Asking again under the same id is safe, but could only learn that it is a duplicate.
+            # A repeat under the same id is safe, but would only be answered as a duplicate.
             return "uncertain"
         with lock:
             counts.repeated += 1
@@ -125,7 +125,7 @@
 
 
 def _send_once(pool: urllib3.PoolManager, entry: Entry, request: CallerRequest) -> str:
-    """Ask one entry host once."""
+    """Send a request once, to one entry host."""
     url = f"{entry.callers}/v1/services/{SERVICE}{request.path}"
     headers = {"Toucanpin-Request-Id": f"request-{request.number}"}
     try:
--- a/tools/demo/environment.py
+++ b/tools/demo/environment.py
@@ -1,6 +1,6 @@
 """
-System and surroundings
-=======================
+System and environment
+======================
 
 Start the platform, the workers, the instances and both roles on every entry host.
 """
@@ -49,7 +49,7 @@
 
 
 def _worker_arguments(topology: Topology, worker: Worker) -> list[str]:
-    """Return the arguments of one worker."""
+    """Return the command-line arguments of a worker."""
     return [
         *("--listen", f"{worker.address}:{worker.port}", "--name", worker.name),
         *("--site", worker.site, "--rack", worker.rack),
@@ -59,7 +59,7 @@
 
 
 def _list_hosts(topology: Topology) -> None:
-    """Put the host list into the platform."""
+    """Upload the host list to the platform."""
     hosts = [
         ListedHost(
             it.name,
@@ -95,7 +95,7 @@
 def start_system(
     topology: Topology, folder: Path, launcher: Launcher, roles: tuple[str, ...] = ROLES
 ) -> None:
-    """Start the roles, both if not told otherwise, on every entry host."""
+    """Start some roles, by default both, on every entry host."""
     for entry in topology.entries:
         for role in roles:
             path = settings_path(folder, entry, role)
--- a/tools/demo/jobs.py
+++ b/tools/demo/jobs.py
@@ -2,7 +2,7 @@
 Jobs of the demonstration
 =========================
 
-Submit jobs, two of which can never run, follow them to their end and compare their results.
+Submit jobs, two of which fit on no host, wait for their ends and compare their results.
 """
 
 from __future__ import annotations
@@ -38,7 +38,7 @@
 
 @dataclass(slots=True)
 class JobCounts:
-    """Count the ends of jobs."""
+    """Counts of jobs by outcome."""
 
     submitted: int = 0
     accepted: int = 0
@@ -51,7 +51,7 @@
 
 
 def submit_jobs(entries: tuple[Entry, ...], count: int, counts: JobCounts) -> dict[str, str]:
-    """Submit jobs through every entry host in turn; return job names with their inputs."""
+    """Submit jobs through the entry hosts in turn; return accepted jobs with their inputs."""
     accepted = {}
     for number, body in enumerate(_make_bodies(count)):
         counts.submitted += 1
@@ -67,7 +67,7 @@
 
 
 def follow_jobs(entries: tuple[Entry, ...], jobs: dict[str, str], counts: JobCounts) -> None:
-    """Wait until every job has ended and count the ends."""
+    """Wait until every job has ended, and count the outcomes."""
     deadline = time.monotonic() + END_TIMEOUT_S
     unfinished_jobs = set(jobs)
     while unfinished_jobs and time.monotonic() < deadline:
@@ -85,7 +85,7 @@
 
 
 def _make_bodies(count: int) -> Iterator[dict[str, object]]:
-    """Yield the descriptions of jobs, the impossible ones first."""
+    """Yield the bodies of submissions, those that fit on no host first."""
     for number in range(count):
         size = {"processors": 8, "memory": 4_096}
         if number < len(UNPLACEABLE_SIZES):
@@ -98,7 +98,7 @@
 def _submit(
     entries: tuple[Entry, ...], number: int, body: dict[str, object]
 ) -> urllib3.BaseHTTPResponse | None:
-    """Submit one job, with the same key after each failure."""
+    """Submit one job, with the same idempotency key in each attempt."""
     headers = {"Idempotency-Key": f"job-{number}", "Content-Type": "application/json"}
     return _call(entries[number % len(entries) :] + entries, "POST", "/v1/jobs", body, headers)
 
@@ -110,7 +110,7 @@
     body: dict[str, object] | None = None,
     headers: dict[str, str] | None = None,
 ) -> urllib3.BaseHTTPResponse | None:
-    """Ask one entry host after the other until one gives a final answer."""
+    """Try one entry host after the other until one gives an answer other than 503."""
     content = None if body is None else msgspec.json.encode(body)
     for attempt in range(MAX_TRIES):
         entry = entries[attempt % len(entries)]
@@ -135,7 +135,7 @@
 def _count_end(
     entries: tuple[Entry, ...], job: str, fields: dict[str, object], text: str, counts: JobCounts
 ) -> None:
-    """Count one ended job and compare its result."""
+    """Count one ended job and verify its result."""
     if fields["state"] != "finished":
         counts.unfinished += 1
         return
--- a/tools/demo/observer.py
+++ b/tools/demo/observer.py
@@ -2,8 +2,8 @@
 Observer of standing tasks
 ==========================
 
-Ask the workers what they run, again and again, and measure the gaps of each standing task and any
-moment at which two workers ran it.
+Poll the workers for their running tasks, and measure the gaps of each standing task and the number
+of polls in which two workers ran it.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 @dataclass(slots=True)
 class ObservedTask:
-    """Hold what was seen of one task; ``gap`` is the longest time in seconds without it."""
+    """Observations of one task; ``gap`` is the longest time in seconds without it."""
 
     gap: float = 0.0
     duplicates_seen: int = 0
@@ -35,23 +35,23 @@
 
 
 class Observer:
-    """Watch standing tasks until stopped."""
+    """Thread that observes standing tasks until stopped."""
 
     __slots__ = ("_stopping", "_thread", "_workers", "watched")
 
     def __init__(self, workers: tuple[Worker, ...], tasks: tuple[str, ...]) -> None:
-        """Prepare to watch tasks on workers."""
+        """Initialize an observer of tasks on workers."""
         self._workers = workers
         self.watched = {task: ObservedTask() for task in tasks}
         self._stopping = threading.Event()
         self._thread = threading.Thread(target=self._run, daemon=True)
 
     def start(self) -> None:
-        """Start watching."""
+        """Start the thread."""
         self._thread.start()
 
     def stop(self) -> None:
-        """Stop watching."""
+        """Stop the thread."""
         self._stopping.set()
         self._thread.join()
 
@@ -61,12 +61,12 @@
         return hosts[-1] if hosts else ""
 
     def _run(self) -> None:
-        """Look once a period."""
+        """Poll the workers once a period."""
         while not self._stopping.wait(POLL_PERIOD_S):
             self._poll_workers()
 
     def _poll_workers(self) -> None:
-        """Ask every worker and take in what runs where."""
+        """Poll every worker once and record where each task runs."""
         running = {worker.name: _read_running(worker) for worker in self._workers}
         now = time.monotonic()
         for task, watched in self.watched.items():
@@ -77,7 +77,7 @@
 
 
 def _record_sighting(watched: ObservedTask, host: str, now: float) -> None:
-    """Note that a task runs now."""
+    """Record that a task runs on a host."""
     if watched.seen_at is not None:
         watched.gap = max(watched.gap, now - watched.seen_at)
     watched.seen_at = now
@@ -86,7 +86,7 @@
 
 
 def _read_running(worker: Worker) -> set[str]:
-    """Return the tasks that a worker says it runs, none if it gives no answer."""
+    """Return the tasks that a worker reports as running, none if it does not answer."""
     try:
         answer = urllib3.request(
             "GET", f"{worker.url}/log", timeout=REQUEST_TIMEOUT_S, retries=False
--- a/tools/demo/processes.py
+++ b/tools/demo/processes.py
@@ -2,7 +2,7 @@
 Processes of the demonstration
 ==============================
 
-Start, watch, kill and end separate processes by their ids; the product itself starts none.
+Start, signal and end separate processes by their ids; the product itself starts none.
 """
 
 from __future__ import annotations
@@ -26,17 +26,17 @@
 
 
 class Launcher:
-    """Own the processes that this run started, and end them all."""
+    """Processes that this run started, all ended on exit."""
 
     __slots__ = ("_folder", "_processes")
 
     def __init__(self, folder: Path) -> None:
-        """Prepare to start processes that log into a folder."""
+        """Initialize a launcher of processes that log into a folder."""
         self._folder = folder
         self._processes: dict[str, subprocess.Popen[bytes]] = {}
 
     def __enter__(self) -> Launcher:
-        """Begin a run."""
+        """Return the launcher."""
         return self
 
     def __exit__(
@@ -45,13 +45,13 @@
         error: BaseException | None,
         trace: TracebackType | None,
     ) -> None:
-        """End every process, also after Ctrl-C."""
+        """End every process, also after an error or Ctrl-C."""
         self.end_all()
 
     def start(self, name: str, module: str, arguments: Sequence[str]) -> None:
-        """Start ``python -m module`` under a name."""
+        """Start ``python -m module``, registered under a name."""
         with (self._folder / f"{name}.log").open("ab") as log:
-            # A session of its own keeps the terminal's Ctrl-C for this launcher, which ends all.
+            # A session of its own shields it from the terminal's Ctrl-C; the launcher ends it.
             self._processes[name] = subprocess.Popen(
                 [sys.executable, "-m", module, *arguments],
                 stdin=subprocess.DEVNULL,
@@ -69,17 +69,17 @@
         return self._processes[name].pid
 
     def kill(self, name: str) -> None:
-        """End one process by SIGKILL."""
+        """Kill one process with SIGKILL."""
         self._processes[name].kill()
         self._processes[name].wait()
 
     def send_signal(self, name: str, number: signal.Signals) -> None:
-        """Send a signal to one process that still runs."""
+        """Send a signal to one process if it still runs."""
         if self._processes[name].poll() is None:
             self._processes[name].send_signal(number)
 
     def end(self, name: str) -> int:
-        """End one process by SIGTERM, by SIGKILL if it does not, and return its exit code."""
+        """Terminate one process, kill it after EXIT_TIMEOUT_S, and return its exit code."""
         process = self._processes[name]
         process.terminate()
         try:
@@ -97,7 +97,7 @@
             self.end(name)
 
     def read_log(self, name: str) -> str:
-        """Return what a process logged."""
+        """Return the log of a process."""
         return (self._folder / f"{name}.log").read_text(errors="replace")
 
     def wait_ready(self, name: str, url: str) -> None:
@@ -107,7 +107,7 @@
         Raises
         ------
         RuntimeError
-            If it ends or is not ready in time; the message carries the end of its log.
+            If it ends or is not ready in time; the message holds the end of its log.
         """
         deadline = time.monotonic() + READY_TIMEOUT_S
         reason = "no answer"
--- a/tools/demo/report.py
+++ b/tools/demo/report.py
@@ -2,7 +2,7 @@
 Report of the demonstration
 ===========================
 
-A short table of counts; any wrong one makes the demonstration fail.
+Table of counts; the demonstration fails if any is wrong.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReportLine:
-    """Show one count and whether it is as it must be."""
+    """One count, and whether it is as expected."""
 
     name: str
     value: int | str
@@ -26,7 +26,7 @@
 
 @dataclass(slots=True)
 class Report:
-    """Hold the counts, the merged time line's path and how long all took."""
+    """Counts, path of the merged time line and duration of the demonstration."""
 
     lines: list[ReportLine]
     timeline_page: Path
--- a/tools/demo/topology.py
+++ b/tools/demo/topology.py
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Entry:
-    """Place one entry host, which runs a process of each role."""
+    """An entry host, which runs one process of each role."""
 
     name: str
     site: str
@@ -39,17 +39,17 @@
 
     @property
     def callers(self) -> str:
-        """Give the URL for callers."""
+        """Return the URL for callers."""
         return f"http://{self.address}:{CALLERS_PORT}"
 
     def operators(self, role: str) -> str:
-        """Give the operators' URL of the process of one role."""
+        """Return the operators' URL of the process of one role."""
         return f"http://{self.address}:{OPERATORS_PORTS[role]}"
 
 
 @dataclass(frozen=True, slots=True)
 class Worker:
-    """Place one worker."""
+    """A worker."""
 
     name: str
     site: str
@@ -59,13 +59,13 @@
 
     @property
     def url(self) -> str:
-        """Give the URL of the worker's agent."""
+        """Return the URL of the worker's agent."""
         return f"http://{self.address}:{self.port}"
 
 
 @dataclass(frozen=True, slots=True)
 class Instance:
-    """Place one instance of the service."""
+    """An instance of the service."""
 
     name: str
     site: str
@@ -75,13 +75,13 @@
 
     @property
     def control(self) -> str:
-        """Give the URL for faults and counts."""
+        """Return the URL for faults and counts."""
         return f"http://{self.address}:{self.control_port}"
 
 
 @dataclass(frozen=True, slots=True)
 class Topology:
-    """Hold every host of the demonstration."""
+    """All hosts of the demonstration."""
 
     platform: str
     entries: tuple[Entry, ...]
@@ -90,12 +90,12 @@
 
     @property
     def platform_url(self) -> str:
-        """Give the URL of the platform's services."""
+        """Return the URL of the platform's services."""
         return f"http://{self.platform}:{PLATFORM_PORT}"
 
 
 def make_topology(entries: int = 3, workers: int = 4, instances: int = 6) -> Topology:
-    """Place hosts on loopback addresses that no other run on this machine uses."""
+    """Return a topology on loopback addresses that are derived from the process id."""
     net = f"127.{1 + os.getpid() // 250 % 250}.{1 + os.getpid() % 250}"
     return Topology(
         platform=f"{net}.1",
@@ -115,7 +115,7 @@
 
 
 def write_settings(topology: Topology, folder: Path) -> None:
-    """Write the key of the peers and a settings file for each process into a folder."""
+    """Write the peers' key and a settings file for each process into a folder."""
     key = folder / "peers.toml"
     key.touch(mode=0o600)
     key.write_text(f'current = "k1"\n[keys]\nk1 = "{secrets.token_hex(PEER_KEY_BYTES)}"\n')
@@ -126,17 +126,17 @@
 
 
 def settings_path(folder: Path, entry: Entry, role: str) -> Path:
-    """Name the settings file of one process."""
+    """Return the path of the settings file of one process."""
     return folder / f"{entry.name}-{role}.toml"
 
 
 def _pick_site(at: int) -> str:
-    """Spread hosts over the sites in turn."""
+    """Return the site of a host; hosts are spread over the sites in turn."""
     return SITES[at % len(SITES)]
 
 
 def _write_lines(topology: Topology, entry: Entry, role: str) -> Iterator[str]:
-    """Yield the lines of one settings file."""
+    """Yield the lines of a settings file."""
     yield "[process]"
     yield f'deployment = "{DEPLOYMENT}"'
     yield f'host = "{entry.name}"'
--- a/tools/golden.py
+++ b/tools/golden.py
@@ -2,8 +2,8 @@
 Golden files of the scenarios
 =============================
 
-Run every scenario, show how its session differs from the golden file beside it, and rewrite the
-file unless only asked to check.
+Run scenarios, show how their sessions differ from the golden files beside them, and rewrite those
+files unless called with ``--check``.
 """
 
 from __future__ import annotations
@@ -45,7 +45,7 @@
 
 
 def review(path: Path, rewrite: bool, runner: Runner = run_virtual) -> bool:
-    """Show and, if asked, rewrite one golden file; tell whether all is as it should be."""
+    """Show the difference to one golden file, optionally rewrite it; return whether all is well."""
     outcome = runner(read(path))
     difference = list(compare(path, outcome.session))
     for line in difference:
--- a/tools/openapi.py
+++ b/tools/openapi.py
@@ -1,9 +1,9 @@
 """
-Callers' interface of jobs
-==========================
+OpenAPI description of jobs
+===========================
 
-Write the paths of jobs and standing tasks into docs/openapi.json, with schemas taken from the types
-that the code decodes and encodes.  Run as ``python -m tools.openapi``.
+Write the paths of jobs and standing tasks into docs/openapi.json, with schemas generated from the
+types that the code decodes and encodes.  Run as ``python -m tools.openapi``.
 """
 
 from __future__ import annotations
@@ -52,7 +52,7 @@
 
 
 def _describe_paths() -> dict[str, Any]:
-    """Return the paths."""
+    """Return the paths of jobs and standing tasks."""
     job = [{"name": "job", "in": "path", "required": True, "schema": {"type": "string"}}]
     name = [{"name": "name", "in": "path", "required": True, "schema": {"type": "string"}}]
     ended = _response("JobStatus", "The job's end that stands: another came before the cancel.")
@@ -130,7 +130,7 @@
     parameters: list[dict[str, Any]] | None = None,
     body: dict[str, Any] | None = None,
 ) -> dict[str, Any]:
-    """Describe one operation."""
+    """Return the description of an operation."""
     refused = {code: _refusal(REFUSALS[code]) for code in refusals if code not in answers}
     found: dict[str, Any] = {"operationId": identifier, "summary": summary}
     if parameters:
@@ -141,7 +141,7 @@
 
 
 def _response(schema: str, description: str, many: bool = False) -> dict[str, Any]:
-    """Describe an answer in JSON."""
+    """Return the description of an answer in JSON."""
     shape: dict[str, Any] = {"$ref": SCHEMAS + schema}
     if many:
         shape = {"type": "array", "items": shape}
@@ -149,30 +149,30 @@
 
 
 def _refusal(description: str) -> dict[str, Any]:
-    """Describe a refusal and its headers."""
+    """Return the description of a refusal and its headers."""
     names = ("Toucanpin-Verdict", "Toucanpin-Reason", "Retry-After")
     headers = {name: {"$ref": f"#/components/headers/{name}"} for name in names}
     return _response("Refusal", description) | {"headers": headers}
 
 
 def _body(schema: str) -> dict[str, Any]:
-    """Describe a body in JSON."""
+    """Return the description of a request body in JSON."""
     content = {"application/json": {"schema": {"$ref": SCHEMAS + schema}}}
     return {"required": True, "content": content}
 
 
 def _header(name: str) -> dict[str, Any]:
-    """Describe a required header."""
+    """Return the description of a required header."""
     return {"name": name, "in": "header", "required": True, "schema": {"type": "string"}}
 
 
 def _query(name: str) -> dict[str, Any]:
-    """Describe an optional query parameter."""
+    """Return the description of an optional query parameter."""
     return {"name": name, "in": "query", "schema": {"type": "string"}}
 
 
 def main() -> int:
-    """Rewrite the page."""
+    """Rewrite the document."""
     document = msgspec.json.decode(DOCUMENT_PATH.read_bytes())
     text = msgspec.json.format(msgspec.json.encode(describe_jobs(document)), indent=2)
     DOCUMENT_PATH.write_bytes(text + b"\n")
--- a/tools/run_tests.py
+++ b/tools/run_tests.py
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ModuleRun:
-    """Hold what came of one module; ``bad`` are the ids of tests that did not pass."""
+    """Result of one module; ``bad`` holds the ids of tests that did not pass."""
 
     module: str
     count: int
@@ -44,7 +44,7 @@
 
 
 def run_module(module: str) -> ModuleRun:
-    """Run the tests of one module; what they print is kept only if one fails."""
+    """Run the tests of one module; their output is kept only if one fails."""
     stream = io.StringIO()
     suite = unittest.TestLoader().loadTestsFromName(module)
     result = unittest.TextTestRunner(stream=stream, buffer=True).run(suite)
@@ -68,14 +68,14 @@
 
 
 def _find_modules() -> Iterator[str]:
-    """Yield the names of the modules that hold tests."""
+    """Yield the names of the test modules."""
     for package in PACKAGES:
         for path in Path(package).rglob("tests/test_*.py"):
             yield ".".join(path.with_suffix("").parts)
 
 
 def _report(runs: list[ModuleRun], known: dict[str, str]) -> int:
-    """Print what did not pass and the count, and return the exit code."""
+    """Print the tests that did not pass and the count; return the exit code."""
     bad = {name for run in runs for name in run.bad}
     for run in runs:
         if run.bad - known.keys():
--- a/tools/site_demo.py
+++ b/tools/site_demo.py
@@ -2,8 +2,8 @@
 Demonstration on the users' platform
 ====================================
 
-Jobs of several tasks on three entry hosts, four workers and a store; the owner of their cell is
-killed in the middle.
+Run jobs of several tasks on three entry hosts, four workers and a store, and kill the owner of
+their cell in the middle.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 
 async def demonstrate() -> list[str]:
-    """Run the demonstration and return what went wrong."""
+    """Run the demonstration and return a description of each error."""
     site = Site()
     site.configure()
     errors = []
@@ -68,7 +68,7 @@
 
 
 def main() -> int:
-    """Run the demonstration; return 1 if anything is wrong."""
+    """Run the demonstration; return 1 if there was any error."""
     with logbook.NullHandler().applicationbound():
         errors = asyncio.run(demonstrate())
     for error in errors:
--- a/tools/soak/__init__.py
+++ b/tools/soak/__init__.py
@@ -1,1 +1,1 @@
-"""Soak of real entry processes under drawn faults that overlap, judged by what others see."""
+"""Soak test: real entry processes under overlapping random faults, checked from outside."""
--- a/tools/soak/__main__.py
+++ b/tools/soak/__main__.py
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _SeedRun:
-    """Say how to play one seed."""
+    """Arguments of one seed's run."""
 
     seed: int
     size: Size
@@ -65,7 +65,7 @@
 
 
 def read_kept_seeds() -> list[int]:
-    """Read the seeds that have failed once, which are played again."""
+    """Read the seeds that failed once and are kept as regression tests."""
     lines = (line.partition("#")[0].split() for line in KEPT_SEEDS_FILE.read_text().splitlines())
     return [int(words[0]) for words in lines if words]
 
--- a/tools/soak/answer_checks.py
+++ b/tools/soak/answer_checks.py
@@ -2,7 +2,7 @@
 Checks of answers
 =================
 
-What callers may never see: each check takes events in their order and yields what is wrong.
+Checks of what callers see; each takes events in order and yields violations.
 """
 
 from __future__ import annotations
@@ -16,24 +16,22 @@
 
 __all__ = ["Configurations", "Counts", "Kept", "Own", "Processes", "Shutdowns", "States"]
 
-MAX_ATTEMPTS = 4  # of a task, by the configuration that the soak writes
-COUNT_DELAY_S = 5.0  # s after which an accepted job must be in a count
-MIN_CRASHES = 2  # workers that crashed under a task whose job may be told as failed
-COUNT_RECOVERY_S = 6.0  # s after trouble until counts must be right
-CONFIGURATION_DELAY_S = 4.0  # s after which a configuration must be in force
-# A request that comes just as an idle connection is closed may be lost; one that waited for longer
-# had been read.
-READ_DELAY_S = 1.0  # s
-DRAIN_NOTICE_S = (
-    1.5  # s after SIGTERM for which requests still come, until the balancer has noticed
-)
+MAX_ATTEMPTS = 4  # of a task, set in the soak's configuration
+COUNT_DELAY_S = 5.0  # until an accepted job must be included in counts
+MIN_CRASHES = 2  # worker crashes under a task after which its job may fail
+COUNT_RECOVERY_S = 6.0  # after a disturbance until counts must be correct
+CONFIGURATION_DELAY_S = 4.0  # until a configuration must be in force
+# A request that arrives just as an idle connection is closed may be lost; one that waited for
+# longer had been read.
+READ_DELAY_S = 1.0
+DRAIN_NOTICE_S = 1.5  # after SIGTERM until the balancer sends no more requests
 ALLOWED_STATUSES = frozenset({200, 404, 410, 429, 502, 503, 504})
 JOB_STATES = frozenset({"pending", "active", "completed", "failed", "canceled"})
 FINAL_STATES = frozenset({"completed", "failed", "canceled"})
 
 
 class Own(TaskCheck):
-    """Each answer is whole and its own: of the form that was asked for, of a known status."""
+    """Each answer is well-formed, matches its request and has a known status."""
 
     def judge(self, event: events.Event) -> Iterator[str]:
         match event:
@@ -57,9 +55,10 @@
 
 class Configurations(TaskCheck):
     """
-    A queue is there, for good, once its configuration was accepted, and gone once it was removed.
+    A queue exists once its configuration was accepted, and no longer once it was removed.
 
-    What was changed within the last seconds, or in trouble, may be answered either way.
+    Queues changed within the last CONFIGURATION_DELAY_S, or during a disturbance, may be answered
+    either way.
     """
 
     def __init__(self) -> None:
@@ -86,7 +85,7 @@
 
 
 class Kept(TaskCheck):
-    """A job that was accepted is never said not to exist."""
+    """An accepted job is never answered with 410."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -103,7 +102,7 @@
 
 
 class States(TaskCheck):
-    """An end that is told is true, and stays."""
+    """A final state in an answer is true and does not change."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -156,7 +155,7 @@
                 yield f"{event.subject} is told as canceled, and nobody asked for it"
 
     def _may_crash(self, name: str) -> bool:
-        """Tell whether two workers have crashed under a task of a job."""
+        """Return whether MIN_CRASHES workers have crashed under a task of a job."""
         return max((self._crashes[task] for task in self._tasks(name)), default=0) >= MIN_CRASHES
 
     def _tasks(self, name: str) -> set[TaskKey]:
@@ -170,16 +169,17 @@
 
 class Counts(TaskCheck):
     """
-    A count is at least half of the jobs that have surely waited for long.
+    A count is at least half of the jobs that are known to have waited for COUNT_DELAY_S.
 
-    Nothing is said of counts in trouble of the store, the hosts or the machine, and shortly after.
+    Counts are not checked during disturbances of the store, the hosts or the machine, and shortly
+    after.
     """
 
     def __init__(self) -> None:
         super().__init__()
         self._waiting: dict[str, dict[str, float]] = defaultdict(dict)
         self._not_waiting: set[str] = set()
-        self.judged = 0  # counts that were compared with jobs that waited
+        self.judged = 0  # counts that were compared with waiting jobs
 
     def judge(self, event: events.Event) -> Iterator[str]:
         match event:
@@ -210,7 +210,7 @@
 
 
 class Shutdowns(TaskCheck):
-    """No request that was read is cut off by SIGTERM."""
+    """SIGTERM cuts off no request that was already read."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -232,13 +232,13 @@
 
 
 class Processes(TaskCheck):
-    """A process ends only when it is told to, and well."""
+    """A process ends only when it is signalled, and cleanly after SIGTERM."""
 
     def judge(self, event: events.Event) -> Iterator[str]:
         match event:
             case events.ProcessExited():
                 signals = self.signals[event.process]
-                # SIGTERM may come before the process has begun to listen for it.
+                # SIGTERM may arrive before the process has installed its handler.
                 terminated = (
                     event.code == 0 or event.code == -15
                 ) and events.Signal.TERMINATE in signals
--- a/tools/soak/callers.py
+++ b/tools/soak/callers.py
@@ -2,7 +2,7 @@
 Callers
 =======
 
-Hand in jobs, ask for states and counts, and cancel, on connections that are used until they end.
+Callers that submit and cancel jobs and read states and counts, on persistent connections.
 """
 
 from __future__ import annotations
@@ -31,16 +31,16 @@
 __all__ = ["SharedState", "Caller", "CallerRequest", "SITE"]
 
 SITE = "site.example"
-PAUSES_S = (0.05, 0.4)  # s between requests of one caller
-DEADLINES_S = (1.0, 3.0)  # s that callers wait
-ANSWER_MARGIN_S = 3.0  # s beyond its deadline for which an answer still counts as late, not as lost
-MAX_SUBMIT_TRIES = 5  # of a submission without an answer
-RETRY_DELAYS_S = (0.1, 1.0)  # s before another try
-COPY_DELAYS_S = (0.5, 4.0)  # s after which a copy of an accepted submission may arrive
-NO_HOST_RETRY_DELAY_S = 0.1  # s before a caller that reached no host tries again
-WAITING_SHARE = 0.06  # of jobs that nobody can run until the faults have ended
-EXTRA_QUEUE_SHARE = 0.3  # of counts that are asked of queues which come and go
-MAX_RECENT_JOBS = 60  # jobs whose states are asked for
+PAUSES_S = (0.05, 0.4)  # between requests of one caller
+DEADLINES_S = (1.0, 3.0)  # for which callers wait
+ANSWER_MARGIN_S = 3.0  # beyond the deadline, before a missing answer counts as lost
+MAX_SUBMIT_TRIES = 5  # of a submission with an unknown outcome
+RETRY_DELAYS_S = (0.1, 1.0)  # before another try
+COPY_DELAYS_S = (0.5, 4.0)  # after which a duplicate of an accepted submission may arrive
+NO_HOST_RETRY_DELAY_S = 0.1  # after no host could be reached
+WAITING_SHARE = 0.06  # of jobs that no worker can run until the faults have ended
+EXTRA_QUEUE_SHARE = 0.3  # of counts that are read of queues which come and go
+MAX_RECENT_JOBS = 60  # jobs whose states are read
 METHODS = {
     RequestKind.SUBMIT: "POST",
     RequestKind.STATE: "GET",
@@ -51,20 +51,20 @@
 
 @dataclass(slots=True)
 class SharedState:
-    """Hold what callers know together; ``quiet`` ends the handing in of jobs."""
+    """What all callers know; ``submissions_ended`` stops further submissions."""
 
     queues: tuple[str, ...]
     jobs: dict[str, JobPlan] = field(default_factory=dict)
     accepted: list[str] = field(default_factory=list)
     cancelled: set[str] = field(default_factory=set)
     cancel_confirmed: set[str] = field(default_factory=set)
-    extra_queues: int = 0  # queues that nobody uses and that come and go
+    extra_queues: int = 0  # queues that no caller submits to and that come and go
     submissions_ended: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class CallerRequest:
-    """Hold one request; ``subject`` is the id of a job, or the name of a queue."""
+    """A request; ``subject`` is the id of a job or the name of a queue."""
 
     kind: RequestKind
     queue: str
@@ -78,7 +78,7 @@
 
 
 class Caller:
-    """Do what one caller does, until its task is cancelled."""
+    """One caller, which runs until its task is cancelled."""
 
     def __init__(
         self,
@@ -95,7 +95,7 @@
         self._background: set[asyncio.Task[None]] = set()
 
     async def run(self) -> None:
-        """Call for ever."""
+        """Send requests until cancelled."""
         try:
             while True:
                 await self._act()
@@ -106,12 +106,12 @@
             self.close()
 
     def close(self) -> None:
-        """End the kept connection."""
+        """Close the persistent connection."""
         if self._channel is not None:
             self._channel.close()
 
     async def submit(self, job: JobPlan, tries: int = MAX_SUBMIT_TRIES) -> bool:
-        """Hand a job in until it is known what came of it; return whether it was accepted."""
+        """Submit a job until the outcome is known; return whether it was accepted."""
         self._state.jobs[job.id] = job
         self._record(JobOffered(time.monotonic(), job))
         request = CallerRequest(RequestKind.SUBMIT, job.queue, job.id, job.encode())
@@ -126,13 +126,13 @@
         return False
 
     async def read_state(self, job: JobPlan) -> str:
-        """Return the state of a job, empty if it wasn't told."""
+        """Return the state of a job, empty if the answer holds none."""
         reply = await self.send(CallerRequest(RequestKind.STATE, job.queue, job.id))
         value = _read_value(RequestKind.STATE, reply) if reply is not None else None
         return value if isinstance(value, str) else ""
 
     async def send(self, *requests: CallerRequest) -> Reply | None:
-        """Write requests at once on the kept connection; return the last answer."""
+        """Pipeline requests on the persistent connection; return the last answer."""
         channel = await self._find_channel()
         if channel is None:
             await asyncio.sleep(NO_HOST_RETRY_DELAY_S)
@@ -170,7 +170,7 @@
             self._spawn(submit_copy.submit_copy(job, self._random.uniform(*COPY_DELAYS_S)))
 
     async def submit_copy(self, job: JobPlan, after: float) -> None:
-        """Hand the same job in once more, through a connection of its own."""
+        """Submit the same job once more, on a connection of its own."""
         await asyncio.sleep(after)
         try:
             await self.send(CallerRequest(RequestKind.SUBMIT, job.queue, job.id, job.encode()))
@@ -195,7 +195,7 @@
     def _make_count_request(self) -> CallerRequest:
         queue = self._random.choice(self._state.queues)
         if self._random.random() < EXTRA_QUEUE_SHARE:
-            # The first queue that was added last, or the first one that may have been removed.
+            # The first queue, the last one of the configuration, or one that may have been removed.
             queue = f"extra{self._random.choice((0, max(0, self._state.extra_queues - 1), 3))}"
         return CallerRequest(RequestKind.COUNT, queue, queue)
 
@@ -210,7 +210,7 @@
         return self._state.jobs[name]
 
     async def _find_channel(self) -> Channel | None:
-        """Return the kept connection, or a new one to some host."""
+        """Return the persistent connection, or a new one to some host."""
         channel = self._channel
         if channel is not None and channel.usable and not channel.ended():
             return channel
@@ -267,7 +267,7 @@
 
 
 def _read_value(kind: RequestKind, reply: Reply) -> str | int | None:
-    """Return the state or the count of an answer, None if it holds neither."""
+    """Return the state or the count in an answer, None if it holds neither."""
     if reply.status != 200:
         return None
     try:
--- a/tools/soak/channel.py
+++ b/tools/soak/channel.py
@@ -1,8 +1,8 @@
 """
-Callers' channel
-================
+Caller connections
+==================
 
-One connection of a caller to an entry host, kept until the other side ends it.
+A persistent connection of a caller to an entry host, with pipelined requests.
 """
 
 from __future__ import annotations
@@ -15,12 +15,12 @@
 
 __all__ = ["Channel", "ChannelError", "Reply", "open_channel"]
 
-CONNECT_TIMEOUT_S = 1.0  # s to connect
+CONNECT_TIMEOUT_S = 1.0
 HEAD_END = b"\r\n\r\n"
 
 
 class ChannelError(ToucanpinError):
-    """Report an answer that did not come whole."""
+    """Raised when an answer is missing, incomplete or malformed."""
 
     def __init__(self, loss: Loss) -> None:
         super().__init__(loss.value)
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """Hold one whole answer; ``last`` says that the connection ends after it."""
+    """A complete answer; with ``is_last`` the connection ends after it."""
 
     status: int
     body: bytes
@@ -37,14 +37,14 @@
 
 
 class Channel:
-    """Write requests and read their answers in order; several may be under way at once."""
+    """Connection with pipelined requests, whose answers are read in order."""
 
     def __init__(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, process: str
     ) -> None:
         self.process = process
         self.usable = True
-        self._answer_begun = False  # the head of an answer has come
+        self._answer_begun = False  # the head of the current answer was read
         self._reader = reader
         self._writer = writer
 
@@ -54,11 +54,11 @@
         self._writer.transport.abort()
 
     def ended(self) -> bool:
-        """Tell whether the other side has ended the connection already."""
+        """Return whether the other side has closed the connection."""
         return self._reader.at_eof()
 
     def send(self, method: str, path: str, host: str, body: bytes, deadline: float) -> None:
-        """Write one request; ``deadline`` is how long the caller waits, in s."""
+        """Write one request; ``deadline`` is the time that the caller waits, in s."""
         lines = [
             f"{method} {path} HTTP/1.1",
             f"Host: {host}",
@@ -74,7 +74,7 @@
         Raises
         ------
         ChannelError
-            If it didn't come whole in time.
+            If a complete, well-formed answer does not arrive in time.
         """
         try:
             async with asyncio.timeout(deadline):
@@ -114,7 +114,7 @@
     Raises
     ------
     OSError, TimeoutError
-        If it can't be reached.
+        If the process can't be reached in time.
     """
     host, _, port = address.rpartition(":")
     async with asyncio.timeout(CONNECT_TIMEOUT_S):
--- a/tools/soak/checker.py
+++ b/tools/soak/checker.py
@@ -2,7 +2,7 @@
 Checker
 =======
 
-Keep the history of a run and let all checks look at each event as it comes.
+Keep the events of a run and pass each to all checks as it occurs.
 """
 
 from __future__ import annotations
@@ -45,13 +45,13 @@
 )
 
 
-# Their verdicts hold only while the machine has processor time to spare.
+# Checks whose bounds hold only while the machine has spare processor time.
 TIMING_CHECKS = frozenset({"Leaving", "Evacuations", "Configurations", "Counts"})
 
 
 @dataclass(frozen=True, slots=True)
 class Violation:
-    """Hold what a check found wrong; ``at`` is in s of the steady clock."""
+    """A violation that a check found; ``at`` is in s of the monotonic clock."""
 
     at: float
     check: str
@@ -59,7 +59,7 @@
 
 
 class Checker:
-    """Take events in their order."""
+    """Run all checks on the events of a run, in order."""
 
     def __init__(self) -> None:
         self.events: list[Event] = []
@@ -68,16 +68,16 @@
 
     @property
     def judged_counts(self) -> int:
-        """Return how many counts were compared with jobs that surely waited."""
+        """Return how many counts were compared with jobs that are known to wait."""
         return sum(check.judged for check in self._checks if isinstance(check, Counts))
 
     def record(self, event: Event) -> None:
-        """Keep an event and look at it."""
+        """Store an event and check it."""
         self.events.append(event)
         self.violations += self._judge(event)
 
     def close(self) -> None:
-        """Look at what only the whole history shows."""
+        """Run the checks that need the whole history."""
         at = self.events[-1].at if self.events else 0.0
         for check in self._checks:
             name = type(check).__name__
--- a/tools/soak/deployment.py
+++ b/tools/soak/deployment.py
@@ -2,7 +2,7 @@
 Deployment
 ==========
 
-Entry hosts as processes, with the store, links and workers as stand-ins in this process.
+Entry hosts as processes, with stand-ins of the store, links and workers in this process.
 """
 
 from __future__ import annotations
@@ -34,19 +34,19 @@
 __all__ = ["CRASHING_QUEUE", "LONG_RUNNING_QUEUE", "QUEUES", "Deployment"]
 
 SERVICES = ("c0", "c1")
-QUEUES = ("urgent", "batch", "other")  # the last is of the second service
+QUEUES = ("urgent", "batch", "other")  # the last belongs to the second service
 LONG_RUNNING_QUEUE = "standing"
 CRASHING_QUEUE = "batch"
 ROUTES = {"urgent": ("c0", 0), "batch": ("c0", 1), "standing": ("c0", 0), "other": ("c1", 1)}
-RESTART_DELAY_S = 1.0  # s until another life follows one that a task has crashed
+RESTART_DELAY_S = 1.0  # after a task has crashed a worker
 WORKER_CPU = 8_000  # thousandths of a core
-WORKER_MEMORY_MB = 16_000  # MB
-NETWORK_NUMBERS = range(1, 200)  # third numbers of 127.77.x.y, one for each run at a time
+WORKER_MEMORY_MB = 16_000
+NETWORK_NUMBERS = range(1, 200)  # third octet of 127.*.x.y, one for each concurrent run
 LOCK_DIRECTORY = Path(tempfile.gettempdir())
 
 
 class Deployment:
-    """Hold everything of one run, and end it."""
+    """All parts of one run."""
 
     def __init__(self, size: Size, directory: Path, program: tuple[str, ...]) -> None:
         self.size = size
@@ -73,7 +73,7 @@
         ]
 
     async def start(self) -> None:
-        """Start everything."""
+        """Start the store's listeners, the links, the workers and the hosts."""
         self.configure(0)
         for number, view in enumerate(self.views):
             store_address = f"{self._address(1, number)}:7001"
@@ -85,7 +85,7 @@
             host.start()
 
     async def close(self) -> None:
-        """End everything that was started here."""
+        """Stop everything that was started here."""
         for host in self.hosts:
             host.finish()
         for task in self._replacing:
@@ -100,7 +100,7 @@
         self._lock.close()
 
     def configure(self, extra_queues: int) -> None:
-        """Write a configuration with so many queues that nobody uses."""
+        """Write a configuration with some extra queues that no caller submits to."""
         self._version += 1 + extra_queues % 3
         names = [*ROUTES, *(f"extra{number}" for number in range(extra_queues))]
         routes = [_describe_route(name) for name in names]
@@ -111,7 +111,7 @@
         self.record(ConfigurationWritten(time.monotonic(), frozenset(names)))
 
     def evacuate(self, data_centre: str) -> None:
-        """Evacuate a data centre once more; evacuations of it may overlap."""
+        """Begin an evacuation of a data centre; evacuations of it may overlap."""
         self._evacuations[data_centre] += 1
         self.store.put("op", f"evacuate/{data_centre}", b"{}")
         self._record_evacuated()
@@ -128,7 +128,7 @@
         self.record(EvacuationsChanged(time.monotonic(), frozenset(self._evacuations)))
 
     async def start_worker(self, number: int) -> None:
-        """Start a life of a worker, at the address of its earlier ones."""
+        """Start the next incarnation of a worker at the address of its earlier ones."""
         self._incarnations[number] += 1
         name = f"w{number}-{self._incarnations[number]}"
         service = SERVICES[number % len(SERVICES)]
@@ -142,7 +142,7 @@
         await worker.start()
 
     async def replace_worker(self, number: int, drains: float, away: float) -> None:
-        """End a life of a worker and start the next, unless that is under way."""
+        """End an incarnation of a worker and start the next, unless that is in progress."""
         worker = self.workers[number]
         if worker is None:
             return
@@ -156,7 +156,7 @@
         await self.start_worker(number)
 
     async def add_late_workers(self) -> None:
-        """Start a worker of each service for the jobs that waited for one."""
+        """Start a worker of each service for the jobs that require the late label."""
         for number, service in enumerate(SERVICES):
             address = f"{self._address(4, number)}:7002"
             self._worker_numbers[address] = self.size.workers + number
@@ -167,14 +167,14 @@
             await worker.start()
 
     def set_link(self, host: int, worker: int | None, mode: LinkMode, delay: float = 0.0) -> None:
-        """Change how a link behaves, also one that isn't there yet."""
+        """Set the mode of a link, also of one that is yet to be created."""
         self.modes[host, worker] = (mode, delay)
         link = self.links.get((host, worker))
         if link is not None:
             link.set_mode(mode, delay)
 
     def advance_workers(self) -> None:
-        """End on all workers what is due."""
+        """End the runs that are due on all workers."""
         for worker in (*self.workers, *self.extra_workers):
             if worker is not None:
                 worker.advance()
@@ -205,7 +205,7 @@
         )
 
     def _replace_crashed(self, worker: SoakWorker) -> None:
-        """Let another life follow one that a task has crashed."""
+        """Start the next incarnation of a worker that a task has crashed."""
         if worker not in self.workers:
             return
         number = self.workers.index(worker)
@@ -232,7 +232,7 @@
         await link.listen(link_address)
 
     def _address(self, kind: int, number: int) -> str:
-        """Return an address of this run."""
+        """Return a loopback address of this run."""
         return f"127.{70 + kind}.{self._network}.{number + 1}"
 
     def _store_link(self, host: int) -> str:
@@ -252,7 +252,7 @@
 
 
 def _take_network() -> tuple[IO[str], int]:
-    """Return addresses that no other run on this machine uses, and the lock that says so."""
+    """Return the lock and the number of a network that no other run on this machine uses."""
     for number in NETWORK_NUMBERS:
         lock = (LOCK_DIRECTORY / f"toucanpin-soak-{number}.lock").open("w")
         try:
@@ -261,4 +261,4 @@
             lock.close()
             continue
         return lock, number
-    raise OSError("too many runs at a time on this machine")
+    raise OSError(f"all {len(NETWORK_NUMBERS)} loopback networks are in use by other soak runs")
--- a/tools/soak/events.py
+++ b/tools/soak/events.py
@@ -2,7 +2,7 @@
 Events
 ======
 
-What callers and workers see, and what the soak does, each with its time in s of the steady clock.
+What callers and workers observe and what the soak does, with times in s of the monotonic clock.
 """
 
 from __future__ import annotations
@@ -37,7 +37,7 @@
 
 
 class RequestKind(enum.Enum):
-    """Name what a caller asks for."""
+    """Kind of a caller's request."""
 
     SUBMIT = "submit"
     STATE = "state"
@@ -46,17 +46,17 @@
 
 
 class Loss(enum.Enum):
-    """Say what became of an answer that did not come whole."""
+    """Why a request has no complete answer."""
 
-    LATE = "late"  # the caller gave up
-    CLOSED = "closed"  # the other side ended the connection before any of it
-    CUT = "cut"  # the other side ended the connection in its middle
+    LATE = "late"  # the caller timed out
+    CLOSED = "closed"  # the connection was closed before the answer began
+    CUT = "cut"  # the connection was closed in the middle of the answer
     MALFORMED = "malformed"
-    UNREAD = "unread"  # an earlier answer on the connection said that it is the last
+    UNREAD = "unread"  # an earlier answer announced the end of the connection
 
 
 class Signal(enum.Enum):
-    """Name what is done to a process."""
+    """Signal that the soak sends to a process."""
 
     TERMINATE = "SIGTERM"
     KILL = "SIGKILL"
@@ -67,7 +67,7 @@
 
 @dataclass(frozen=True, slots=True)
 class JobOffered:
-    """Tell of a job that callers are about to hand in."""
+    """A caller is about to submit a job."""
 
     at: float
     job: JobPlan
@@ -75,7 +75,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CancelRequested:
-    """Tell that a caller is about to cancel a job."""
+    """A caller is about to cancel a job."""
 
     at: float
     job: str
@@ -84,9 +84,9 @@
 @dataclass(frozen=True, slots=True)
 class AnswerReceived:
     """
-    Tell of a whole answer; ``subject`` is the id of a job, or the name of a queue.
+    A complete answer; ``subject`` is the id of a job or the name of a queue.
 
-    ``value`` is the state or the count that was told, None where the body holds neither.
+    ``value`` is the state or the count in the answer, None where the body holds neither.
     """
 
     at: float
@@ -100,7 +100,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AnswerLost:
-    """Tell of a request without a whole answer."""
+    """A request got no complete answer."""
 
     at: float
     sent: float
@@ -112,7 +112,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkerJoined:
-    """Tell of a life of a worker; sizes as in a job's step."""
+    """An incarnation of a worker started; sizes are in the units of a job's step."""
 
     at: float
     worker: str
@@ -123,7 +123,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkerDraining:
-    """Tell that the store accepted a worker's report that it drains."""
+    """The store accepted a worker's report that it drains."""
 
     at: float
     worker: str
@@ -131,7 +131,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EvacuationsChanged:
-    """Tell which data centres operators have evacuated, as the store accepted it."""
+    """The store accepted a new set of evacuated data centres."""
 
     at: float
     data_centres: frozenset[str]
@@ -139,7 +139,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkerGone:
-    """Tell that a life of a worker is over, with all that it ran."""
+    """An incarnation of a worker ended, with all of its runs."""
 
     at: float
     worker: str
@@ -147,7 +147,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RunStarted:
-    """Tell that a worker began a run."""
+    """A worker began a run."""
 
     at: float
     worker: str
@@ -157,7 +157,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RunEnded:
-    """Tell that a run ended on its worker."""
+    """A run ended on its worker."""
 
     at: float
     worker: str
@@ -168,7 +168,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndAcknowledged:
-    """Tell that a worker was told to forget an end."""
+    """A worker received the acknowledgement of a run's end."""
 
     at: float
     worker: str
@@ -179,7 +179,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SignalSent:
-    """Tell that the soak sent a signal to a process."""
+    """The soak sent a signal to a process."""
 
     at: float
     process: str
@@ -188,7 +188,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ProcessExited:
-    """Tell that a process has ended; ``code`` is minus the signal that ended it."""
+    """A process exited; ``code`` is the exit code, or minus the signal that ended it."""
 
     at: float
     process: str
@@ -198,10 +198,10 @@
 @dataclass(frozen=True, slots=True)
 class DisturbanceSeen:
     """
-    Tell of trouble at this moment.
+    A disturbance was active at this time.
 
-    ``orders`` says that it only delays orders to workers; else the store, a host or the machine
-    itself is in trouble.
+    With ``orders`` it only delays orders to workers; otherwise it affects the store, a host or this
+    machine.
     """
 
     at: float
@@ -210,7 +210,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationWritten:
-    """Tell which queues are there, as the store accepted them."""
+    """The store accepted a configuration with these queues."""
 
     at: float
     queues: frozenset[str]
--- a/tools/soak/faults.py
+++ b/tools/soak/faults.py
@@ -1,8 +1,8 @@
 """
-Vocabulary of faults
-====================
+Faults
+======
 
-What the soak does to a deployment from outside; times are in s, hosts and workers are numbers.
+Faults that the soak injects into a deployment; times are in s, hosts and workers are numbers.
 """
 
 from __future__ import annotations
@@ -32,27 +32,27 @@
 
 
 class LinkMode(enum.Enum):
-    """Say what a connection between a host and the store or a worker does to bytes."""
+    """How a link between a host and the store or a worker treats bytes."""
 
     OPEN = "open"
     DELAYED = "delayed"
     RESET = "reset"
-    CUT_THERE = "cut there"  # requests are held back, answers pass
-    CUT_BACK = "cut back"  # requests pass, answers are held back
-    SILENT = "silent"  # both are held back
+    CUT_THERE = "cut there"  # requests are held, answers pass
+    CUT_BACK = "cut back"  # requests pass, answers are held
+    SILENT = "silent"  # both are held
 
 
 class Mood(enum.Enum):
-    """Say how a worker misbehaves."""
+    """How a worker misbehaves."""
 
-    LATE = "late"  # orders aren't answered, and are carried out ``value`` s later
-    REFUSES = "refuses"  # starts are answered with the status ``value``; 409 is for want of room
+    LATE = "late"  # orders get no answer and are carried out ``value`` s later
+    REFUSES = "refuses"  # starts are answered with the status ``value``; 409 means no room
     FAILS = "fails"  # every task that it starts fails
 
 
 @dataclass(frozen=True, slots=True)
 class ProcessEnds:
-    """End a process by SIGTERM or SIGKILL, and start the host anew after a while."""
+    """End a process by SIGTERM or SIGKILL and restart the host ``away`` s later."""
 
     host: int
     signal: Signal
@@ -61,7 +61,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ProcessPauses:
-    """Send SIGSTOP, and SIGCONT later."""
+    """Suspend a process with SIGSTOP and resume it with SIGCONT."""
 
     host: int
     lasts: float
@@ -69,21 +69,21 @@
 
 @dataclass(frozen=True, slots=True)
 class SettingsChange:
-    """Write a host's settings file anew and send SIGHUP."""
+    """Rewrite a host's settings file and send SIGHUP."""
 
     host: int
 
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationChanges:
-    """Write a configuration with so many queues beside those that are used."""
+    """Write a configuration with ``extra`` queues that no caller submits to."""
 
     extra: int
 
 
 @dataclass(frozen=True, slots=True)
 class DataCentreEvacuated:
-    """Have operators evacuate a data centre, and take it back after a while."""
+    """Evacuate a data centre and end the evacuation ``lasts`` s later."""
 
     data_centre: str
     lasts: float
@@ -91,7 +91,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreTrouble:
-    """Let the store refuse some hosts with a status, take longer for them, or stay silent."""
+    """Make the store refuse some hosts with a status, answer them slowly, or not at all."""
 
     hosts: tuple[int, ...]
     lasts: float
@@ -102,7 +102,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WritesUnanswered:
-    """Let transactions of a host take effect without an answer, at once or ``late_by`` later."""
+    """Commit transactions of a host without an answer, at once or ``late_by`` s later."""
 
     host: int
     writes: int
@@ -111,12 +111,12 @@
 
 @dataclass(frozen=True, slots=True)
 class HistoryDropped:
-    """Let the store drop its history."""
+    """Make the store drop its history of changes."""
 
 
 @dataclass(frozen=True, slots=True)
 class LinkTrouble:
-    """Trouble connections of some hosts to some workers, or to the store if these are None."""
+    """Disturb links of some hosts to some workers, or to the store if ``workers`` is None."""
 
     hosts: tuple[int, ...]
     workers: tuple[int, ...] | None
@@ -128,7 +128,9 @@
 @dataclass(frozen=True, slots=True)
 class WorkerEnds:
     """
-    End a worker's life, after it has drained or without a word; the next one comes after a while.
+    End an incarnation of a worker, drained for ``drains`` s or abruptly if that is 0.
+
+    The next incarnation starts ``away`` s later.
     """
 
     worker: int
@@ -138,7 +140,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkerMood:
-    """Let a worker misbehave for a while."""
+    """Make a worker misbehave for ``lasts`` s."""
 
     worker: int
     lasts: float
@@ -163,7 +165,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TimedFault:
-    """Hold a fault and the time at which it begins, in s since callers came."""
+    """A fault and the time at which it begins, in s since callers started."""
 
     at: float
     fault: Fault
--- a/tools/soak/hosts.py
+++ b/tools/soak/hosts.py
@@ -2,7 +2,7 @@
 Entry hosts
 ===========
 
-Start, signal and end the processes of entry hosts; only those that were started here, by their ids.
+Start, signal and end processes of entry hosts, by id and only those that were started here.
 """
 
 from __future__ import annotations
@@ -20,9 +20,9 @@
 
 __all__ = ["Host"]
 
-GRACE_S = 6.0  # s between SIGTERM and SIGKILL, as the platform does
-LOG_HEAD_BYTES = 4_096  # bytes of a log
-POLL_PERIOD_S = 0.02  # s between looks at whether a process has ended
+GRACE_S = 6.0  # between SIGTERM and SIGKILL, as on the platform
+LOG_HEAD_BYTES = 4_096  # searched for the line that tells of the start
+POLL_PERIOD_S = 0.02  # between checks whether a process has ended
 SIGNALS = {
     Signal.TERMINATE: signal.SIGTERM,
     Signal.KILL: signal.SIGKILL,
@@ -34,9 +34,9 @@
 
 class Host:
     """
-    Keep one entry host, whose processes come one after another.
+    An entry host, which runs one process at a time.
 
-    ``program`` are the arguments of the interpreter that start a process.
+    ``program`` holds the interpreter's arguments that start a process.
     """
 
     def __init__(
@@ -62,25 +62,25 @@
 
     @property
     def name(self) -> str:
-        """Return the name of the present life of the process."""
+        """Return the name of the current incarnation of the process."""
         return f"h{self.number}.{self.incarnation}"
 
     @property
     def alive(self) -> bool:
-        """Tell whether the process runs, or is paused."""
+        """Return whether the process runs or is suspended."""
         return self.process is not None and self.process.poll() is None
 
     @property
     def log(self) -> Path:
-        """Return where the present life writes its lines."""
+        """Return the log file of the current incarnation."""
         return self._directory / f"{self.name}.log"
 
     def listens(self) -> bool:
-        """Tell whether the process has begun, by the line that it writes then."""
+        """Return whether the process has logged that it started."""
         return self.alive and b"process.started" in self.log.read_bytes()[:LOG_HEAD_BYTES]
 
     def write_settings(self) -> None:
-        """Write the settings file; it differs each time."""
+        """Write the settings file, with different content each time."""
         lines = (
             f"# written {time.monotonic()}",
             f"nodeName=h{self.number}",
@@ -96,7 +96,7 @@
         self._settings.write_text("\n".join(lines) + "\n")
 
     def start(self) -> None:
-        """Start a process unless one is there."""
+        """Start a process unless one is alive."""
         self.wanted = True
         if self.alive:
             return
@@ -121,7 +121,7 @@
         self.process.send_signal(SIGNALS[kind])
 
     async def replace(self, away: float) -> None:
-        """Start the host anew after a while, once the process that was told to end is gone."""
+        """Restart the host after ``away`` s, once the current process has exited."""
         self.wanted = False
         ending = self.process
         kill_at = time.monotonic() + GRACE_S
@@ -134,7 +134,7 @@
         self.start()
 
     def finish(self) -> None:
-        """End the process for good."""
+        """Kill the process without a restart."""
         if self._exit_watch is not None:
             self._exit_watch.cancel()
         if self.process is not None and self.process.poll() is None:
@@ -146,7 +146,7 @@
         return self._directory / f"h{self.number}.conf"
 
     async def _watch_exit(self, process: subprocess.Popen[bytes], name: str) -> None:
-        """Tell when a process has ended."""
+        """Record the exit of a process."""
         while process.poll() is None:
             await asyncio.sleep(POLL_PERIOD_S)
         assert process.returncode is not None
--- a/tools/soak/injector.py
+++ b/tools/soak/injector.py
@@ -1,8 +1,8 @@
 """
-Conductor
-=========
+Fault injector
+==============
 
-Carry out a plan of faults on a deployment, and mend everything at its end.
+Inject a plan of faults into a deployment, and undo them all at its end.
 """
 
 from __future__ import annotations
@@ -18,11 +18,11 @@
 
 __all__ = ["FaultInjector"]
 
-RECORD_PERIOD_S = 0.2  # s between notes that there is trouble
+RECORD_PERIOD_S = 0.2  # between records of an ongoing disturbance
 
 
 class FaultInjector:
-    """Begin each fault at its time; each ends by itself."""
+    """Begin each fault of a plan at its time; each ends after its own duration."""
 
     def __init__(self, deployment: Deployment) -> None:
         self._deployment = deployment
@@ -30,7 +30,7 @@
         self._links: list[faults.LinkTrouble] = []
 
     async def run(self, plan: tuple[TimedFault, ...]) -> None:
-        """Begin all faults of a plan, and wait until the last has ended."""
+        """Inject all faults of a plan and wait until the last has ended."""
         recording = asyncio.ensure_future(self._record_disturbances())
         started_at = time.monotonic()
         try:
@@ -54,7 +54,7 @@
             host.start()
 
     async def _record_disturbances(self) -> None:
-        """Tell the checks of trouble in which some answers may be late."""
+        """Record disturbances in which answers may be late, for the checks."""
         while True:
             now = time.monotonic()
             delays = {_delays_only_orders(fault) for fault in self._active.values()} - {None}
@@ -120,7 +120,7 @@
         self._set_links(fault)
 
     def _set_links(self, changed: faults.LinkTrouble) -> None:
-        """Let each link that is named behave as the newest trouble of it says."""
+        """Set each affected link to the mode of the newest fault on it that is active."""
         for host in changed.hosts:
             for worker in changed.workers or (None,):
                 mode, delay = LinkMode.OPEN, 0.0
@@ -141,7 +141,7 @@
 
 
 def _delays_only_orders(fault: Fault) -> bool | None:
-    """Tell whether a fault only delays orders to workers; None if it delays nothing."""
+    """Return whether a fault only delays orders to workers; None if it delays nothing."""
     match fault:
         case faults.WorkerMood(mood=Mood.LATE):
             return True
--- a/tools/soak/jobs.py
+++ b/tools/soak/jobs.py
@@ -2,7 +2,7 @@
 Jobs of the soak
 ================
 
-Draw jobs as callers hand them in, and say what each of their tasks does.
+Random jobs that callers submit, and what each of their tasks does on a worker.
 """
 
 from __future__ import annotations
@@ -24,19 +24,19 @@
     "draw_waiting",
 ]
 
-LATE_LABEL = "late"  # of a worker that comes only after the faults
-TASK_DURATIONS_S = (0.1, 1.2)  # s that a task lasts
-UNLIMITED_S = 1e9  # s
+LATE_LABEL = "late"  # of workers that are added only after the faults
+TASK_DURATIONS_S = (0.1, 1.2)
+UNLIMITED_S = 1e9
 CPU_SIZES = (250, 500, 1_000, 2_000)  # thousandths of a core
-MEMORY_SIZES_MB = (64, 256, 512)  # MB
+MEMORY_SIZES_MB = (64, 256, 512)
 
 
 @dataclass(frozen=True, slots=True)
 class StepPlan:
     """
-    Describe equal tasks; ``lasts`` is in s, sizes as in a job's step.
+    Step of equal tasks; ``duration`` is in s, sizes are in the units of a job's step.
 
-    ``crashes`` says that the first of them crashes each worker that starts it.
+    With ``crashes`` the first task crashes each worker that starts it.
     """
 
     count: int
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class JobPlan:
-    """Describe one job of a queue."""
+    """One job of a queue."""
 
     id: str
     queue: str
@@ -60,25 +60,25 @@
 
     @property
     def long_running(self) -> bool:
-        """Tell whether tasks of the job run until it is cancelled."""
+        """Return whether tasks of the job run until it is cancelled."""
         return any(step.long_running for step in self.steps)
 
     @property
     def waiting(self) -> bool:
-        """Tell whether the job waits for a worker that comes after the faults."""
+        """Return whether the job needs a worker that is added only after the faults."""
         return any(step.label for step in self.steps)
 
     @property
     def crashing(self) -> bool:
-        """Tell whether a task of the job crashes its workers."""
+        """Return whether a task of the job crashes its workers."""
         return any(step.crashes for step in self.steps)
 
     def crashes(self, task: TaskKey) -> bool:
-        """Tell whether a task of the job crashes each worker that starts it."""
+        """Return whether this task crashes each worker that starts it."""
         return task.index == 0 and self.steps[task.step].crashes
 
     def encode(self) -> bytes:
-        """Return the job as callers hand it in."""
+        """Return the job as the body of a submission."""
         return msgspec.json.encode({"spec": self.id, "pipeline": [_encode(s) for s in self.steps]})
 
 
@@ -106,7 +106,7 @@
 
 
 def draw_crashing(random_: random.Random, queue: str) -> JobPlan:
-    """Draw a job of which one task crashes its workers."""
+    """Draw a job with one task that crashes its workers."""
     long_running = random_.random() < 0.3
     step = StepPlan(
         count=random_.randint(1, 3),
@@ -121,7 +121,7 @@
 
 
 def draw_waiting(random_: random.Random, queue: str) -> JobPlan:
-    """Draw a job that nobody can run until the worker for it comes."""
+    """Draw a job that no worker can run until the late workers are added."""
     step = StepPlan(1, 500, 64, duration=0.2, label=LATE_LABEL)
     return JobPlan(draw_id(random_), queue, (step,))
 
--- a/tools/soak/links.py
+++ b/tools/soak/links.py
@@ -2,7 +2,7 @@
 Links
 =====
 
-Stand between an entry host and the store or a worker, and delay, break, hold back or silence.
+TCP proxies between an entry host and the store or a worker, which delay, reset or hold bytes.
 """
 
 from __future__ import annotations
@@ -14,17 +14,17 @@
 
 __all__ = ["Link"]
 
-CHUNK_BYTES = 65_536  # bytes read at a time
+CHUNK_BYTES = 65_536
 REQUEST_HOLDING_MODES = (LinkMode.CUT_THERE, LinkMode.SILENT)
 ANSWER_HOLDING_MODES = (LinkMode.CUT_BACK, LinkMode.SILENT)
 
 
 class Link:
     """
-    Pass the bytes of connections to one address on.
+    Proxy of connections to one address.
 
-    Bytes that are held back are passed on once the link is open again, as a network repeats what it
-    has lost: orders are then carried out late, also after the caller has given the connection up.
+    Held bytes are forwarded once the link is open again, as TCP retransmits lost segments: orders
+    are then carried out late, also after the sender has abandoned the connection.
     """
 
     def __init__(self, target: str) -> None:
@@ -37,14 +37,14 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def listen(self, address: str) -> None:
-        """Listen on an address."""
+        """Accept connections on an address."""
         host, _, port = address.rpartition(":")
         self._server = await asyncio.start_server(
             self._accept, host, int(port), backlog=256, limit=CHUNK_BYTES
         )
 
     def set_mode(self, mode: LinkMode, delay: float = 0.0) -> None:
-        """Change what happens to bytes from now on."""
+        """Change how bytes are treated from now on."""
         self._mode = mode
         self._delay = delay if mode is LinkMode.DELAYED else 0.0
         if mode is LinkMode.RESET:
@@ -53,7 +53,7 @@
         self._changed = asyncio.Event()
 
     def close(self) -> None:
-        """End all connections."""
+        """Stop listening and end all connections."""
         if self._server is not None:
             self._server.close()
         for task in self._tasks:
@@ -102,7 +102,7 @@
         writer: asyncio.StreamWriter,
         holding_modes: tuple[LinkMode, ...],
     ) -> None:
-        """Pass bytes on in one direction until that side ends."""
+        """Forward bytes in one direction until the sender closes."""
         with contextlib.suppress(OSError):
             while data := await reader.read(CHUNK_BYTES):
                 await self._wait_until_open(holding_modes)
--- a/tools/soak/plan.py
+++ b/tools/soak/plan.py
@@ -2,7 +2,7 @@
 Plan of faults
 ==============
 
-Draw what happens to a deployment from a seed: series of faults that overlap one another.
+Draw the faults of a run from a seed, as series that overlap one another.
 """
 
 from __future__ import annotations
@@ -17,15 +17,15 @@
 
 __all__ = ["DATA_CENTRES", "Size", "draw_plan"]
 
-FAULT_FREE_START_S = 1.5  # s without faults, in which the first jobs are accepted
-SERIES_PERIOD_S = 3.0  # s of a run for each series of faults
-MIN_SCALED_HOSTS = 12  # from which on there are more series
-SERIES_LENGTHS = (2, 3, 4, 6)  # faults of one series
-FAULT_GAPS_S = (0.0, 1.2)  # s between faults of a series
-SHORT_DURATIONS_S = (0.3, 2.0)  # s
-LONG_DURATIONS_S = (1.0, 6.0)  # s
-LEASE_CUT_DURATIONS_S = (2.0, 8.0)  # s: a lease of a worker is 4.5 s
-EVACUATION_DURATIONS_S = (3.0, 16.0)  # s; an evacuation has to be in force after 5 s
+FAULT_FREE_START_S = 1.5  # in which the first jobs are accepted
+SERIES_PERIOD_S = 3.0  # run time for each series of faults
+MIN_SCALED_HOSTS = 12  # larger deployments get proportionally more series
+SERIES_LENGTHS = (2, 3, 4, 6)  # in faults
+FAULT_GAPS_S = (0.0, 1.2)  # between faults of a series
+SHORT_DURATIONS_S = (0.3, 2.0)
+LONG_DURATIONS_S = (1.0, 6.0)
+LEASE_CUT_DURATIONS_S = (2.0, 8.0)  # a worker's lease is 4.5 s
+EVACUATION_DURATIONS_S = (3.0, 16.0)  # an evacuation has to be in force after 5 s
 DATA_CENTRES = ("dc0", "dc1", "dc2")
 UNUSED_DATA_CENTRE = "dc9"
 EXTRA_QUEUE_COUNTS = (0, 1, 3, 40, 1_000)
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Size:
-    """Say how large a run is; faults begin for ``seconds``, and a calm time of ``calm`` follows."""
+    """Size of a run: faults begin for ``seconds``, then none for ``recovery`` seconds."""
 
     hosts: int = 6
     workers: int = 10
@@ -45,7 +45,7 @@
 
 
 def draw_plan(seed: int, size: Size) -> tuple[TimedFault, ...]:
-    """Draw the faults of a run, in the order of their times."""
+    """Draw the faults of a run, ordered by time."""
     random_ = random.Random(f"plan/{seed}")
     timed: list[TimedFault] = []
     host_factor = max(1.0, size.hosts / MIN_SCALED_HOSTS)
@@ -56,7 +56,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Targets:
-    """Hold the few hosts and workers that a series is about."""
+    """The hosts and workers that a series of faults affects."""
 
     random_: random.Random
     hosts: tuple[int, ...]
@@ -67,7 +67,7 @@
         return self.random_.choice(self.hosts)
 
     def draw_hosts(self) -> tuple[int, ...]:
-        """Return all hosts, or one."""
+        """Return all hosts, or one of the series."""
         return self.random_.choice((self.all_hosts, (self.draw_host(),)))
 
     def draw_time(self, bounds: tuple[float, float]) -> float:
@@ -75,7 +75,7 @@
 
 
 def _draw_series(random_: random.Random, size: Size) -> Iterator[TimedFault]:
-    """Yield faults of one or two themes in quick succession, on the same few targets."""
+    """Yield faults of one or two themes in quick succession, on the same targets."""
     at = random_.uniform(FAULT_FREE_START_S, max(FAULT_FREE_START_S, size.seconds - 1.0))
     themes = random_.sample(_THEMES, random_.choice((1, 2)))
     targets = _draw_targets(random_, size)
@@ -146,7 +146,7 @@
 
 
 def _draw_workers_cut(random_: random.Random, targets: _Targets) -> Fault:
-    """Draw a cut of ways to the workers that is long enough for leases to end."""
+    """Draw a cut of links to workers that is long enough for leases to expire."""
     mode, lasts = random_.choice(CUT_MODES), targets.draw_time(LEASE_CUT_DURATIONS_S)
     return faults.LinkTrouble(targets.draw_hosts(), targets.workers, mode, lasts)
 
--- a/tools/soak/report.py
+++ b/tools/soak/report.py
@@ -2,7 +2,8 @@
 Report
 ======
 
-Say what came of a seed: one line if it is sound, else all that is needed to look for the cause.
+Describe the outcome of a seed: one line if no check failed, else also the plan, the violations and
+the paths of the logs.
 """
 
 from __future__ import annotations
@@ -15,11 +16,11 @@
 
 __all__ = ["describe"]
 
-MAX_VIOLATIONS_SHOWN = 20  # violations of one seed
+MAX_VIOLATIONS_SHOWN = 20  # per seed
 
 
 def describe(outcome: Outcome, plan: tuple[TimedFault, ...], directory: Path) -> Iterator[str]:
-    """Yield the lines of a report."""
+    """Yield the lines of the report on one seed."""
     bad = len(outcome.violations)
     yield (
         f"seed {outcome.seed}: {f'{bad} wrong' if bad else 'sound'}, {len(plan)} faults, "
--- a/tools/soak/run.py
+++ b/tools/soak/run.py
@@ -2,7 +2,7 @@
 Run
 ===
 
-Play one seed: callers and faults, a calm time, then the end of all that was accepted.
+Play one seed: callers under faults, a time without faults, then the end of all accepted jobs.
 """
 
 from __future__ import annotations
@@ -30,16 +30,16 @@
 __all__ = ["Outcome", "play"]
 
 PROGRAM = ("-m", "toucanpin.entry")
-READY_TIMEOUT_S = 60.0  # s until the first hosts answer, on a busy machine
-LONG_RUNNING_JOBS = 2  # jobs whose tasks run until the end
-LAG_CHECK_PERIOD_S = 0.1  # s between looks at how late this process is itself
-MAX_LAG_S = 0.4  # s by which it may be late before answers are judged no more
-POLL_PERIOD_S = 0.2  # s between questions for what isn't completed
+READY_TIMEOUT_S = 60.0  # until the first hosts answer; generous for a busy machine
+LONG_RUNNING_JOBS = 2
+LAG_CHECK_PERIOD_S = 0.1  # between checks how late this process is
+MAX_LAG_S = 0.4  # lag of this process beyond which its observations count as disturbed
+POLL_PERIOD_S = 0.2  # between requests for the states of open jobs
 
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """Hold what came of a seed."""
+    """Outcome of a seed."""
 
     seed: int
     violations: tuple[Violation, ...]
@@ -62,9 +62,9 @@
     settle: float = 90.0,
     program: tuple[str, ...] = PROGRAM,
 ) -> Outcome:
-    """Play a plan; ``settle`` is how long, in s, what was accepted may take after the faults."""
+    """Play a plan; ``settle`` is the time in s for accepted jobs to end after the faults."""
     deployment = Deployment(size, directory, program)
-    # Told to end, this process must not leave those that it started behind.
+    # On SIGTERM this process must not leave behind the processes that it started.
     task = asyncio.current_task()
     assert task is not None
     asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, task.cancel)
@@ -117,7 +117,7 @@
         )
 
     async def _submit_first(self) -> None:
-        """Wait until hosts answer, with jobs that run for long and one that crashes workers."""
+        """Submit the long-running jobs and one that crashes workers, until hosts accept them."""
         long_running = random.Random(f"lasting/{self._seed}")
         crashing = random.Random(f"crashing/{self._seed}")
         draws = [
@@ -134,7 +134,7 @@
                 return
 
     async def _measure_lag(self) -> None:
-        """Tell of trouble whenever this process is late itself: what it sees is late then."""
+        """Record a disturbance whenever this process lags, as its observations are then late."""
         while True:
             due = time.monotonic() + LAG_CHECK_PERIOD_S
             await asyncio.sleep(LAG_CHECK_PERIOD_S)
@@ -143,7 +143,7 @@
                 self._deployment.record(DisturbanceSeen(now))
 
     async def _finish(self) -> None:
-        """Wait until all that was accepted is completed and lasting tasks run."""
+        """Wait until all accepted jobs have ended and the long-running tasks run."""
         give_up_at = time.monotonic() + self._settle
         while time.monotonic() < give_up_at:
             for job in tuple(self._open_jobs()):
@@ -160,7 +160,7 @@
         state = self._deployment.state
         for name in dict.fromkeys(state.accepted):
             is_over = name in self._completed or name in state.cancelled
-            # One that crashes its workers has to end as failed, also if it would last.
+            # A job that crashes its workers has to fail, also if it is long-running.
             if not is_over and (state.jobs[name].crashing or not state.jobs[name].long_running):
                 yield state.jobs[name]
 
@@ -170,7 +170,7 @@
             self._completed.add(job.id)
 
     def _find_stray_tasks(self) -> Iterator[str]:
-        """Yield lasting tasks that don't run, and tasks of cancelled jobs that still do."""
+        """Describe long-running tasks that don't run, and cancelled jobs that still do."""
         workers = (*self._deployment.workers, *self._deployment.extra_workers)
         running = {task for worker in workers if worker for task in worker.core.runs}
         state = self._deployment.state
--- a/tools/soak/store.py
+++ b/tools/soak/store.py
@@ -2,8 +2,8 @@
 Store of the soak
 =================
 
-The stand-in of the store with an address for each host, troubles that overlap, and workers' entries
-that name a link of each host's own.
+Stand-in of the store that listens on an address for each host, combines overlapping faults, and
+lists workers under the addresses of that host's own links.
 """
 
 from __future__ import annotations
@@ -23,35 +23,35 @@
 __all__ = ["HostView", "SoakStore"]
 
 WORKERS_TABLE = "servers"
-MAX_HEADER_BYTES = 16_384  # bytes
-MAX_BODY_BYTES = 1_048_576  # bytes of one transaction
+MAX_HEADER_BYTES = 16_384
+MAX_BODY_BYTES = 1_048_576
 
 
 @dataclass(slots=True)
 class HostView:
     """
-    Hold how one host sees the store.
+    The store as seen by one host.
 
-    ``find_link`` returns the address at which the host reaches a worker's address.
+    ``find_link`` maps a worker's address to that of the host's link to it.
     """
 
     find_link: Callable[[str], Awaitable[str]]
     faults: StoreFaults = field(default_factory=StoreFaults)
-    takes: float = 0.0  # s more for each answer
+    takes: float = 0.0  # additional latency of each answer in s
     _troubles: list[StoreTrouble] = field(default_factory=list)
 
     def begin(self, trouble: StoreTrouble) -> None:
-        """Treat the host so from now on."""
+        """Begin a fault for this host."""
         self._troubles.append(trouble)
         self._combine()
 
     def end(self, trouble: StoreTrouble) -> None:
-        """Treat the host so no more."""
+        """End a fault for this host."""
         self._troubles.remove(trouble)
         self._combine()
 
     def leave_unanswered(self, writes: int, late_by: float) -> None:
-        """Carry out some transactions without an answer, at once or later."""
+        """Commit some transactions without an answer, at once or later."""
         if late_by:
             self.faults.late_delay = late_by
             self.faults.late_writes += writes
@@ -59,7 +59,7 @@
             self.faults.lose_writes += writes
 
     def _combine(self) -> None:
-        """Take all troubles together: the worst of each kind."""
+        """Combine the active faults: the newest status, any silence and the longest delay."""
         statuses = [trouble.status for trouble in self._troubles if trouble.status]
         self.faults.status = statuses[-1] if statuses else 0
         self.faults.silent = any(trouble.silent for trouble in self._troubles)
@@ -67,7 +67,7 @@
 
 
 class SoakStore(SiteStore):
-    """Serve each host under its own troubles."""
+    """Store that serves each host under that host's faults."""
 
     async def listen_for(self, address: str, view: HostView) -> Server:
         """Serve one host at an address."""
@@ -86,7 +86,7 @@
 
 
 async def _replace_addresses(request: Request, response: Response, view: HostView) -> Response:
-    """Put the host's own links in the place of the workers' addresses."""
+    """Replace the workers' addresses by those of the host's own links."""
     parts = urlsplit(request.path)
     if parts.path != "/rows-get" or parse_qs(parts.query)["table"] != [WORKERS_TABLE]:
         return response
--- a/tools/soak/task_checks.py
+++ b/tools/soak/task_checks.py
@@ -2,7 +2,7 @@
 Checks of tasks
 ===============
 
-What workers may never see: each check takes events in their order and yields what is wrong.
+Checks of what workers see; each takes events in order and yields violations.
 """
 
 from __future__ import annotations
@@ -26,22 +26,22 @@
     "TaskCheck",
 ]
 
-DRAIN_DELAY_S = 4.0  # s after which a worker that drains gets nothing more
-EVACUATION_DELAY_S = 5.0  # s after which nothing more is started in an evacuated data centre
+DRAIN_DELAY_S = 4.0  # until a draining worker gets no more starts
+EVACUATION_DELAY_S = 5.0  # until an evacuated data centre gets no more starts
 
-MAX_CRASHES = 5  # starts of a task that crashes its workers: two after the third crash
+MAX_CRASHES = 5  # of one task: two more starts after the third crash
 
 
 class TaskCheck:
-    """Know the jobs that were offered, the last trouble, and the signals that processes got."""
+    """Base of checks; keeps submitted jobs, the last disturbance and signals to processes."""
 
     def __init__(self) -> None:
         self.jobs: dict[str, JobPlan] = {}
-        self.disturbed_at = 0.0  # of the store, a host or the machine
+        self.disturbed_at = 0.0  # by the store, a host or the machine
         self.signals: dict[str, set[events.Signal]] = defaultdict(set)
 
     def take(self, event: events.Event) -> Iterator[str]:
-        """Yield what is wrong with an event."""
+        """Yield the violations that an event shows."""
         match event:
             case events.JobOffered():
                 self.jobs[event.job.id] = event.job
@@ -52,21 +52,21 @@
         yield from self.judge(event)
 
     def judge(self, event: events.Event) -> Iterator[str]:
-        """Yield what is wrong with an event, once jobs are known."""
+        """Yield the violations that an event shows, after the common fields were updated."""
         raise NotImplementedError
 
     def close(self) -> Iterator[str]:
-        """Yield what is wrong at the end."""
+        """Yield the violations that show only at the end."""
         return iter(())
 
     def step(self, task: TaskKey) -> StepPlan | None:
-        """Return the step of a task, None if no such job was offered."""
+        """Return the step of a task, None if its job was not submitted."""
         job = self.jobs.get(task.job)
         return job.steps[task.step] if job else None
 
 
 class OnePlace(TaskCheck):
-    """A task runs in one place at a time, unless it may be copied."""
+    """A task runs on one worker at a time, unless it is speculative."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -88,7 +88,7 @@
 
 
 class NotAgain(TaskCheck):
-    """Nothing starts after it was done and its end was acknowledged."""
+    """No task starts after it was done and its end was acknowledged."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -100,13 +100,13 @@
                 self._done.add(event.task)
             case events.RunStarted() if event.task in self._done:
                 step = self.step(event.task)
-                # A copy that was ordered before the other one was done may begin late.
+                # A copy that was ordered before the other copy was done may begin late.
                 if not (step and step.speculative):
                     yield f"{event.task} began on {event.worker} though it was done"
 
 
 class StepOrder(TaskCheck):
-    """A task starts after all tasks of the steps that come before its own."""
+    """A task starts only after all tasks of the steps that its step depends on."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -133,7 +133,7 @@
 
 
 class CrashLoops(TaskCheck):
-    """A task that crashes each worker that starts it is started at most twice after the third."""
+    """A task that crashes its workers is started at most twice after the third crash."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -152,7 +152,7 @@
 
 
 class Room(TaskCheck):
-    """What runs on a worker never needs more than its processors and memory."""
+    """The runs of a worker never need more than its processors and memory."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -181,7 +181,7 @@
 
 
 class Refusals(TaskCheck):
-    """A job that was refused, and nothing else, never starts; nor does one that nobody offered."""
+    """A job whose submissions were all refused never starts, nor does one never submitted."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -207,7 +207,7 @@
 
 
 class StartCheck(TaskCheck):
-    """Judge starts that come long after something, and after the last trouble of any kind."""
+    """Base of checks of starts that come too long after an event, outside disturbances."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -220,13 +220,13 @@
         yield from super().take(event)
 
     def is_late(self, start: events.RunStarted, name: str, bound: float) -> bool:
-        """Tell whether a start comes more than ``bound`` seconds after what has a name."""
+        """Return whether a start comes more than ``bound`` s after the event kept for ``name``."""
         since = self._since.get(name)
         return since is not None and start.at > max(since, self._any_disturbed_at) + bound
 
 
 class Evacuations(StartCheck):
-    """Nothing starts in an evacuated data centre after a few seconds, outside trouble."""
+    """No task starts in an evacuated data centre after EVACUATION_DELAY_S, outside disturbances."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -245,7 +245,7 @@
 
 
 class Leaving(StartCheck):
-    """A worker that drains gets nothing new after a few seconds, outside trouble."""
+    """A draining worker gets no starts after DRAIN_DELAY_S, outside disturbances."""
 
     def judge(self, event: events.Event) -> Iterator[str]:
         match event:
--- a/tools/soak/tests/test_checks.py
+++ b/tools/soak/tests/test_checks.py
@@ -1,4 +1,4 @@
-"""Each check finds what it is for in a history that was made up, and passes over a sound one."""
+"""Each check reports its violation in a constructed history, and none in a valid one."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
 
 class ChecksTest(unittest.TestCase):
     def find(self, *history: events.Event) -> list[str]:
-        """Return the names of the checks that find something."""
+        """Return the names of the checks that report a violation."""
         checker = Checker()
         checker.record(events.ConfigurationWritten(0.0, frozenset({"q"})))
         checker.record(events.WorkerJoined(0.0, "w1", 1_000, 1_000, "dc"))
--- a/tools/soak/tests/test_plan.py
+++ b/tools/soak/tests/test_plan.py
@@ -1,4 +1,4 @@
-"""Plans of faults are drawn from their seeds alone, in series that overlap."""
+"""Plans of faults depend on their seeds alone and contain overlapping faults."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
         self.assertEqual(self.plans, [draw_plan(seed, self.size) for seed in SEEDS])
         self.assertEqual(len(SEEDS), len(set(self.plans)))
 
-    def test_faults_come_in_order_within_the_time_and_for_what_is_there(self) -> None:
+    def test_faults_are_ordered_and_target_existing_hosts_and_workers(self) -> None:
         for plan in self.plans:
             times = [timed.at for timed in plan]
             self.assertEqual(sorted(times), times)
             self.assertLess(times[-1], self.size.seconds)
             self.assertTrue(all(self._targets_exist(timed.fault) for timed in plan))
 
-    def test_all_faults_and_all_modes_of_links_are_drawn(self) -> None:
+    def test_all_fault_types_and_link_modes_are_drawn(self) -> None:
         faults = [timed.fault for plan in self.plans for timed in plan]
         self.assertEqual(set(get_args(Fault)), {type(fault) for fault in faults})
         modes = {fault.mode for fault in faults if isinstance(fault, LinkTrouble)}
--- a/tools/soak/tests/test_run.py
+++ b/tools/soak/tests/test_run.py
@@ -14,14 +14,14 @@
 from tools.soak.run import Outcome, play
 
 SIZE = Size(hosts=3, workers=5, callers=5, seconds=8.0, recovery=1.0)
-SETTLE_S = 180.0  # s: a bound that only a job which is never completed reaches
+SETTLE_S = 180.0  # reached only by a job that is never completed
 
 
 class RunTest(unittest.TestCase):
     """
     Entry processes are ended, killed, paused and cut off from the store and the workers, which
-    fail, leave and come back, while callers go on.  What is judged doesn't depend on how fast the
-    machine is: nothing runs twice, nothing accepted is lost, nothing refused runs.
+    fail, leave and come back, while callers go on.  Only checks that don't depend on the speed of
+    the machine count: nothing runs twice, nothing accepted is lost, nothing refused runs.
     """
 
     def play(self, seed: int) -> Outcome:
@@ -39,7 +39,7 @@
 
 
 class KeptSeedsTest(unittest.TestCase):
-    def test_the_list_can_be_read(self) -> None:
+    def test_kept_seeds_are_distinct(self) -> None:
         seeds = read_kept_seeds()
         self.assertEqual(len(set(seeds)), len(seeds))
 
--- a/tools/soak/weakened.py
+++ b/tools/soak/weakened.py
@@ -1,8 +1,8 @@
 """
-Weakened process
-================
+Weakened entry process
+======================
 
-Run the process of an entry host without one of its safeguards, to see that the soak notices.
+Run an entry process with one safeguard disabled, to verify that the soak detects it.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 def _forget_leases() -> None:
-    """Take what a silent worker runs for ended though its lease goes on."""
+    """Treat the runs of a silent worker as ended while its lease is still valid."""
     lapse = owner.expire_leases
 
     def weakened(cell, now):  # type: ignore[no-untyped-def]
@@ -32,7 +32,7 @@
 
 
 def _refuse_unsure() -> None:
-    """Tell a caller that a job never runs though its write had no answer."""
+    """Answer that a job was not accepted when the outcome of its write is unknown."""
     write = RequestHandler._write
 
     async def weakened(self, part, put, deadline):  # type: ignore[no-untyped-def]
@@ -42,7 +42,7 @@
 
 
 def _acknowledge_early() -> None:
-    """Let workers forget ends before these are written."""
+    """Acknowledge ended runs to workers before the ends are stored."""
     plan = cell_workers.plan_poll
 
     def weakened(cell, worker, now):  # type: ignore[no-untyped-def]
@@ -53,7 +53,7 @@
 
 
 def _end_at_once() -> None:
-    """End on SIGTERM without an answer to what was read."""
+    """Exit on SIGTERM without answering requests that were already read."""
 
     async def weakened(self):  # type: ignore[no-untyped-def]
         await self.abort()
@@ -62,13 +62,13 @@
 
 
 def _forget_crashes() -> None:
-    """Start a task again however many workers were lost under it."""
+    """Restart a task regardless of how many workers crashed while running it."""
     placing.is_start_blocked = lambda cell, live, task: False
     owner.fail_crashing_jobs = lambda cell, now: []
 
 
 def _forget_evacuations() -> None:
-    """Start tasks in data centres that operators have evacuated."""
+    """Ignore evacuations: start tasks in evacuated data centres."""
     owner.apply_evacuations = lambda cell, evacuated, bound: False
 
 
@@ -83,7 +83,7 @@
 
 
 def main() -> int:
-    """Switch the safeguard off that the first argument names, and run the process."""
+    """Disable the safeguard named by the first argument and run the entry process."""
     WEAKENINGS[sys.argv.pop(1)]()
     return program.main()
 
--- a/tools/soak/workers.py
+++ b/tools/soak/workers.py
@@ -2,7 +2,7 @@
 Workers of the soak
 ===================
 
-Workers that tell what they run; they are late, refuse, fail, drain and come as another life.
+Worker stand-ins that record their runs and can be slow, refuse, fail, drain, crash and restart.
 """
 
 from __future__ import annotations
@@ -33,17 +33,17 @@
 
 __all__ = ["SoakWorker"]
 
-TICK_S = 0.02  # s between looks at what has ended
-STOP_TIME_S = 0.1  # s that a task takes to stop on the worker; the platform allows 0.2
-ENTRY_RETENTION_S = 3.0  # s after a crash for which the store still lists the worker
-SLOW_CLOCK_RATE = 0.982  # of a worker whose clock is as slow as the platform's page allows, nearly
+TICK_S = 0.02  # between checks for runs that have ended
+STOP_TIME_S = 0.1  # the platform allows 0.2 s
+ENTRY_RETENTION_S = 3.0  # time for which the store lists a worker after its crash
+SLOW_CLOCK_RATE = 0.982  # close to the slowest clock that the platform allows
 
 Record = Callable[[Event], None]
 
 
 @dataclass(slots=True)
 class _Core(WorkerCore):
-    """Carry out orders, and tell of each run when it begins and ends."""
+    """Worker core that records when each run begins and ends."""
 
     record: Record = lambda event: None
     jobs: dict[str, JobPlan] = field(default_factory=dict)
@@ -52,8 +52,8 @@
     stopping: dict[TaskKey, float] = field(default_factory=dict)
 
     def start(self, task: TaskKey, attempt: int, deadline: int, token: int, now: float) -> Answer:
-        # A lease that has ended must have ended before another run is judged, also while this
-        # process is late with its own work.
+        # Leases that have expired must end their runs before the next run is recorded, also when
+        # this process is behind with its own work.
         self.before_start()
         count = len(self.starts)
         answer = WorkerCore.start(self, task, attempt, deadline, token, now)
@@ -104,10 +104,10 @@
 
 class SoakWorker(SiteWorker):
     """
-    Serve one life of a worker.
+    One incarnation of a worker.
 
-    ``before_start`` is called before a run begins, to end what has lapsed on all workers;
-    ``replace`` has another life follow this one, which a task has crashed.
+    ``before_start`` is called before a run begins, to end expired runs on all workers; ``replace``
+    starts the next incarnation after a task has crashed this one.
     """
 
     def __init__(
@@ -143,13 +143,13 @@
         await super().start()
 
     def advance(self) -> None:
-        """End what is due by now."""
+        """End the runs that are due."""
         if not self._finished:
             self.core.failing = bool(self._active_values(Mood.FAILS))
             self.core.advance(self._now())
 
     async def crash(self) -> None:
-        """End without a word; the store lists the entry for a while."""
+        """Exit abruptly; the store lists the entry for ENTRY_RETENTION_S more."""
         if self._finished:
             return
         await self._finish()
@@ -157,7 +157,7 @@
         loop.call_later(ENTRY_RETENTION_S, self._store.delete, "servers", self.core.entry.id)
 
     async def drain(self, seconds: float) -> None:
-        """Report that the worker drains, go on for a while, then leave."""
+        """Report that the worker drains, keep running for some seconds, then exit."""
         self.core.entry = replace(self.core.entry, ready=False)
         self.register()
         self._record(WorkerDraining(time.monotonic(), self.core.entry.id))
@@ -167,7 +167,7 @@
             self._store.delete("servers", self.core.entry.id)
 
     async def close(self) -> None:
-        """End at the end of the soak."""
+        """Stop the worker at the end of the soak."""
         if not self._finished:
             await self._finish()
 
--- a/tools/tests/test_golden.py
+++ b/tools/tests/test_golden.py
@@ -1,4 +1,4 @@
-"""Tests of the golden tool."""
+"""Tests of the golden-file tool."""
 
 import unittest
 from pathlib import Path
@@ -21,16 +21,16 @@
         self.path.write_text(TEXT)
 
     def review(self, session, rewrite, failures=()):
-        """Review the file against a session."""
+        """Review the golden file against a session."""
         return review(self.path, rewrite, lambda scenario: Outcome(failures, session))
 
-    def test_rewrites_and_then_holds(self):
+    def test_rewritten_file_matches(self):
         self.assertFalse(self.review("one\n", rewrite=False))
         self.assertFalse(name_golden(self.path).exists())
         self.assertTrue(self.review("one\n", rewrite=True))
         self.assertTrue(self.review("one\n", rewrite=False))
 
-    def test_shows_what_differs_and_leaves_the_file(self):
+    def test_check_shows_the_difference_without_rewriting(self):
         self.review("one\ntwo\n", rewrite=True)
         self.assertFalse(self.review("one\nthree\n", rewrite=False))
         shown = list(compare(self.path, "one\nthree\n"))
@@ -38,7 +38,7 @@
         self.assertIn("+three", shown)
         self.assertEqual(name_golden(self.path).read_text(), "one\ntwo\n")
 
-    def test_failed_expectation_is_never_as_it_should_be(self):
+    def test_failed_expectation_fails_the_review(self):
         self.assertFalse(self.review("one\n", rewrite=True, failures=(FAILURE,)))
         self.assertFalse(self.review("one\n", rewrite=False, failures=(FAILURE,)))
 
--- a/tools/tests/test_openapi.py
+++ b/tools/tests/test_openapi.py
@@ -1,4 +1,4 @@
-"""Tests of the callers' interface of jobs as documented."""
+"""Tests of the OpenAPI description of jobs."""
 
 import unittest
 
@@ -11,11 +11,11 @@
     def setUp(self):
         self.document = msgspec.json.decode(DOCUMENT_PATH.read_bytes())
 
-    def test_the_page_is_what_the_code_decodes_and_encodes(self):
+    def test_document_matches_the_types_of_the_code(self):
         generated = msgspec.json.decode(msgspec.json.encode(describe_jobs(self.document)))
         self.assertEqual(generated, self.document)
 
-    def test_every_reference_leads_somewhere(self):
+    def test_every_reference_resolves(self):
         for reference in self.find_references(self.document):
             found = self.document
             for part in reference.removeprefix("#/").split("/"):
--- a/tools/tests/test_run_tests.py
+++ b/tools/tests/test_run_tests.py
@@ -20,7 +20,7 @@
         self.assertEqual((code, lines[-1]), (1, "2 passed, 1 failed"))
         self.assertIn("failed: m.T.a", lines)
 
-    def test_a_known_red_test_is_printed_and_passed_over(self):
+    def test_a_known_red_test_is_printed_and_does_not_fail_the_run(self):
         run = ModuleRun("m", 3, frozenset({"m.T.a"}), "why")
         code, lines = self.report([run], {"m.T.a": "m.T.a seed 3, lost reply, issue 5"})
         self.assertEqual((code, lines[-1]), (0, "2 passed, 0 failed"))
