--- a/scenarios/callers.py
+++ b/scenarios/callers.py
@@ -2,7 +2,7 @@
 Callers
 =======
 
-Submit, cancel and send over HTTP as people outside do, and note what they are told.
+Submit and cancel jobs and send requests over HTTP, and record the answers.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 
 
 class Callers:
-    """Act for everybody outside the system; any thread may call."""
+    """HTTP clients of the system; safe to use from any thread."""
 
     def __init__(
         self,
@@ -47,7 +47,7 @@
         self._read_time = read_time
 
     def submit(self, action: model.SubmitJob) -> None:
-        """Submit a job as its owner does."""
+        """Submit a job, retrying until there is a final answer."""
         work = msgspec.json.encode(make_work(action.job, action.work)).decode()
         fields = {
             "kind": "master",
@@ -66,11 +66,11 @@
             self._observations.jobs.append(JobOutcome(action.job, now, JobEnd.REFUSED))
 
     def cancel(self, job: str, entry: str) -> None:
-        """Ask to cancel a job."""
+        """Cancel a job."""
         self._call(entry, "DELETE", f"/v1/jobs/{self._script.find_job(job)}", b"", {})
 
     def send(self, action: model.SendRequest) -> None:
-        """Send a request once and note what its caller is told."""
+        """Send a request once and record its outcome."""
         sent = self._read_time()
         entry = next(each for each in self._entries if each.name == action.through)
         headers = {
@@ -102,7 +102,7 @@
     def _call(
         self, entry: str, method: str, path: str, body: bytes, headers: dict[str, str]
     ) -> urllib3.BaseHTTPResponse | None:
-        """Ask an entry host, then the others, until one doesn't say to come back."""
+        """Call an entry host, then the others in turn, until one gives a final answer."""
         entries = self._entries
         start = next((at for at, each in enumerate(entries) if each.name == entry), 0)
         for attempt in range(MAX_ATTEMPTS):
--- a/scenarios/check.py
+++ b/scenarios/check.py
@@ -1,8 +1,8 @@
 """
-Check
-=====
+Scenario checks
+===============
 
-Faults of a scenario that its grammar doesn't show: names that nothing bears, and the like.
+Errors in a scenario that its grammar does not catch, such as names that do not exist.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 
 
 def find_faults(scenario: Scenario) -> Iterator[ScenarioError]:
-    """Yield what is wrong with a scenario, in the order of its lines."""
+    """Yield the errors of a scenario in line order."""
     faults = [*_check_events(scenario), *_check_expectations(scenario)]
     if not scenario.expectations:
         faults.append(ScenarioError(Location(scenario.file, 1), "the scenario expects nothing"))
@@ -39,7 +39,7 @@
 
 
 def _check_events(scenario: Scenario) -> Iterator[ScenarioError]:
-    """Yield the faults of events."""
+    """Yield the errors of events."""
     entries = {"", *name_entries(scenario.hosts)}
     processes = {f"{entry}/{role}" for entry in name_entries(scenario.hosts) for role in ROLES}
     targets = {*name_hosts(scenario.hosts), *processes, *PLATFORM}
@@ -74,7 +74,7 @@
 
 
 def _check_expectations(scenario: Scenario) -> Iterator[ScenarioError]:
-    """Yield the faults of expectations."""
+    """Yield the errors of expectations."""
     actions = [event.action for event in scenario.events]
     jobs = {action.job for action in actions if isinstance(action, model.SubmitJob)}
     requests = {action.request for action in actions if isinstance(action, model.SendRequest)}
@@ -99,7 +99,7 @@
 def _require(
     location: Location, what: str, name: str, known: Iterable[str]
 ) -> Iterator[ScenarioError]:
-    """Yield a fault if nothing bears a name."""
+    """Yield an error if a name is not known."""
     names = sorted(name for name in known if name)
     if name not in names and (name or not names or "" not in known):
         missing = f"no {what} is named {name!r}" if name else f"there is no {what}"
--- a/scenarios/control_process.py
+++ b/scenarios/control_process.py
@@ -2,7 +2,7 @@
 Control processes
 =================
 
-Drive the decisions of placement on the virtual clock.
+Run the decisions of placement on the virtual clock.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 
 
 class ControlProcess(PeerProcess):
-    """Live one life of a control process."""
+    """One incarnation of a control process."""
 
     def __init__(self, context: SimulationContext, name: str, incarnation: int, site: str) -> None:
         super().__init__(context, name, incarnation, site)
@@ -37,7 +37,7 @@
         self.after(context.kernel.random.uniform(0.0, TURN_PERIOD_S), self._turn)
 
     def shut_down(self) -> None:
-        """Release everything after the turn that is under way, and end."""
+        """Release all authority after the current turn, and end."""
         super().shut_down()
         self._draining = True
 
@@ -52,10 +52,10 @@
         self.drive(cancel_job(job), self.perform, reply)
 
     def perform(self, action: actions.Action, reply: Reply) -> None:
-        """Carry out an action and reply with its answer."""
+        """Perform an action and reply with its answer."""
 
         def answer(value: Any) -> None:
-            """Put the outcome beside the time at which it was known."""
+            """Reply with the outcome and the time at which it was known."""
             reply(Answer(self.read_clock(), value))
 
         match action:
@@ -74,7 +74,7 @@
                 self.context.platform.scan(self, prefix, after, answer)
 
     def _turn(self) -> None:
-        """Take one turn, then another after a pause."""
+        """Take a turn and schedule the next one."""
         if self._draining:
             finish = partial(self.end, True)
             self.drive(release_all(self.state), self.perform, lambda _: finish())
@@ -84,11 +84,11 @@
         self.drive(decision, self.perform, lambda _: self.after(TURN_PERIOD_S, self._turn))
 
     def _poll_all(self, polls: tuple[actions.WorkerPoll, ...], answer: Reply) -> None:
-        """Poll workers at once and answer when the last has answered."""
+        """Poll workers concurrently and answer once all have answered."""
         outcomes: dict[int, Any] = {}
 
         def collect(index: int, outcome: Any) -> None:
-            """Keep one worker's outcome."""
+            """Store one worker's outcome."""
             outcomes[index] = outcome
             if len(outcomes) == len(polls):
                 answer(tuple(outcomes[each] for each in range(len(polls))))
@@ -100,11 +100,11 @@
     def _ask_standstill(
         self, holder: ControllerId, peers: tuple[ControllerId, ...], answer: Reply
     ) -> None:
-        """Ask peers for their promise and answer when the last has answered."""
+        """Ask peers for a standstill promise and answer once all have answered."""
         outcomes: dict[ControllerId, bool] = {}
 
         def collect(peer: ControllerId, outcome: object) -> None:
-            """Keep one peer's word."""
+            """Store one peer's answer."""
             outcomes[peer] = outcome is True
             if len(outcomes) == len(peers):
                 answer(frozenset(each for each in peers if outcomes[each]))
@@ -114,7 +114,7 @@
             self.call(peer.process, promise, partial(collect, peer), timeout=PROMISE_TIMEOUT_S)
 
     def _promise(self, peer: ControllerId, holder: ControllerId) -> bool | CallFailure:
-        """Let a peer decide on a promise, if it is still in the life that was asked."""
+        """Return a peer's answer, or a failure if another incarnation of it runs by now."""
         match self.context.peers.get(peer.process):
             case ControlProcess(state=state) as control if state.controller_id == peer:
                 return state.watch.answer_standstill(holder, control.read_clock())
--- a/scenarios/evaluation.py
+++ b/scenarios/evaluation.py
@@ -1,8 +1,8 @@
 """
-Judge
-=====
+Evaluation
+==========
 
-Weigh the evidence of a run against what its scenario expects.
+Compare the observations of a run with the expectations of its scenario.
 """
 
 from __future__ import annotations
@@ -21,18 +21,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Failure:
-    """Report an expectation that did not hold."""
+    """An expectation that did not hold."""
 
     location: Location
     detail: str
 
     def __str__(self) -> str:
-        """Write the failure as one line."""
+        """Return the failure as one line."""
         return f"{self.location}: {self.detail}"
 
 
 def evaluate(scenario: Scenario, observations: Observations) -> Iterator[Failure]:
-    """Yield the expectations that did not hold, each with what was seen."""
+    """Yield the expectations that did not hold, each with what was observed."""
     for expectation in scenario.expectations:
         for detail in _check_expectation(scenario, observations, expectation.expected):
             yield Failure(expectation.location, detail)
@@ -41,7 +41,7 @@
 def _check_expectation(
     scenario: Scenario, seen: Observations, expected: model.Expected
 ) -> Iterator[str]:
-    """Yield what contradicts one expectation."""
+    """Yield the observations that contradict one expectation."""
     match expected:
         case model.JobEnds(job, end, within):
             for event in scenario.events:
@@ -73,7 +73,7 @@
 
 
 def _check_job(seen: Observations, job: str, end: JobEnd, until: float) -> Iterator[str]:
-    """Yield what is wrong with the end of a job."""
+    """Yield the errors in the end of a job."""
     reported = [each for each in seen.jobs if each.job == job]
     if len(reported) != 1:
         ends = ", ".join(f"{each.end.value} at {each.time:.3f}s" for each in reported) or "none"
@@ -92,7 +92,7 @@
 
 
 def _check_resumption(seen: Observations, job: str) -> Iterator[str]:
-    """Yield what is wrong with a job's one resumption."""
+    """Yield an error unless a job ran twice and resumed once."""
     runs = sorted((run for run in seen.runs if run.task == job), key=lambda run: run.started)
     resumed = [run for run in runs if run.resumed]
     if len(runs) != 2 or len(resumed) != 1:
@@ -100,7 +100,7 @@
 
 
 def _check_gaps(seen: Observations, task: str, limit: float) -> Iterator[str]:
-    """Yield the gaps of a standing task that are too long, from the start to the end."""
+    """Yield the gaps of a standing task that reach the limit."""
     runs = sorted((run for run in seen.runs if run.task == task), key=lambda run: run.started)
     last = 0.0
     for run in runs:
@@ -112,7 +112,7 @@
 
 
 def _check_bundle_spread(seen: Observations, version: int, within: float) -> Iterator[str]:
-    """Yield the processes that served by an older version too late, or don't serve by this one."""
+    """Yield the processes that used an older version for too long or lack this one at the end."""
     if version not in seen.accepted:
         yield f"bundle {version} was never accepted"
         return
@@ -131,7 +131,7 @@
 
 
 def _list_spans(seen: Observations) -> Iterator[tuple[float, float, BundleInForce]]:
-    """Yield from when to when each version was in force in each life of a process."""
+    """Yield the start and end of each version in force in each incarnation of a process."""
     by_incarnation: dict[tuple[str, int], list[BundleInForce]] = defaultdict(list)
     for each in seen.bundles:
         by_incarnation[each.process, each.incarnation].append(each)
@@ -142,7 +142,7 @@
 
 
 def _check_reverts(seen: Observations) -> Iterator[str]:
-    """Yield the processes that went back to a lower version, and versions with two contents."""
+    """Yield the processes that reverted to a lower version and the ambiguous versions."""
     served = [each for each in seen.bundles if each.version]
     highest: dict[str, int] = defaultdict(int)
     digests: dict[int, str] = {}
@@ -160,7 +160,7 @@
 def _check_request(
     seen: Observations, request: str, end: RequestEnd, within: float
 ) -> Iterator[str]:
-    """Yield what is wrong with the end of a request."""
+    """Yield the errors in the end of a request."""
     if end is RequestEnd.AT_MOST_ONCE:
         runs = [run for run in seen.request_runs if run.request == request]
         if len(runs) > 1:
@@ -168,18 +168,18 @@
         return
     reported = [each for each in seen.requests if each.request == request]
     if not reported:
-        yield f"the caller of request {request} was told nothing"
+        yield f"the caller of request {request} got no answer"
     for each in reported:
         if each.end is not end:
-            yield f"the caller of request {request} was told {each.end.value!r}"
+            yield f"the caller of request {request} got {each.end.value!r}"
         if not each.valid:
-            yield f"request {request} got an answer that is not its own, or not whole"
+            yield f"request {request} got an incomplete answer or one of another request"
         if each.time > each.sent + within:
             yield f"request {request} took {each.time - each.sent:.3f}s"
 
 
 def _list_requests(scenario: Scenario, request: str, end: RequestEnd) -> Iterator[str]:
-    """Yield each request that is meant once; only non-idempotent ones run at most once."""
+    """Yield each matching request once; only non-idempotent ones must run at most once."""
     once = end is RequestEnd.AT_MOST_ONCE
     names: dict[str, None] = {}
     for event in scenario.events:
@@ -192,18 +192,18 @@
 
 
 def _check_not_run(seen: Observations) -> Iterator[str]:
-    """Yield the requests that ran although every caller of them was told otherwise."""
+    """Yield the requests that ran although all their callers got ``not run``."""
     ran = {run.request for run in seen.request_runs}
     ends: dict[str, set[RequestEnd]] = defaultdict(set)
     for reported in seen.requests:
         ends[reported.request].add(reported.end)
     for request in sorted(ran):
         if ends[request] == {RequestEnd.NOT_RUN}:
-            yield f"request {request} ran, and its caller was told that it had not"
+            yield f"request {request} ran although its caller got 'not run'"
 
 
 def _check_no_work(seen: Observations, host: str, after: float) -> Iterator[str]:
-    """Yield the work that a host received after an instant."""
+    """Yield the work that a host received after a time."""
     tasks = ((run.started, f"task {run.task}") for run in seen.runs if run.host == host)
     requests = (
         (run.started, f"request {run.request}") for run in seen.request_runs if run.host == host
@@ -214,7 +214,7 @@
 
 
 def _check_single_place(seen: Observations) -> Iterator[str]:
-    """Yield the tasks of which two attempts ran at one time."""
+    """Yield the tasks of which two attempts ran at the same time."""
     by_task: dict[str, list[TaskRun]] = defaultdict(list)
     for run in seen.runs:
         by_task[run.task].append(run)
--- a/scenarios/host_launcher.py
+++ b/scenarios/host_launcher.py
@@ -1,8 +1,8 @@
 """
-Hosting
-=======
+Host launcher
+=============
 
-Start what runs on each host of a scenario as processes.
+Start the processes of each host of a scenario.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 class HostLauncher:
-    """Know the hosts of a scenario and start their processes."""
+    """Start the processes of a scenario's hosts."""
 
     def __init__(
         self, scenario: Scenario, topology: Topology, folder: Path, launcher: Launcher
@@ -33,7 +33,7 @@
         self._launcher = launcher
 
     def start(self, name: str) -> None:
-        """Start what runs on a host."""
+        """Start the processes of a host."""
         match self.find_host(name):
             case Entry() as entry:
                 for role in ROLES:
@@ -56,7 +56,7 @@
                 self._launcher.start(name, "standins.instanced", arguments)
 
     def name_processes(self, target: str) -> Iterator[str]:
-        """Yield the processes of a target as the launcher names them."""
+        """Yield the launcher's names of the processes of a target."""
         host, _, role = target.partition("/")
         if isinstance(self.find_host(host), Entry):
             yield from (f"{host}-{each}" for each in ROLES if role in ("", each))
@@ -64,7 +64,7 @@
             yield host
 
     def find_host(self, name: str) -> Entry | Worker | Instance:
-        """Return the host of a name."""
+        """Return the host with a name, which may include a role."""
         topology = self._topology
         hosts: tuple[Entry | Worker | Instance, ...] = (
             *topology.entries,
--- a/scenarios/kernel.py
+++ b/scenarios/kernel.py
@@ -1,8 +1,8 @@
 """
-Kernel
-======
+Simulation kernel
+=================
 
-A virtual clock with an event heap, and a network between named endpoints with faults.
+A virtual clock with an event queue, and a network between named endpoints with injected faults.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 
 class Kernel:
-    """Run callbacks in the order of their instants; those of one instant in the order of asking."""
+    """Run callbacks in order of time; those of the same time in the order of scheduling."""
 
     def __init__(self, seed: int) -> None:
         self.now = 0.0
@@ -36,7 +36,7 @@
         self._heap: list[tuple[float, int, Callable[[], None]]] = []
 
     def call_at(self, time: float, callback: Callable[[], None]) -> None:
-        """Run a callback at an instant, not before now."""
+        """Run a callback at a time, but not before now."""
         heapq.heappush(self._heap, (max(time, self.now), next(self._sequence), callback))
 
     def call_after(self, delay: float, callback: Callable[[], None]) -> None:
@@ -44,7 +44,7 @@
         self.call_at(self.now + delay, callback)
 
     def run_until(self, time: float) -> None:
-        """Run everything that is due up to an instant, inclusive."""
+        """Run all callbacks that are due up to a time, inclusive."""
         while self._heap and self._heap[0][0] <= time:
             self.now, _, callback = heapq.heappop(self._heap)
             callback()
@@ -53,24 +53,24 @@
 
 @dataclass(frozen=True, slots=True)
 class CallFailure:
-    """Tell a caller that no answer came; ``sent`` is False if the target certainly did nothing."""
+    """A call without an answer; ``sent`` is False if the target certainly did nothing."""
 
     detail: str
     sent: bool
 
 
 def covers(target: str, name: str) -> bool:
-    """Tell whether a target of a fault is this endpoint or the host that it runs on."""
+    """Return whether the target of a fault is an endpoint or the host that it runs on."""
     return target in (name, name.split("/", 1)[0])
 
 
 class Network:
     """
-    Carry calls between endpoints: processes, workers, instances and the platform's services.
+    Network between endpoints: processes, workers, instances and the platform's services.
 
-    A call takes a small latency each way, drawn from the seed.  What reaches a paused endpoint
-    waits until it resumes; what reaches one that is gone is lost.  ``recorders`` are those of the
-    endpoints that have one: messages between them carry the causes of the time line.
+    Each message has a small random latency, drawn from the seed.  Messages to a paused endpoint
+    wait until it resumes; messages to a removed one are lost.  Messages between endpoints with a
+    recorder carry the cause of later events on the timeline.
     """
 
     def __init__(self, kernel: Kernel) -> None:
@@ -84,7 +84,7 @@
         self._gone: set[str] = set()
 
     def apply(self, fault: model.Action) -> None:
-        """Bring about a fault from now on."""
+        """Inject a fault from now on."""
         now = self._kernel.now
         match fault:
             case model.Cut(duration=duration):
@@ -99,20 +99,20 @@
                 self._paused[target] = now + duration
 
     def remove(self, name: str) -> None:
-        """Let an endpoint be gone."""
+        """Remove an endpoint."""
         self._gone.add(name)
 
     def restore(self, name: str) -> None:
-        """Let a new endpoint answer under a name."""
+        """Add a new endpoint under a name."""
         self._gone.discard(name)
         self._paused.pop(name, None)
 
     def is_gone(self, name: str) -> bool:
-        """Tell whether an endpoint is gone."""
+        """Return whether an endpoint was removed."""
         return any(covers(target, name) for target in self._gone)
 
     def resumes_at(self, name: str) -> float:
-        """Return the instant at which an endpoint next does anything: now unless it is paused."""
+        """Return the time at which an endpoint can next act: now unless it is paused."""
         ends = (end for target, end in self._paused.items() if covers(target, name))
         return max(ends, default=self._kernel.now)
 
@@ -124,7 +124,7 @@
         reply: Callable[[object], None],
         timeout: float = CALL_TIMEOUT_S,
     ) -> None:
-        """Let ``act`` happen at the target and its outcome, or a Loss, reach the source."""
+        """Run ``act`` at the target and reply with its outcome or a CallFailure."""
         self.request(source, target, lambda answer: answer(act()), reply, timeout)
 
     def request(
@@ -135,18 +135,18 @@
         reply: Reply,
         timeout: float = CALL_TIMEOUT_S,
     ) -> None:
-        """Let the target handle a question that it answers when it can."""
+        """Send a request that the target may answer later."""
         open_call = [True]
         request_cause = self._make_cause(source)
 
         def close(outcome: object) -> None:
-            """Answer the caller once."""
+            """Reply to the caller once."""
             if open_call[0]:
                 open_call[0] = False
                 reply(outcome)
 
         def arrive() -> None:
-            """Act at the target, once it isn't paused."""
+            """Deliver the message once the target is not paused."""
             if self.is_gone(target):
                 return
             resumed = self.resumes_at(target)
@@ -157,11 +157,11 @@
             handle(answer)
 
         def answer(outcome: object) -> None:
-            """Send the answer back unless it gets lost."""
+            """Send the answer back unless it is lost."""
             cause = self._make_cause(target)
 
             def deliver() -> None:
-                """Let the caller have the answer."""
+                """Deliver the answer to the caller."""
                 self._observe_cause(source, cause)
                 close(outcome)
 
@@ -172,7 +172,7 @@
             refused = CallFailure("refused", sent=False)
             self._kernel.call_after(self._draw_latency(source, target), lambda: close(refused))
             return
-        # A connection that stood before the cut takes the bytes; only a new one fails untouched.
+        # An established connection accepts the call; only a new one fails before sending.
         sent = self._kernel.random.random() < 0.5
         lost = CallFailure("no answer in time", sent=True)
         if self._is_cut(source, target):
@@ -182,11 +182,11 @@
         self._kernel.call_after(timeout, lambda: close(lost))
 
     def send(self, source: str, target: str, act: Callable[[], None]) -> None:
-        """Send a message that has no answer, such as a heartbeat."""
+        """Send a message without an answer, such as a heartbeat."""
         cause = self._make_cause(source)
 
         def arrive() -> None:
-            """Act at the target, once it isn't paused."""
+            """Deliver the message once the target is not paused."""
             resumed = self.resumes_at(target)
             if resumed > self._kernel.now:
                 self._kernel.call_at(resumed, arrive)
@@ -198,20 +198,20 @@
             self._kernel.call_after(self._draw_latency(source, target), arrive)
 
     def _make_cause(self, name: str) -> Cause | None:
-        """Name the newest event of a sender, as each inner message does."""
+        """Return the newest event of a sender, which each internal message carries."""
         recorder = self.recorders.get(name)
         if recorder is None:
             return None
         return Cause(recorder.process, recorder.last_sequence, recorder.incarnation)
 
     def _observe_cause(self, name: str, cause: Cause | None) -> None:
-        """Let a receiver's next event come after what a message named."""
+        """Order the receiver's next event after the cause that a message carried."""
         recorder = self.recorders.get(name)
         if recorder is not None and cause is not None:
             recorder.observe(cause)
 
     def _draw_latency(self, source: str, target: str) -> float:
-        """Draw the latency of one message."""
+        """Return a random latency for one message."""
         now = self._kernel.now
         extra = sum(
             slow.delay
@@ -221,7 +221,7 @@
         return self._kernel.random.uniform(*LATENCY_RANGE_S) + extra
 
     def _is_cut(self, source: str, target: str) -> bool:
-        """Tell whether messages from source to target get lost."""
+        """Return whether messages from source to target are lost."""
         now = self._kernel.now
         return any(
             now < end
@@ -234,13 +234,13 @@
         )
 
     def _connects(self, left: str, right: str, source: str, target: str) -> bool:
-        """Tell whether a message runs between two targets of a fault, either way."""
+        """Return whether a message runs between two targets of a fault, in either direction."""
         return (covers(left, source) and covers(right, target)) or (
             covers(left, target) and covers(right, source)
         )
 
     def _refuses(self, target: str, source: str) -> bool:
-        """Tell whether a service of the platform refuses a client."""
+        """Return whether a service of the platform refuses a client."""
         return any(
             self._kernel.now < end
             and outage.target == target
@@ -249,7 +249,7 @@
         )
 
     def _take_lost_answer(self, source: str, target: str) -> bool:
-        """Tell whether this answer is one of those to lose, and count it."""
+        """Return whether this answer is one of those to lose, and count it."""
         for entry in self._lost_answers:
             if entry[2] > 0 and covers(entry[0], source) and covers(entry[1], target):
                 entry[2] -= 1
--- a/scenarios/language.py
+++ b/scenarios/language.py
@@ -1,8 +1,8 @@
 """
-Language
-========
+Scenario language
+=================
 
-Read a scenario file into its model.  Every fault names file and line.
+Parse scenario files into their model.  Every error names the file and line.
 """
 
 from __future__ import annotations
@@ -46,12 +46,12 @@
 
 
 def read(path: Path) -> Scenario:
-    """Read a scenario file."""
+    """Parse a scenario file."""
     return parse(path.read_text(encoding="utf-8"), path.name)
 
 
 def parse(text: str, file: str) -> Scenario:
-    """Read the text of a scenario file."""
+    """Parse the text of a scenario file."""
     try:
         scenario = _Reader(file).transform(_parser.parse(text))
     except UnexpectedInput as error:
@@ -67,7 +67,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Option:
-    """Hold one optional word of a statement: the field that it sets, and to what."""
+    """An option of a statement: a field and its value."""
 
     field: str
     value: Any
@@ -75,21 +75,21 @@
 
 @dataclass(frozen=True, slots=True)
 class _EntryHosts:
-    """Hold the entry hosts that something goes through."""
+    """The entry hosts that a statement names after ``through``."""
 
     entries: tuple[str, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class _DelayedAction:
-    """Put an action a while after its statement's instant."""
+    """An action with a delay after the time of its statement."""
 
     delay: float
     action: Any
 
 
 def _locate(text: str, file: str, error: UnexpectedInput) -> ScenarioError:
-    """Say where the text can't be read and what could have stood there."""
+    """Return the location of a syntax error and what was expected there."""
     known = isinstance(error.line, int) and error.line > 0
     line = error.line if known else text.rstrip().count("\n") + 1
     found = text.splitlines()[line - 1][error.column - 1 :] if known and text.strip() else ""
@@ -101,7 +101,7 @@
 
 
 def _show_terminal(name: str) -> str:
-    """Write what a terminal stands for."""
+    """Return the description of a terminal."""
     if name in _TERMINAL_NAMES:
         return _TERMINAL_NAMES[name]
     words = _parser.get_terminal(name).pattern.value.strip("(?:)").replace("\\", "")
@@ -109,23 +109,23 @@
 
 
 def _read_seconds(token: str) -> float:
-    """Read a duration."""
+    """Convert a duration to seconds."""
     unit = next(unit for unit in _SECONDS if token.endswith(unit))
     return round(float(token.removesuffix(unit)) * _SECONDS[unit], 6)
 
 
 def _filter_type(words: list[Any], kind: type[T]) -> list[T]:
-    """Return the statement's parts of one kind."""
+    """Return the parts of a statement that have a type."""
     return [word for word in words if isinstance(word, kind)]
 
 
 def _read_options(words: list[Any]) -> dict[str, Any]:
-    """Return the fields that words set."""
+    """Return the fields that the options of a statement set."""
     return {word.field: word.value for word in _filter_type(words, _Option)}
 
 
 def _read_size(words: list[Any], default: Size = DEFAULT_SIZE) -> Size:
-    """Return the size that words give, the default's parts where they give none."""
+    """Return the size that a statement gives, completed by a default."""
     given = _read_options(words)
     return Size(
         given.get("processors", default.processors),
@@ -135,13 +135,13 @@
 
 
 def _read_entries(words: list[Any]) -> tuple[str, ...]:
-    """Return the entry hosts that are named, one empty name if none is."""
+    """Return the named entry hosts, or one empty name if there are none."""
     return next((word.entries for word in _filter_type(words, _EntryHosts)), ("",))
 
 
 @v_args(inline=True)
 class _Reader(Transformer):
-    """Turn the tree of a scenario into its model, from the leaves up."""
+    """Transform the syntax tree of a scenario into its model."""
 
     def __init__(self, file: str) -> None:
         super().__init__()
--- a/scenarios/model.py
+++ b/scenarios/model.py
@@ -2,7 +2,7 @@
 Model of a scenario
 ===================
 
-What a scenario file says, as plain data.  Times are in seconds since the start.
+The content of a scenario file as plain data.  Times are in seconds since the start.
 """
 
 from __future__ import annotations
@@ -61,18 +61,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Location:
-    """Point at a line of a scenario file."""
+    """A line of a scenario file."""
 
     file: str
     line: int
 
     def __str__(self) -> str:
-        """Write the place as editors read it."""
+        """Return the location in the form that editors recognise."""
         return f"{self.file}:{self.line}"
 
 
 class ScenarioError(ToucanpinError):
-    """Report a fault of a scenario file, with its place."""
+    """Raised for an error in a scenario file, with its location."""
 
     def __init__(self, location: Location, detail: str) -> None:
         super().__init__(f"{location}: {detail}")
@@ -81,7 +81,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Hosts:
-    """Count the hosts of each role, and the sites and racks that they are spread over."""
+    """Numbers of hosts by role, and of the sites and racks that they are spread over."""
 
     entry: int = 1
     worker: int = 0
@@ -92,7 +92,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServedService:
-    """Describe a service and the seconds that its instances take for a request."""
+    """A service and the seconds that its instances need for a request."""
 
     service: Service
     service_time: float = DEFAULT_SERVICE_TIME_S
@@ -100,7 +100,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SubmitJob:
-    """Submit a job of ``work`` seconds through an entry host, any if none is named."""
+    """Submit a job of ``work`` seconds through an entry host, or any if ``through`` is empty."""
 
     job: str
     size: Size
@@ -112,7 +112,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CancelJob:
-    """Ask to cancel a job."""
+    """Cancel a job."""
 
     job: str
     through: str = ""
@@ -120,14 +120,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Kill:
-    """End a process at once."""
+    """Kill a process."""
 
     target: str
 
 
 @dataclass(frozen=True, slots=True)
 class Pause:
-    """Stop a process from doing anything for a while; it doesn't notice."""
+    """Suspend a process for a while."""
 
     target: str
     duration: float
@@ -155,7 +155,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LoseAnswers:
-    """Let ``source`` do what ``target`` asks next and lose its answers."""
+    """Lose the next answers of ``source`` to ``target``, after it has performed the calls."""
 
     source: str
     target: str
@@ -164,7 +164,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Outage:
-    """Let a service of the platform refuse one client, everybody if none is named."""
+    """Let a service of the platform refuse a client, or all clients if ``client`` is empty."""
 
     target: str
     duration: float = FOREVER
@@ -181,7 +181,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Replace:
-    """End a host at once and start an empty one of the same name."""
+    """Kill a host and start an empty one with the same name."""
 
     target: str
 
@@ -195,14 +195,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ShutDown:
-    """Ask a process to finish what is in flight and end."""
+    """Shut a process down gracefully."""
 
     target: str
 
 
 @dataclass(frozen=True, slots=True)
 class SubmitBundle:
-    """Submit a signed bundle; ``variant`` tells the bundles of racing operators apart."""
+    """Submit a signed bundle; ``variant`` distinguishes the bundles of racing operators."""
 
     version: int
     through: str
@@ -211,7 +211,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendRequest:
-    """Send one request; the same name sent again is the same request id."""
+    """Send one request; its name is also its request id."""
 
     request: str
     service: str
@@ -239,7 +239,7 @@
 
 
 class JobEnd(enum.Enum):
-    """Say how a job is expected to end."""
+    """The expected end of a job."""
 
     FINISHED = "finished once"
     ENDED = "ended once"
@@ -249,7 +249,7 @@
 
 
 class RequestEnd(enum.Enum):
-    """Say what a caller is expected to be told."""
+    """The expected answer to a caller."""
 
     ANSWERED = "answered"
     NOT_RUN = "not run"
@@ -258,7 +258,7 @@
 
 
 class Invariant(enum.Enum):
-    """Name a promise that must hold all the time."""
+    """An invariant that must hold throughout a run."""
 
     ONE_PLACE = "never two places"
     NEVER_OVERCOMMITTED = "never overcommitted"
@@ -268,7 +268,7 @@
 
 @dataclass(frozen=True, slots=True)
 class JobEnds:
-    """Expect an end of a job, of every job if none is named."""
+    """Expect an end of a job, or of every job if ``job`` is empty."""
 
     job: str
     end: JobEnd
@@ -284,7 +284,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StandingRuns:
-    """Expect no gap of a standing task to reach a length."""
+    """Expect every gap of a standing task to be shorter than ``gap``."""
 
     task: str
     gap: float
@@ -292,7 +292,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BundleEverywhere:
-    """Expect a version in force in every process that runs, so long after it was accepted."""
+    """Expect a version to be in force in every process within a time after its acceptance."""
 
     version: int
     within: float
@@ -300,7 +300,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestEnds:
-    """Expect the end of a request, of every request if none is named."""
+    """Expect an end of a request, or of every request if ``request`` is empty."""
 
     request: str
     end: RequestEnd
@@ -309,7 +309,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NoWork:
-    """Expect no start of a task or request at a host after an instant."""
+    """Expect no task or request to start on a host after a time."""
 
     host: str
     after: float
@@ -317,7 +317,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MaxEvents:
-    """Expect no more events of a kind on the time line."""
+    """Expect at most ``limit`` events of a kind on the timeline."""
 
     limit: int
     kind: str
@@ -325,7 +325,7 @@
 
 @dataclass(frozen=True, slots=True)
 class InvariantHolds:
-    """Expect a promise to hold all the time."""
+    """Expect an invariant to hold throughout a run."""
 
     invariant: Invariant
 
@@ -344,7 +344,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Event:
-    """Put an action at an instant."""
+    """An action at a time."""
 
     location: Location
     time: float
@@ -353,7 +353,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Expectation:
-    """Put an expected outcome at its line."""
+    """An expected outcome with its location."""
 
     location: Location
     expected: Expected
@@ -361,7 +361,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Scenario:
-    """Hold one scenario file."""
+    """The content of one scenario file."""
 
     file: str
     title: str
--- a/scenarios/observations.py
+++ b/scenarios/observations.py
@@ -1,9 +1,9 @@
 """
-Evidence
-========
+Observations
+============
 
-What happened in a world, as seen from outside the system: what ran where and when, what callers
-and submitters were told, which bundle was in force in which process.  Times are in seconds.
+What was observed from outside the system during a run: what ran where and when, the outcomes of
+jobs and requests, and the bundle in force in each process.  Times are in seconds.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 @dataclass(slots=True)
 class TaskRun:
-    """Hold the time that one attempt truly ran at a worker."""
+    """The time that one attempt actually ran on a worker."""
 
     task: str
     attempt: int
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class JobOutcome:
-    """Hold an end of a job as its submitter can read it; ``right`` tells of the result's body."""
+    """An end of a job as seen by its submitter; ``correct`` says whether its result is."""
 
     job: str
     time: float
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestRun:
-    """Hold one run of a request at an instance."""
+    """One execution of a request by an instance."""
 
     request: str
     host: str
@@ -57,7 +57,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestOutcome:
-    """Hold what a caller was told; ``whole`` says that the answer is complete and its own."""
+    """The outcome of a request; ``valid`` says that the answer is complete and belongs to it."""
 
     request: str
     entry: str
@@ -70,9 +70,9 @@
 @dataclass(frozen=True, slots=True)
 class BundleInForce:
     """
-    Hold the instant at which a life of a process took a version into force.
+    The time at which a version came into force in an incarnation of a process.
 
-    Version 0 means that from then on it serves by none.
+    Version 0 means that no bundle is in force from then on.
     """
 
     process: str
@@ -84,7 +84,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Violation:
-    """Hold a promise that was seen broken."""
+    """An observed violation of an invariant."""
 
     time: float
     detail: str
@@ -93,11 +93,11 @@
 @dataclass(slots=True)
 class Observations:
     """
-    Gather everything that was seen until ``ended``.
+    Everything that was observed until ``ended``.
 
-    ``accepted`` gives the instants at which versions of the bundle were accepted; ``living`` the
-    instant since when each process that runs at the end has run; ``lives_ended`` when others ended;
-    ``kinds`` counts the events on the time line.
+    ``accepted`` gives the times at which versions of the bundle were accepted; ``running_since``
+    the start of each process that runs at the end; ``ended_incarnations`` the ends of the others;
+    ``event_counts`` the number of events of each kind on the timeline.
     """
 
     ended: float = 0.0
--- a/scenarios/peer.py
+++ b/scenarios/peer.py
@@ -1,9 +1,9 @@
 """
-Peers
-=====
+Peer processes
+==============
 
-A process of the system with its view of the members and the bundle in force in it: membership and
-the spread of bundles, driven over the faulty network.
+The common part of control and request processes: membership and the replication of bundles over the
+simulated network.
 """
 
 from __future__ import annotations
@@ -49,7 +49,7 @@
 
 @dataclass(slots=True)
 class SimulationContext:
-    """Hold what the actors of a world share; the maps give whatever bears a name now."""
+    """The state that simulated processes share; the maps hold the current process for each name."""
 
     kernel: Kernel
     network: Network
@@ -62,7 +62,7 @@
 
 
 class PeerProcess(Process):
-    """Live one life of a process of the system; ``site`` is where its host stands."""
+    """One incarnation of a process of the system; ``site`` is the site of its host."""
 
     def __init__(self, context: SimulationContext, name: str, incarnation: int, site: str) -> None:
         super().__init__(context.kernel, context.network, name, incarnation)
@@ -86,18 +86,18 @@
         return self.view.members()
 
     def current(self) -> Bundle | None:
-        """Return the bundle in force, None while this process must not serve by it."""
+        """Return the bundle in force, None while this process must not use it."""
         reached, known = self.view.count_reachable()
         ready = self.replica.readiness(reached, known, self.read_clock()).ready
         return self.replica.bundle if ready else None
 
     def shut_down(self) -> None:
-        """Say that this process leaves."""
+        """Announce that this process leaves."""
         self.view.leave()
         self._send_round()
 
     def end(self, graceful: bool) -> None:
-        """Be gone."""
+        """End this incarnation."""
         if graceful:
             self.recorder.record("process.stopped", {})
         self.alive = False
@@ -105,10 +105,10 @@
         self.context.observations.ended_incarnations[self.name, self.incarnation] = self.kernel.now
 
     def accept(self, submission: Submission, reply: Reply) -> None:
-        """Decide on a submitted bundle and hand it on if it was accepted."""
+        """Decide on a submitted bundle and replicate it if it was accepted."""
 
         def finish(outcome: acceptance.Outcome) -> None:
-            """Put an accepted bundle in force here."""
+            """Bring an accepted bundle into force in this process."""
             match outcome:
                 case Accepted(record):
                     self.replica.offer(record, Source.ACCEPTANCE, self.read_clock())
@@ -119,12 +119,12 @@
         self.drive(decision, self._perform_acceptance, finish)
 
     def _make_token(self) -> str:
-        """Name one transaction."""
+        """Return a token for a transaction."""
         self._token_count += 1
         return f"{self.name}/{self.incarnation}/bundle/{self._token_count}"
 
     def _perform_acceptance(self, action: acceptance.Action, reply: Reply) -> None:
-        """Carry out an action of the acceptance."""
+        """Perform an action of the acceptance."""
         match action:
             case acceptance.Read(key):
                 self.context.platform.read(self, key, reply)
@@ -134,14 +134,14 @@
                 self.after(seconds, partial(reply, None))
 
     def _send_heartbeats(self) -> None:
-        """Age the view and tell the others that this process is there."""
+        """Update the view, send heartbeats and schedule the next round."""
         for change in self.view.tick(self.read_clock()):
             self._record_change(change)
         self._send_round()
         self.after(TIMING.interval, self._send_heartbeats)
 
     def _send_round(self) -> None:
-        """Send one round of heartbeats, also to processes never heard of."""
+        """Send one round of heartbeats, also to processes that are not members yet."""
         names = {member.name for member in self.view.list_targets()}
         known = {member.name for member in self.members()}
         names |= self.context.peers.keys() - known
@@ -157,11 +157,11 @@
         self.network.send(self.name, name, partial(self._deliver, name, beat, age))
 
     def _deliver(self, name: str, beat: Beat, age: float | None) -> None:
-        """Let whatever bears a name now take a heartbeat."""
+        """Deliver a heartbeat to the current process with a name."""
         self.context.peers[name].receive(beat, age)
 
     def receive(self, beat: Beat, age: float | None) -> None:
-        """Take a heartbeat and answer if its sender's view differs."""
+        """Handle a heartbeat, and answer it if the sender's view differs."""
         now = self.read_clock()
         for change in self.view.receive(beat, now):
             self._record_change(change)
@@ -172,13 +172,13 @@
             self.replica.receive_heartbeat(sender.bundle, age, now)
 
     def _record_change(self, change: Any) -> None:
-        """Put a change of the view on the time line."""
+        """Record a change of the view on the timeline."""
         self.recorder.record(
             f"member.{change.kind.value}", {"host": change.member.host}, change.member.name
         )
 
     def _replicate(self) -> None:
-        """Ask for what is in force, again and again."""
+        """Perform the planned replication actions periodically."""
         peers = (m for m in self.members()[1:] if m.standing in PRESENT)
         targets = tuple(Peer(member.name, member.bundle) for member in peers)
         for action in self.replica.plan_actions(targets, self.read_clock()):
@@ -187,7 +187,7 @@
         self.after(REPLICATION_PERIOD_S, self._replicate)
 
     def _perform_replication(self, action: ReplicationAction) -> None:
-        """Carry out what the spread asks for."""
+        """Perform one replication action."""
         match action:
             case ReadTable(after):
                 take = partial(self._take_rows, self.read_clock())
@@ -198,7 +198,7 @@
                 self.call(peer, partial(self._push_to, peer, record), lambda outcome: None)
 
     def _take_rows(self, requested_at: float, found: Result) -> None:
-        """Take the table's answer."""
+        """Handle the rows read from the table."""
         if found.is_ok():
             self.replica.receive_rows(found.ok, requested_at, self.read_clock())
         else:
@@ -206,12 +206,12 @@
         self._update_bundle("table")
 
     def _pull_from(self, peer: str, above: int) -> BundleRecord | None:
-        """Let a peer give its bundle if it is newer."""
+        """Return a peer's bundle if it is newer."""
         record = self.context.peers[peer].replica.record
         return record if record is not None and record.version > above else None
 
     def _take_pulled(self, outcome: object) -> None:
-        """Take what a peer gave."""
+        """Handle the answer to a pull."""
         match outcome:
             case BundleRecord():
                 self.replica.offer(outcome, Source.PEER, self.read_clock())
@@ -220,18 +220,18 @@
                 self.replica.record_failed_pull(self.read_clock())
 
     def _push_to(self, peer: str, record: BundleRecord) -> None:
-        """Let a peer take a bundle."""
+        """Offer a bundle to a peer."""
         target = self.context.peers[peer]
         target.replica.offer(record, Source.PEER, target.read_clock())
         target._update_bundle("push")
 
     def _update_bundle(self, source: str) -> None:
-        """Stamp heartbeats with the version in force and note when one comes into force."""
+        """Announce the version in force in heartbeats and record when it changes."""
         self.view.set_bundle(self.replica.version)
         bundle = self.current()
         version = 0 if bundle is None else bundle.version
         if self.kernel.now - self._updated_at > MAX_UNPAUSED_GAP_S:
-            # While it was paused nothing was served by any bundle; what counts is what it wakes to.
+            # A paused process uses no bundle; what counts is the version in force after the pause.
             self._record_bundle_in_force(0, self._updated_at)
             self._version_in_force = 0
         self._updated_at = self.kernel.now
@@ -243,17 +243,17 @@
         self._record_bundle_in_force(version, self.kernel.now)
 
     def _record_bundle_in_force(self, version: int, time: float) -> None:
-        """Note for the judge what is in force from an instant on."""
+        """Record the version in force from a time on, for the evaluation."""
         record = self.replica.record
         digest = record.digest if version and record is not None else ""
         force = BundleInForce(self.name, self.incarnation, version, time, digest)
         self.context.observations.bundles.append(force)
 
     def _read_host_list(self) -> None:
-        """Read the host list again and again."""
+        """Read the host list periodically."""
 
         def keep(found: Result) -> None:
-            """Keep the newest list that was read."""
+            """Store the latest list that was read."""
             self.hosts = found.ok if found.is_ok() else self.hosts
             self.after(HOST_LIST_PERIOD_S, self._read_host_list)
 
--- a/scenarios/process_support.py
+++ b/scenarios/process_support.py
@@ -1,9 +1,9 @@
 """
-Surroundings of processes
-=========================
+Support for real processes
+==========================
 
-Where a scenario's hosts stand as processes, which faults of the platform can be brought about, and
-what processes can't be made to do.
+The topology of a scenario's hosts as real processes, the fault rules of the platform stand-in, and
+the check for actions and expectations that are not supported with real processes.
 """
 
 from __future__ import annotations
@@ -29,21 +29,27 @@
 
 
 def check_supported(scenario: Scenario) -> None:
-    """Raise ScenarioError for what real processes on one machine can't be made to do."""
+    """Raise ScenarioError for what is not supported with real processes on one machine."""
     for event in scenario.events:
         match event.action:
             case model.Slow() | model.StepClock() | model.SubmitBundle() | model.ShutDown():
-                raise ScenarioError(event.location, "processes can't be made to do this yet")
+                raise ScenarioError(
+                    event.location, f"{event.action} is not supported with processes"
+                )
             case model.Cut(_, target) | model.LoseAnswers(target) if target not in PLATFORM:
-                raise ScenarioError(event.location, "only the platform can be cut from processes")
+                raise ScenarioError(
+                    event.location, f"only the platform can be cut off, not {target!r}"
+                )
     for expectation in scenario.expectations:
         match expectation.expected:
             case model.BundleEverywhere() | model.NoWork():
-                raise ScenarioError(expectation.location, "this can't be seen of processes yet")
+                raise ScenarioError(
+                    expectation.location, f"{expectation.expected} can't be checked with processes"
+                )
 
 
 def place_hosts(scenario: Scenario) -> Topology:
-    """Place the scenario's hosts on loopback addresses, under the scenario's names."""
+    """Return the scenario's hosts on loopback addresses, under the scenario's names."""
     hosts = scenario.hosts
     made = make_topology(hosts.entry, hosts.worker, hosts.instance if scenario.services else 0)
     listed: dict[str, ListedHost] = {each.name: each for each in list_hosts(scenario)}
@@ -58,7 +64,7 @@
 
 
 def make_rules(effect: Effect, target: str, client: str, times: int = UNLIMITED) -> Iterator[Rule]:
-    """Yield the stand-in's rules for a fault of one of its services."""
+    """Yield the platform stand-in's rules for a fault of one of its services."""
     clients = [f"{client}/{role}" for role in ROLES] if client and "/" not in client else [client]
     for operation in OPERATIONS[target]:
         for each in clients:
--- a/scenarios/processes.py
+++ b/scenarios/processes.py
@@ -1,9 +1,9 @@
 """
-Processes
-=========
+Scenarios with real processes
+=============================
 
-The world of a scenario with real processes on loopback addresses: daemons, platform, workers and
-instances.  It takes the scenario's time; what it can't bring about it says before it starts.
+Run scenarios in real time with real processes on loopback addresses: daemons, platform, workers and
+instances.  Unsupported actions and expectations are reported before the start.
 """
 
 from __future__ import annotations
@@ -61,7 +61,7 @@
 
 
 class ProcessWorld:
-    """Run one scenario with real processes; close it to end them all."""
+    """One scenario with real processes; ``close`` ends them all."""
 
     def __init__(self, scenario: Scenario) -> None:
         check_supported(scenario)
@@ -100,7 +100,7 @@
         self._watcher.start()
 
     def advance(self, time_: float) -> None:
-        """Wait until an instant, and lift the faults that end before it."""
+        """Wait until a time, and remove the faults that end before it."""
         while self._pending_lifts and self._pending_lifts[0][0] <= time_:
             due, lift = self._pending_lifts.pop(0)
             time.sleep(max(0.0, self._started_at + due - time.monotonic()))
@@ -108,7 +108,7 @@
         time.sleep(max(0.0, self._started_at + time_ - time.monotonic()))
 
     def apply(self, action: Action) -> None:
-        """Bring about an action now."""
+        """Perform an action now."""
         self._script.record(action)
         match action:
             case model.SubmitJob():
@@ -138,7 +138,7 @@
                 self._put_rules([*rules, *self._rules])
 
     def close(self) -> Observations:
-        """End every process and return what was seen."""
+        """End every process and return the observations."""
         self._stopped.set()
         self._watcher.join()
         self._read_worker_logs()
@@ -151,15 +151,15 @@
         return self._observations
 
     def events(self) -> Iterable[Event]:
-        """Return the events of every process, lost ones too."""
+        """Return the events of every process, including killed ones."""
         return self._script.translate((*self._script.recorder.read_after(0).events, *self._events))
 
     def _read_time(self) -> float:
-        """Return the scenario's time."""
+        """Return the time since the start of the scenario."""
         return time.monotonic() - self._started_at
 
     def _start(self) -> None:
-        """Start everything and put the first bundle in force."""
+        """Start everything and bring the first bundle into force."""
         ring = make_ring()
         (signer,) = ring.signers
         (self._folder / "ring.toml").write_text(
@@ -186,14 +186,14 @@
                 self._launcher.wait_ready(f"{each.name}-{role}", f"{each.operators(role)}/readyz")
 
     def _name_hosts(self) -> Iterator[str]:
-        """Yield every host but the platform."""
+        """Yield the names of all hosts except the platform."""
         topology = self._topology
         yield from (worker.name for worker in topology.workers)
         yield from (instance.name for instance in topology.instances)
         yield from (entry.name for entry in topology.entries)
 
     def _publish_host_list(self) -> None:
-        """Put the host list into the platform."""
+        """Send the host list to the platform."""
         hosts = [
             replace(
                 each,
@@ -207,13 +207,13 @@
         self._put(f"{self._topology.platform_url}/hosts", hosts)
 
     def _put(self, url: str, value: Any) -> None:
-        """Put a value to a stand-in."""
+        """Send a value to a stand-in."""
         answer = urllib3.request("PUT", url, body=msgspec.json.encode(value), timeout=TIMEOUT_S)
         if answer.status >= 400:
             raise RuntimeError(f"{url} refused: {answer.data.decode()}")
 
     def _kill(self, target: str) -> None:
-        """End the processes of a target at once."""
+        """Kill the processes of a target."""
         self._read_worker_logs()
         for name in self._host_launcher.name_processes(target):
             self._launcher.kill(name)
@@ -227,19 +227,19 @@
             self._launcher.send_signal(name, number)
 
     def _schedule_lift(self, delay: float, lift: Callable[[], None]) -> None:
-        """Lift a fault after a while."""
+        """Schedule the removal of a fault."""
         due = self._read_time() + delay
         self._pending_lifts.append((due, lift))
         self._pending_lifts.sort(key=lambda entry: entry[0])
 
     def _inject_fault(self, effect: Effect, target: str, client: str, duration: float) -> None:
-        """Let the platform do wrong for a while."""
+        """Inject a fault of the platform for a while."""
         rules = list(make_rules(effect, target, client))
         self._put_rules([*self._rules, *rules])
         self._rules += rules
 
         def lift() -> None:
-            """Take these rules out again."""
+            """Remove these rules."""
             self._rules = [rule for rule in self._rules if rule not in rules]
             self._put_rules(self._rules)
 
@@ -247,11 +247,11 @@
             self._schedule_lift(duration, lift)
 
     def _put_rules(self, rules: list[Rule]) -> None:
-        """Put the faults in force."""
+        """Replace the active fault rules."""
         self._put(f"{self._topology.platform_url}/faults", rules)
 
     def _watch(self) -> None:
-        """Look again and again."""
+        """Read the workers' logs and the table periodically."""
         seen = 0
         while not self._stopped.wait(WATCH_PERIOD_S):
             self._read_worker_logs()
@@ -262,7 +262,7 @@
                     seen = max(seen, row.version)
 
     def _read_worker_logs(self) -> None:
-        """Read the workers' logs; their clock is this machine's."""
+        """Read the workers' logs, whose times are of this machine's clock."""
         for worker in self._topology.workers:
             try:
                 answer = urllib3.request(
@@ -274,7 +274,7 @@
                 self._note_run(worker.name, entry)
 
     def _note_run(self, worker: str, entry: dict[str, Any]) -> None:
-        """Note when one attempt ran."""
+        """Record when an attempt ran."""
         key = (worker, entry["task"], entry["started_at"])
         started = entry["started_at"] / MILLISECONDS - self._started_at
         task = self._script.names.get(entry["task"], entry["task"])
@@ -284,7 +284,7 @@
             run_.stopped = min(run_.stopped, entry["stopped_at"] / MILLISECONDS - self._started_at)
 
     def _count_requests(self) -> None:
-        """Read how often each request ran; what a killed instance ran is not known."""
+        """Read how often each request ran; the executions of killed instances are unknown."""
         for instance in self._topology.instances:
             try:
                 url = f"{instance.control}/executions"
@@ -296,7 +296,7 @@
                 self._observations.request_runs += [run_] * count
 
     def _collect_events(self) -> Iterator[Event]:
-        """Fetch the merged time line with the operators' tool."""
+        """Yield the events of the merged timeline, fetched with the command-line tool."""
         sources = [
             part
             for entry in self._topology.entries
@@ -307,14 +307,14 @@
         try:
             text = run_tool(self._folder, *command, "--output", "json")
         except RuntimeError:
-            # A killed process can't be asked, and the tool says so; the store has what it sent.
+            # The tool fails if a process was killed; the store has the events that it sent.
             text = run_tool(self._folder, *command[:1], *command[-2:], "--output", "json")
         for item in decode_lines("timeline", text.encode()):
             if isinstance(item, Event):
                 yield replace(item, wall=item.monotonic - self._started_at)
 
     def _read_object(self, name: str) -> bytes | None:
-        """Read an object for the witness."""
+        """Read an object for the table observer."""
         found = self._objects.get(name)
         return found.ok if found.is_ok() else None
 
--- a/scenarios/request_process.py
+++ b/scenarios/request_process.py
@@ -2,7 +2,7 @@
 Request processes
 =================
 
-Drive the path of requests on the virtual clock, and answer as instances of services do.
+Run the request path on the virtual clock, with simulated service instances.
 """
 
 from __future__ import annotations
@@ -44,14 +44,14 @@
 
 @dataclass(frozen=True, slots=True)
 class InstanceRequest:
-    """Hold a request as an instance receives it."""
+    """A request as received by an instance."""
 
     request: str
     deadline: float
 
 
 class SimulatedInstance(Process):
-    """Run requests of one service, as many at a time as it has slots."""
+    """An instance that runs as many concurrent requests of a service as it has slots."""
 
     def __init__(
         self, context: SimulationContext, name: str, incarnation: int, served: ServedService
@@ -69,12 +69,12 @@
         self._start_next()
 
     def end(self) -> None:
-        """Lose everything at once."""
+        """End without a graceful shutdown."""
         self.alive = False
         self.network.remove(self.name)
 
     def _start_next(self) -> None:
-        """Start the next request if there is a slot, unless it comes too late."""
+        """Start waiting requests while there are free slots; drop those past their deadline."""
         while self._waiting and self._running < self.core.slots:
             received, answer = self._waiting.popleft()
             if self.kernel.now >= received.deadline:
@@ -87,14 +87,14 @@
             self.after(self._service_time, partial(self._finish, outcome, answer))
 
     def _finish(self, outcome: Outcome, answer: Reply) -> None:
-        """Answer and go on."""
+        """Answer a request and start the next one."""
         self._running -= 1
         answer(outcome)
         self._start_next()
 
 
 class RequestProcess(PeerProcess):
-    """Live one life of a request process."""
+    """One incarnation of a request process."""
 
     def __init__(self, context: SimulationContext, name: str, incarnation: int, site: str) -> None:
         super().__init__(context, name, incarnation, site)
@@ -109,12 +109,12 @@
         self._grant_slots()
 
     def shut_down(self) -> None:
-        """Take nothing new, and end once nothing is in flight."""
+        """Accept no new requests, and end once none is in flight."""
         super().shut_down()
         self._draining = True
 
     def serve(self, sent: SendRequest, answer: Reply) -> None:
-        """Lead a caller's request to its answer."""
+        """Serve a caller's request."""
         state = self._states.get(sent.service)
         ready = self.current() is not None and self._slot_shares.owns_any and not self._draining
         if state is None or not ready:
@@ -129,7 +129,7 @@
         self.drive(serve_request(request, state), perform, partial(self._finish_request, state))
 
     def _finish_request(self, state: ServiceState, _: object) -> None:
-        """Count a request that has its answer."""
+        """Count the end of a request."""
         self._in_flight -= 1
         self._wake(state)
 
@@ -141,7 +141,7 @@
         action: messages.Action,
         reply: Reply,
     ) -> None:
-        """Carry out an action of a path."""
+        """Perform an action of the request path."""
         self._wake(state)
         match action:
             case messages.Claim(request_id, deadline):
@@ -163,10 +163,10 @@
                 self.after(0.0, lambda: reply(messages.ActionDone(self.read_clock())))
 
     def _wait(self, ticket: Ticket, until: float, reply: Reply) -> None:
-        """Wait until a ticket is settled, or long enough."""
+        """Wait until a ticket is settled or a time has passed."""
 
         def wake() -> None:
-            """End the wait once."""
+            """End the wait, once."""
             if self._waiters.pop(ticket, None) is not None:
                 reply(messages.WaitEnded(self.read_clock()))
 
@@ -187,11 +187,11 @@
         self.recorder.record("request.forwarded", {"request": sent.request, "host": instance})
 
         def handle(respond: Reply) -> None:
-            """Let whatever bears the name now take the request."""
+            """Deliver the request to the current instance with the name."""
             self.context.instances[instance].handle(received, respond)
 
         def on_outcome(outcome: object) -> None:
-            """Tell the path how the attempt ended."""
+            """Reply with the outcome of the attempt."""
             now = self.read_clock()
             match outcome:
                 case CallFailure(detail, False):
@@ -213,13 +213,13 @@
         pending = prepare_claim(request_id, self._make_token())
 
         def give_up() -> None:
-            """Tell the path that the store is late."""
+            """Reply that the store did not answer in time."""
             if not given_up[0]:
                 given_up[0] = True
                 reply(messages.NotClaimed(self.read_clock(), STORE_TIMEOUT))
 
         def settle(outcomes: dict[bytes, Any]) -> None:
-            """Tell the path, or release what nobody waits for any more."""
+            """Reply with the outcome, or release a claim that came too late."""
             outcome = outcomes[pending.token]
             if given_up[0]:
                 if isinstance(outcome, HeldClaim):
@@ -237,7 +237,7 @@
         self.drive(insert_claims((pending,), self._make_token), self._perform_claim, settle)
 
     def _perform_claim(self, action: claims.Commit | claims.ReadRow, reply: Reply) -> None:
-        """Carry out an action of a claim."""
+        """Perform an action of a claim."""
         match action:
             case claims.Commit(transaction):
                 self.context.platform.commit(self, transaction, reply)
@@ -251,7 +251,7 @@
         self.context.platform.commit(self, transaction, lambda outcome: None)
 
     def _refresh(self) -> None:
-        """Take in members, hosts and bundle as they are now."""
+        """Update the slot shares and services from the members, hosts and bundle."""
         now = self.read_clock()
         names = tuple(
             member.name
@@ -268,7 +268,7 @@
         self.after(REFRESH_PERIOD_S, self._refresh)
 
     def _refresh_service(self, bundle: Bundle, service: Service, now: float) -> None:
-        """Take in the instances of one service."""
+        """Update the state of one service and its instances."""
         state = self._states.get(service.name)
         if state is None:
             share = bundle.limits.retry_share
@@ -285,7 +285,7 @@
         return InstanceShare(host.name, host.site, slots, host.leaving)
 
     def _grant_slots(self) -> None:
-        """Grant what time has freed."""
+        """Grant the slots that became free."""
         for state in self._states.values():
             state.grant(self.read_clock())
             self._wake(state)
--- a/scenarios/runner.py
+++ b/scenarios/runner.py
@@ -1,8 +1,8 @@
 """
-Runner
-======
+Scenario runner
+===============
 
-Run a scenario in a world and tell what failed and what happened.
+Run a scenario and report its failures and its session.
 """
 
 from __future__ import annotations
@@ -29,28 +29,28 @@
 
 
 class World(Protocol):
-    """Bring about what a scenario says, and see what happens."""
+    """An environment that performs the actions of a scenario and records observations."""
 
     def advance(self, time: float) -> None:
-        """Let everything happen up to an instant, in seconds since the start."""
+        """Advance to a time, in seconds since the start."""
         ...
 
     def apply(self, action: Action) -> None:
-        """Bring about an action now."""
+        """Perform an action now."""
         ...
 
     def close(self) -> Observations:
-        """End everything and return what was seen."""
+        """End everything and return the observations."""
         ...
 
     def events(self) -> Iterable[Event]:
-        """Return the events of every process, lost ones too, in any order."""
+        """Return the events of every process, including killed ones, in any order."""
         ...
 
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """Hold the failures of a run and its session as text."""
+    """The failures of a run and its session as text."""
 
     failures: tuple[Failure, ...]
     session: str
@@ -62,7 +62,7 @@
 
 
 def run(scenario: Scenario, make_world: Callable[[Scenario], World]) -> Outcome:
-    """Run a scenario from its start until everything that it expects is due."""
+    """Run a scenario until all its expectations are due, and evaluate them."""
     world = make_world(scenario)
     for event in scenario.events:
         world.advance(event.time)
@@ -75,7 +75,7 @@
 
 
 def find_end(scenario: Scenario) -> float:
-    """Return the instant at which a scenario ends."""
+    """Return the time at which a scenario ends."""
     last = max((event.time for event in scenario.events), default=0.0)
     spans = [_find_deadline(each.expected) for each in scenario.expectations]
     faults = [_find_fault_end(event) for event in scenario.events]
@@ -83,7 +83,7 @@
 
 
 def _find_deadline(expected: model.Expected) -> float:
-    """Return how long after the last action an expectation may be due."""
+    """Return how long after the last action an expectation is due."""
     match expected:
         case model.JobEnds(within=span) | model.RequestEnds(within=span):
             return 0.0 if span == FOREVER else span
@@ -94,13 +94,13 @@
 
 
 def _find_fault_end(event: model.Event) -> float:
-    """Return the instant at which a fault ends."""
+    """Return the time at which a fault ends."""
     duration = getattr(event.action, "duration", 0.0)
     return event.time + (0.0 if duration == FOREVER else duration)
 
 
 def _write_session(scenario: Scenario, world: World, failures: tuple[Failure, ...]) -> str:
-    """Write the time line of a run, what is wrong with it, and what failed."""
+    """Return the timeline of a run, its faults, and the failed expectations as text."""
     faults: list[str] = []
     merged = merge(world.events(), lambda fault: faults.append(explain_fault(fault)))
     lines = [f"{scenario.title} (seed {scenario.seed})", *render_text(merged)]
--- a/scenarios/script.py
+++ b/scenarios/script.py
@@ -2,8 +2,8 @@
 Script
 ======
 
-The script's own time line: what the scenario brought about and what people were told, under the
-names that the scenario gives to jobs.
+The script's own timeline: the actions of the scenario and the answers to its callers, with the
+scenario's names of jobs.
 """
 
 from __future__ import annotations
@@ -24,14 +24,14 @@
 
 
 class Script:
-    """Record the script, and translate the ids that the system gives to jobs."""
+    """Record actions, and translate the system's job ids to the scenario's names."""
 
     def __init__(self, read_time: Callable[[], float]) -> None:
         self.recorder = Recorder(PROCESS_NAME, "1", read_time, read_time)
         self.names: dict[str, str] = {}
 
     def name_job(self, team: str, job: str) -> str:
-        """Return the id of a job and remember the scenario's name for it."""
+        """Return the id of a job and store the scenario's name for it."""
         name = name_job(team, job)
         self.names[name] = job
         return name
@@ -41,7 +41,7 @@
         return next(name for name, each in self.names.items() if each == job)
 
     def record(self, action: Action) -> None:
-        """Put an action on the time line."""
+        """Record an action on the timeline."""
         given = {
             each.name: getattr(action, each.name)
             for each in dataclasses.fields(action)
@@ -52,7 +52,7 @@
         self.recorder.record(f"script.{type(action).__name__.lower()}", ids, ", ".join(words))
 
     def translate(self, events: Iterable[Event]) -> Iterator[Event]:
-        """Put the scenario's names of jobs into events."""
+        """Replace job ids by the scenario's names in events."""
         for event in events:
             ids = {key: self.names.get(value, value) for key, value in event.ids.items()}
             detail = event.detail
@@ -62,7 +62,7 @@
 
 
 def _describe(value: object) -> str:
-    """Write a field of an action."""
+    """Return the text of an action's field."""
     match value:
         case Size(processors, memory, accelerators):
             return f"{processors}/{memory}/{accelerators}"
--- a/scenarios/signing.py
+++ b/scenarios/signing.py
@@ -2,7 +2,7 @@
 Signing
 =======
 
-Signed bundles of a scenario, made with a fixed key so that two runs are the same.
+Signed bundles of a scenario, made with a fixed key so that runs are reproducible.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 
 
 def make_submission(scenario: Scenario, version: int, variant: int, at: float) -> Submission:
-    """Return a signed bundle, submitted on top of the version before it."""
+    """Return a signed bundle as a submission based on the preceding version."""
     bundle = Bundle(
         deployment=DEPLOYMENT,
         version=version,
--- a/scenarios/simulation.py
+++ b/scenarios/simulation.py
@@ -1,8 +1,8 @@
 """
-Actors
-======
+Simulated processes
+===================
 
-What acts on the virtual clock: processes of the system, workers, and the platform's services.
+Processes, workers and the platform's services on the virtual clock.
 """
 
 from __future__ import annotations
@@ -47,7 +47,7 @@
 
 class Process:
     """
-    Live one life of a process: a name, its own clocks, and nothing kept from earlier lives.
+    One incarnation of a process, with its own clocks and no state of earlier incarnations.
 
     A callback of a paused process waits until it resumes; one of a dead process never runs.
     """
@@ -65,7 +65,7 @@
         self.recorder = Recorder(name, str(incarnation), self.read_clock, self.read_wall)
 
     def read_clock(self) -> float:
-        """Return the process's monotonic clock, which started at 0 and runs at its own rate."""
+        """Return the process's monotonic clock, which starts at 0 and runs at its own rate."""
         return (self.kernel.now - self.started_at) * self._clock_rate
 
     def read_wall(self) -> float:
@@ -73,10 +73,10 @@
         return self.kernel.now + self.wall_offset
 
     def guard(self, callback: Callable[..., None]) -> Callable[..., None]:
-        """Return a callback that runs in this life only, and not while it is paused."""
+        """Return a callback that runs only in this incarnation, and not while it is paused."""
 
         def run(*arguments: Any) -> None:
-            """Run now, after the pause, or never."""
+            """Run the callback now, after the pause, or never."""
             if not self.alive:
                 return
             resumed = self.network.resumes_at(self.name)
@@ -88,7 +88,7 @@
         return run
 
     def after(self, delay: float, callback: Callable[[], None]) -> None:
-        """Run a callback in this life after a delay."""
+        """Run a callback in this incarnation after a delay."""
         self.kernel.call_after(delay, self.guard(callback))
 
     def call(
@@ -98,7 +98,7 @@
         reply: Callable[[Any], None],
         **timing: float,
     ) -> None:
-        """Call another endpoint and go on with its answer in this life."""
+        """Call another endpoint and handle its answer in this incarnation."""
         self.network.call(self.name, target, act, self.guard(reply), **timing)
 
     def drive(
@@ -107,10 +107,10 @@
         perform: Callable[[Any, Callable[[Any], None]], None],
         done: Callable[[Any], None] = lambda value: None,
     ) -> None:
-        """Run a decision: let each action be performed and send its outcome into the decision."""
+        """Run a decision: perform each of its actions and send it the outcome."""
 
         def step(outcome: Any) -> None:
-            """Go on to the next action."""
+            """Send an outcome and perform the next action."""
             try:
                 action = decision.send(outcome)
             except StopIteration as end:
@@ -122,7 +122,7 @@
 
 
 class Platform:
-    """Hold the cores of the platform's services and carry calls to them."""
+    """The platform's services, called over the simulated network."""
 
     def __init__(self, kernel: Kernel) -> None:
         self.table = TableCore()
@@ -134,10 +134,10 @@
     def commit(
         self, caller: Process, transaction: Transaction, reply: Callable[[Result], None]
     ) -> None:
-        """Commit for a process and reply with the table's outcome or a fault."""
+        """Commit a transaction for a process and reply with the outcome or a fault."""
 
         def act() -> object:
-            """Commit at the table and show every changed row to the watchers."""
+            """Commit at the table and pass every changed row to the listeners."""
             outcome = self.table.commit(transaction)
             if not isinstance(outcome, Conflict):
                 for write in transaction.writes:
@@ -156,7 +156,7 @@
     def scan(
         self, caller: Process, prefix: str, after: int, reply: Callable[[Result], None]
     ) -> None:
-        """Read the changed rows below a prefix for a process."""
+        """Read the changed rows with a key prefix for a process."""
         act = partial(self.table.scan, prefix, after)
         caller.call("table", act, lambda outcome: reply(_to_result(outcome)))
 
@@ -170,7 +170,7 @@
 
 
 class SimulatedWorker(Process):
-    """Run a worker's core on a clock of its own, and see what truly ran."""
+    """A worker with its own clock that records what ran."""
 
     def __init__(
         self,
@@ -192,11 +192,11 @@
         self.after(TICK_S, self._tick)
 
     def read_milliseconds(self) -> int:
-        """Return the worker's monotonic clock."""
+        """Return the worker's monotonic clock in milliseconds."""
         return int((self.read_clock() + self._clock_start) * MILLISECONDS)
 
     def poll(self, poll: Poll) -> Report:
-        """Take a poll."""
+        """Handle a poll."""
         for order in poll.orders:
             match order:
                 case Start(task, attempt, checkpoint=checkpoint) if checkpoint:
@@ -206,8 +206,8 @@
         return report
 
     def end(self) -> None:
-        """Lose everything at once."""
-        # A worker that is killed while it is paused has done nothing since, also after its lease.
+        """End without a graceful shutdown."""
+        # A worker that is killed while paused has done no work since, also not after its lease.
         self.core.advance(self.read_milliseconds())
         self._record_runs(self.kernel.now)
         self.alive = False
@@ -215,19 +215,19 @@
             run.stopped = min(run.stopped, self.kernel.now)
 
     def _tick(self) -> None:
-        """Let the tasks work."""
+        """Advance the tasks periodically."""
         self.core.advance(self.read_milliseconds())
         self._process_effects()
         self.after(TICK_S, self._tick)
 
     def _process_effects(self) -> None:
-        """Carry out what the core asks of the object store and log what ran."""
+        """Perform the core's object store effects and record what ran."""
         for effect in list(self.core.take_effects()):
             self._run_effect(effect)
         self._record_runs(self.kernel.now)
 
     def _run_effect(self, effect: Put | Get) -> None:
-        """Carry one effect to the object store."""
+        """Perform one effect at the object store."""
         match effect:
             case Put(name=name, body=body):
                 act = partial(self._platform.objects.put, name, body)
@@ -237,19 +237,19 @@
                 self.call("objects", read, partial(self._finish_get, effect))
 
     def _finish_put(self, put: Put, outcome: object) -> None:
-        """Tell the core how a write ended."""
+        """Pass the outcome of a write to the core."""
         self.core.finish_put(self.read_milliseconds(), put, not isinstance(outcome, CallFailure))
         self._process_effects()
 
     def _finish_get(self, get: Get, outcome: Any) -> None:
-        """Tell the core how a read ended."""
+        """Pass the outcome of a read to the core."""
         answered = not isinstance(outcome, CallFailure)
         body = outcome if answered else None
         self.core.finish_get(self.read_milliseconds(), get, body, answered)
         self._process_effects()
 
     def _record_runs(self, now: float) -> None:
-        """Note the runs that started or stopped; the core stops them on the worker's own clock."""
+        """Record the runs that started or stopped; they stop by the worker's own clock."""
         for number, interval in enumerate(self.core.log):
             run = self._recorded_runs.get(number)
             if run is None:
@@ -263,7 +263,7 @@
                 )
 
     def _to_simulated_time(self, milliseconds: int) -> float:
-        """Convert a reading of the worker's clock into the world's time."""
+        """Convert a reading of the worker's clock into simulated time."""
         return (
             self.started_at + (milliseconds / MILLISECONDS - self._clock_start) / self._clock_rate
         )
@@ -276,15 +276,15 @@
     poll: Poll,
     reply: Callable[[Result[Report, WorkerFault]], None],
 ) -> None:
-    """Send one poll to whatever worker bears a name when the poll arrives."""
+    """Send one poll to the worker that has a name when the poll arrives."""
 
     def act() -> object:
-        """Let the worker take the poll."""
+        """Handle the poll at the worker."""
         worker = find(name)
         return CallFailure("refused", sent=False) if worker is None else worker.poll(poll)
 
     def on_outcome(outcome: object) -> None:
-        """Turn a missing answer into the port's fault."""
+        """Convert a failed call into the port's fault."""
         match outcome:
             case CallFailure(detail, sent):
                 reply(Error(WorkerFault(detail, reached=sent)))
@@ -295,7 +295,7 @@
 
 
 def _to_result(outcome: Any) -> Result[Any, StoreFault | Conflict]:
-    """Turn a missing answer into the port's fault."""
+    """Convert a failed call into the port's fault."""
     match outcome:
         case CallFailure(detail, sent):
             return Error(Unknown(detail) if sent else Unavailable(detail))
--- a/scenarios/table_observer.py
+++ b/scenarios/table_observer.py
@@ -1,8 +1,9 @@
 """
-Witness
-=======
+Table observer
+==============
 
-Watch the platform's table from outside and note what the promises are about.
+Record job outcomes, overcommitted workers and accepted bundles from changes of the platform's
+table.
 """
 
 from __future__ import annotations
@@ -34,15 +35,15 @@
 
 
 def make_work(job: str, seconds: int) -> Work:
-    """Return what a job of a scenario does."""
+    """Return the work of a scenario's job."""
     return Work(work=seconds * MILLISECONDS, input=job)
 
 
 class TableObserver:
     """
-    Note the ends of jobs and hosts that are committed beyond their size.
+    Record job outcomes, overcommitted workers and accepted bundles.
 
-    ``names`` gives the scenario's names of jobs by the ids that the system gave them.
+    ``names`` maps the system's job ids to the scenario's names.
     """
 
     def __init__(
@@ -59,7 +60,7 @@
         self._ended: dict[str, JobRow] = {}
 
     def observe(self, now: float, row: Row) -> None:
-        """Take in one changed row."""
+        """Handle one changed row."""
         if row.key.startswith(CELL_PREFIX) and row.value:
             self._check_cell(now, decode(row.value, CellRow))
         elif row.key.startswith(VERSION_PREFIX):
@@ -68,8 +69,8 @@
             self._record_job(now, decode(row.value, JobRow))
 
     def _check_cell(self, now: float, cell: CellRow) -> None:
-        """Note the workers on which more is committed than they have."""
-        # The sums are made here anew: the product's own would share a fault with what is judged.
+        """Record the workers that are committed beyond their capacity."""
+        # The sums are computed independently: the system's own could share the fault to be found.
         for worker in sorted({task.worker for task in cell.tasks.values()}):
             sizes = [task.size for task in cell.tasks.values() if task.worker == worker]
             for part in ("processors", "memory", "accelerators"):
@@ -79,7 +80,7 @@
                     self._observations.overcommitted.append(Violation(now, detail))
 
     def _record_job(self, now: float, row: JobRow) -> None:
-        """Note the end of a job, and any other end that follows it."""
+        """Record the end of a job, and any different end after it."""
         if row.state not in JOB_ENDS or row == self._ended.get(row.job):
             return
         self._ended[row.job] = row
@@ -88,6 +89,6 @@
         self._observations.jobs.append(JobOutcome(name, now, JOB_ENDS[row.state], correct))
 
     def _is_correct(self, row: JobRow) -> bool:
-        """Tell whether the object that a finished job points at is its result."""
+        """Return whether the result object of a finished job is correct."""
         name = self._names.get(row.job, row.job)
         return self._read_object(row.result) == compute_result(make_work(name, 0))
--- a/scenarios/tests/golden_case.py
+++ b/scenarios/tests/golden_case.py
@@ -1,4 +1,4 @@
-"""Make a test of each scenario file: run it twice and compare it with its golden file."""
+"""Tests of the scenario files: run each twice and compare the session with its golden file."""
 
 import unittest
 from pathlib import Path
@@ -10,7 +10,7 @@
 
 __all__ = ["GROUPS", "list_group", "make_case"]
 
-# The runner gives each test module a process of its own, so the slow scenarios share several.
+# Each test module runs in its own process, so the slow scenarios are split over several modules.
 GROUPS = ("bundle", "request", "a to k", "l to n", "o to z")
 
 
--- a/scenarios/tests/test_evaluation.py
+++ b/scenarios/tests/test_evaluation.py
@@ -1,4 +1,4 @@
-"""Tests of the judge: each promise is seen broken by evidence that breaks it."""
+"""Tests of the evaluation: observations that violate an expectation make it fail."""
 
 import unittest
 from collections import Counter
@@ -30,14 +30,14 @@
 
 
 def evaluate_line(line, **seen):
-    """Return what is wrong with evidence under one expectation."""
+    """Return the failures of one expectation under observations."""
     scenario = parse(HEAD + line, "x.scenario")
     return [failure.detail for failure in evaluate(scenario, Observations(ended=30.0, **seen))]
 
 
 class EvaluationTest(unittest.TestCase):
     def assert_fails_with(self, line, words, **seen):
-        """Check that evidence breaks an expectation in one way."""
+        """Check that an expectation has one failure whose text contains words."""
         (detail,) = evaluate_line(line, **seen)
         self.assertIn(words, detail)
 
@@ -107,15 +107,15 @@
     def test_ends_of_requests(self):
         line = "expect request r answered within 1s"
         self.assertEqual(evaluate_line(line, requests=[ANSWERED]), [])
-        self.assert_fails_with(line, "told nothing")
-        self.assert_fails_with(line, "not whole", requests=[replace(ANSWERED, valid=False)])
+        self.assert_fails_with(line, "got no answer")
+        self.assert_fails_with(line, "incomplete answer", requests=[replace(ANSWERED, valid=False)])
         self.assert_fails_with(line, "took 1.100s", requests=[replace(ANSWERED, time=2.1)])
         refused = replace(ANSWERED, end=RequestEnd.NOT_RUN)
         self.assert_fails_with(line, "'not run'", requests=[refused])
         run = RequestRun("r", "i1", 1.1)
         self.assertEqual(evaluate_line("expect no false not run", requests=[refused]), [])
         self.assert_fails_with(
-            "expect no false not run", "it had not", requests=[refused], request_runs=[run]
+            "expect no false not run", "ran although", requests=[refused], request_runs=[run]
         )
         once = "expect every request run at most once"
         self.assertEqual(evaluate_line(once, request_runs=[run]), [])
--- a/scenarios/tests/test_groups.py
+++ b/scenarios/tests/test_groups.py
@@ -1,4 +1,4 @@
-"""Tests that no scenario file is left out."""
+"""Tests that every scenario file is run."""
 
 import unittest
 
--- a/scenarios/tests/test_kernel.py
+++ b/scenarios/tests/test_kernel.py
@@ -8,7 +8,7 @@
 
 
 class KernelTest(unittest.TestCase):
-    def test_callbacks_run_in_order_and_the_past_is_now(self):
+    def test_callbacks_run_in_order_and_never_in_the_past(self):
         kernel = Kernel(1)
         seen: list[Any] = []
         kernel.call_at(2.0, lambda: seen.append("late"))
@@ -27,11 +27,11 @@
         self.acts = []
 
     def call(self, source, target, until=5.0, timeout=2.0):
-        """Call, wait and return what the caller was answered."""
+        """Make a call, run the clock and return the caller's answers."""
         answers: list[Any] = []
 
         def act():
-            """Note that the target acted."""
+            """Record that the target acted."""
             self.acts.append(self.kernel.now)
             return "done"
 
@@ -39,10 +39,10 @@
         self.kernel.run_until(self.kernel.now + until)
         return answers
 
-    def test_answer_comes_once(self):
+    def test_call_is_answered_once(self):
         self.assertEqual(self.call("entry-a/control", "w1"), ["done"])
 
-    def test_cut_one_way_loses_the_answer_but_not_the_act(self):
+    def test_one_way_cut_loses_the_answer_after_the_effect(self):
         self.network.apply(model.Cut("w1", "entry-a", one_way=True))
         self.assertEqual(
             self.call("entry-a/control", "w1"), [CallFailure("no answer in time", sent=True)]
@@ -58,12 +58,12 @@
         self.kernel.run_until(11.0)
         self.assertEqual(self.call("entry-a/control", "table"), ["done"])
 
-    def test_paused_target_acts_when_it_wakes_though_the_caller_gave_up(self):
+    def test_paused_target_acts_after_its_pause_though_the_caller_timed_out(self):
         self.network.apply(model.Pause("w1", 4.0))
         self.assertEqual(self.call("entry-a", "w1"), [CallFailure("no answer in time", sent=True)])
         self.assertEqual(self.acts, [4.0])
 
-    def test_slow_answer_comes_late_or_never(self):
+    def test_slow_answer_is_delayed_or_times_out(self):
         self.network.apply(model.Slow("entry-a", "table", 0.5))
         self.assertEqual(self.call("entry-a", "table"), ["done"])
         self.network.apply(model.Slow("entry-a", "table", 3.0))
@@ -72,14 +72,14 @@
         )
         self.assertEqual(len(self.acts), 2)
 
-    def test_next_answers_are_lost_and_counted(self):
+    def test_given_number_of_answers_is_lost(self):
         self.network.apply(model.LoseAnswers("table", "entry-a", 2))
         lost = CallFailure("no answer in time", sent=True)
         answers = [self.call("entry-a", "table")[0] for _ in range(3)]
         self.assertEqual(answers, [lost, lost, "done"])
         self.assertEqual(len(self.acts), 3)
 
-    def test_outage_and_death_refuse_with_nothing_done(self):
+    def test_outage_and_removed_endpoint_refuse_calls(self):
         self.network.apply(model.Outage("table", 10.0, "entry-a"))
         self.assertEqual(self.call("entry-a", "table"), [CallFailure("refused", sent=False)])
         self.assertEqual(self.call("entry-b", "table"), ["done"])
--- a/scenarios/tests/test_language.py
+++ b/scenarios/tests/test_language.py
@@ -65,7 +65,7 @@
             with self.subTest(text):
                 self.assertEqual(read_action(f"at 1s {text}"), action)
 
-    def test_one_line_for_many(self):
+    def test_one_line_can_give_several_events(self):
         lines = (
             "at 1s submit 3 jobs bake through entry-a, entry-b\n"
             "at 2s operators race to submit bundle 2 through entry-a, entry-b\n"
@@ -79,7 +79,7 @@
         times = [event.time for event in parse(HEAD + lines, "x").events]
         self.assertEqual(times[5:], [3.0, 3.01])
 
-    def test_every_fault_names_file_and_line(self):
+    def test_every_error_names_file_and_line(self):
         end = "\nexpect never two places"
         cases = {
             "": (1, 'expected "scenario"'),
--- a/scenarios/tests/test_process_support.py
+++ b/scenarios/tests/test_process_support.py
@@ -1,4 +1,4 @@
-"""Tests of what real processes can be made to do; the processes themselves aren't started."""
+"""Tests of the support for real processes, without starting any."""
 
 import unittest
 
@@ -10,12 +10,12 @@
 HEAD = 'scenario "x"\nhosts 2 entry, 2 worker, 2 instance, 2 site\nservice verify\n'
 
 
-class SurroundingsTest(unittest.TestCase):
+class ProcessSupportTest(unittest.TestCase):
     def check(self, line):
         """Check a scenario of one event."""
         check_supported(parse(f"{HEAD}at 1s {line}\nexpect never two places\n", "x.scenario"))
 
-    def test_says_with_its_place_what_processes_can_not_do(self):
+    def test_unsupported_actions_are_reported_with_their_location(self):
         for line in (
             "cut w1 from entry-a",
             "step clock of entry-a by -5s",
@@ -38,7 +38,7 @@
         addresses += [it.address for it in topology.workers]
         self.assertEqual(len(set(addresses)), 4)
 
-    def test_fault_of_a_host_strikes_both_of_its_processes(self):
+    def test_fault_of_a_host_applies_to_both_of_its_processes(self):
         rules = list(make_rules(Effect.DOWN, "objects", "entry-a"))
         self.assertEqual({rule.client for rule in rules}, {"entry-a/control", "entry-a/request"})
         self.assertEqual({rule.operation for rule in rules}, {"put", "get", "names"})
--- a/scenarios/world.py
+++ b/scenarios/world.py
@@ -1,9 +1,9 @@
 """
-World
-=====
+Virtual world
+=============
 
-The world of a scenario on a virtual clock: the decisions of the daemon, driven through fakes at the
-interfaces.  Nothing here decides anything that the product decides.
+Run a scenario on a virtual clock: the daemon's decisions with simulated interfaces.  No decision of
+the system is reimplemented here.
 """
 
 from __future__ import annotations
@@ -57,7 +57,7 @@
 
 
 class VirtualWorld:
-    """Run one scenario; two runs of one scenario are the same."""
+    """One scenario on a virtual clock; its runs are reproducible."""
 
     def __init__(self, scenario: Scenario) -> None:
         self._scenario = scenario
@@ -84,11 +84,11 @@
             self._start_host(name)
 
     def advance(self, time: float) -> None:
-        """Let everything happen up to an instant."""
+        """Advance to a time."""
         self._kernel.run_until(time)
 
     def apply(self, action: Action) -> None:
-        """Bring about an action now."""
+        """Perform an action now."""
         self._script.record(action)
         match action:
             case model.SubmitJob():
@@ -116,7 +116,7 @@
                 self._network.apply(action)
 
     def close(self) -> Observations:
-        """Return what was seen."""
+        """Return the observations."""
         self._observations.ended = self._kernel.now
         self._observations.running_since = {
             each.name: each.started_at for each in self._context.peers.values() if each.alive
@@ -126,16 +126,16 @@
         return self._observations
 
     def events(self) -> Iterable[Event]:
-        """Return the events of every life of every process, with the scenario's names of jobs."""
+        """Return the events of all incarnations of all processes, with the scenario's job names."""
         kept = (event for each in self._recorders for event in each.read_after(0).events)
         return self._script.translate(kept)
 
     def _read_time(self) -> float:
-        """Return the world's time."""
+        """Return the simulated time."""
         return self._kernel.now
 
     def _start_host(self, name: str) -> None:
-        """Start what runs on a host."""
+        """Start the processes of a host."""
         if name.startswith("w"):
             incarnation = self._start_incarnation(name)
             worker = SimulatedWorker(
@@ -169,13 +169,13 @@
         self._network.recorders[name] = process.recorder
 
     def _start_incarnation(self, name: str) -> int:
-        """Count a new life of a process."""
+        """Return the number of a new incarnation of a process."""
         self._incarnations[name] = self._incarnations.get(name, 0) + 1
         self._network.restore(name)
         return self._incarnations[name]
 
     def _kill(self, target: str) -> None:
-        """End everything that a target covers."""
+        """Kill all processes that a target covers."""
         for name, other in (*self._context.workers.items(), *self._context.instances.items()):
             if covers(target, name) and other.alive:
                 other.end()
@@ -184,13 +184,13 @@
             process.end(graceful=False)
 
     def _find_processes(self, target: str) -> Iterator[PeerProcess]:
-        """Yield the living processes that a target covers."""
+        """Yield the running processes that a target covers."""
         for name, process in self._context.peers.items():
             if covers(target, name) and process.alive:
                 yield process
 
     def _accept_first_bundle(self) -> None:
-        """Let version 1 be in force from the start."""
+        """Accept version 1 of the bundle before the start."""
         submission = make_submission(self._scenario, 1, 0, 0.0)
         decision = accept_bundle(make_ring(), submission, lambda: "first")
         outcome: Any = None
@@ -203,7 +203,7 @@
                         outcome = Ok(self._platform.table.commit(transaction))
 
     def _submit(self, action: model.SubmitJob) -> None:
-        """Submit a job as its owner does: again under the same key until it is told an end."""
+        """Submit a job, retrying with the same key until there is a final answer."""
         work = msgspec.json.encode(make_work(action.job, action.work)).decode()
         size = action.size
         request = Submission(
@@ -218,30 +218,30 @@
         self._script.name_job(action.team, action.job)
 
         def send_call(control: ControlProcess, answer: Reply) -> None:
-            """Put the question to a process."""
+            """Submit the job to a control process."""
             control.submit(request, action.job, answer)
 
         def refuse() -> None:
-            """Note that the job was refused."""
+            """Record that the job was refused."""
             now = self._kernel.now
             self._observations.jobs.append(JobOutcome(action.job, now, JobEnd.REFUSED))
 
         self._call_until_final(action.through, send_call, refuse)
 
     def _cancel(self, job: str, entry: str) -> None:
-        """Ask to cancel a job until it is told an end."""
+        """Cancel a job, retrying until there is a final answer."""
         name = self._script.find_job(job)
         self._call_until_final(
             entry, lambda control, answer: control.cancel(name, answer), lambda: None
         )
 
     def _send(self, action: model.SendRequest) -> None:
-        """Send a request as a caller does, once, and note what the caller is told."""
+        """Send a request once and record its outcome."""
         sent = self._kernel.now
         name = f"{action.through}/request"
 
         def on_answer(outcome: object) -> None:
-            """Note the answer; a caller that hears nothing has to assume that it may have run."""
+            """Record the outcome; without an answer the request may have run."""
             valid = True
             match outcome:
                 case CallFailure(sent=False) | Refusal(verdict=Verdict.NOT_RUN):
@@ -257,7 +257,7 @@
             self._script.recorder.record("caller.told", {"request": action.request}, end.value)
 
         def handle(answer: Reply) -> None:
-            """Let the process that bears the name now decide."""
+            """Pass the call to the current process with the name."""
             process = self._context.peers[name]
             if isinstance(process, RequestProcess):
                 process.serve(action, answer)
@@ -267,15 +267,15 @@
         )
 
     def _submit_bundle(self, version: int, entry: str, variant: int) -> None:
-        """Submit a bundle as an operator does: the same one again until it is told an end."""
+        """Submit a bundle, retrying until there is a final answer."""
         submission = make_submission(self._scenario, version, variant, self._kernel.now)
         self._send_bundle(submission, f"{entry}/control", str(version))
 
     def _send_bundle(self, submission: BundleSubmission, name: str, version: str) -> None:
-        """Submit a bundle through a process, and after a while through another."""
+        """Submit a bundle through a process, and retry through others."""
 
         def on_answer(outcome: object) -> None:
-            """Note the end, or repeat the submission."""
+            """Record the final answer, or retry."""
             match outcome:
                 case Accepted() | Refused() | Conflicted():
                     kind = f"operator.{type(outcome).__name__.lower()}"
@@ -287,7 +287,7 @@
                     self._kernel.call_after(CALLER_RETRY_S, again)
 
         def handle(answer: Reply) -> None:
-            """Let the process that bears the name now decide."""
+            """Pass the call to the current process with the name."""
             self._context.peers[name].accept(submission, answer)
 
         self._network.request(CALLER, name, handle, on_answer, timeout=CALLER_TIMEOUT_S)
@@ -302,7 +302,7 @@
         send_call: Callable[[ControlProcess, Reply], None],
         refuse: Callable[[], None],
     ) -> None:
-        """Ask through an entry host, and after a while through another, until there is an end."""
+        """Call through an entry host, and retry through others until there is a final answer."""
         name = (
             f"{entry}/control"
             if entry
@@ -310,13 +310,13 @@
         )
 
         def handle(answer: Reply) -> None:
-            """Let the process that bears the name now decide."""
+            """Pass the call to the current process with the name."""
             process = self._context.peers[name]
             if isinstance(process, ControlProcess):
                 send_call(process, answer)
 
         def on_answer(outcome: Any) -> None:
-            """Take the answer, or ask again."""
+            """Handle a final answer, or retry."""
             if not isinstance(outcome, CallFailure):
                 if outcome.is_ok():
                     return
