--- a/benchmarks/ablation.py
+++ b/benchmarks/ablation.py
@@ -1,13 +1,13 @@
 """
-Benchmark of the mechanisms
-===========================
+Ablation of the scheduling mechanisms
+=====================================
 
-Switch each mechanism of sharing and placing off alone, and print what days of the model lose by it.
+Disable each mechanism of sharing and placing alone, and print what days of the model lose by it.
 
 Notes
 -----
-The model knows workers that share, not outages or crashes: what a mechanism is worth in trouble has
-to be measured elsewhere.
+The model has neither outages nor crashes: the value of a mechanism under failures has to be
+measured elsewhere.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Replacement:
-    """Name one thing to replace so that a mechanism does nothing."""
+    """Target and value of a patch that disables a mechanism."""
 
     target: str
     value: Any
@@ -87,7 +87,7 @@
 
 
 def _run_task(task: tuple[str, str, int]) -> tuple[float, ...]:
-    """Return what each kind, and all together, earned of what was owed."""
+    """Return the earned share of the attainable value, by kind and of all together."""
     name, site, seed = task
     with _switched_off(name):
         outcome = run_day((site, seed))
@@ -115,7 +115,6 @@
         baseline = 0.0
         for name in MECHANISMS:
             own = [r for t, r in zip(tasks, rows, strict=True) if t[:2] == (name, site)]
-            # Type: ignore[misc].
             parts = [_mean(own, lambda row, n=number: row[n]) for number in range(4)]
             baseline = baseline or parts[3]
             text = "  ".join(f"{part:.3f}" for part in parts)
--- a/benchmarks/bundle_processes.py
+++ b/benchmarks/bundle_processes.py
@@ -2,8 +2,8 @@
 Bundles over real processes
 ===========================
 
-Start nine daemons and a platform, submit bundles and read from every daemon's time line when each
-came into force.
+Start nine daemons and a platform, submit bundles, and read from the daemons' time lines when each
+bundle came into force.
 """
 
 from __future__ import annotations
@@ -49,7 +49,7 @@
 
 
 def measure_processes(print_line: PrintLine) -> None:
-    """Print the delays to in force at nine real processes."""
+    """Print the delays until bundles are in force at nine real processes."""
     shutil.rmtree(FOLDER, ignore_errors=True)
     FOLDER.mkdir(parents=True)
     folder = FOLDER.resolve()
@@ -74,7 +74,7 @@
 
 
 def _print_idle(topology: Topology, launcher: Launcher, print_line: PrintLine) -> None:
-    """Print what an idle request role costs, against 2.2% of a core and 256 MB."""
+    """Print the cost of an idle request role against the budget of 2.2% of a core and 256 MB."""
     pids = [launcher.pid(entry.name) for entry in topology.entries]
     before = [_read_processor(pid) for pid in pids]
     time.sleep(IDLE_WINDOW_S)
@@ -120,8 +120,8 @@
             cut = [f"{entry.name}/{ROLE}" for entry in topology.entries[-ENTRIES // 3 :]]
             _set_faults(topology, [{"effect": "down", "client": name} for name in cut])
         case "table_down":
-            # Reads of the spread fail from now on, and the commit still goes through: nobody but
-            # the accepting process can have it from the table.
+            # Scans fail from now on while commits succeed: only the accepting process gets the
+            # bundle from the table.
             _set_faults(topology, [{"effect": "down", "operation": "scan"}])
     entry = topology.entries[version % (ENTRIES // 3)]
     _submit(entry, key, version)
@@ -144,7 +144,7 @@
 
 
 def _read_instants(entry: Entry, version: int) -> Iterator[float]:
-    """Yield the wall time at which a version came into force at one process."""
+    """Yield the wall time at which a version came into force at one process, if it did."""
     answer = urllib3.request("GET", f"{entry.operators(ROLE)}/v1/timeline")
     for event in _read_events(answer.data):
         ids = event.get("ids", {})
--- a/benchmarks/bundles.py
+++ b/benchmarks/bundles.py
@@ -2,8 +2,8 @@
 Benchmarks of bundles and membership
 ====================================
 
-Measure how long an accepted bundle takes to be in force everywhere, by several ways of spreading,
-and what heartbeats cost.  Prints one line for each figure:
+Measure how long an accepted bundle takes to be in force everywhere with several methods of
+spreading, and what heartbeats cost.  Prints one line for each figure:
 ``bench NAME value=… unit=… baseline=… ratio=…``.
 """
 
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SpreadMethod:
-    """Describe one way of spreading; ``poll`` is in seconds."""
+    """A method of spreading bundles; ``poll_period`` is in seconds."""
 
     name: str
     heartbeat_versions: bool
@@ -72,7 +72,7 @@
 
 
 def print_spread() -> None:
-    """Compare the ways of spreading on the virtual clock, against polling every two seconds."""
+    """Compare the methods on the virtual clock with polling every two seconds."""
     for condition in CONDITIONS:
         baseline: list[float] = []
         for method in SPREAD_METHODS:
@@ -88,9 +88,9 @@
 
 def measure_spread(method: SpreadMethod, condition: str) -> tuple[list[float], float]:
     """
-    Return, for each change, the seconds until the last process had it, and messages a second.
+    Return the seconds until the last process had each change, and the messages per second.
 
-    The table is out of reach for OUTAGE seconds after each change, where the condition says so.
+    Under the condition ``table_down`` the table is unreachable for OUTAGE_S after each change.
     """
     names = tuple(f"h{index}/request" for index in range(PROCESSES))
     timing = ReplicationTiming(poll_period=method.poll_period)
@@ -113,7 +113,7 @@
 
 
 def _change(cluster: Cluster, condition: str, version: int, acceptor: str) -> float:
-    """Accept one bundle and return how long it took to be in force everywhere."""
+    """Accept one bundle and return the seconds until it is in force everywhere."""
     names = tuple(cluster.processes)
     match condition:
         case "table_down":
@@ -135,7 +135,7 @@
 
 
 def print_heartbeats() -> None:
-    """Print size and processor time of a heartbeat, without and with news."""
+    """Print size and processor time of a heartbeat, without and with member records."""
     for count in (0, 8):
         heartbeat = Heartbeat("127.0.0.1", 7070, False, -(2**62), 120, (make_entry(),) * count)
         envelope = Envelope(0, "swan-coast", "entry-a/request", "malaga", 2**60, 9_000, 12, 4_000)
@@ -148,12 +148,12 @@
 
 
 def make_entry() -> MemberRecord:
-    """Make the record of a member."""
+    """Return the record of a member."""
     return MemberRecord("entry-b/control", "malaga", 2**60, 9_000, "10.1.2.3", 7070, "alive", 12)
 
 
 def print_bytes() -> None:
-    """Print what a quiet full mesh costs each process, against the budget of 21 KB a second."""
+    """Print what an idle full mesh costs each process, against the budget of 21 KB/s."""
     for count in (9, 18, 27, 135):
         mesh = Mesh()
         for index in range(count):
@@ -171,19 +171,19 @@
 
 
 def make_empty_heartbeat() -> tuple[Envelope, Heartbeat]:
-    """Make a heartbeat without news."""
+    """Return a heartbeat without member records."""
     envelope = Envelope(0, "swan-coast", "entry-a/request", "malaga", 2**60, 9_000, 12, 4_000)
     return envelope, Heartbeat("127.0.0.1", 7070, False, -(2**62), 120)
 
 
 def measure_encode() -> float:
-    """Return the microseconds to encode a heartbeat without news."""
+    """Return the time to encode a heartbeat without member records, in microseconds."""
     envelope, heartbeat = make_empty_heartbeat()
     return _time(lambda: encode(KEYS, Purpose.HEARTBEAT, envelope, heartbeat))
 
 
 def measure_decode() -> float:
-    """Return the microseconds to decode a heartbeat without news."""
+    """Return the time to decode a heartbeat without member records, in microseconds."""
     frame = encode(KEYS, Purpose.HEARTBEAT, *make_empty_heartbeat())
     return _time(lambda: decode(KEYS, Purpose.HEARTBEAT, "swan-coast", frame))
 
--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -2,8 +2,8 @@
 Capacity at the two-year size
 =============================
 
-Work out, from the slopes that ``make bench`` measured, what each role of the earlier daemon would
-cost at the target, and write docs/figures/daemon-capacity.md.
+Extrapolate from the figures of ``make bench`` what each role of the earlier daemon would cost at
+the users' target size, and write docs/figures/daemon-capacity.md.
 
 Run as ``python -m benchmarks.capacity docs/figures/bench.txt``.
 """
@@ -28,12 +28,12 @@
 
 CAPACITY_PAGE = Path("docs/figures/daemon-capacity.md")
 FIGURE_PATTERN = re.compile(r"bench (\S+) value=(\S+) ")
-HTTP_HEADER_BYTES = 400
+HTTP_HEADER_BYTES = 400  # assumed, of a poll and its answer
 
 
 @dataclass(frozen=True, slots=True)
 class Target:
-    """Hold the users' target and what is assumed about it."""
+    """The users' target size, and assumptions about it."""
 
     workers: int = 11_000
     accelerators: int = 24_000
@@ -49,36 +49,36 @@
 
     @property
     def entry_hosts(self) -> int:
-        """Count the entry hosts, each with a process of both roles."""
+        """Return the number of entry hosts, each with a process of both roles."""
         return self.sites * self.entry_hosts_per_site
 
     @property
     def tasks(self) -> int:
-        """Count the running tasks."""
+        """Return the number of running tasks."""
         return self.critical_tasks + self.batch_tasks
 
 
 TARGET = Target()
-PROCESSOR_BUDGET = 22.0
-MEMORY_BUDGET = 256.0
-TRAFFIC_BUDGET = 21.0
-WRITE_BUDGET = 300.0
-READ_BUDGET = 2_000.0
+PROCESSOR_BUDGET = 22.0  # ms/s
+MEMORY_BUDGET = 256.0  # MB
+TRAFFIC_BUDGET = 21.0  # KB/s
+WRITE_BUDGET = 300.0  # writes/s
+READ_BUDGET = 2_000.0  # reads/s
 TURN_S = 0.4
 SECONDS_PER_DAY = 86_400.0
 
 
 class Figures:
-    """Look up measured figures by name."""
+    """Measured figures by name."""
 
     __slots__ = ("_values",)
 
     def __init__(self, values: dict[str, float]) -> None:
-        """Hold the values."""
+        """Initialize the figures."""
         self._values = values
 
     def get(self, name: str) -> float:
-        """Return one figure; one that was not measured ends the program."""
+        """Return one figure; exit if it is missing."""
         if name not in self._values:
             raise SystemExit(f"the figure {name!r} was not measured; run make bench")
         return self._values[name]
@@ -86,7 +86,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CostLine:
-    """Show one computed cost against its budget, and what carries it or must change."""
+    """One computed cost, its budget, and the design that meets it or must change."""
 
     name: str
     value: float
@@ -97,18 +97,18 @@
 
     @property
     def verdict(self) -> str:
-        """Say whether the budget holds, and by how much."""
+        """Return the share of the budget that the cost takes, or by how much it exceeds it."""
         share = self.value / self.budget
         return f"{share:.0%} of it" if share <= 1 else f"**over: {share:.1f} times**"
 
 
 def read_figures(text: str) -> Figures:
-    """Read the lines that benchmarks print."""
+    """Parse the lines that benchmarks print."""
     return Figures({found[1]: float(found[2]) for found in FIGURE_PATTERN.finditer(text)})
 
 
 def compute_lines(figures: Figures) -> Iterator[CostLine]:
-    """Yield every cost at the target."""
+    """Yield every cost at the target size."""
     yield from _compute_control(figures)
     yield from _compute_request(figures)
     yield from _compute_worker()
@@ -286,7 +286,7 @@
 
 
 def _make_report(tasks: int) -> Report:
-    """Make a report of usual length."""
+    """Return a report of typical length."""
     reports = tuple(
         TaskReport(
             f"task-{number:012d}",
@@ -306,7 +306,7 @@
 
 
 def _measure_cell(tasks: int) -> int:
-    """Return the bytes of a cell's row."""
+    """Return the size of a cell's row in bytes."""
     size = Size(4, 4_096)
     workers = {
         f"worker-{number}": WorkerRow(
@@ -331,7 +331,7 @@
 
 
 def main() -> int:
-    """Write the page from a file of figures."""
+    """Rewrite the computed part of the page from a file of figures."""
     if len(sys.argv) != 2:
         print("usage: python -m benchmarks.capacity FIGURES", file=sys.stderr)
         return 2
--- a/benchmarks/choosers.py
+++ b/benchmarks/choosers.py
@@ -1,9 +1,9 @@
 """
-Choosers that the benchmark of the policy compares
-==================================================
+Choosers of the policy benchmark
+================================
 
-Rules that know nothing of interference, the policy under test, and the same policy with the true
-table in place of its estimates.
+Rules that ignore interference, the policy under test, and the same policy with the true table in
+place of its estimates.
 """
 
 from __future__ import annotations
@@ -47,7 +47,7 @@
 
 @dataclass(slots=True)
 class WorkerState:
-    """Hold what the owner knows of one worker."""
+    """The owner's state of one worker."""
 
     worker: FakeWorker
     index: int
@@ -60,35 +60,35 @@
     free: int = BATCH.processors
 
     def view(self) -> HostView:
-        """Return the view that decisions get."""
+        """Return the view on which decisions are based."""
         loads = tuple(ServiceLoad(it, self.loads.get(it, 0.5)) for it in self.worker.services)
         return HostView(self.worker.name, PROCESSORS, loads, tuple(self.residents.values()))
 
 
 class Chooser(Protocol):
-    """Choose places for jobs and act on hosts."""
+    """Interface of choosers, which place jobs and act on workers."""
 
     def choose(
         self, now: int, states: list[WorkerState], job: Job, waited: float
     ) -> WorkerState | None:
-        """Return the place for a job that waited so many seconds, None to let it wait."""
+        """Return the worker for a job that waited ``waited`` seconds, None to let it wait."""
         ...
 
     def estimate_use(self, job: Job) -> float:
-        """Return the processors that a job is thought to use."""
+        """Return the estimated processors that a job uses."""
         ...
 
     def process_report(self, now: int, state: WorkerState, report: Report) -> Iterator[Action]:
-        """Take a report and yield actions."""
+        """Process a report and yield actions."""
         ...
 
     def record_residents(self, now: int, state: WorkerState) -> None:
-        """Take note of changed residents."""
+        """Record changed residents."""
         ...
 
 
 class RuleChooser:
-    """Place by a rule that knows nothing of interference."""
+    """Chooser by a fixed rule that ignores interference."""
 
     def __init__(self, key: Callable[[WorkerState], float], pause: int | None = None) -> None:
         self._key = key
@@ -98,16 +98,16 @@
     def choose(
         self, now: int, states: list[WorkerState], job: Job, waited: float
     ) -> WorkerState | None:
-        """Return the fitting place with the lowest key."""
+        """Return the fitting worker with the lowest key."""
         fitting = (it for it in states if it.free >= job.processors)
         return min(fitting, key=self._key, default=None)
 
     def estimate_use(self, job: Job) -> float:
-        """Believe the declaration."""
+        """Return the declared processors."""
         return job.processors
 
     def process_report(self, now: int, state: WorkerState, report: Report) -> Iterator[Action]:
-        """Evict the largest task when a measured tail is over the limit, if it evicts at all."""
+        """Evict the largest task if a measured tail exceeds the limit, unless disabled."""
         table = state.worker.table
         if self._pause is None or not state.residents:
             return
@@ -122,11 +122,11 @@
                 return
 
     def record_residents(self, now: int, state: WorkerState) -> None:
-        """Take no note."""
+        """Do nothing; the rules use no history."""
 
 
 class PolicyChooser:
-    """Place and act by the policy under test, or by the same policy with the true table."""
+    """Chooser by the policy under test, or by the same policy with the true table."""
 
     def __init__(
         self,
@@ -148,7 +148,7 @@
     def choose(
         self, now: int, states: list[WorkerState], job: Job, waited: float
     ) -> WorkerState | None:
-        """Return the place to whose cost the job adds least, unless it harms everywhere."""
+        """Return the worker whose cost the job raises least, unless the policy rejects it."""
         task = Candidate(job.kind, self.estimate_use(job))
         best, lowest_score = None, float("inf")
         for state in states:
@@ -166,7 +166,7 @@
         return self._usage.estimate(job.kind, job.processors)
 
     def process_report(self, now: int, state: WorkerState, report: Report) -> Iterator[Action]:
-        """Learn from a report and decide."""
+        """Learn from a report and yield the policy's actions."""
         for task in report.tasks:
             resident = state.residents.get(task.task)
             if resident is not None:
@@ -184,7 +184,7 @@
         yield from self.policy.decide(now, view)
 
     def _summarize(self, now: int, state: WorkerState) -> Summary:
-        """Sum up a place once in a second and after each change."""
+        """Return the summary of a worker, cached for one second unless it changes."""
         if self._summed_at != now:
             self._summed_at = now
             self._summaries.clear()
@@ -201,16 +201,16 @@
 
 @dataclass(frozen=True, slots=True)
 class TrueEffects:
-    """Know the true table at every instant."""
+    """Effects read from the true table."""
 
     table: PairTable
 
     def latency_rise(self, service: str, kind: str, load: float) -> float:
-        """Return the true rise."""
+        """Return the true rise of latency."""
         return self.table.true_rise(service, kind, load)
 
     def baseline_latency(self, service: str, load: float) -> float | None:
-        """Return the true quiet p99."""
+        """Return the true p99 without neighbours."""
         return self.table.idle_latency[service] * idle_latency_factor(load)
 
 
--- a/benchmarks/forwarder_baseline.py
+++ b/benchmarks/forwarder_baseline.py
@@ -2,8 +2,8 @@
 Bare forwarder
 ==============
 
-The baseline of the cost of decisions: cheroot and urllib3 as their manuals show them, forwarding
-to one instance and deciding nothing.  It stays here so that the ratio can be measured in one run.
+Baseline of a request's cost: cheroot and urllib3 as in their manuals, forwarding to one instance
+without any decision.  It is kept here so that the ratio can be measured in one run.
 """
 
 from __future__ import annotations
--- a/benchmarks/node_cost.py
+++ b/benchmarks/node_cost.py
@@ -2,8 +2,8 @@
 Cost of control on an entry host
 ================================
 
-Processor time, resident memory and heartbeats' bytes of each role, measured on real processes at
-several sizes, and their slopes in members and in workers.
+Processor time, resident memory and heartbeat bytes of each role, measured on real processes at
+several sizes, and their slopes over members and workers.
 """
 
 from __future__ import annotations
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Cost:
-    """Hold the mean cost of one process: ms of processor a second, MB, heartbeat bytes/s."""
+    """Mean cost of one process: processor ms/s, MB of memory, heartbeat bytes/s."""
 
     processor: float
     memory: float
@@ -76,7 +76,7 @@
 
 
 def _read_all(topology: Topology, launcher: Launcher) -> dict[str, list[Cost]]:
-    """Return the running totals of every process by role; memory is not a total."""
+    """Return the cumulative costs of every process by role; memory is the current value."""
     return {
         role: [
             _read(launcher.find_id(f"{entry.name}-{role}"), entry.operators(role))
@@ -87,7 +87,7 @@
 
 
 def _read(process: int, url: str) -> Cost:
-    """Return the totals of one process."""
+    """Return the cumulative costs of one process."""
     fields = Path(f"/proc/{process}/stat").read_text().rpartition(")")[2].split()
     ticks = int(fields[11]) + int(fields[12])
     pages = int(Path(f"/proc/{process}/statm").read_text().split()[1])
@@ -108,7 +108,7 @@
 
 
 def _describe(role: str, small: Cost, workers: Cost, hosts: Cost) -> Iterator[str]:
-    """Yield the lines of one role."""
+    """Yield the printed lines of one role."""
     yield _format_line(f"idle_{role}_processor", small.processor, "ms/s", PROCESSOR_BUDGET)
     yield _format_line(f"idle_{role}_memory", small.memory, "MB", MEMORY_BUDGET)
     yield _format_line(f"idle_{role}_heartbeats", small.heartbeats, "B/s", HEARTBEAT_BUDGET)
@@ -135,7 +135,7 @@
 
 
 def _format_line(name: str, value: float, unit: str, budget: float) -> str:
-    """Write one figure, with the users' budget of a node as its baseline."""
+    """Format one figure with the users' budget of a node as its baseline."""
     return (
         f"bench {name} value={value:.3f} unit={unit} "
         f"baseline={budget:.3f} ratio={value / budget:.4f}"
--- a/benchmarks/pair_tables.py
+++ b/benchmarks/pair_tables.py
@@ -1,9 +1,9 @@
 """
-Fixed pair tables behind the worker port
-========================================
+Pair tables behind the worker port
+==================================
 
-A fake of one interface for the measurement of the interference policy: workers that take polls and
-report late, on which tasks raise the tail of services by a table of pairs that drifts.
+Fake of the worker interface for benchmarks of the interference policy: workers that report with a
+lag, and whose tasks raise the tail latency of services by a drifting table of pairs.
 """
 
 from __future__ import annotations
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Job:
-    """Describe a batch job; ``work`` is in seconds at full share."""
+    """A batch job; ``work`` is in seconds at full share."""
 
     name: str
     kind: str
@@ -54,7 +54,7 @@
 
 @dataclass(slots=True)
 class Running:
-    """Hold a running job; ``done`` is in seconds at full share."""
+    """A running job; ``done`` is in seconds at full share."""
 
     job: Job
     attempt: int
@@ -63,7 +63,7 @@
 
 
 class PairTable:
-    """Draw one world from a seed: effects, their drift, loads and the arrival of jobs."""
+    """World drawn from a seed: effects, their drift, loads and arrivals of jobs."""
 
     def __init__(self, seed: int, seconds: int) -> None:
         self.seconds = seconds
@@ -86,7 +86,7 @@
         self._noisiest_kind = max(self.kinds, key=self._sum_effects)
 
     def step(self, now: int) -> None:
-        """Let the effects drift and the loads shift by one second."""
+        """Advance the drift of effects and loads by one second."""
         for pair in self.effects:
             self.effects[pair] *= math.exp(self._drift_random.gauss(0, LOAD_STEP))
         if now == self.shift_at:
@@ -99,7 +99,7 @@
             self.loads[service_site] = min(0.95, max(0.2, load))
 
     def make_jobs(self, rate: float) -> Iterator[list[Job]]:
-        """Yield the jobs of each second: a steady stream and waves of the noisiest kind."""
+        """Yield the jobs of each second: a steady stream, and waves of the noisiest kind."""
         draw = random.Random(self._random.random())
         wave_until = 0
         for now in range(self.seconds):
@@ -112,7 +112,7 @@
             yield jobs
 
     def true_rise(self, service: str, kind: str, load: float) -> float:
-        """Return the true rise relative to the quiet p99 at this load."""
+        """Return the true rise relative to the p99 without neighbours at this load."""
         return load * self.effects[(service, kind)] / idle_latency_factor(load)
 
     def _draw_effect(self) -> float:
@@ -143,7 +143,7 @@
 
 @dataclass(slots=True)
 class FakeWorker:
-    """Take polls, run jobs and measure services; measurements come out ``lag`` seconds late."""
+    """Worker that runs jobs and measures services; samples are reported ``lag`` seconds late."""
 
     name: str
     site: int
@@ -160,7 +160,7 @@
     saved: dict[str, float] = field(default_factory=dict)
 
     def poll(self, poll: Poll) -> Report:
-        """Carry out orders and report."""
+        """Execute orders and return a report."""
         for order in poll.orders:
             match order:
                 case Start():
@@ -180,7 +180,7 @@
         return Report(self.name, "", clock, 1, True, False, BATCH, tuple(tasks), tuple(due))
 
     def step(self, now: int) -> list[tuple[float, float]]:
-        """Work for one second; return the true rise and the load of each service."""
+        """Run for one second; return the relative p99 and the load of each service."""
         self.now = now
         for it in list(self.running.values()):
             it.done += it.share
@@ -196,11 +196,11 @@
         return [(factor, load) for _, factor, load in measured]
 
     def load(self, service: str) -> float:
-        """Return the true load of a service here."""
+        """Return the true load of a service at this worker's site."""
         return self.table.loads[(service, self.site)]
 
     def _compute_latency(self, service: str) -> tuple[float, float]:
-        """Return the true p99 in units of the idle one, and the load."""
+        """Return the true p99 relative to the idle one, and the load."""
         load = self.load(service)
         amounts: dict[str, float] = {}
         for it in self.running.values():
@@ -208,33 +208,33 @@
             amounts[it.job.kind] = amounts.get(it.job.kind, 0.0) + use
         effects = self.table.effects
         increase = sum(effects[(service, kind)] * amount for kind, amount in amounts.items())
-        # Two kinds together cost a little more than each alone, which no pair table shows.
+        # Two kinds together cost slightly more than their sum, which a pair table can't express.
         increase *= 1.0 + KIND_INTERACTION * (
             sum(amounts.values()) - max(amounts.values(), default=0.0)
         )
         return idle_latency_factor(load) + self.susceptibility * load * increase, load
 
     def _start(self, start: Start) -> None:
-        """Start an attempt from what was saved of the job."""
+        """Start an attempt from the job's checkpoint."""
         name = start.task
         work = float(start.payload)
         job = Job(name, start.kind, start.size.processors, work)
         self.running[name] = Running(job, start.attempt, 1.0, float(start.checkpoint or 0))
 
     def _report(self, it: Running, state: TaskState) -> TaskReport:
-        """Report one attempt."""
+        """Return the report of one attempt."""
         use = it.job.processors * self.table.use[it.job.kind] * it.share
         clock = self.now * MS_PER_S
         return TaskReport(it.job.name, it.attempt, state, int(it.done), "", "", use, 0, clock)
 
 
 def idle_latency_factor(load: float) -> float:
-    """Return the p99 without neighbours at a load, in units of the idle one."""
+    """Return the p99 without neighbours at a load, relative to the idle one."""
     return 1.0 + 0.5 * load * load
 
 
 def make_workers(table: PairTable, seed: int, lag: int) -> list[FakeWorker]:
-    """Make the workers of a world, with one or two services on each."""
+    """Return the workers of a world, with one or two services each."""
     draw = random.Random(seed + 3)
     workers = []
     for n in range(HOSTS):
@@ -246,7 +246,7 @@
 
 
 def poisson(draw: random.Random, mean: float) -> int:
-    """Draw a Poisson number."""
+    """Draw a Poisson-distributed number."""
     limit = math.exp(-mean)
     number = 0
     product = draw.random()
--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -2,9 +2,8 @@
 Placement
 =========
 
-What a placement decision costs with 35, 350 and 2,800 hosts, how many starts one write carries,
-what a control process holds in memory, and how long a recovery takes on the virtual clock of the
-tests.
+Cost of a placement decision with 35, 350 and 2,800 hosts, starts per write, memory of a control
+process, and time of a recovery on the virtual clock of the tests.
 Prints one line for each figure: ``bench NAME value=… unit=… baseline=… ratio=…``.
 """
 
@@ -50,7 +49,7 @@
 
 
 def print_choices() -> None:
-    """Print the time of one choice by the index, against a search through all hosts."""
+    """Print the time of one choice by the index, against a linear search of all hosts."""
     own: list[float] = []
     for hosts in HOSTS:
         indexed = measure_choices(hosts, choose_by_index)
@@ -75,7 +74,7 @@
 
 
 def choose_by_index(index: FreeCapacityIndex, free: dict[str, Size], size: Size) -> str | None:
-    """Choose, take and give back by the index."""
+    """Choose a host by the index, allocate on it and release it."""
     found = index.candidates(size, 1)
     if not found:
         return None
@@ -85,7 +84,7 @@
 
 
 def choose_by_search(index: FreeCapacityIndex, free: dict[str, Size], size: Size) -> str | None:
-    """Choose by looking at every host."""
+    """Choose a host by a linear search."""
     fitting = [
         (it.accelerators, it.processors, name) for name, it in free.items() if fits(size, it)
     ]
@@ -97,12 +96,12 @@
 
 
 def find_slope(values: list[float]) -> float:
-    """Return the exponent with which values grow between the fewest and the most hosts."""
+    """Return the exponent of growth between the fewest and the most hosts."""
     return math.log(values[-1] / values[0]) / math.log(HOSTS[-1] / HOSTS[0])
 
 
 class TurnMeter:
-    """Drive turns of one process and count what its decisions cost, the fakes left out."""
+    """Runs turns of one process and measures its decisions, without the time of the fakes."""
 
     def __init__(self, world: World) -> None:
         self.world = world
@@ -139,7 +138,7 @@
             self.started += sum(isinstance(order, Start) for order in orders)
 
     def reset(self) -> None:
-        """Begin to count anew."""
+        """Reset all counters."""
         self.seconds = 0.0
         self.placing_writes = 0
         self.placed = 0
@@ -147,7 +146,7 @@
 
 
 def make_world(hosts: int) -> TurnMeter:
-    """Return a world whose one process owns every cell and has heard of every worker."""
+    """Return a world whose only process owns every cell and knows every worker."""
     world = World(racks=0)
     racks = hosts // HOSTS_PER_RACK
     for number in range(hosts):
@@ -193,7 +192,7 @@
 
 
 def print_memory() -> None:
-    """Print what a control process holds for a host, a waiting job and a running task."""
+    """Print the memory of a control process per host, waiting job and running task."""
     gc.collect()
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
@@ -214,7 +213,7 @@
 
 
 def measure_state_memory(hosts: int, jobs_per_host: int) -> float:
-    """Return the bytes of a process's state, by building it with the fakes and dropping it."""
+    """Return the size of a process's state in bytes, by building and releasing it."""
     meter = make_world(hosts)
     for number in range(hosts * jobs_per_host):
         meter.world.submit(str(number), work=600_000)
@@ -223,7 +222,7 @@
     gc.collect()
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
-    # Everything is read and reported anew, so the state is built under the measurement.
+    # A new process reads all rows and reports, so its state is built while memory is traced.
     process = meter.world.add_process(meter.process.controller_id.process, 2)
     meter.process.killed_at = meter.world.now
     meter.process = process
@@ -242,7 +241,7 @@
 
 
 def print_recovery() -> None:
-    """Print recoveries in seconds of the virtual clock; the baseline is the lease or the goal."""
+    """Print recovery times on the virtual clock; the baseline is the lease or the goal."""
     world = World(processes=3, workers=4)
     world.set_standing(2, "enc")
     world.run(6)
--- a/benchmarks/plot_policy.py
+++ b/benchmarks/plot_policy.py
@@ -2,7 +2,7 @@
 Plot of the interference policy's trade-off
 ===========================================
 
-Reads the lines of ``python -m benchmarks.policy`` and draws p99 against batch throughput:
+Read the lines of ``python -m benchmarks.policy`` and plot p99 against batch throughput:
 ``python -m benchmarks.plot_policy < docs/figures/policy.txt > docs/figures/policy.svg``.
 """
 
@@ -39,7 +39,7 @@
 
 
 def draw(figures: dict[str, dict[str, dict[str, float]]]) -> str:
-    """Return the picture as SVG."""
+    """Return the plot as SVG."""
     figure, axes = pyplot.subplots(1, len(DEPLOYMENTS), figsize=(11, 4.5), sharey=True)
     for axis, deployment in zip(axes, DEPLOYMENTS, strict=True):
         for chooser, it in figures[deployment].items():
@@ -56,7 +56,7 @@
 
 
 def main() -> None:
-    """Draw the lines of standard input."""
+    """Plot the figures read from standard input."""
     sys.stdout.write(draw(read_figures(sys.stdin)))
 
 
--- a/benchmarks/policy.py
+++ b/benchmarks/policy.py
@@ -2,7 +2,7 @@
 Benchmark of the interference policy
 ====================================
 
-Places the same streams of jobs on the same fixed pair tables with several choosers, and prints
+Place the same streams of jobs on the same fixed pair tables with several choosers, and print
 service p99, batch throughput and evictions of each, against a chooser that knows the true table.
 """
 
@@ -36,10 +36,10 @@
 @dataclass(frozen=True, slots=True)
 class Figures:
     """
-    Hold what one run gave.
+    Figures of one run.
 
-    ``p99`` is that of all requests in units of the idle one, ``throughput`` the share of the batch
-    processors that worked, ``evictions`` a count, ``waiting`` the mean number of queued jobs.
+    ``p99`` is that of all requests relative to the idle one, ``throughput`` the used share of the
+    batch processors, ``evictions`` a count, ``waiting`` the mean number of queued jobs.
     """
 
     p99: float
@@ -49,7 +49,7 @@
 
 
 class Run:
-    """Drive one chooser through one world."""
+    """One run of a chooser in one drawn world."""
 
     def __init__(self, seed: int, chooser: str, weights: Weights, lag: int = REPORT_LAG_S) -> None:
         self.table = PairTable(seed, RUN_SECONDS)
@@ -63,7 +63,7 @@
         self._tails: dict[float, float] = {}
 
     def run(self) -> Figures:
-        """Run all seconds."""
+        """Run all seconds and return the figures."""
         for now, jobs in enumerate(self._jobs):
             self.table.step(now)
             self.queue += [(now, job, 0.0) for job in jobs]
@@ -82,7 +82,7 @@
         )
 
     def _place(self, now: int) -> None:
-        """Place the queued jobs that find a place."""
+        """Place the queued jobs that the chooser accepts."""
         remaining = []
         refused: set[tuple[str, int]] = set()
         for ready, job, done in self.queue:
@@ -90,8 +90,8 @@
             if ready <= now and (job.kind, job.processors) not in refused:
                 state = self.chooser.choose(now, self.states, job, now - ready)
             if state is None:
-                # The longest waiting job of a class is asked for first; what holds for it holds
-                # for the others.
+                # The longest waiting job of a class comes first; if it is refused, so are the
+                # others.
                 if ready <= now:
                     refused.add((job.kind, job.processors))
                 remaining.append((ready, job, done))
@@ -109,7 +109,7 @@
         self.queue = remaining
 
     def _poll(self, now: int, state: WorkerState) -> None:
-        """Fetch a report and carry out what the chooser decides."""
+        """Fetch a report and execute the chooser's actions."""
         report = state.worker.poll(Poll(1, "", 0, ()))
         self._take_report(state, report)
         samples, state.pending_samples = state.pending_samples, ()
@@ -123,7 +123,7 @@
             self.chooser.record_residents(now, state)
 
     def _take_report(self, state: WorkerState, report: Report) -> None:
-        """Take the ends of jobs, and keep the samples for the chooser."""
+        """Release finished jobs and store the samples for the chooser."""
         for task in report.tasks:
             if task.state is TaskState.FINISHED:
                 self._release(state, task.task)
@@ -133,7 +133,7 @@
         state.pending_samples += report.samples
 
     def _act(self, now: int, state: WorkerState, action: Action) -> Iterator[Order]:
-        """Turn an action into orders."""
+        """Convert an action into orders."""
         match action:
             case Avoid(until=until):
                 state.avoided_until = until
@@ -145,14 +145,14 @@
                 yield Stop(task, 1, "checkpoint")
 
     def _requeue(self, now: int, state: WorkerState, task: str) -> None:
-        """Queue an evicted job again, from its checkpoint."""
+        """Queue an evicted job again with its checkpoint."""
         self.evictions += 1
         job = self._release(state, task)
         done = state.worker.saved.pop(task)
         self.queue.insert(0, (now + RESTART_TIME_S, job, done))
 
     def _release(self, state: WorkerState, task: str) -> Job:
-        """Free what a job held."""
+        """Release the processors of a job."""
         del state.residents[task]
         job = state.jobs.pop(task)
         state.free += job.processors
@@ -160,7 +160,7 @@
 
 
 def find_p99(tails: dict[float, float]) -> float:
-    """Return the p99 of all requests, each host's tail being exponential with its own p99."""
+    """Return the p99 of all requests, with an exponential tail for each host's p99."""
     total = sum(tails.values())
     low, high = 0.5, 50.0
     for _ in range(50):
@@ -172,7 +172,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Group:
-    """Name what is averaged over tables."""
+    """Key of figures that are averaged over tables."""
 
     split: str
     deployment: str
@@ -181,7 +181,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Task:
-    """Name one run of the benchmark."""
+    """Parameters of one run of the benchmark."""
 
     split: str
     deployment: str
@@ -195,7 +195,7 @@
 
 
 def list_tasks(splits: Iterable[str]) -> Iterator[Task]:
-    """Yield every run of some splits of the tables."""
+    """Yield the tasks of some splits of the tables."""
     for split in splits:
         for deployment in DEPLOYMENTS:
             for chooser in CHOOSERS:
@@ -232,7 +232,7 @@
 
 
 def print_figures(measured: dict[Group, Figures]) -> None:
-    """Print a line for each figure; p99, throughput and queue against the knowing chooser."""
+    """Print a line for each figure; evictions against evict-only, the others against the oracle."""
     for group, it in measured.items():
         oracle = measured[replace(group, chooser="knowing")]
         evict_only = measured[replace(group, chooser="evict-only")]
--- a/benchmarks/policy_cost.py
+++ b/benchmarks/policy_cost.py
@@ -2,8 +2,8 @@
 Cost of the interference policy
 ===============================
 
-Processor time of one decision, one score and one learnt sample, against the number of tasks on a
-host and of kinds known.
+Processor time of one decision, one score and one learned sample, by the number of tasks on a host
+and of known kinds.
 """
 
 from __future__ import annotations
@@ -73,7 +73,7 @@
 
 
 def main() -> None:
-    """Print the costs at several sizes against the smallest."""
+    """Print the costs at several sizes relative to the smallest."""
     baseline = measure_all(BASELINE_SIZE, BASELINE_SIZE)
     for tasks, kinds in ((BASELINE_SIZE, BASELINE_SIZE), (8, 8), (16, 16), (32, 32)):
         for name, value in measure_all(tasks, kinds).items():
--- a/benchmarks/queue_model.py
+++ b/benchmarks/queue_model.py
@@ -2,8 +2,8 @@
 Model of queues at instances
 ============================
 
-Latency of requests to instances with few slots, on a virtual clock with fixed seeds: the real
-decisions behind several entry hosts, against balancers that are simpler and one that knows all.
+Latency of requests to instances with few slots, on a virtual clock with fixed seeds: the product's
+decisions on several entry hosts, against simpler balancers and one with complete information.
 """
 
 from __future__ import annotations
@@ -32,7 +32,11 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadShape:
-    """Set up one run: load as a share of all slots; ``sigma`` is the spread of service times."""
+    """
+    Parameters of a run; ``load`` is a share of all slots.
+
+    ``sigma`` is the standard deviation of the logarithm of service times.
+    """
 
     load: float
     sigma: float
@@ -45,9 +49,9 @@
 @dataclass(slots=True)
 class Result:
     """
-    Collect the latencies of served requests and of refusals, in seconds.
+    Latencies of served requests and of refusals, in seconds.
 
-    ``attempts`` counts them for each request.
+    ``peak`` is the largest number of requests at one instance, ``attempts`` the mean for a request.
     """
 
     served: list[float] = field(default_factory=list)
@@ -57,18 +61,18 @@
     attempts: float = 1.0
 
     def quantile(self, share: float) -> float:
-        """Return a latency that this share of the served requests didn't exceed."""
+        """Return the latency that this share of the served requests did not exceed."""
         ordered = sorted(self.served)
         return ordered[min(len(ordered) - 1, int(share * len(ordered)))]
 
     @property
     def goodput(self) -> float:
-        """Return requests served within the deadline, for each second."""
+        """Return the requests served within the deadline per second."""
         return sum(latency <= DEADLINE_S for latency in self.served) / self.span
 
 
 def arrivals(shape: LoadShape) -> Iterator[tuple[float, float, int]]:
-    """Yield instant, service time and entry host of each request."""
+    """Yield arrival time, service time and entry host of each request."""
     rng = Random(shape.seed)
     rate = shape.load * shape.instances * SLOTS / MEAN_SERVICE_S
     mu = math.log(MEAN_SERVICE_S) - shape.sigma**2 / 2
@@ -79,7 +83,7 @@
 
 
 def run_central(shape: LoadShape) -> Result:
-    """Serve from one queue that sees every slot: the bound."""
+    """Serve from one central queue for all slots, which bounds the other balancers."""
     result = Result()
     free = [0.0] * (shape.instances * SLOTS)
     at = 0.0
@@ -92,7 +96,7 @@
 
 
 def run_queues(shape: LoadShape, choose: Callable[[int, list[list[int]], Random], int]) -> Result:
-    """Serve by balancers that send at once; requests queue at the instances."""
+    """Serve by balancers that send immediately; requests queue at the instances."""
     result = Result()
     rng = Random(shape.seed + 1)
     sent = [[0] * shape.instances for _ in range(shape.hosts)]
@@ -135,10 +139,10 @@
     hedged: bool = True,
 ) -> Result:
     """
-    Serve by the real decisions, one front for each entry host, each with its share of slots.
+    Serve by the product's decisions: one front for each entry host with its share of the slots.
 
-    With ``lost`` the first so many instances refuse connections between two instants; the last one
-    takes ``slow`` times as long.
+    ``outage`` gives begin, end and number of instances that refuse connections meanwhile; the last
+    instance takes ``slow`` times as long.
     """
     result = Result()
     clock, load = Clock(), Load()
@@ -178,8 +182,8 @@
 
 
 class _Unhedged(AttemptTiming):
-    """Begin no second attempt beside a first."""
+    """Attempt timing without hedging."""
 
     def hedge_delay(self, mean: float) -> float | None:
-        """Never hedge."""
+        """Return None, which disables hedging."""
         return None
--- a/benchmarks/request_cost.py
+++ b/benchmarks/request_cost.py
@@ -2,8 +2,8 @@
 Processor time of a request
 ===========================
 
-The processor time that one request takes in the front, against the bare forwarder, in one run.
-Callers, instance and the measured process are separate processes, started by the benchmark.
+Processor time of one request in the front and in the bare forwarder, measured in one run.  The
+instance and the measured server are separate processes, started by the benchmark.
 """
 
 from __future__ import annotations
@@ -60,7 +60,7 @@
 
 
 class _ServerProcess:
-    """Run one server in a process of its own and ask it for its processor time."""
+    """A server in a process of its own that reports its processor time."""
 
     def __init__(self, context: multiprocessing.context.SpawnContext, run: object, port: int):
         self._pipe, other = context.Pipe()
@@ -76,7 +76,7 @@
         self._process.join()
 
     def read_cpu(self) -> float:
-        """Read the child's processor seconds."""
+        """Return the server's processor time in seconds."""
         self._pipe.send("cpu")
         return float(self._pipe.recv())
 
@@ -113,7 +113,7 @@
 
 
 class _StubView:
-    """Show one bundle and one member, and drop events."""
+    """View of one bundle and one member that discards events."""
 
     def current(self) -> Bundle:
         """Return the bundle."""
@@ -124,7 +124,7 @@
         return (Member("e0/request", "e0", "casco", "request", 1, "127.0.0.1", 1),)
 
     def record(self, kind: str, ids: dict[str, str], detail: str = "", causes=()) -> Event:  # type: ignore[no-untyped-def]
-        """Make an event and drop it."""
+        """Return an event without storing it."""
         return Event("e0", "1", 0, 0.0, 0.0, kind, ids, detail, causes)
 
 
--- a/benchmarks/requests.py
+++ b/benchmarks/requests.py
@@ -28,7 +28,7 @@
 
 
 def main() -> None:
-    """Run and print every benchmark of requests."""
+    """Run every benchmark of requests and print the figures."""
     print_costs()
     for spread, sigma in SPREADS.items():
         for load in LOADS:
@@ -46,7 +46,7 @@
 
 
 def print_tails(spread: str, shape: LoadShape) -> None:
-    """Compare latencies with those of one central queue, the bound."""
+    """Compare latencies with the bound, those of one central queue."""
     bound = run_central(shape)
     runs = {
         "own": run_fronts(shape),
@@ -66,7 +66,7 @@
 
 
 def print_overload() -> None:
-    """Compare goodput at 120 % of the slots with that at 100 %, and time the refusals."""
+    """Compare goodput at 120 % load with that at 100 %, and print the share of slow refusals."""
     for spread, sigma in SPREADS.items():
         full = run_fronts(LoadShape(1.0, sigma, REQUESTS))
         over = run_fronts(LoadShape(1.2, sigma, REQUESTS))
@@ -76,7 +76,7 @@
 
 
 def print_outage() -> None:
-    """Lose a third of the instances for ten seconds at half load."""
+    """Compare runs with and without an outage of a third of the instances at half load."""
     shape = LoadShape(0.5, 0.25, OUTAGE_REQUESTS)
     healthy = run_fronts(shape)
     degraded = run_fronts(shape, outage=(*OUTAGE_S, shape.instances // 3))
@@ -87,7 +87,7 @@
 
 
 def print_hedging() -> None:
-    """Compare with hedges and without: one of 35 instances slow, and none."""
+    """Compare runs with and without hedging, with one of 35 instances slow and with none."""
     for spread, sigma in SPREADS.items():
         for load in HEDGING_LOADS:
             for label, slow in (("one_slow", SLOW_FACTOR), ("none_slow", 1.0)):
@@ -104,7 +104,7 @@
 
 
 def print_shares() -> None:
-    """Time the work of shares, which exchange no load: one change of members, one refresh."""
+    """Time the computation of slot shares: after a change of members, and a refresh without one."""
     changed: dict[int, float] = {}
     unchanged: dict[int, float] = {}
     for hosts in (9, 135):
@@ -148,7 +148,7 @@
 
 
 class _RoundRobin:
-    """Choose instances in turn, each host from a start of its own."""
+    """Choose instances in turn, with a different first instance on each host."""
 
     def __init__(self) -> None:
         self._next: dict[int, int] = {}
--- a/benchmarks/shared_jobs.py
+++ b/benchmarks/shared_jobs.py
@@ -2,7 +2,7 @@
 Jobs for workers that share
 ===========================
 
-Streams of urgent, lasting and patient jobs as the users' sites have them.
+Streams of urgent, long-running and patient jobs, modelled on the users' sites.
 """
 
 from __future__ import annotations
@@ -19,10 +19,10 @@
 @dataclass(frozen=True, slots=True)
 class SiteLoad:
     """
-    Describe a site's load; rates are jobs a second, times in seconds.
+    Load of a site; rates are in jobs per second, times in seconds.
 
-    ``urgent``, ``patient`` and ``lasting`` weigh what a served job or two seconds of a lasting one
-    are worth.
+    ``urgent_worth``, ``patient_worth`` and ``long_running_worth`` weigh the value of a job, or of
+    two seconds of a long-running one.
     """
 
     workers: int
@@ -44,14 +44,14 @@
     "stillwater": SiteLoad(24, 2.7, 0.64, 4_600, 2.05, 0.83, 125, 20.0, 0.4, 0.367, 2.89, 0.503),
     "cooling": SiteLoad(24, 2.54, 0.8, 4_600, 2.69, 0.8, 150, 20.0, 0.55, 0.38, 1.79, 0.417),
 }
-LEAD_TIME_S = 8.0  # s before the traffic in which lasting jobs begin
-TRAFFIC_TIME_S = 34.0  # s of traffic
-PATIENT_BURST = (12.0, 18.0, 1.4)  # s from, s to, times the patient jobs
+LEAD_TIME_S = 8.0  # before the traffic, in which long-running jobs begin
+TRAFFIC_TIME_S = 34.0
+PATIENT_BURST = (12.0, 18.0, 1.4)  # begin in s, end in s, factor of the rate
 
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """Hold a job, when it comes, what is true of it, and what it is worth."""
+    """A job with its time of arrival, its true durations and usages, and its value."""
 
     at: float
     job: Job
@@ -62,7 +62,7 @@
 
 
 def draw_jobs(rng: random.Random, site: SiteLoad, capacity: int) -> list[Arrival]:
-    """Draw a day's jobs for workers with ``room`` thousandths of a core."""
+    """Draw a day's jobs for workers with ``capacity`` thousandths of a core."""
     arrivals = list(_draw_long_running(rng, site, capacity))
     arrivals += _draw_stream(rng, site, site.urgent_rate, False)
     arrivals += _draw_stream(rng, site, site.patient_rate, True)
--- a/benchmarks/shared_workers.py
+++ b/benchmarks/shared_workers.py
@@ -1,8 +1,8 @@
 """
-Workers that share
-==================
+Model of shared workers
+=======================
 
-A model of workers on which tasks that fill disturb tasks that serve; time is an argument.
+Workers on which best-effort tasks raise the tail latency of serving tasks; time is an argument.
 """
 
 from __future__ import annotations
@@ -16,22 +16,22 @@
 
 __all__ = ["PairEffects", "SharedRun", "SharedWorker", "SharedWorld"]
 
-IDLE_TAIL_SHARE = 0.2  # of a target: the tail of an idle serving task
-MEASUREMENT_WINDOW_S = 0.5  # s over which a worker measures
-TAIL_NOISE = 0.05  # of a measured tail
-RESTORE_TIME_S = 0.25  # s that a resumed task needs first
-CHECKPOINT_INTERVAL_S = 1.0  # s of work between checkpoints
+IDLE_TAIL_SHARE = 0.2  # tail of an idle serving task as a share of its target
+MEASUREMENT_WINDOW_S = 0.5  # over which a worker averages
+TAIL_NOISE = 0.05  # relative, of a measured tail
+RESTORE_TIME_S = 0.25  # that a resumed task needs first
+CHECKPOINT_INTERVAL_S = 1.0  # of work between checkpoints
 
 
 @dataclass(slots=True)
 class PairEffects:
-    """Hold how much each filling image raises the utilization of each serving one."""
+    """How much each best-effort image raises the utilization of each serving image."""
 
     effects: dict[tuple[str, str], float]
 
     @classmethod
     def draw(cls, rng: random.Random, serving: int, best_effort: int, heavy: float) -> PairEffects:
-        """Draw a table in which a share of the pairs disturbs heavily."""
+        """Draw a table in which a share ``heavy`` of the pairs interferes strongly."""
         effects = {}
         for serving_image in range(serving):
             for best_effort_image in range(best_effort):
@@ -44,7 +44,7 @@
 
 @dataclass(slots=True)
 class SharedRun:
-    """Follow one run; ``work`` is in seconds on a whole worker, ``done`` what is behind it."""
+    """State of one run; ``work`` and ``done`` are in seconds at full speed."""
 
     task: TaskKey
     attempt: int
@@ -63,7 +63,7 @@
 
 @dataclass(slots=True)
 class SharedWorker:
-    """Run tasks that disturb each other."""
+    """Worker whose tasks interfere with each other."""
 
     entry: WorkerEntry
     runs: dict[TaskKey, SharedRun] = field(default_factory=dict)
@@ -73,7 +73,7 @@
     listed_sequence: int = 0
 
     def poll(self, acknowledged: int, now: float) -> PollAnswer:
-        """List what runs and what has ended."""
+        """Return the running and the ended runs."""
         self.ended = [ended for ended in self.ended if ended.sequence > acknowledged]
         running = tuple(_list_run(run, now) for run in self.runs.values())
         self.polled_at = now
@@ -81,7 +81,7 @@
         return PollAnswer(int(now * 1_000), running, tuple(self.ended))
 
     def end(self, task: TaskKey, end: RunEnd) -> None:
-        """End a run, which keeps its checkpoint."""
+        """End a run and keep its checkpoint."""
         run = self.runs.pop(task)
         self.sequence += 1
         checkpoint = repr(run.done) if run.step.checkpoints and end is not RunEnd.DONE else ""
@@ -89,7 +89,7 @@
 
 
 class SharedWorld:
-    """Hold all workers, the loads of serving jobs and the table of pairs."""
+    """All workers, the loads of serving jobs and the table of effects."""
 
     def __init__(
         self, rng: random.Random, pairs: PairEffects, amplitude: float, period: float
@@ -103,12 +103,12 @@
         self._phases: dict[str, float] = {}
 
     def load(self, job: str, now: float) -> float:
-        """Return the load that a job's callers put on each of its tasks."""
+        """Return the load that a job's callers generate on each of its tasks."""
         phase = self._phases.setdefault(job, self.rng.random())
         return 0.45 * (1 + self._amplitude * math.sin(2 * math.pi * (now / self._period + phase)))
 
     def advance(self, now: float, seconds: float) -> None:
-        """Let time pass on all workers."""
+        """Advance all workers by some seconds."""
         for worker in self.workers.values():
             self._advance(worker, now, seconds)
 
--- a/benchmarks/sharing.py
+++ b/benchmarks/sharing.py
@@ -2,8 +2,9 @@
 Benchmark of sharing
 ====================
 
-Place, pace and move tasks on modelled workers with the product's own decisions, and print what the
-three kinds of job earned: in time, late, lost; for lasting ones by each two seconds.
+Place, pace and move tasks on modelled workers with the product's own decisions, and print the value
+that three kinds of jobs earned: full if on time, part if late, none if lost.  Long-running jobs
+earn by their tails in intervals of two seconds.
 """
 
 from __future__ import annotations
@@ -35,16 +36,16 @@
 
 __all__ = ["Outcome", "main", "run_day"]
 
-STEP_S = 0.05  # s of the virtual clock
-DRAIN_TIME_S = 14.0  # s after the traffic in which jobs may end
-INTERVAL_S = 2.0  # s by which lasting jobs earn
-BLAME_WEIGHT = 4.0  # times that a target missed because of neighbours counts
-START_S = 100.0  # s on the virtual clock at the start of the traffic
+STEP_S = 0.05  # of the virtual clock
+DRAIN_TIME_S = 14.0  # after the traffic, in which jobs may end
+INTERVAL_S = 2.0  # over which the tails of long-running jobs are rated
+BLAME_WEIGHT = 4.0  # weight of a target that is missed because of neighbours
+START_S = 100.0  # of the virtual clock, when the traffic starts
 
 
 @dataclass(slots=True)
 class Outcome:
-    """Hold what a day gave."""
+    """Values and counts of a day by kind of job."""
 
     earned: Counter[str] = field(default_factory=Counter)
     attainable: Counter[str] = field(default_factory=Counter)
@@ -54,7 +55,7 @@
     stops: int = 0
 
     def add(self, kind: str, worth: float, share: float, lost: bool) -> None:
-        """Count one job, or two seconds of a lasting one."""
+        """Count one job, or one interval of a long-running one."""
         self.submitted[kind] += 1
         self.attainable[kind] += worth
         self.earned[kind] += worth * share
@@ -63,7 +64,7 @@
 
 
 class Day:
-    """Drive one day."""
+    """Simulation of one day of a site."""
 
     def __init__(self, site: str, seed: int) -> None:
         rng = random.Random(seed)
@@ -91,7 +92,7 @@
         return Now(self.time, int(self.time * 1_000), int(self.time * 1_000))
 
     def run_day(self) -> Outcome:
-        """Play the day and count."""
+        """Run the day and return its outcome."""
         while self.time < START_S + TRAFFIC_TIME_S + DRAIN_TIME_S:
             self._take_turn()
         for arrival in self.arrivals:
@@ -206,7 +207,7 @@
 
 
 def run_day(day: tuple[str, int]) -> Outcome:
-    """Play one day of a site."""
+    """Run one day of a site."""
     return Day(*day).run_day()
 
 
--- a/benchmarks/turns.py
+++ b/benchmarks/turns.py
@@ -2,12 +2,12 @@
 Benchmark of an owner's turn
 ============================
 
-Print the processor time of each decision on a full fleet, and how it grows with what waits, what
-runs and the number of workers.
+Print the processor time of each decision on a full fleet, and how it grows with waiting steps,
+running tasks and workers.
 
 Notes
 -----
-All workers are full and most of what waits finds no place, as in an overload: then a turn brings
+All workers are full and most waiting tasks fit nowhere, as in an overload, when a turn achieves
 least and costs most.
 """
 
@@ -36,20 +36,20 @@
 
 __all__ = ["FullFleet", "main"]
 
-START_S = 100.0  # s on the virtual clock
-TURN_S = 0.02  # s of it between turns
+START_S = 100.0  # of the virtual clock
+TURN_S = 0.02  # between turns
 WORKER_CPU = 64_000  # thousandths of a core
 LONG_RUNNING = Step(14, 13_000, 4_000, long_running=True, image="s0", target=50)
 URGENT = Step(10, 11_000, 6_000, estimate=1_000)
-SERVING_IMAGES = 5  # images that serve
-BEST_EFFORT_IMAGES = 9  # images that fill
-TAIL_MS = 35  # ms: a tail below its target, but not so low that anything may be added
+SERVING_IMAGES = 5
+BEST_EFFORT_IMAGES = 9
+TAIL_MS = 35  # below the target, but too high for more best-effort tasks
 SEED = 1
 
 
 @dataclass(frozen=True, slots=True)
 class Load:
-    """Say how many workers there are, what runs on each and what waits, in steps."""
+    """Number of workers, best-effort runs on each, and waiting steps by kind."""
 
     workers: int = 246
     best_effort_runs: int = 3
@@ -59,7 +59,7 @@
 
 
 class FullFleet:
-    """Hold a cell without room and what waits for some."""
+    """A cell whose workers are full, with waiting tasks."""
 
     def __init__(self, load: Load) -> None:
         self.load = load
@@ -83,7 +83,7 @@
         return Now(self.time, int(self.time * 1_000), int(self.time * 1_000))
 
     def answer_polls(self) -> None:
-        """Have all workers answer that what they run goes on."""
+        """Apply an answer of each worker that its runs continue."""
         for worker in self.cell.workers.values():
             running = [self._list_run(run) for run in worker.runs.values()]
             apply_answer(
@@ -91,7 +91,7 @@
             )
 
     def count_tasks(self) -> int:
-        """Return how many tasks wait."""
+        """Return the number of waiting tasks."""
         return sum(map(len, self.cell.waiting.values()))
 
     def _make_entry(self, number: int) -> WorkerEntry:
@@ -199,7 +199,7 @@
 @click.command()
 @click.option("--turns", default=30, show_default=True, help="Turns of each load.")
 def main(turns: int) -> None:
-    """Print what a turn takes with one thing halved or doubled at a time, in ms."""
+    """Print what a turn takes in ms, with one quantity halved or doubled at a time."""
     click.echo(" " * 24 + "".join(f"{name:>11}" for name in DECISIONS))
     for name, load in LOADS.items():
         spent = measure(load, turns)
