--- a/toucanpin/bundles/replication.py
+++ b/toucanpin/bundles/replication.py
@@ -2,7 +2,7 @@
 Replication of bundles
 ======================
 
-Decide in each process which accepted bundle is in force and where to look for a newer one.
+Decide in each process which accepted bundle is in force and from where to request a newer one.
 """
 
 from __future__ import annotations
@@ -136,7 +136,7 @@
         return offer
 
     def record_failed_read(self, now: float) -> None:
-        """Note that a ReadTable failed."""
+        """Record that a ReadTable failed."""
         self._detect_freeze(now)
         self._reading = False
         self._table_answers = False
@@ -159,7 +159,7 @@
         return offer
 
     def record_failed_pull(self, now: float) -> None:
-        """Note that a PullFrom returned no record."""
+        """Record that a PullFrom returned no record."""
         self._detect_freeze(now)
         self._pulling = False
         self._pull_due = now + self._timing.retry_delay
--- a/toucanpin/bundles/schema.py
+++ b/toucanpin/bundles/schema.py
@@ -63,7 +63,7 @@
 
 
 class Bundle(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One version of the whole configuration of a deployment."""
+    """One version of the complete configuration of a deployment."""
 
     deployment: str
     version: int
--- a/toucanpin/bundles/tests/test_rollback.py
+++ b/toucanpin/bundles/tests/test_rollback.py
@@ -80,7 +80,7 @@
 
     def test_a_replaced_host_with_the_table_down_asks_its_peers(self):
         """
-        A host is replaced while the table is down.  The first peer to answer has missed version 2;
+        A host is replaced while the table is down.  The first peer to answer lacks version 2;
         the new process must wait for the heartbeats of the others and apply version 2.
         """
         self.cluster.freeze(THIRD)
@@ -171,7 +171,7 @@
     def test_a_process_frozen_longer_than_every_timeout(self):
         """
         A process misses version 2 while it is frozen for longer than every timeout.  Its socket
-        still contains heartbeats that confirm version 1, by which it must not serve.
+        still contains heartbeats that confirm version 1, which it must not serve.
         """
         self.cluster = Cluster(NAMES, timing=ReplicationTiming(outage_timeout=100.0))
         self.cluster.accept(make_record(1), FIRST)
@@ -193,7 +193,7 @@
         """
         A process misses version 2 while it is frozen for five minutes, less than the outage
         timeout.  Its outdated membership view shows all others as reachable, but it must not serve
-        a waiting request by version 1.
+        a waiting request with version 1.
         """
         self.cluster.freeze(SECOND)
         self.cluster.accept(make_record(2), FIRST)
@@ -348,7 +348,7 @@
         """
         Two isolated processes exchange delayed heartbeats.  If each adopted the other's age as it
         is, every delay would shorten the age of the confirmation, and they would serve an outdated
-        bundle for ever.
+        bundle indefinitely.
         """
         other = BundleReplica("b/request", ROOT, ReplicationTiming(), 0.0)
         other.receive_rows((row_of(make_record(1), 1),), 0.0, 0.1)
--- a/toucanpin/daemon/bundles.py
+++ b/toucanpin/daemon/bundles.py
@@ -106,10 +106,10 @@
 
     def current(self) -> Bundle | None:
         """
-        Return the bundle in force, None while this process must not serve by it.
+        Return the bundle in force, None while this process must not serve requests with it.
 
         Readiness is checked at each call: a process that was frozen for minutes must not serve even
-        one request by an outdated bundle.
+        one request with an outdated bundle.
         """
         with self._lock:
             return self._replica.bundle if self._compute_readiness().ready else None
@@ -120,7 +120,7 @@
             return self._replica.record
 
     def readiness(self) -> Readiness:
-        """Return whether this process may serve by the bundle that it holds, and why not."""
+        """Return whether this process may serve requests with its bundle, and why not."""
         with self._lock:
             return self._compute_readiness()
 
--- a/toucanpin/daemon/caller_answer.py
+++ b/toucanpin/daemon/caller_answer.py
@@ -2,8 +2,8 @@
 Answers to callers
 ==================
 
-Writes an instance's answer, or a refusal, to a caller's connection.  If an answer breaks off, the
-connection is closed without the terminator, so that the caller can't take it for complete.
+Writes an instance's answer, or a refusal, to a caller's connection.  If an answer is truncated,
+the connection is closed without the terminator, so that the caller notices.
 """
 
 from __future__ import annotations
--- a/toucanpin/daemon/caller_reader.py
+++ b/toucanpin/daemon/caller_reader.py
@@ -34,7 +34,11 @@
         return self._start < len(self._buffer)
 
     def receive_head(self, limit: int) -> bool:
-        """Receive without blocking; return whether a head, over ``limit`` bytes or the end came."""
+        """
+        Receive without blocking; return whether reading a head can no longer block.
+
+        It can't after a complete head, more than ``limit`` bytes or the end of the data.
+        """
         if self._has_head(limit):
             return True
         try:
--- a/toucanpin/daemon/caller_server.py
+++ b/toucanpin/daemon/caller_server.py
@@ -3,7 +3,7 @@
 =======================
 
 A cheroot server that parses input strictly and refuses in JSON.  A caller occupies a thread only
-once its whole request head has arrived.
+once its complete request head has arrived.
 """
 
 from __future__ import annotations
@@ -143,7 +143,7 @@
         self.deferred = False
 
     def has_head(self, limit: int) -> bool:
-        """Return whether a thread can read a whole head, or the error, without blocking."""
+        """Return whether a thread can read a complete head, or the error, without blocking."""
         return self.rfile.receive_head(limit)
 
     def close(self) -> None:
@@ -158,7 +158,7 @@
 
 
 class CallerServer(wsgi.Server):
-    """Server that passes a connection to a thread only once a whole request head has arrived."""
+    """Server that passes a connection to a thread only once a complete request head has arrived."""
 
     ConnectionClass = CallerConnection
 
--- a/toucanpin/daemon/claimer.py
+++ b/toucanpin/daemon/claimer.py
@@ -68,7 +68,7 @@
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
         self._table = table
-        # With equal tokens two processes could both take one row for their own.  The random part
+        # With equal tokens two processes could both regard a row as their own.  The random part
         # keeps tokens apart even if names and incarnations are configured wrongly.
         self._token_prefix = f"{process}:{secrets.token_hex(8)}"
         self._clock = clock
--- a/toucanpin/daemon/deadline_socket.py
+++ b/toucanpin/daemon/deadline_socket.py
@@ -20,7 +20,7 @@
     """
     Socket whose operations time out at ``deadline``, in seconds of the monotonic clock.
 
-    A plain timeout starts anew with every operation, so a peer that sends byte after byte could
+    A plain timeout restarts with every operation, so a peer that sends byte after byte could
     occupy its thread without limit.
     """
 
--- a/toucanpin/daemon/forwarder.py
+++ b/toucanpin/daemon/forwarder.py
@@ -2,8 +2,8 @@
 Forwarder
 =========
 
-Sends one attempt of a request to one instance over urllib3's connections.  The outcome tells
-whether the attempt ended before its first byte was sent, after that, or with a complete answer.
+Sends one attempt of a request to one instance over urllib3's connections.  The outcome
+states whether the attempt ended before its first byte was sent, after that, or with an answer.
 """
 
 from __future__ import annotations
@@ -60,7 +60,7 @@
     Request as it is sent to an instance.
 
     ``headers`` are all headers except for the deadline.  ``remaining_body`` returns an iterator
-    over the part that follows ``body``; None if ``body`` is the whole body.
+    over the part that follows ``body``; None if ``body`` is complete.
     """
 
     method: str
@@ -72,7 +72,7 @@
 
 
 class _Connection(HTTPConnection):
-    """Connection that knows if anything was written and has one deadline for a whole exchange."""
+    """Connection that records whether anything was written, with one deadline per exchange."""
 
     response_class = InstanceAnswer
     written = False
--- a/toucanpin/daemon/front.py
+++ b/toucanpin/daemon/front.py
@@ -80,11 +80,11 @@
     """
     Settings of a front.
 
-    ``name`` is this process's name among the members (``<host>/request``), ``incarnation`` tells
-    its restarts apart; times are in seconds, sizes in bytes.  ``linger`` is how long a draining
-    front still accepts requests from the balancer.  ``share_hold`` is how long this process waits
-    before it uses slots that another process may still be using; None stands for the time in which
-    members learn of each other plus each service's deadline.
+    ``name`` is this process's name among the members (``<host>/request``), ``incarnation``
+    distinguishes its restarts; times are in seconds, sizes in bytes.  ``linger`` is how long a
+    draining front still accepts requests from the balancer.  ``share_hold`` is how long this
+    process waits before it uses slots that another process may still be using; None stands for the
+    time in which members learn of each other plus each service's deadline.
     """
 
     name: str
@@ -110,8 +110,8 @@
     hosts : function that returns the platform's host list as last read
     members : source of the known members; the request processes among them share the slots
     table : table that stores the claims of request ids
-    events : time line of this process
-    mounts : applications by path prefix, such as ``/v1/jobs``; they see the whole ``PATH_INFO``
+    events : timeline of this process
+    mounts : applications by path prefix, such as ``/v1/jobs``; ``PATH_INFO`` stays complete
     rng : random generator for routing and admission
     """
 
--- a/toucanpin/daemon/main.py
+++ b/toucanpin/daemon/main.py
@@ -2,7 +2,7 @@
 Daemon
 ======
 
-Implements the command ``toucanpind``, which runs one process until it is told to stop.
+Implements the command ``toucanpind``, which runs one process until it receives a signal to stop.
 """
 
 from __future__ import annotations
--- a/toucanpin/daemon/operators.py
+++ b/toucanpin/daemon/operators.py
@@ -1,8 +1,8 @@
 """
-OperatorsInterface' HTTP
-===============
+HTTP interface of operators
+===========================
 
-Serves the operators' applications, such as probes, metrics and state, on an endpoint of its own.
+Serves applications for operators, such as probes, metrics and state, on an endpoint of its own.
 """
 
 from __future__ import annotations
--- a/toucanpin/daemon/tests/front_harness.py
+++ b/toucanpin/daemon/tests/front_harness.py
@@ -211,7 +211,7 @@
 
 
 class Reply:
-    """Answer as a caller received it; ``complete`` tells whether the body was complete."""
+    """Answer as a caller received it; ``complete`` is True if the body was complete."""
 
     def __init__(self, raw: bytes) -> None:
         head, _, rest = raw.partition(b"\r\n\r\n")
--- a/toucanpin/daemon/tests/test_access.py
+++ b/toucanpin/daemon/tests/test_access.py
@@ -25,7 +25,7 @@
         self.recorder = Recorder("entry-a/request", "1", lambda: 0.0, lambda: 0.0)
         self.served = []
 
-    def ask(self, method, path, token=None):
+    def request(self, method, path, token=None):
         app = guard_app(self.serve, read_operators(self.path), self.recorder)
         environ = {"REQUEST_METHOD": method, "PATH_INFO": path}
         if token is not None:
@@ -40,12 +40,12 @@
 
     def test_probes_need_no_token(self):
         self.path.write_text(write_operator("ada", "t1", ["read"]))
-        self.assertEqual(self.ask("GET", "/readyz"), "200 OK")
+        self.assertEqual(self.request("GET", "/readyz"), "200 OK")
 
     def test_change_by_reader_is_refused_and_recorded(self):
         self.path.write_text(write_operator("ada", "t1", ["read"]))
-        self.assertEqual(self.ask("GET", "/v1/bundle", "t1"), "200 OK")
-        self.assertEqual(self.ask("POST", "/v1/bundle", "t1"), "403 Forbidden")
+        self.assertEqual(self.request("GET", "/v1/bundle", "t1"), "200 OK")
+        self.assertEqual(self.request("POST", "/v1/bundle", "t1"), "403 Forbidden")
         self.assertEqual(self.served, ["/v1/bundle"])
         event = self.recorder.read_after(0).events[0]
         self.assertEqual(event.kind, "operator.refused")
@@ -61,8 +61,8 @@
         chooser = random.Random(3)
         guesses = ["", "right-toke", "right-token2", *(str(chooser.random()) for _ in range(20))]
         for guess in guesses:
-            self.assertEqual(self.ask("GET", "/v1/bundle", guess), "401 Unauthorized")
-        self.assertEqual(self.ask("GET", "/v1/bundle"), "401 Unauthorized")
+            self.assertEqual(self.request("GET", "/v1/bundle", guess), "401 Unauthorized")
+        self.assertEqual(self.request("GET", "/v1/bundle"), "401 Unauthorized")
         self.assertEqual(self.served, [])
 
     def test_file_with_duplicate_token_is_refused(self):
--- a/toucanpin/daemon/tests/test_broken_connections.py
+++ b/toucanpin/daemon/tests/test_broken_connections.py
@@ -41,7 +41,7 @@
         """
         An answer that ends early, after any byte, by FIN or RST, must give the caller a 502.
 
-        http.client takes the end of the connection for the end of the headers or of the last
+        http.client treats the end of the connection as the end of the headers or of the last
         chunk, and would pass on the partial answer as complete.
         """
         for outgoing, full in (
--- a/toucanpin/daemon/tests/test_bundle_replication.py
+++ b/toucanpin/daemon/tests/test_bundle_replication.py
@@ -66,8 +66,8 @@
         """
         A host is replaced by one with the same name and address and a lower incarnation.
 
-        It puts version 1 in force, and the other processes see it alive, since it raises its
-        incarnation above that of its predecessor.
+        It puts version 1 in force, and the other processes consider it alive, since it raises
+        its incarnation above that of its predecessor.
         """
         self.submit(self.nodes[0], 1)
         self.assert_in_force(1)
--- a/toucanpin/daemon/tests/test_hostile_callers.py
+++ b/toucanpin/daemon/tests/test_hostile_callers.py
@@ -85,7 +85,7 @@
         The sender gets one 4xx answer and a closed connection; the instance receives nothing.
 
         The balancer and the front may parse such input differently, so that a part that one of them
-        takes for a body could run as another caller's request.
+        treats as a body could run as another caller's request.
         """
         front = self.start()
         for name, data in AMBIGUOUS.items():
--- a/toucanpin/daemon/tests/test_page.py
+++ b/toucanpin/daemon/tests/test_page.py
@@ -88,7 +88,7 @@
 
 
 class AppTest(unittest.TestCase):
-    def ask(self, method, path):
+    def request(self, method, path):
         app = make_page_app(make_page)
         answers = []
         environ = {"REQUEST_METHOD": method, "PATH_INFO": path}
@@ -96,7 +96,7 @@
         return answers[0][0], dict(answers[0][1]), body
 
     def test_content_security_policy_forbids_scripts(self):
-        status, headers, body = self.ask("GET", "/")
+        status, headers, body = self.request("GET", "/")
         self.assertEqual(status, "200 OK")
         self.assertEqual(int(headers["Content-Length"]), len(body))
         self.assertIn("default-src 'none'", headers["Content-Security-Policy"])
@@ -105,7 +105,7 @@
     def test_other_paths_and_changes_are_refused(self):
         """The page is mounted at the root, so it receives the requests for all unknown paths."""
         for method, path in (("GET", "/v1/unknown"), ("GET", "/index.html"), ("POST", "/")):
-            self.assertEqual(self.ask(method, path)[0], "404 Not Found", (method, path))
+            self.assertEqual(self.request(method, path)[0], "404 Not Found", (method, path))
 
 
 if __name__ == "__main__":
--- a/toucanpin/daemon/tests/test_timeline.py
+++ b/toucanpin/daemon/tests/test_timeline.py
@@ -53,7 +53,7 @@
 
 
 class AppTest(unittest.TestCase):
-    def ask(self, query, method="GET"):
+    def request(self, query, method="GET"):
         """Send a request; return the status, headers and body of the response."""
         recorder = make_recorder(capacity=3)
         for _ in range(5):
@@ -66,23 +66,23 @@
         return response[0], response[1], b"".join(body)
 
     def test_answers_json_lines_after_a_number(self):
-        status, headers, body = self.ask("after=4")
+        status, headers, body = self.request("after=4")
         self.assertEqual(status, "200 OK")
         self.assertEqual(read_sequences(body), [5])
         self.assertEqual(headers["Toucanpin-Timeline-Incarnation"], "7")
 
     def test_reports_the_number_of_missed_events(self):
-        _, headers, body = self.ask("")
+        _, headers, body = self.request("")
         self.assertEqual(headers["Toucanpin-Timeline-Missed"], "2")
         self.assertEqual(read_sequences(body), [3, 4, 5])
 
     def test_refuses_invalid_sequence_numbers(self):
         for query in ("after=", "after=-1", "after=x", "after=%D9%A3", "after=" + "9" * 400):
             with self.subTest(query):
-                status, _, body = self.ask(query)
+                status, _, body = self.request(query)
                 self.assertEqual(status, "400 Bad Request")
                 self.assertIn(b"not-run", body)
-        self.assertEqual(self.ask("", method="POST")[0], "405 Method Not Allowed")
+        self.assertEqual(self.request("", method="POST")[0], "405 Method Not Allowed")
 
 
 class StreamerTest(unittest.TestCase):
--- a/toucanpin/daemon/upstream_answer.py
+++ b/toucanpin/daemon/upstream_answer.py
@@ -43,7 +43,7 @@
     """
     Answer of an instance, accepted only if its end is unambiguous.
 
-    http.client takes the end of the connection for the end of the headers, the trailers, a chunk's
+    http.client treats the end of the connection as the end of the headers, the trailers, a chunk's
     size or a body without a length.  A truncated answer would then pass for a complete one.
     ``headers_by_name`` maps lower-case names to values, ``header_lines`` lists the headers in the
     order received.
--- a/toucanpin/daemon/upstreams.py
+++ b/toucanpin/daemon/upstreams.py
@@ -67,7 +67,7 @@
 
     ``share_hold`` is the time in seconds before slots that another process may still be using are
     used; None derives it from each service's deadline.  ``max_requests`` is the number of requests
-    that the process can keep at one time, in flight and queued.
+    that the process can serve at one time, in flight and queued.
     """
 
     def __init__(
--- a/toucanpin/membership/beat.py
+++ b/toucanpin/membership/beat.py
@@ -2,7 +2,7 @@
 Heartbeats
 ==========
 
-What one process tells another about itself and about the members that it knows.
+Contents of heartbeats: the state of the sender and its view of the other members.
 """
 
 from __future__ import annotations
--- a/toucanpin/membership/incarnation.py
+++ b/toucanpin/membership/incarnation.py
@@ -3,8 +3,8 @@
 ============
 
 Incarnation numbers of members.  A process takes a new process incarnation whenever it starts, and
-raises its number within that to refute a suspicion.  The number holds both: the process incarnation
-in the upper bits, the refutations in the lower ones.
+raises its number within that to refute a suspicion.  The number contains both: the process
+incarnation in the upper bits, the refutations in the lower ones.
 """
 
 from __future__ import annotations
--- a/toucanpin/membership/member.py
+++ b/toucanpin/membership/member.py
@@ -2,7 +2,7 @@
 Members
 =======
 
-What one process knows of another: its address, its incarnation and whether it answers.
+Processes as the others know them, with address, incarnation and standing.
 """
 
 from __future__ import annotations
--- a/toucanpin/membership/tests/test_view.py
+++ b/toucanpin/membership/tests/test_view.py
@@ -54,12 +54,12 @@
         self.assertIs(mesh.get_standing(A, C), Standing.LEAVING)
         self.assertEqual(mesh.views[A].count_reachable(), (1, 1))
 
-    def test_a_one_way_cut_does_not_remove(self):
+    def test_a_one_way_partition_removes_no_member(self):
         """
         Heartbeats from B to A are lost, all others are delivered.
 
-        A suspects B, but relayed records show that C still hears it.  If A removed B, it would take
-        over work that B is still doing.
+        A suspects B, but relayed records show that C still receives its heartbeats.  If A removed
+        B, it would take over work that B is still doing.
         """
         mesh = build_mesh()
         mesh.cut = lambda sender, receiver: (sender, receiver) == (B, A)
@@ -173,8 +173,8 @@
         """
         Two of four hosts are removed, and the platform's list no longer contains them.
 
-        The remaining processes hear all members that exist.  If they counted the removed ones as
-        lost, they would take an outage of the table for a network cut of their own.
+        The remaining processes reach all members that exist.  If they counted the removed ones as
+        lost, they would mistake an outage of the table for their own isolation.
         """
         mesh = build_mesh((A, B, C, D))
         del mesh.views[C], mesh.views[D]
--- a/toucanpin/membership/view.py
+++ b/toucanpin/membership/view.py
@@ -41,11 +41,11 @@
 @dataclass(slots=True)
 class _Entry:
     """
-    What is known of one member.
+    State of one member.
 
     ``heartbeat_at`` is the instant of its last own heartbeat, ``updated_at`` that of the last newer
     record of it, also relayed by others.  ``departed`` is True if it left or was replaced, so that
-    it is not expected to be heard.
+    no heartbeats of it are expected.
     """
 
     member: Member
@@ -100,20 +100,20 @@
         return frozenset((member.address, member.port) for member in self.members())
 
     def count_reachable(self) -> tuple[int, int]:
-        """Return how many other members are heard, and how many are expected to be."""
+        """Return how many other members are alive, and how many are expected to be."""
         entries = tuple(self._entries.values())
-        heard = sum(entry.member.standing is Standing.ALIVE for entry in entries)
+        alive = sum(entry.member.standing is Standing.ALIVE for entry in entries)
         expected = sum(not entry.departed for entry in entries)
-        return heard, expected
+        return alive, expected
 
     def mark_delisted(self, listed: frozenset[str]) -> None:
         """
         Mark gone members as departed if the platform's list of entry hosts lacks their hosts.
 
         The names of replaced hosts stay in the view.  Counted as lost for an hour, they would make
-        a process that hears all running members conclude that it hears less than half.  The list
-        lags, so only members that are gone in this view too are marked.  A list that lacks this
-        host is not a list of entry hosts and is ignored.
+        a process that reaches all running members conclude that it reaches less than half.  The
+        list lags, so only members that are gone in this view too are marked.  A list that lacks
+        this host is not a list of entry hosts and is ignored.
         """
         if self.own.host not in listed:
             return
@@ -142,8 +142,8 @@
             if entry.relays_left > 0 or entry.member.standing is Standing.SUSPECT:
                 entry.relays_left = max(0, entry.relays_left - 1)
                 records.append(Record(entry.member, entry.sequence))
-        news = tuple(r for r in records if r.member.standing is not Standing.GONE)
-        return Beat(Record(self.own, sequence), self.digest(), news)
+        present = tuple(r for r in records if r.member.standing is not Standing.GONE)
+        return Beat(Record(self.own, sequence), self.digest(), present)
 
     def list_answers(self, name: str) -> tuple[Record, ...]:
         """Return the records that the named member needs for the same view, its own included."""
@@ -202,8 +202,8 @@
         pause = now - self._last_tick
         if pause <= self._timing.suspect_after:
             return
-        # This process was frozen.  It seems that no member was heard during the pause, and counting
-        # that time would remove all members at once.  The others have removed this process in the
+        # This process was frozen.  No heartbeats were read during the pause, and counting that
+        # time would remove all members at once.  The others have removed this process in the
         # meantime, so it returns as a new incarnation.
         for entry in self._entries.values():
             entry.heartbeat_at += pause
--- a/toucanpin/placement/cells.py
+++ b/toucanpin/placement/cells.py
@@ -182,7 +182,7 @@
         """
         Return whether a worker's incarnation is proven to run nothing any more.
 
-        That is so once nobody can have renewed its lease for a whole term: our own grants have
+        That is so once no process can have renewed its lease for a term: our own grants have
         ended, and either it refuses earlier owners or their authority has ended too.
         """
         state = self.link(worker).incarnation_state(incarnation)
--- a/toucanpin/placement/leases.py
+++ b/toucanpin/placement/leases.py
@@ -42,7 +42,7 @@
         """
         Return how long the row of an owner that is not alive must be unchanged before a takeover.
 
-        A live owner's row is unchanged for a whole renewal interval.  After a shorter wait cells
+        A live owner's row is unchanged for up to a renewal interval.  After a shorter wait cells
         would be taken from live owners that were merely slow, which would take them back at once.
         """
         return self.renew_every + RENEWAL_SLACK_S
--- a/toucanpin/placement/placing.py
+++ b/toucanpin/placement/placing.py
@@ -181,7 +181,7 @@
     Limit the free capacity of each worker by the size that the worker itself reports.
 
     The host list may be wrong or outdated; a worker smaller than listed would refuse the tasks
-    placed on it again and again.
+    placed on it repeatedly.
     """
     for name in usable:
         free = index.free(name)
--- a/toucanpin/placement/tests/test_authority.py
+++ b/toucanpin/placement/tests/test_authority.py
@@ -132,7 +132,7 @@
         self.assertTrue(watch.may_fence(OWNER, 18.2))
 
     def test_process_that_reaches_the_table_promises_nothing(self):
-        """An owner that is cut off must give way if others reach the table."""
+        """An owner without the table must be replaceable while others reach it."""
         watch = watch_owner()
         watch.table_reachable = True
         self.assertFalse(watch.answer_standstill(OWNER, 1.0))
--- a/toucanpin/placement/tests/test_faults.py
+++ b/toucanpin/placement/tests/test_faults.py
@@ -24,14 +24,14 @@
             for _ in range(steps):
                 world.pass_time(0.04)
                 owner.step()
-            told = world.cancel(job).ok
+            status = world.cancel(job).ok
             world.run(5)
             final = world.jobs()[job]
-            self.assertEqual(told.state, final.state.value)
+            self.assertEqual(status.state, final.state.value)
             self.assertEqual(world.cells()["s.r0"].tasks, {})
             self.assertEqual(world.table.scan("queue/"), ())
             self.assertEqual(world.running(job), [])
-            outcomes.add(told.state)
+            outcomes.add(status.state)
         self.assertEqual(outcomes, {"cancelled", "finished"})
 
 
--- a/toucanpin/placement/tests/test_interference_aware.py
+++ b/toucanpin/placement/tests/test_interference_aware.py
@@ -52,9 +52,9 @@
     until = world.now + seconds
     while world.now < until:
         world.run(0.125)
-        for _, note in world.events[seen:]:
-            if note.kind in ("task.throttle", "task.evict", "task.outgrown", "policy.fail"):
-                acts.append((world.now, note.kind, note.detail))
+        for _, event in world.events[seen:]:
+            if event.kind in ("task.throttle", "task.evict", "task.outgrown", "policy.fail"):
+                acts.append((world.now, event.kind, event.detail))
         seen = len(world.events)
     return acts
 
@@ -116,7 +116,7 @@
         for _ in range(2_000):
             world.pass_time(0.125)
             world.processes["e0/control"].step()
-            if "task.throttle" in [note.kind for _, note in world.events[seen:]]:
+            if "task.throttle" in [event.kind for _, event in world.events[seen:]]:
                 break
         world.fault(Effect.LOSE_BEFORE, "poll", times=2)
         world.run(3)
@@ -161,7 +161,7 @@
         for number in range(12):
             world.submit(str(number), processors=1 + number % 4, work=2_000)
         world.run(10)
-        return [(note.kind, note.ids, note.detail) for _, note in world.events]
+        return [(event.kind, event.ids, event.detail) for _, event in world.events]
 
     def test_without_samples_placement_is_best_fit(self):
         """Every task goes to the same host in the same order as under the best-fit policy."""
--- a/toucanpin/placement/tests/test_outages.py
+++ b/toucanpin/placement/tests/test_outages.py
@@ -28,7 +28,7 @@
         world.run(15)
         self.assertEqual(find_gaps(world, "enc"), [])
 
-    def test_outage_with_a_missing_promise_stops_the_task_and_never_doubles_it(self):
+    def test_outage_with_a_missing_promise_stops_the_task_and_never_runs_it_twice(self):
         """
         A process on the roster dies during the outage and can't promise, so it might be taking
         over.  The task stops when its lease expires, and starts again once the table answers.
@@ -45,7 +45,7 @@
         world.run(15)
         self.assertEqual(len(world.running("enc")), 1)
 
-    def test_owner_cut_off_from_table_and_peers_gives_way(self):
+    def test_owner_without_table_and_peers_is_replaced(self):
         """
         The owner and its worker are cut off from the table and from the other process.  That
         process reaches the table, so it refuses to promise, fences the owner after the term and
@@ -82,7 +82,7 @@
         self.assertLess(world.table.counts.writes - before, 40)
 
     def test_submission_during_an_outage_has_not_run(self):
-        """The submitter is told at once that nothing was accepted, and when to retry."""
+        """The refusal says at once that nothing was accepted, and when to retry."""
         world = World()
         make_table_unavailable(world)
         refusal = world.submit("a").error
--- a/toucanpin/placement/tests/test_owners.py
+++ b/toucanpin/placement/tests/test_owners.py
@@ -125,7 +125,7 @@
         self.assertNotEqual(find_owner(world, "enc"), owner)
         owner.paused = False
         world.run(15)
-        self.assertIn("authority.fenced", {note.kind for _, note in world.events})
+        self.assertIn("authority.fenced", {event.kind for _, event in world.events})
         self.assertEqual(find_owner(world, "enc"), owner)
         self.assertEqual(find_gaps(world, "enc"), [])
 
--- a/toucanpin/placement/tests/test_queue.py
+++ b/toucanpin/placement/tests/test_queue.py
@@ -59,12 +59,14 @@
 
     def test_overcommitment_is_rejected(self):
         """Each component is checked, and so is the existence of the worker."""
-        whole = Size(4, 4, 1)
+        capacity = Size(4, 4, 1)
         for size in (Size(5, 1), Size(1, 5), Size(1, 1, 2)):
             with self.subTest(size=size), self.assertRaises(LedgerError):
-                ledger.check_capacity(None, make_cell(whole, make_task("a", size=size, worker="w")))
+                ledger.check_capacity(
+                    None, make_cell(capacity, make_task("a", size=size, worker="w"))
+                )
         with self.assertRaises(LedgerError):
-            ledger.check_capacity(None, make_cell(whole, make_task("a", worker="x")))
+            ledger.check_capacity(None, make_cell(capacity, make_task("a", worker="x")))
 
     def test_worker_that_shrank_keeps_its_tasks(self):
         """Its tasks may end one by one, but none is added."""
@@ -123,7 +125,7 @@
 
 
 class PolicyTest(unittest.TestCase):
-    """Quotas, urgency and moves between cells over whole turns."""
+    """Quotas, urgency and moves between cells over capacity turns."""
 
     def test_team_never_exceeds_its_quota(self):
         """Its other jobs wait, and all of them finish eventually."""
--- a/toucanpin/placement/tracking.py
+++ b/toucanpin/placement/tracking.py
@@ -31,7 +31,7 @@
 @dataclass(slots=True)
 class AttemptTracker:
     """
-    Orders and measurements of one attempt; times are on the owner's clock unless noted.
+    Orders and measurements of one attempt; times are on the owner's clock unless stated otherwise.
 
     ``share`` is in force, ``requested`` is the share that the policy set.  ``sampled_at`` is on the
     worker's clock.  ``excess`` counts consecutive samples far above the declared size; ``ceiling``
--- a/toucanpin/platform/exchange.py
+++ b/toucanpin/platform/exchange.py
@@ -46,7 +46,7 @@
     client
         Name of this process, sent with each request.
     timeout
-        Time limit of a whole exchange, in seconds.
+        Time limit of an exchange, in seconds.
     pools
         Maximum number of hosts with pooled connections.
     connections
--- a/toucanpin/platform/machines.py
+++ b/toucanpin/platform/machines.py
@@ -70,7 +70,7 @@
 
 
 class _MachineName(msgspec.Struct):
-    """The minimum of an entry, for entries that don't decode as a whole."""
+    """Name in an entry, for entries whose other fields can't be decoded."""
 
     machine: str
 
--- a/toucanpin/platform/store.py
+++ b/toucanpin/platform/store.py
@@ -178,7 +178,7 @@
         timeout: float = READ_TIMEOUT_S,
     ) -> Committed | Conflict:
         """
-        Apply all of ``puts`` to one part if all of ``expected`` hold, and nothing otherwise.
+        Apply all of ``puts`` to one partition if all of ``expected`` hold, and nothing otherwise.
 
         Raises
         ------
--- a/toucanpin/platform/tests/test_http.py
+++ b/toucanpin/platform/tests/test_http.py
@@ -87,11 +87,11 @@
         may have taken effect.
         """
         refused = len(NO_EFFECT.rstrip())  # without the final blank line, which adds no information
-        for whole, last in ((APPLIED, len(APPLIED)), (NO_EFFECT, refused)):
+        for full_answer, last in ((APPLIED, len(APPLIED)), (NO_EFFECT, refused)):
             for then in ("close", "reset"):
                 for cut in range(last):
-                    with self.subTest(cut=cut, then=then, whole=whole[:40]):
-                        self.assertTrue(is_unknown(self.commit(Reply(whole[:cut], then))))
+                    with self.subTest(cut=cut, then=then, full_answer=full_answer[:40]):
+                        self.assertTrue(is_unknown(self.commit(Reply(full_answer[:cut], then))))
 
     def test_reset_before_the_request_is_read(self):
         """
@@ -135,9 +135,9 @@
         invalid += [answer(b'{"version":1}', status) for status in (201, 301, 400, 404, 500, 503)]
         invalid += [b"HTTP/1.1 200 x\r\n\r\n{", b"SSH-2.0-x\r\n\r\n", b"HTTP/1.1 abc\r\n\r\n"]
         invalid += [chunk(b"{}").replace(b"2\r\n", b"zz\r\n", 1), b"\x00" * 70_000]
-        for whole in invalid:
-            with self.subTest(whole=whole[:60]):
-                self.assertTrue(is_unknown(self.commit(Reply(whole))))
+        for full_answer in invalid:
+            with self.subTest(full_answer=full_answer[:60]):
+                self.assertTrue(is_unknown(self.commit(Reply(full_answer))))
 
     def test_redirect_is_not_followed(self):
         moved = answer(b"", 307, "Location: /elsewhere\r\n")
@@ -157,8 +157,8 @@
 
 
 class ObjectsTest(AdapterTest):
-    def get(self, whole):
-        objects = HttpObjectStore(self.serve(Reply(whole)).url, "c")
+    def get(self, full_answer):
+        objects = HttpObjectStore(self.serve(Reply(full_answer)).url, "c")
         self.addCleanup(objects.close)
         return objects.get("a/b ?")
 
@@ -167,21 +167,21 @@
         The store closes the connection in the middle of a checkpoint.  If that counted as complete,
         a job would resume from a truncated checkpoint.
         """
-        whole = answer(b"x" * 30)
-        for cut in range(len(whole)):
+        full_answer = answer(b"x" * 30)
+        for cut in range(len(full_answer)):
             with self.subTest(cut=cut):
-                self.assertTrue(is_unknown(self.get(whole[:cut])))
-        self.assertEqual(self.get(whole).ok, b"x" * 30)
+                self.assertTrue(is_unknown(self.get(full_answer[:cut])))
+        self.assertEqual(self.get(full_answer).ok, b"x" * 30)
 
     def test_chunked_object_is_refused(self):
         """
-        The library takes a chunked object that is truncated within its final chunk for complete.
+        The library accepts a chunked object that is truncated within its final chunk as complete.
         The platform always states lengths, so any chunked answer is a fault.
         """
-        whole = chunk(b"x" * 30)
-        for cut in range(len(whole) + 1):
+        full_answer = chunk(b"x" * 30)
+        for cut in range(len(full_answer) + 1):
             with self.subTest(cut=cut):
-                self.assertTrue(is_unknown(self.get(whole[:cut])))
+                self.assertTrue(is_unknown(self.get(full_answer[:cut])))
 
     def test_object_without_length_is_unknown(self):
         self.assertTrue(is_unknown(self.get(b"HTTP/1.1 200 x\r\n\r\nhalf")))
--- a/toucanpin/platform/tests/test_store_and_workers.py
+++ b/toucanpin/platform/tests/test_store_and_workers.py
@@ -92,7 +92,7 @@
         """
         The answer to a watch arrives after newer answers to other calls.  If its page had the clock
         of the newest answer, an owner would claim to know all jobs up to a time that it has not
-        seen, and counts told to callers would lack the jobs submitted since.
+        seen, and counts shown to callers would lack the jobs submitted since.
         """
         caller = ScriptedTransport(
             _answer(200, nowMs=9_000), _answer(200, rowVersion=4, nowMs=7_000)
--- a/toucanpin/requests/attempt_timing.py
+++ b/toucanpin/requests/attempt_timing.py
@@ -24,8 +24,8 @@
     """
     Learn from answer times how long an attempt may take.
 
-    An instance that is frozen or cut off does not answer; without a timeout of its own, the first
-    attempt would use up the whole time until the caller's deadline.
+    A frozen or unreachable instance does not answer; without a timeout of its own, the first
+    attempt would use up all the time until the caller's deadline.
     """
 
     __slots__ = ("_timeout_quantile", "_hedge_quantile")
@@ -52,7 +52,7 @@
         Return the seconds after which a second attempt may start, None while unknown.
 
         The delay is at least twice the ``mean``: where answer times hardly vary, an answer that is
-        later than most still comes sooner than that of an attempt started now.
+        later than most still arrives before that of an attempt started now.
         """
         if not self._hedge_quantile.is_warm:
             return None
--- a/toucanpin/requests/messages.py
+++ b/toucanpin/requests/messages.py
@@ -218,7 +218,7 @@
 
 
 class ActionDone(msgspec.Struct, frozen=True):
-    """The action is done; ``truncated`` is True if the caller did not get the whole answer."""
+    """The action is done; ``truncated`` is True if the caller did not get the complete answer."""
 
     at: float
     truncated: bool = False
--- a/toucanpin/requests/path.py
+++ b/toucanpin/requests/path.py
@@ -67,7 +67,7 @@
     if refusal is None:
         return
     if claimed is not None and refusal.verdict is Verdict.NOT_RUN:
-        # Without this the caller, told that the request did not run, could never run it under
+        # Without this the caller, informed that the request did not run, could never run it under
         # the same id.  It is safe because only this path held the claim, and it ends here.
         yield ReleaseClaim(claimed.claim)
     yield Answer(refusal)
--- a/toucanpin/requests/retry_budget.py
+++ b/toucanpin/requests/retry_budget.py
@@ -17,7 +17,7 @@
 
 class RetryBudget:
     """
-    Token bucket of retries; each first attempt earns a part of a token.
+    Token bucket of retries; each first attempt earns a fraction of a token.
 
     At most ``1 + share`` attempts per request are made over any sequence of
     ``INITIAL_TOKENS / (share * (1 - EARNED_FRACTION))`` requests or more (300 at a share of 0.1):
--- a/toucanpin/requests/tests/test_claims.py
+++ b/toucanpin/requests/tests/test_claims.py
@@ -197,8 +197,8 @@
 
     def test_batch_is_limited_and_has_each_id_once(self):
         claims = tuple(prepare_claim(f"r{n}", f"{n}") for n in range(MAX_TRANSACTION_ROWS + 9))
-        batch, rest = gather_batch(claims)
-        self.assertEqual((len(batch), len(rest)), (MAX_TRANSACTION_ROWS, 9))
+        batch, remaining = gather_batch(claims)
+        self.assertEqual((len(batch), len(remaining)), (MAX_TRANSACTION_ROWS, 9))
         duplicates = (prepare_claim("r", "a"), prepare_claim("r", "b"))
         self.assertEqual(gather_batch(duplicates), (duplicates[:1], duplicates[1:]))
 
--- a/toucanpin/requests/tests/test_hedging.py
+++ b/toucanpin/requests/tests/test_hedging.py
@@ -1,4 +1,4 @@
-"""Tests of hedging: a second attempt beside a slow one."""
+"""Tests of hedging: a second attempt in parallel to a slow one."""
 
 import unittest
 from random import Random
--- a/toucanpin/wire/messages.py
+++ b/toucanpin/wire/messages.py
@@ -54,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberRecord:
-    """The sender's view of one member; ``sequence`` is the highest it knows of."""
+    """The sender's view of one member; ``sequence`` is the highest known."""
 
     name: str
     site: str
--- a/toucanpin/wire/server.py
+++ b/toucanpin/wire/server.py
@@ -172,7 +172,7 @@
     def _handle(self, received: Received) -> Message:
         envelope = received.envelope
         # A replayed request to another process must not be handled here, since the client would
-        # take this process's promise for that of the other process.
+        # mistake this process's promise for that of the other process.
         if envelope.audience != self._identity.name:
             return Refused(f"meant for {envelope.audience!r}, this is {self._identity.name}")
         handler = self._handlers.get(type(received.message))
--- a/toucanpin/wire/tests/test_exchange.py
+++ b/toucanpin/wire/tests/test_exchange.py
@@ -82,7 +82,7 @@
     def test_request_for_another_process_is_refused(self):
         """
         A host was replaced and another process has its address, or a captured request is replayed
-        to another process.  The client must not take this process's promise for the other's.
+        to another process.  The client must not mistake this process's promise for the other's.
         """
         match self.call(Standstill("a/control", 6.0), locate("c/control", self.server.port)):
             case Result(tag="error", error=CallFault(verdict, detail)):
