--- a/toucanpin/entry/tests/test_advice_dispatcher.py
+++ b/toucanpin/entry/tests/test_advice_dispatcher.py
@@ -22,7 +22,7 @@
 
 class AdviceDispatcherTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
-        self.asked: list[dict] = []
+        self.requests: list[dict] = []
         self.released = asyncio.Event()
         address = f"127.0.0.1:{free_port()}"
         self.service = Server(self._answer, 16_384, 65_536)
@@ -45,7 +45,7 @@
         await self.service.drain(0.0)
 
     async def _answer(self, request: Request) -> Response:
-        self.asked.append(msgspec.json.decode(request.body))
+        self.requests.append(msgspec.json.decode(request.body))
         await self.released.wait()
         body = {"approved": [["w1", "t1"]], "validityMs": 3_000}
         return Response(200, msgspec.json.encode(body))
@@ -57,7 +57,7 @@
         """
         first = asyncio.ensure_future(self.dispatcher.request(GROUP, ("w1",)))
         second = asyncio.ensure_future(self.dispatcher.request(GROUP, ("w1", "w2")))
-        while len(self.asked) < 2:
+        while len(self.requests) < 2:
             await asyncio.sleep(0.01)
         self.assertEqual(0, self.dispatcher.count_free())
         self.released.set()
--- a/toucanpin/entry/tests/test_backlog.py
+++ b/toucanpin/entry/tests/test_backlog.py
@@ -9,7 +9,7 @@
 from toucanpin.entry.owner import Owner
 
 OTHER_JOB = "00000000000000b2"
-HOUR = 3_600_000  # ms
+HOUR_MS = 3_600_000
 
 
 class BacklogTest(unittest.IsolatedAsyncioTestCase):
@@ -25,7 +25,7 @@
 
     async def _overload_owner(self) -> None:
         def estimate(owner: Owner, now: object) -> None:
-            owner._rows.backlog = {0: HOUR}
+            owner._rows.backlog = {0: HOUR_MS}
 
         self.enterContext(patch.object(Owner, "_estimate_backlog", estimate))
 
--- a/toucanpin/entry/tests/test_cell_loading.py
+++ b/toucanpin/entry/tests/test_cell_loading.py
@@ -20,7 +20,7 @@
 from toucanpin.verdict import Verdict
 
 RENEWALS = 8  # they take more than twice the time after which a silent owner is replaced
-LOAD_TIMEOUT = 5.0  # s for 15 reads and the delays after failed ones
+LOAD_TIMEOUT_S = 5.0  # s for 15 reads and the delays after failed ones
 PAGES = 6  # of progress
 
 
@@ -108,7 +108,7 @@
         cell = Cell("c", 1, 0.0, 0.0)
         record = OwnerRecord("h", "l", 1, 0)
         rows = CellRows(store, cell, InterferenceModel(), record, 0, 0.0, RowReader())
-        async with asyncio.timeout(LOAD_TIMEOUT):
+        async with asyncio.timeout(LOAD_TIMEOUT_S):
             await rows.load(Clocks(store).now)
 
 
--- a/toucanpin/entry/tests/test_cell_workers.py
+++ b/toucanpin/entry/tests/test_cell_workers.py
@@ -32,7 +32,7 @@
             clocks,
             ProcessDelay(),
             lambda _: None,
-            _nothing,
+            _do_nothing,
         )
         worker = Worker(WorkerEntry("w", "c", "127.0.0.1:1", "dc", True, 1, 1, 0))
         worker.listed_sequence = 1
@@ -76,18 +76,18 @@
         clocks = Clocks(Store(Site().store))  # type: ignore[arg-type]
         cell = Cell("c", 1, 0.0, 0.0)
         workers = CellWorkers(
-            cell, InterferenceModel(), clocks, ProcessDelay(), lambda _: None, _nothing
+            cell, InterferenceModel(), clocks, ProcessDelay(), lambda _: None, _do_nothing
         )
         worker = Worker(WorkerEntry("w", "c", "127.0.0.1:1", "dc", True, 1, 1, 0))
         cell.workers["w"] = worker
         client = _SilentWorkerClient()
         workers._clients["w"] = client  # type: ignore[assignment]
         workers.signal_loaded()
-        holding = asyncio.ensure_future(workers._poll(worker))
+        polling = asyncio.ensure_future(workers._poll(worker))
         for _ in range(10):
             await asyncio.sleep(0)
-        holding.cancel()
-        self.assertEqual(2, client.asked)
+        polling.cancel()
+        self.assertEqual(2, client.polls)
         self.assertTrue(worker.silent)
 
 
@@ -95,14 +95,14 @@
     """Worker that never answers."""
 
     def __init__(self) -> None:
-        self.asked = 0
+        self.polls = 0
 
     async def poll(self, *_: object) -> None:
-        self.asked += 1
+        self.polls += 1
         raise CallError(Verdict.MAY_HAVE_RUN, "no answer")
 
 
-def _nothing() -> None:
+def _do_nothing() -> None:
     """Do nothing."""
 
 
--- a/toucanpin/entry/tests/test_configuration.py
+++ b/toucanpin/entry/tests/test_configuration.py
@@ -20,16 +20,16 @@
 from toucanpin.scheduling.configuration import Configuration, Queue
 from toucanpin.verdict import Verdict
 
-TEST_TIMEOUT = 20.0  # s after which a test that would hang fails
-SILENCE = 6.0  # s since the last read of the configuration
-DISABLED_PERIOD = 1_000.0  # s; longer than a test takes
+TEST_TIMEOUT_S = 20.0  # s after which a test that would hang fails
+UNREAD_PERIOD_S = 6.0  # s since the last read of the configuration
+DISABLED_PERIOD_S = 1_000.0  # s; longer than a test takes
 READS = 6  # of the configuration, of which only the first finds a change
 
 
 class UnchangedConfigurationTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
         # Exclude full reads, which come every 3 s at most.
-        self.enterContext(patch("toucanpin.entry.row_cache.FULL_READ_PERIOD_S", DISABLED_PERIOD))
+        self.enterContext(patch("toucanpin.entry.row_cache.FULL_READ_PERIOD_S", DISABLED_PERIOD_S))
         self.site = Site()
         self.site.configure()
         self.addAsyncCleanup(self.site.close)
@@ -43,12 +43,12 @@
         refused in 110 s, and 25 of 32 hosts never read the later versions.
         """
         store = self.site.store
-        given = store.row_counts["op"]
-        asked = store.read_counts["op"]
+        rows_before = store.row_counts["op"]
+        reads_before = store.read_counts["op"]
         self.assertTrue(
-            await self.site.wait_until(lambda: store.read_counts["op"] >= asked + READS)
+            await self.site.wait_until(lambda: store.read_counts["op"] >= reads_before + READS)
         )
-        self.assertEqual(given, store.row_counts["op"])
+        self.assertEqual(rows_before, store.row_counts["op"])
 
 
 class OutdatedConfigurationTest(unittest.IsolatedAsyncioTestCase):
@@ -72,7 +72,7 @@
         body = msgspec.json.encode({"spec": "work", "pipeline": [{"cpu": 1_000}]})
         request = Request("POST", f"{PREFIX}{1:016x}", {"host": HOST}, body)
         site.configure(2, "/other/")
-        watch.confirmed -= SILENCE
+        watch.confirmed -= UNREAD_PERIOD_S
         with patch.object(RowCache, "update", _fail_update):
             answer = await requests.handle(request)
         assert answer is not None
@@ -98,23 +98,23 @@
         site.configure(2, "/other/")
         updated: list[RowCache] = []
 
-        async def fail(followed: RowCache) -> None:
-            updated.append(followed)
-            await _fail_update(followed)
+        async def fail(cache: RowCache) -> None:
+            updated.append(cache)
+            await _fail_update(cache)
 
         with patch.object(RowCache, "update", fail):
             # A read in progress may still confirm the old version; it has ended once the next
             # starts.
             self.assertTrue(await site.wait_until(lambda: watch._cache in updated))
-            watch.confirmed -= SILENCE
+            watch.confirmed -= UNREAD_PERIOD_S
             answer = await site.call("GET", PREFIX)
         self.assertEqual(503, answer.status)
 
 
 class SharedReadTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
-        self.caller = _SilentStore()
-        self.watch = ConfigurationWatch(Store(self.caller))
+        self.store = _SilentStore()
+        self.watch = ConfigurationWatch(Store(self.store))
 
     async def test_concurrent_callers_share_one_read(self) -> None:
         """
@@ -122,11 +122,11 @@
         wait for the reads of all earlier ones, a time-out each: the last was answered after 38 s,
         though its caller had closed the connection after 3 s.
         """
-        asking = [asyncio.ensure_future(self.watch.refresh(0.25)) for _ in range(5)]
-        await self.caller.asked.wait()
-        self.caller.failing.set()
-        self.assertEqual([False] * 5, await asyncio.gather(*asking))
-        self.assertEqual(1, self.caller.calls)
+        refreshing = [asyncio.ensure_future(self.watch.refresh(0.25)) for _ in range(5)]
+        await self.store.called.wait()
+        self.store.failing.set()
+        self.assertEqual([False] * 5, await asyncio.gather(*refreshing))
+        self.assertEqual(1, self.store.calls)
 
     async def test_a_caller_is_answered_before_its_deadline(self) -> None:
         """
@@ -134,12 +134,12 @@
         The answer must not wait until the read of the configuration fails, seconds later.
         """
         self.watch.apply(Configuration(1, (Queue("q", "", "/jobs/", "c"),)))
-        requests = RequestHandler(Store(self.caller), self.watch, Clocks(Store(self.caller)))
+        requests = RequestHandler(Store(self.store), self.watch, Clocks(Store(self.store)))
         request = Request("GET", "/jobs/", {"x-deadline-ms": "200"})
         answer = await requests.handle(request)
         assert answer is not None
         self.assertEqual(503, answer.status)
-        self.assertFalse(self.caller.failing.is_set())
+        self.assertFalse(self.store.failing.is_set())
 
 
 async def _fail_update(_: RowCache) -> None:
@@ -151,15 +151,15 @@
 
     def __init__(self) -> None:
         self.calls = 0
-        self.asked = asyncio.Event()
+        self.called = asyncio.Event()
         self.failing = asyncio.Event()
 
     async def call(
         self, method: str, path: str, body: bytes = b"", *, timeout: float = 1.0
     ) -> Answer:
         self.calls += 1
-        self.asked.set()
-        async with asyncio.timeout(TEST_TIMEOUT):
+        self.called.set()
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             await self.failing.wait()
         raise CallError(Verdict.NOT_RUN, "no answer")
 
--- a/toucanpin/entry/tests/test_crashing.py
+++ b/toucanpin/entry/tests/test_crashing.py
@@ -11,7 +11,7 @@
 WORKERS = 3
 MAX_CRASHES = 5  # two more after three workers have crashed
 OTHER_JOB = "00000000000000a2"
-RESTART_DELAY = 0.3  # s until another worker process answers at the same address
+RESTART_DELAY_S = 0.3  # s until another worker process answers at the same address
 
 
 class CrashingTaskTest(unittest.IsolatedAsyncioTestCase):
@@ -41,4 +41,4 @@
         address = worker.core.entry.address
         await worker.crashed.wait()
         await worker.stop()
-        await asyncio.sleep(RESTART_DELAY)
+        await asyncio.sleep(RESTART_DELAY_S)
--- a/toucanpin/entry/tests/test_dropping_jobs.py
+++ b/toucanpin/entry/tests/test_dropping_jobs.py
@@ -14,7 +14,7 @@
 from toucanpin.scheduling.ownership import OwnerRecord
 from toucanpin.scheduling.write_batches import WriteBatch
 
-TEST_TIMEOUT = 5.0  # s after which a test that would hang fails
+TEST_TIMEOUT_S = 5.0  # s after which a test that would hang fails
 
 
 class DroppingJobsTest(unittest.IsolatedAsyncioTestCase):
@@ -29,7 +29,7 @@
         Guards against deleting the rows of five ended jobs in sequence before each commit.  With a
         table that takes 0.6 s per call, each commit would be 3 s late, and the owner be replaced.
         """
-        async with asyncio.timeout(TEST_TIMEOUT):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             await self.rows.write(WriteBatch({}, ("a1", "a2"), (), {}), False)
         self.assertEqual(["c"], self.store.parts)
 
--- a/toucanpin/entry/tests/test_job_watch.py
+++ b/toucanpin/entry/tests/test_job_watch.py
@@ -19,19 +19,19 @@
 from toucanpin.scheduling.pending_counts import TableView
 from toucanpin.verdict import Verdict
 
-CANCEL_BOUND = 3.0  # s after a cancel is acknowledged from which on no task may start
+CANCEL_BOUND_S = 3.0  # s after a cancel is acknowledged from which on no task may start
 
 
 class _SilentStore:
     """Store that never answers, and records the time-outs of calls."""
 
     def __init__(self) -> None:
-        self.waited: list[float] = []
+        self.timeouts: list[float] = []
 
     async def call(
         self, method: str, path: str, body: bytes = b"", *, timeout: float = 1.0
     ) -> Answer:
-        self.waited.append(timeout)
+        self.timeouts.append(timeout)
         raise CallError(Verdict.MAY_HAVE_RUN, "silent")
 
 
@@ -44,7 +44,7 @@
         silent = _SilentStore()
         with self.assertRaises(CallError):
             await Store(silent).follow("jobs", 0, FEED_WAIT_S, FEED_MARGIN_S)
-        self.assertLess(silent.waited[0] + RETRY_DELAY_S, CANCEL_BOUND)
+        self.assertLess(silent.timeouts[0] + RETRY_DELAY_S, CANCEL_BOUND_S)
 
 
 class OutdatedViewTest(unittest.IsolatedAsyncioTestCase):
@@ -87,12 +87,12 @@
         store = Store(_SilentStore())
         clocks = Clocks(store)
         cell = Cell("c", 1, 0.0, 0.0)
-        entries = RowReader()
+        reader = RowReader()
         rows = CellRows(
-            store, cell, InterferenceModel(), OwnerRecord("h", "l", 1, 0), 1, 0.0, entries
+            store, cell, InterferenceModel(), OwnerRecord("h", "l", 1, 0), 1, 0.0, reader
         )
         rows.view = TableView(5, 1_000)
-        jobs = CellJobs(store, clocks, cell, rows, entries, 120.0, lambda: None)
+        jobs = CellJobs(store, clocks, cell, rows, reader, 120.0, lambda: None)
         row = Row("jobs", "elsewhere", "k", b"", 7)
         jobs._apply_changes(Page((row,) * MAX_PAGE_ROWS, False, 7, 9_000))
         self.assertEqual(TableView(7, 1_000), rows.view)
--- a/toucanpin/entry/tests/test_peers.py
+++ b/toucanpin/entry/tests/test_peers.py
@@ -13,7 +13,7 @@
 from toucanpin.platform.store import Store
 from toucanpin.scheduling.settings import Bounds, HostSettings
 
-CLOCK_OFFSET = 10 * ROW_RETENTION_S  # s since the last announcement of stopped hosts
+CLOCK_OFFSET_S = 10 * ROW_RETENTION_S  # s since the last announcement of stopped hosts
 
 
 class ExpiredHostsTest(unittest.IsolatedAsyncioTestCase):
@@ -21,7 +21,7 @@
         self.site = Site()
         self.site.configure()
         self.addAsyncCleanup(self.site.close)
-        self.site.store.started_at -= CLOCK_OFFSET
+        self.site.store.started_at -= CLOCK_OFFSET_S
 
     def _announce(self, name: str, announced: int) -> None:
         peer = Peer(name, "127.0.0.1", 1, announced, 0)
@@ -36,18 +36,18 @@
         rows of all hosts that ever existed every two seconds, and once they exceeded one answer
         some live hosts weren't known.
         """
-        self._announce("gone", 1)
-        now = int(CLOCK_OFFSET * 1_000)
-        self._announce("there", now)
+        self._announce("expired", 1)
+        now = int(CLOCK_OFFSET_S * 1_000)
+        self._announce("live", now)
         await self.site.add_host()
-        self.assertTrue(await self.site.wait_until(lambda: not self._is_listed("gone")))
-        self.assertTrue(self._is_listed("there"))
+        self.assertTrue(await self.site.wait_until(lambda: not self._is_listed("expired")))
+        self.assertTrue(self._is_listed("live"))
         self.assertTrue(self._is_listed("h0"))
 
     async def test_hosts_are_known_despite_many_expired_ones(self) -> None:
         for number in range(600):
             self._announce(f"a{number:03}", 1)
-        self._announce("there", int(CLOCK_OFFSET * 1_000))
+        self._announce("live", int(CLOCK_OFFSET_S * 1_000))
         host = await self.site.add_host()
         self.assertTrue(await self.site.wait_until(host.has_peers))
 
@@ -67,11 +67,15 @@
         order, none or all would; if weak hosts came first, the cell would be handed over once more.
         """
         cores = {f"h{number:02}": 2.0 if number % 5 == 0 else 0.5 for number in range(30)}
-        hosts = [Peer(name, "127.0.0.1", 1, 1_000, 0, 0, each) for name, each in cores.items()]
-        places = {name: self._count_before(name, each, hosts) for name, each in cores.items()}
-        self.assertEqual(list(range(30)), sorted(places.values()))
-        strong = {name for name, each in cores.items() if each > 1.0}
-        self.assertEqual(strong, {name for name, place in places.items() if place < 6})
+        hosts = [
+            Peer(name, "127.0.0.1", 1, 1_000, 0, 0, own_cores) for name, own_cores in cores.items()
+        ]
+        ranks = {
+            name: self._count_before(name, own_cores, hosts) for name, own_cores in cores.items()
+        }
+        self.assertEqual(list(range(30)), sorted(ranks.values()))
+        strong = {name for name, own_cores in cores.items() if own_cores > 1.0}
+        self.assertEqual(strong, {name for name, rank in ranks.items() if rank < 6})
 
 
 if __name__ == "__main__":
--- a/toucanpin/entry/tests/test_pending_counts.py
+++ b/toucanpin/entry/tests/test_pending_counts.py
@@ -23,7 +23,7 @@
 from toucanpin.scheduling.ownership import OwnerRecord
 from toucanpin.scheduling.write_batches import take_batch
 
-SILENCE = 7.0  # s for which the owner hasn't written anything
+SILENT_PERIOD_S = 7.0  # s for which the owner hasn't written anything
 
 
 class OutdatedCountTest(unittest.IsolatedAsyncioTestCase):
@@ -48,7 +48,7 @@
         """
         await self._write_counts()
         await self._submit_jobs(3)
-        self.site.store.started_at -= SILENCE
+        self.site.store.started_at -= SILENT_PERIOD_S
         self.assertEqual(3, await self._count())
 
     async def test_a_count_is_refused_before_the_cell_has_an_owner(self) -> None:
@@ -66,7 +66,7 @@
         """
         await self._write_counts()
         await self._submit_jobs(3)
-        self.site.store.started_at -= SILENCE
+        self.site.store.started_at -= SILENT_PERIOD_S
         self.site.store.forget_history()
         self.assertEqual(503, (await self._call("GET", PREFIX)).status)
 
@@ -74,7 +74,7 @@
         await self._write_counts()
         await self._submit_jobs(3)
         self.assertEqual(200, (await self._call("DELETE", f"{PREFIX}{1:016x}")).status)
-        self.site.store.started_at -= SILENCE
+        self.site.store.started_at -= SILENT_PERIOD_S
         self.assertEqual(2, await self._count())
 
     async def test_a_count_ends_while_jobs_are_submitted(self) -> None:
@@ -85,13 +85,13 @@
         """
         await self._write_counts()
         await self._submit_jobs(3)
-        self.site.store.started_at -= SILENCE
-        follow, asked = self.store.follow, self.site.store.read_counts
+        self.site.store.started_at -= SILENT_PERIOD_S
+        follow, reads = self.store.follow, self.site.store.read_counts
 
         async def follow_busy(table: str, after: int, wait: float) -> Page | None:
-            self.assertLess(asked["jobs"], 100)
+            self.assertLess(reads["jobs"], 100)
             page = await follow(table, after, wait)
-            await self._submit_jobs(1, asked["jobs"] + 100)
+            await self._submit_jobs(1, reads["jobs"] + 100)
             return page
 
         with patch.object(Store, "follow", lambda _, *rest: follow_busy(*rest)):
@@ -107,25 +107,25 @@
         await self._submit_jobs(3)
         read = self.store.read
 
-        late = 0.0
+        delay = 0.0
 
         async def read_late(*rest: Any) -> Page:
-            nonlocal late
+            nonlocal delay
             page = await read(*rest)
-            late = 5.0 if rest[0] == COUNTS_TABLE else late
+            delay = 5.0 if rest[0] == COUNTS_TABLE else delay
             return page
 
         with (
-            patch("toucanpin.platform.store.steady_time", lambda: steady_time() + late),
+            patch("toucanpin.platform.store.steady_time", lambda: steady_time() + delay),
             patch.object(Store, "read", lambda _, *rest: read_late(*rest)),
         ):
             self.assertEqual(3, await self._count())
 
     async def test_a_recent_count_costs_one_read(self) -> None:
         await self._write_counts()
-        asked = self.site.store.read_counts["jobs"]
+        reads = self.site.store.read_counts["jobs"]
         self.assertEqual(0, await self._count())
-        self.assertEqual(asked, self.site.store.read_counts["jobs"])
+        self.assertEqual(reads, self.site.store.read_counts["jobs"])
 
     async def _write_counts(self) -> None:
         """Read the cell as an owner would, and write its counts once."""
--- a/toucanpin/entry/tests/test_relay.py
+++ b/toucanpin/entry/tests/test_relay.py
@@ -64,8 +64,8 @@
         """
         self.faults[0].status = 429
         peers = self.stores[0][2]
-        gone = (Peer(f"g{n}", "127.0.0.1", free_port(), 1_000, 0) for n in range(2))
-        peers.known = (*gone, *peers.known)
+        unreachable = (Peer(f"g{n}", "127.0.0.1", free_port(), 1_000, 0) for n in range(2))
+        peers.known = (*unreachable, *peers.known)
         for number in range(8):
             put = Put("t", f"k{number}", b"v")
             result = await self.stores[0][0].transact("", (), (put,))
@@ -104,7 +104,7 @@
             near.write(await reader.read(65_536))
             answer = await far.read()
             for start in range(0, len(answer), len(answer) // PIECES):
-                await asyncio.sleep(PIECE_INTERVAL)
+                await asyncio.sleep(PIECE_INTERVAL_S)
                 writer.write(answer[start : start + len(answer) // PIECES])
             near.close()
             writer.close()
@@ -170,14 +170,14 @@
         0.4 s.  Guards against probes that read the operators' document: 1.4 MB take 1.1 s on a link
         of 10 Mbit/s, so every probe failed and the host called through peers for good.
         """
-        away = True
+        refusing = True
 
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             request = await reader.readuntil(b"\r\n\r\n")
-            if b"table=op" in request and not away:
+            if b"table=op" in request and not refusing:
                 await _send_slowly(writer)
             else:
-                status = b"503 Away" if away else b"200 OK"
+                status = b"503 Away" if refusing else b"200 OK"
                 writer.write(b"HTTP/1.1 %s\r\nContent-Length: 0\r\n\r\n" % status)
             writer.close()
 
@@ -189,7 +189,7 @@
         relayed.use_peers(self.stores[0][2])
         await relayed.call("GET", "/rows-get?table=t")
         self.assertFalse(relayed.direct_works)
-        away = False
+        refusing = False
         for _ in range(40):
             if relayed.direct_works:
                 break
@@ -214,7 +214,7 @@
 
 
 PIECES = 6  # of a body
-PIECE_INTERVAL = 0.3  # s between pieces; together they exceed the time-out of an answer
+PIECE_INTERVAL_S = 0.3  # s between pieces; together they exceed the time-out of an answer
 
 
 async def _serve_slowly(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -227,7 +227,7 @@
 async def _send_slowly(writer: asyncio.StreamWriter) -> None:
     writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % PIECES)
     for _ in range(PIECES):
-        await asyncio.sleep(PIECE_INTERVAL)
+        await asyncio.sleep(PIECE_INTERVAL_S)
         writer.write(b"x")
         await writer.drain()
 
--- a/toucanpin/entry/tests/test_row_cache.py
+++ b/toucanpin/entry/tests/test_row_cache.py
@@ -42,7 +42,7 @@
         moment of the first page.  Guards against changes that replace a row by an earlier version:
         a draining worker would count as ready, and a deleted one as present.
         """
-        followed = RowCache(
+        cache = RowCache(
             Store(
                 _ScriptedStore(
                     {"rows": [_row("a", "YQ==", 3)], "morePages": True, "rowVersion": 5},
@@ -55,10 +55,10 @@
             "t",
         )
         for _ in range(3):
-            await followed.update()
-            self.assertEqual(b"drains", followed.rows["b"].value)
-        await followed.update()
-        self.assertEqual(["a"], list(followed.rows))
+            await cache.update()
+            self.assertEqual(b"drains", cache.rows["b"].value)
+        await cache.update()
+        self.assertEqual(["a"], list(cache.rows))
 
 
 class MissedChangesTest(unittest.IsolatedAsyncioTestCase):
@@ -74,21 +74,21 @@
         self.addAsyncCleanup(server.drain, 0.0)
         client = Client(address)
         self.addCleanup(client.close)
-        followed = RowCache(Store(client), "servers")
+        cache = RowCache(Store(client), "servers")
         store.put("servers", "a", b"ready")
-        await followed.update()
+        await cache.update()
         store.hides_changes = True
         store.put("servers", "a", b"drains")
         store.put("servers", "b", b"ready")
-        await followed.update()
+        await cache.update()
         store.hides_changes = False
-        await followed.update()
-        self.assertEqual(b"ready", followed.rows["a"].value)
+        await cache.update()
+        self.assertEqual(b"ready", cache.rows["a"].value)
         later = steady_time() + FULL_READ_PERIOD_S
         with patch("toucanpin.entry.row_cache.steady_time", lambda: later):
-            await followed.update()
-        self.assertEqual(b"drains", followed.rows["a"].value)
-        self.assertEqual(b"ready", followed.rows["b"].value)
+            await cache.update()
+        self.assertEqual(b"drains", cache.rows["a"].value)
+        self.assertEqual(b"ready", cache.rows["b"].value)
 
 
 class FrequentWritesTest(unittest.IsolatedAsyncioTestCase):
@@ -112,19 +112,19 @@
         version.  Guards against reading the feed then: a slow link carried five documents instead
         of one, and the host fell further behind with each update.
         """
-        followed = RowCache(Store(self.client), "op")
+        cache = RowCache(Store(self.client), "op")
         self._write(1)
-        await followed.update()
-        given = self.core.row_counts["op"]
+        await cache.update()
+        rows_before = self.core.row_counts["op"]
         for _ in range(UPDATES):
             self._write(VERSIONS)
-            await followed.update()
-            self.assertEqual(b"%09d" % self.written, followed.rows["config"].value)
-        self.assertLessEqual(self.core.row_counts["op"] - given, VERSIONS + UPDATES - 1)
-        await followed.update()
-        given = self.core.row_counts["op"]
-        await followed.update()
-        self.assertEqual(given, self.core.row_counts["op"])
+            await cache.update()
+            self.assertEqual(b"%09d" % self.written, cache.rows["config"].value)
+        self.assertLessEqual(self.core.row_counts["op"] - rows_before, VERSIONS + UPDATES - 1)
+        await cache.update()
+        rows_before = self.core.row_counts["op"]
+        await cache.update()
+        self.assertEqual(rows_before, self.core.row_counts["op"])
 
     async def test_changes_that_are_too_large_are_not_requested_again(self) -> None:
         """
@@ -133,16 +133,16 @@
         requests the same changes again and again, and keeps its old configuration.
         """
         relayed = RelayedStore(self.client, "h0")
-        followed = RowCache(Store(relayed), "op")
+        cache = RowCache(Store(relayed), "op")
         self._write(1)
-        await followed.update()
+        await cache.update()
         for number in range(3):
             self.core.put("op", "config", b"%d" % number * 1_400_000)
         with self.assertRaises(CallError):
-            await followed.update()
+            await cache.update()
         self.assertTrue(relayed.direct_works)
-        await followed.update()
-        self.assertEqual(b"2" * 1_400_000, followed.rows["config"].value)
+        await cache.update()
+        self.assertEqual(b"2" * 1_400_000, cache.rows["config"].value)
 
 
 if __name__ == "__main__":
--- a/toucanpin/entry/tests/test_slow_takeover.py
+++ b/toucanpin/entry/tests/test_slow_takeover.py
@@ -18,9 +18,9 @@
 from toucanpin.scheduling.leases import LEASE_S
 from toucanpin.scheduling.ownership import OwnerRecord
 
-LOAD_TIME = LEASE_S + 1.0  # s that a new owner takes to read the cell's rows
+LOAD_TIME_S = LEASE_S + 1.0  # s that a new owner takes to read the cell's rows
 MAX_READ_SHARE = 0.05  # of the time, for periodic full reads
-PAGE_TIME = 0.01  # s per page
+PAGE_TIME_S = 0.01  # s per page
 
 
 class SlowTakeoverTest(unittest.IsolatedAsyncioTestCase):
@@ -40,12 +40,12 @@
         load = CellRows.load
 
         async def load_late(rows: CellRows, now: Callable[[], Now]) -> int:
-            await asyncio.sleep(LOAD_TIME)
+            await asyncio.sleep(LOAD_TIME_S)
             return await load(rows, now)
 
         with patch.object(CellRows, "load", load_late):
             await site.hosts[owner].abort()
-            await asyncio.sleep(LOAD_TIME + LEASE_S)
+            await asyncio.sleep(LOAD_TIME_S + LEASE_S)
         self.assertEqual(3, len(worker.core.runs))
         self.assertEqual(3, len(worker.core.starts))
 
@@ -54,12 +54,12 @@
     """Store that answers each read with an empty page."""
 
     def __init__(self) -> None:
-        self.asked: list[float] = []
+        self.read_at: list[float] = []
 
     async def read(self, *args: object, **fields: object) -> Page:
-        self.asked.append(asyncio.get_running_loop().time())
-        await asyncio.sleep(PAGE_TIME)
-        return Page((), len(self.asked) % 3 != 0, 1, 1)
+        self.read_at.append(asyncio.get_running_loop().time())
+        await asyncio.sleep(PAGE_TIME_S)
+        return Page((), len(self.read_at) % 3 != 0, 1, 1)
 
 
 class RelistTest(unittest.IsolatedAsyncioTestCase):
@@ -67,17 +67,19 @@
         """Guards against an owner that is replaced because its reads saturate its link."""
         pages = _EmptyPages()
         store = Store(None)  # type: ignore[arg-type]
-        cell, entries = Cell("c", 1, 0.0, 0.0), RowReader()
+        cell, reader = Cell("c", 1, 0.0, 0.0), RowReader()
         record = OwnerRecord("h", "life", 1, 0)
-        rows = CellRows(store, cell, InterferenceModel(), record, 1, 0.0, entries)
-        jobs = CellJobs(store, Clocks(store), cell, rows, entries, 1.0, lambda: None)
+        rows = CellRows(store, cell, InterferenceModel(), record, 1, 0.0, reader)
+        jobs = CellJobs(store, Clocks(store), cell, rows, reader, 1.0, lambda: None)
         with (
             patch.object(Store, "read", pages.read),
             patch("toucanpin.entry.cell_jobs.FULL_READ_PERIOD_S", 0.0),
         ):
             relisting = asyncio.ensure_future(jobs.relist())
-            await asyncio.sleep(30 * PAGE_TIME / MAX_READ_SHARE / 10)
+            await asyncio.sleep(30 * PAGE_TIME_S / MAX_READ_SHARE / 10)
             relisting.cancel()
-        gaps = [after - before for before, after in zip(pages.asked, pages.asked[1:], strict=False)]
+        gaps = [
+            after - before for before, after in zip(pages.read_at, pages.read_at[1:], strict=False)
+        ]
         self.assertGreater(len(gaps), 1)
-        self.assertGreaterEqual(min(gaps), PAGE_TIME / MAX_READ_SHARE * 0.9)
+        self.assertGreaterEqual(min(gaps), PAGE_TIME_S / MAX_READ_SHARE * 0.9)
--- a/toucanpin/entry/tests/test_worker_entries.py
+++ b/toucanpin/entry/tests/test_worker_entries.py
@@ -8,14 +8,14 @@
 
 from standins.site.site import Site
 
-DISABLED_PERIOD = 1_000.0  # s; longer than a test takes
+DISABLED_PERIOD_S = 1_000.0  # s; longer than a test takes
 READS = 4
 
 
 class WorkerListTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
         # Exclude full reads, which come every 3 s at most.
-        self.enterContext(patch("toucanpin.entry.row_cache.FULL_READ_PERIOD_S", DISABLED_PERIOD))
+        self.enterContext(patch("toucanpin.entry.row_cache.FULL_READ_PERIOD_S", DISABLED_PERIOD_S))
         self.site = Site()
         self.site.configure()
         self.addAsyncCleanup(self.site.close)
@@ -31,12 +31,12 @@
         leases were renewed late, ends read late, and jobs expired.
         """
         store = self.site.store
-        given = store.row_counts["servers"]
-        asked = store.read_counts["servers"]
+        rows_before = store.row_counts["servers"]
+        reads_before = store.read_counts["servers"]
         self.assertTrue(
-            await self.site.wait_until(lambda: store.read_counts["servers"] >= asked + READS)
+            await self.site.wait_until(lambda: store.read_counts["servers"] >= reads_before + READS)
         )
-        self.assertEqual(given, store.row_counts["servers"])
+        self.assertEqual(rows_before, store.row_counts["servers"])
 
     async def test_changes_are_read_after_the_history_is_gone(self) -> None:
         """
@@ -48,9 +48,9 @@
         other = await self.site.add_worker(duration=60.0)
         store = self.site.store
         store.forget_history()
-        asked = store.read_counts["servers"]
+        reads_before = store.read_counts["servers"]
         self.assertTrue(
-            await self.site.wait_until(lambda: store.read_counts["servers"] >= asked + READS)
+            await self.site.wait_until(lambda: store.read_counts["servers"] >= reads_before + READS)
         )
         await self.site.submit(count=2)
         self.assertTrue(await self.site.wait_until(lambda: len(other.core.runs) == 2))
