--- a/benchmarks/bundles.py
+++ b/benchmarks/bundles.py
@@ -30,7 +30,7 @@
 CHANGES = 40
 POLL_PERIOD_S = ReplicationTiming().poll_period
 HEARTBEAT_INTERVAL_S = 0.5
-DATAGRAM_OVERHEAD = 28
+DATAGRAM_OVERHEAD_BYTES = 28  # IPv4 and UDP headers
 FRAME_REPEATS = 2_000
 MESSAGE_LOSS = 0.05
 OUTAGE_S = 10.0
@@ -164,7 +164,9 @@
         mesh.run(10)
         cpu = (time.process_time() - started_at) / count / 10
         rate = (mesh.beats - before) / count / 10
-        size = len(encode(KEYS, Purpose.HEARTBEAT, *make_empty_heartbeat())) + DATAGRAM_OVERHEAD
+        size = (
+            len(encode(KEYS, Purpose.HEARTBEAT, *make_empty_heartbeat())) + DATAGRAM_OVERHEAD_BYTES
+        )
         print_line(f"heartbeats_sent_bytes_{count}_processes", rate * size / 1_000, "KB/s", 21.0)
         costs = rate * (measure_encode() + measure_decode()) / 1_000 + cpu * 1_000
         print_line(f"heartbeats_processor_hot_{count}_processes", costs, "ms/s", 22.0)
--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -38,7 +38,7 @@
     workers: int = 11_000
     accelerators: int = 24_000
     jobs_per_day: int = 120_000
-    starts: float = 9_600.0
+    starts_per_second: float = 9_600.0
     critical_tasks: int = 62_000
     batch_tasks: int = 270_000
     teams: int = 210
@@ -118,7 +118,7 @@
 def _compute_control(figures: Figures) -> Iterator[CostLine]:
     owned = TARGET.workers / TARGET.entry_hosts
     tasks = TARGET.tasks / TARGET.entry_hosts
-    starts = TARGET.starts / TARGET.entry_hosts
+    starts = TARGET.starts_per_second / TARGET.entry_hosts
     slope = figures.get("slope_control_processor_owned_worker")
     yield CostLine(
         "control role: polls of its workers, processor",
@@ -234,7 +234,7 @@
     terms = LeaseTerms()
     renewals = TARGET.entry_hosts / terms.renew_every
     grouped = figures.get("placement.starts_each_write.350")
-    starts = TARGET.starts / grouped
+    starts = TARGET.starts_per_second / grouped
     yield CostLine(
         "table: renewals of authority",
         renewals,
@@ -248,7 +248,8 @@
         2 * starts,
         "writes/s",
         WRITE_BUDGET,
-        f"{TARGET.starts:.0f} starts/s in groups of {grouped:.0f}; ends assumed to group alike",
+        f"{TARGET.starts_per_second:.0f} starts/s in groups of {grouped:.0f}; "
+        "ends assumed to group alike",
         "must change: more decisions a row (a cell of several racks), or rows without a job row "
         "for each task of a job",
     )
--- a/benchmarks/choosers.py
+++ b/benchmarks/choosers.py
@@ -13,7 +13,7 @@
 from typing import Protocol
 
 from benchmarks.pair_tables import (
-    BATCH,
+    BATCH_SIZE,
     MS_PER_S,
     PROCESSORS,
     FakeWorker,
@@ -41,7 +41,7 @@
 __all__ = ["CHOOSERS", "REPORT_LAG_S", "Chooser", "WorkerState"]
 
 REPORT_LAG_S = 10
-MAX_LATENCY_RISE = 1.0
+MAX_LATENCY_RISE = 1.0  # relative to the latency without neighbours
 NO_SETTLING_TIME = float("-inf")
 
 
@@ -57,7 +57,7 @@
     latencies: dict[str, float] = field(default_factory=dict)
     pending_samples: tuple[UsageSample, ...] = ()
     avoided_until: float = 0.0
-    free: int = BATCH.processors
+    free: int = BATCH_SIZE.processors
 
     def view(self) -> HostView:
         """Return the view on which decisions are based."""
--- a/benchmarks/pair_tables.py
+++ b/benchmarks/pair_tables.py
@@ -31,14 +31,14 @@
 MS_PER_S = 1_000
 PROCESSORS = 64
 SERVICE_PROCESSORS = 24
-BATCH = Size(PROCESSORS - SERVICE_PROCESSORS, 250_000)
+BATCH_SIZE = Size(PROCESSORS - SERVICE_PROCESSORS, 250_000)
 SITES = 4
 HOSTS = 35
 KINDS = 8
 SERVICES = 3
-NOISE = 0.10
-SAMPLE_PERIOD = 5
-KIND_INTERACTION = 0.3
+LATENCY_NOISE = 0.10  # relative, of a sample
+SAMPLE_PERIOD_S = 5
+KIND_INTERACTION = 0.3  # extra rise per unit of use by other kinds
 LOAD_STEP = 0.004
 
 
@@ -177,7 +177,7 @@
         tasks = [self._report(it, TaskState.RUNNING) for it in self.running.values()]
         tasks += [self._report(it, TaskState.FINISHED) for it in self.ended]
         self.ended.clear()
-        return Report(self.name, "", clock, 1, True, False, BATCH, tuple(tasks), tuple(due))
+        return Report(self.name, "", clock, 1, True, False, BATCH_SIZE, tuple(tasks), tuple(due))
 
     def step(self, now: int) -> list[tuple[float, float]]:
         """Run for one second; return the relative p99 and the load of each service."""
@@ -188,10 +188,10 @@
             if it.done >= it.job.work:
                 self.ended.append(self.running.pop(it.job.name))
         measured = [(it, *self._compute_latency(it)) for it in self.services]
-        if now % SAMPLE_PERIOD == 0:
+        if now % SAMPLE_PERIOD_S == 0:
             for service, factor, load in measured:
                 latency = factor * self.table.idle_latency[service]
-                latency *= math.exp(self.noise.gauss(0, NOISE))
+                latency *= math.exp(self.noise.gauss(0, LATENCY_NOISE))
                 self.samples.append(UsageSample(service, now * MS_PER_S, latency, load))
         return [(factor, load) for _, factor, load in measured]
 
--- a/benchmarks/policy.py
+++ b/benchmarks/policy.py
@@ -15,14 +15,14 @@
 import click
 
 from benchmarks.choosers import CHOOSERS, REPORT_LAG_S, WorkerState
-from benchmarks.pair_tables import BATCH, Job, PairTable, make_workers
+from benchmarks.pair_tables import BATCH_SIZE, Job, PairTable, make_workers
 from toucanpin.bundles.schema import Weights
 from toucanpin.interference import Action, Avoid, Evict, Resident, SetShare
 from toucanpin.platform.ports import Order, Poll, Report, Size, Start, Stop, TaskState, Throttle
 
 __all__ = ["CHOOSERS", "DEPLOYMENTS", "SPLITS", "Figures", "Group", "main", "measure"]
 
-RUN_SECONDS = 1_800
+RUN_TIME_S = 1_800
 REPORT_PERIOD_S = 5
 JOBS_PER_S = 0.50
 RESTART_TIME_S = 5
@@ -52,7 +52,7 @@
     """One run of a chooser in one drawn world."""
 
     def __init__(self, seed: int, chooser: str, weights: Weights, lag: int = REPORT_LAG_S) -> None:
-        self.table = PairTable(seed, RUN_SECONDS)
+        self.table = PairTable(seed, RUN_TIME_S)
         self._jobs = self.table.make_jobs(JOBS_PER_S)
         self.chooser = CHOOSERS[chooser](self.table, weights)
         workers = make_workers(self.table, seed, lag)
@@ -76,9 +76,9 @@
                 if (now + state.index) % REPORT_PERIOD_S == 0:
                     self._poll(now, state)
         done = sum(state.worker.done for state in self.states)
-        capacity = BATCH.processors * len(self.states) * RUN_SECONDS
+        capacity = BATCH_SIZE.processors * len(self.states) * RUN_TIME_S
         return Figures(
-            find_p99(self._tails), done / capacity, self.evictions, self._waiting / RUN_SECONDS
+            find_p99(self._tails), done / capacity, self.evictions, self._waiting / RUN_TIME_S
         )
 
     def _place(self, now: int) -> None:
--- a/tools/soak/store.py
+++ b/tools/soak/store.py
@@ -38,16 +38,16 @@
     find_link: Callable[[str], Awaitable[str]]
     faults: StoreFaults = field(default_factory=StoreFaults)
     takes: float = 0.0  # additional latency of each answer in s
-    _troubles: list[StoreTrouble] = field(default_factory=list)
+    _active_faults: list[StoreTrouble] = field(default_factory=list)
 
-    def begin(self, trouble: StoreTrouble) -> None:
+    def begin(self, fault: StoreTrouble) -> None:
         """Begin a fault for this host."""
-        self._troubles.append(trouble)
+        self._active_faults.append(fault)
         self._combine()
 
-    def end(self, trouble: StoreTrouble) -> None:
+    def end(self, fault: StoreTrouble) -> None:
         """End a fault for this host."""
-        self._troubles.remove(trouble)
+        self._active_faults.remove(fault)
         self._combine()
 
     def leave_unanswered(self, writes: int, late_by: float) -> None:
@@ -60,10 +60,10 @@
 
     def _combine(self) -> None:
         """Combine the active faults: the newest status, any silence and the longest delay."""
-        statuses = [trouble.status for trouble in self._troubles if trouble.status]
+        statuses = [fault.status for fault in self._active_faults if fault.status]
         self.faults.status = statuses[-1] if statuses else 0
-        self.faults.silent = any(trouble.silent for trouble in self._troubles)
-        self.takes = max((trouble.takes for trouble in self._troubles), default=0.0)
+        self.faults.silent = any(fault.silent for fault in self._active_faults)
+        self.takes = max((fault.takes for fault in self._active_faults), default=0.0)
 
 
 class SoakStore(SiteStore):
--- a/tools/soak/workers.py
+++ b/tools/soak/workers.py
@@ -34,7 +34,7 @@
 __all__ = ["SoakWorker"]
 
 TICK_S = 0.02  # between checks for runs that have ended
-STOP_TIME_S = 0.1  # the platform allows 0.2 s
+STOP_TIME_S = 0.1  # that a stopped task takes to end; the platform allows 0.2 s
 ENTRY_RETENTION_S = 3.0  # time for which the store lists a worker after its crash
 SLOW_CLOCK_RATE = 0.982  # close to the slowest clock that the platform allows
 
