--- a/toucanpin/daemon/attempts.py
+++ b/toucanpin/daemon/attempts.py
@@ -2,7 +2,7 @@
 Attempts
 ========
 
-Makes the attempts of one request, two at the same time if its path asks for a hedge.  One thread
+Make the attempts of one request, two at the same time if its path asks for a hedge.  One thread
 waits for both, so that hedging needs no additional threads.
 """
 
--- a/toucanpin/daemon/bundles.py
+++ b/toucanpin/daemon/bundles.py
@@ -2,7 +2,7 @@
 Bundle replication of a process
 ===============================
 
-Performs the actions of the bundle replica against the table and the peers, and provides the bundle
+Perform the actions of the bundle replica against the table and the peers, and provide the bundle
 in force.
 """
 
@@ -75,7 +75,7 @@
 
 
 class BundleReplicator:
-    """Replicate bundles and provide the one in force; safe to call from any thread."""
+    """Replicator of bundles and source of the one in force; safe to call from any thread."""
 
     def __init__(
         self,
--- a/toucanpin/daemon/caller_answer.py
+++ b/toucanpin/daemon/caller_answer.py
@@ -2,7 +2,7 @@
 Answers to callers
 ==================
 
-Writes an instance's answer, or a refusal, to a caller's connection.  If an answer is truncated,
+Write an instance's answer, or a refusal, to a caller's connection.  If an answer is truncated,
 the connection is closed without the terminator, so that the caller notices.
 """
 
--- a/toucanpin/daemon/caller_input.py
+++ b/toucanpin/daemon/caller_input.py
@@ -2,7 +2,7 @@
 Parsing of callers' input
 =========================
 
-Strict parsing of request heads and bodies.  If a balancer and this process read one request
+Parse request heads and bodies strictly.  If a balancer and this process read one request
 differently, another request can be smuggled past the balancer; ambiguous input is therefore refused
 and its connection closed.
 """
--- a/toucanpin/daemon/caller_request.py
+++ b/toucanpin/daemon/caller_request.py
@@ -2,7 +2,7 @@
 Requests of callers
 ===================
 
-Turns a parsed HTTP request for ``/v1/services/<service>/<path>`` into the data for decisions and
+Turn a parsed HTTP request for ``/v1/services/<service>/<path>`` into the data for decisions and
 the request for an instance, or into a refusal.
 """
 
--- a/toucanpin/daemon/claimer.py
+++ b/toucanpin/daemon/claimer.py
@@ -52,7 +52,7 @@
 
 class Claimer:
     """
-    Insert and release claim rows.
+    Thread that inserts and releases claim rows.
 
     Parameters
     ----------
--- a/toucanpin/daemon/control.py
+++ b/toucanpin/daemon/control.py
@@ -2,7 +2,7 @@
 Control role
 ============
 
-Runs the turns of a control process: one thread for the decisions, a pool of threads that poll
+Run the turns of a control process: one thread for the decisions, a pool of threads that poll
 workers, and one thread that refreshes the host list.
 """
 
--- a/toucanpin/daemon/decisions.py
+++ b/toucanpin/daemon/decisions.py
@@ -2,7 +2,7 @@
 Execution of decisions
 ======================
 
-Runs placement decisions by performing their actions.
+Run placement decisions by performing their actions.
 """
 
 from __future__ import annotations
--- a/toucanpin/daemon/drains.py
+++ b/toucanpin/daemon/drains.py
@@ -2,7 +2,7 @@
 Drained hosts
 =============
 
-Marks the hosts that operators drain as leaving in the platform's host list, and lets operators
+Mark the hosts that operators drain as leaving in the platform's host list, and let operators
 start and end drains over HTTP.
 """
 
--- a/toucanpin/daemon/forwarder.py
+++ b/toucanpin/daemon/forwarder.py
@@ -2,7 +2,7 @@
 Forwarder
 =========
 
-Sends one attempt of a request to one instance over urllib3's connections.  The outcome
+Send one attempt of a request to one instance over urllib3's connections.  The outcome
 states whether the attempt ended before its first byte was sent, after that, or with an answer.
 """
 
@@ -137,7 +137,7 @@
 
 class Forwarder:
     """
-    Keep the connections to one instance and make attempts over them.
+    Connections to one instance, over which attempts are made.
 
     Parameters
     ----------
--- a/toucanpin/daemon/front.py
+++ b/toucanpin/daemon/front.py
@@ -2,7 +2,7 @@
 Front end for callers
 =====================
 
-Accepts callers' requests and runs the path of each one with real sockets, threads and clocks.
+Accept callers' requests and run the path of each one with real sockets, threads and clocks.
 """
 
 from __future__ import annotations
@@ -101,7 +101,7 @@
 
 class Front:
     """
-    Serve callers on one address.
+    Front that serves callers on one address.
 
     Parameters
     ----------
@@ -351,7 +351,7 @@
 
 
 class _ServiceGateway:
-    """Pass a request for a service to the front without building a WSGI environment."""
+    """Gateway that passes requests for services to the front without a WSGI environment."""
 
     __slots__ = ("_front", "_req")
 
--- a/toucanpin/daemon/gossip.py
+++ b/toucanpin/daemon/gossip.py
@@ -2,7 +2,7 @@
 Gossip of a process
 ===================
 
-Keeps the view of the members up to date by exchanging heartbeats over UDP.
+Keep the view of the members up to date by exchanging heartbeats over UDP.
 """
 
 from __future__ import annotations
--- a/toucanpin/daemon/hosts.py
+++ b/toucanpin/daemon/hosts.py
@@ -2,7 +2,7 @@
 Cache of the host list
 ======================
 
-Keeps the newest host list of the platform.  The list is only a hint: it may still contain hosts
+Keep the newest host list of the platform.  The list is only a hint: it may still contain hosts
 that are gone and lack hosts that are up.
 """
 
--- a/toucanpin/daemon/logs.py
+++ b/toucanpin/daemon/logs.py
@@ -2,7 +2,7 @@
 Logs
 ====
 
-Formats the log of a process as one line for each record, with an event id, as JSON or as text.
+Format the log of a process as one line for each record, with an event id, as JSON or as text.
 """
 
 from __future__ import annotations
--- a/toucanpin/daemon/main.py
+++ b/toucanpin/daemon/main.py
@@ -2,7 +2,7 @@
 Daemon
 ======
 
-Implements the command ``toucanpind``, which runs one process until it receives a signal to stop.
+Implement the command ``toucanpind``, which runs one process until it receives a signal to stop.
 """
 
 from __future__ import annotations
--- a/toucanpin/daemon/metrics.py
+++ b/toucanpin/daemon/metrics.py
@@ -2,7 +2,7 @@
 Metrics
 =======
 
-Provides the OpenTelemetry meter of a process.  Metrics are served over HTTP, and pushed by OTLP if
+Provide the OpenTelemetry meter of a process.  Metrics are served over HTTP, and pushed by OTLP if
 a collector is set.
 """
 
--- a/toucanpin/daemon/operators.py
+++ b/toucanpin/daemon/operators.py
@@ -2,7 +2,7 @@
 HTTP interface of operators
 ===========================
 
-Serves applications for operators, such as probes, metrics and state, on an endpoint of its own.
+Serve applications for operators, such as probes, metrics and state, on an endpoint of its own.
 """
 
 from __future__ import annotations
--- a/toucanpin/daemon/page.py
+++ b/toucanpin/daemon/page.py
@@ -2,7 +2,7 @@
 Status page
 ===========
 
-Renders one read-only HTML page with the state of a process, its members, cells and hosts.
+Render one read-only HTML page with the state of a process, its members, cells and hosts.
 """
 
 from __future__ import annotations
--- a/toucanpin/daemon/root.py
+++ b/toucanpin/daemon/root.py
@@ -2,7 +2,7 @@
 Composition root
 ================
 
-Builds and connects all parts of one process.
+Build and connect all parts of one process.
 """
 
 from __future__ import annotations
--- a/toucanpin/daemon/settings.py
+++ b/toucanpin/daemon/settings.py
@@ -2,7 +2,7 @@
 Settings of a process
 =====================
 
-Defines every setting with its type, unit, limits, default and meaning.  The definitions are printed
+Define every setting with its type, unit, limits, default and meaning.  The definitions are printed
 by ``toucanpin config explain``, and ``settings_reader`` checks a file against them.
 """
 
--- a/toucanpin/daemon/settings_reader.py
+++ b/toucanpin/daemon/settings_reader.py
@@ -2,7 +2,7 @@
 Reader of settings
 ==================
 
-Checks a whole settings file and reports every fault with its file, key, value and allowed range.
+Check a settings file and report every fault with its file, key, value and allowed range.
 """
 
 from __future__ import annotations
--- a/toucanpin/daemon/standstill.py
+++ b/toucanpin/daemon/standstill.py
@@ -2,7 +2,7 @@
 Standstill promises between processes
 =====================================
 
-Asks the control processes on an owner's roster, over the inner protocol, for a standstill: a
+Ask the control processes on an owner's roster, over the inner protocol, for a standstill: a
 promise not to fence the owner for one term.
 """
 
--- a/toucanpin/daemon/sweeper.py
+++ b/toucanpin/daemon/sweeper.py
@@ -35,7 +35,7 @@
 
 
 class Sweeper:
-    """Delete the expired claims of this process's partitions."""
+    """Thread that deletes the expired claims of this process's partitions."""
 
     def __init__(
         self,
--- a/toucanpin/daemon/timeline.py
+++ b/toucanpin/daemon/timeline.py
@@ -2,7 +2,7 @@
 Timeline of the daemon
 ======================
 
-Serves the events of this process over HTTP and streams them to the object store, where they outlive
+Serve the events of this process over HTTP and stream them to the object store, where they outlive
 the process.
 """
 
@@ -64,7 +64,7 @@
 
 class TimelineStreamer:
     """
-    Send new events to the object store every ``period`` seconds, and the last ones when stopped.
+    Thread that sends new events to the object store every ``period`` seconds and when stopped.
 
     While the store is unavailable, events stay in the recorder's bounded buffer.  If it
     overflows, the oldest events are lost, which shows as a gap in the sequence numbers.
--- a/toucanpin/daemon/upstreams.py
+++ b/toucanpin/daemon/upstreams.py
@@ -2,8 +2,8 @@
 Upstreams
 =========
 
-Keeps the decision state, its lock and the connections to the instances of each service, and
-refreshes them from the bundle, the host list and the membership.
+Keep the decision state, its lock and the connections to the instances of each service, and
+refresh them from the bundle, the host list and the membership.
 """
 
 from __future__ import annotations
--- a/toucanpin/daemon/views.py
+++ b/toucanpin/daemon/views.py
@@ -2,7 +2,7 @@
 Views for operators
 ===================
 
-Serves the members and the listed hosts that this process knows.
+Serve the members and the listed hosts that this process knows.
 """
 
 from __future__ import annotations
--- a/toucanpin/daemon/web.py
+++ b/toucanpin/daemon/web.py
@@ -2,7 +2,7 @@
 Helpers for WSGI applications
 =============================
 
-Provides responses in JSON and text, responses to refused requests, and the mounting of applications
+Provide responses in JSON and text, responses to refused requests, and the mounting of applications
 by path prefix.
 """
 
--- a/toucanpin/http/client.py
+++ b/toucanpin/http/client.py
@@ -59,7 +59,7 @@
 
 
 class Client:
-    """Call one address; each connection carries one request at a time."""
+    """Client of one address; each connection carries one request at a time."""
 
     __slots__ = ("_host", "_idle", "_port", "address")
 
--- a/toucanpin/interference/__init__.py
+++ b/toucanpin/interference/__init__.py
@@ -2,7 +2,7 @@
 Interference
 ============
 
-Learns the effect of tasks on colocated services from delayed latency samples, and decides without
+Learn the effect of tasks on colocated services from delayed latency samples, and decide without
 input or output when to avoid a host and when to throttle or evict a task.
 """
 
--- a/toucanpin/interference/cost.py
+++ b/toucanpin/interference/cost.py
@@ -2,7 +2,7 @@
 Cost of colocation
 ==================
 
-Weighs the latency rise of a host's services against the work of its batch tasks.
+Weigh the latency rise of a host's services against the work of its batch tasks.
 
 The cost per minute is the load-weighted sum of the squares of the services' relative rises, times
 the weight of latency, less the fraction of the host that batch work uses, times the weight of
--- a/toucanpin/interference/estimator.py
+++ b/toucanpin/interference/estimator.py
@@ -2,7 +2,7 @@
 Estimator of pair effects
 =========================
 
-Learns for each service the effect of each kind of colocated task on its tail latency, in proportion
+Learn for each service the effect of each kind of colocated task on its tail latency, in proportion
 to the load of the service.
 """
 
--- a/toucanpin/interference/policy.py
+++ b/toucanpin/interference/policy.py
@@ -2,7 +2,7 @@
 Interference policy
 ===================
 
-Learns from delayed samples, scores the placement of a task on a host and decides on throttling and
+Learn from delayed samples, score the placement of a task on a host and decide on throttling and
 evictions.  Times are in seconds of the owner's clock.
 """
 
--- a/toucanpin/interference/usage.py
+++ b/toucanpin/interference/usage.py
@@ -2,7 +2,7 @@
 Processor usage by kind
 =======================
 
-Estimates the fraction of their declared processors that tasks of a kind use.  The estimate may
+Estimate the fraction of their declared processors that tasks of a kind use.  The estimate may
 guide decisions, but not replace declared sizes as limits.
 """
 
--- a/toucanpin/membership/tests/mesh.py
+++ b/toucanpin/membership/tests/mesh.py
@@ -20,7 +20,7 @@
 
 
 class Mesh:
-    """Deliver heartbeats between views; time advances only in ``run``."""
+    """Network that delivers heartbeats between views; time advances only in ``run``."""
 
     def __init__(self, timing: Timing | None = None) -> None:
         self.now = 1_000.0
--- a/toucanpin/membership/view.py
+++ b/toucanpin/membership/view.py
@@ -2,7 +2,7 @@
 Membership view
 ===============
 
-Decides from heartbeats alone which processes are running.  The view is a hint: a member that it
+Decide from heartbeats alone which processes are running.  The view is a hint: a member that it
 reports as gone may still be running, and no guarantee of the system depends on it.
 
 Notes
--- a/toucanpin/placement/authority.py
+++ b/toucanpin/placement/authority.py
@@ -2,7 +2,7 @@
 Authority of control processes
 ==============================
 
-Decides how long a control process may grant leases, how its authority is extended during an outage
+Decide how long a control process may grant leases, how its authority is extended during an outage
 of the table, and when another process may rely on its end.
 
 A control process renews its own row by compare-and-set.  Its authority ends one term after the
--- a/toucanpin/placement/cells.py
+++ b/toucanpin/placement/cells.py
@@ -114,7 +114,7 @@
 @dataclass(slots=True)
 class Cell:
     """
-    Represent one owned cell.
+    One owned cell.
 
     ``stale``: the stored row may differ from ``row``.  ``refused``: a worker has reported a higher
     epoch.  ``released_leases_end``: when the leases of an owner that released the cell have ended.
--- a/toucanpin/placement/interference_aware.py
+++ b/toucanpin/placement/interference_aware.py
@@ -2,7 +2,7 @@
 Interference-aware placement
 ============================
 
-Adapts the policy of `toucanpin.interference` to the placement policy interface: reports become
+Adapt the policy of `toucanpin.interference` to the placement policy interface: reports become
 views and samples, and its actions become limits and evictions.  It does no input or output.
 """
 
--- a/toucanpin/placement/jobs.py
+++ b/toucanpin/placement/jobs.py
@@ -2,7 +2,7 @@
 Status and cancellation of jobs
 ===============================
 
-Shows, lists and cancels jobs, and lists standing tasks with their hosts.
+Show, list and cancel jobs, and list standing tasks with their hosts.
 """
 
 from __future__ import annotations
--- a/toucanpin/placement/lease_renewal.py
+++ b/toucanpin/placement/lease_renewal.py
@@ -2,7 +2,7 @@
 Lease renewal during slow turns
 ===============================
 
-Renews the leases of workers between the steps of a turn, however slow the table is.
+Renew the leases of workers between the steps of a turn, however slow the table is.
 """
 
 from __future__ import annotations
--- a/toucanpin/placement/leases.py
+++ b/toucanpin/placement/leases.py
@@ -2,7 +2,7 @@
 Leases of workers
 =================
 
-Computes when a lease ends: on the worker's clock, for the worker's own guard, and on the owner's
+Compute when a lease ends: on the worker's clock, for the worker's own guard, and on the owner's
 clock, for the owner's proof that the worker has stopped.  The monotonic clocks have no common zero,
 and their rates differ by at most ``drift``.
 """
--- a/toucanpin/placement/ledger.py
+++ b/toucanpin/placement/ledger.py
@@ -2,7 +2,7 @@
 Capacity ledger of a cell
 =========================
 
-Accounts for the declared sizes of the tasks committed to each worker.  The cell's row is
+Account for the declared sizes of the tasks committed to each worker.  The cell's row is
 authoritative; the index keeps workers sorted by free capacity, so that a placement decision
 inspects only a few of them.
 """
--- a/toucanpin/placement/ownership.py
+++ b/toucanpin/placement/ownership.py
@@ -2,8 +2,8 @@
 Ownership of cells
 ==================
 
-Decides from membership hints which cells this process should own, and takes, hands over and gives
-up cells by compare-and-set.
+Decide from membership hints which cells this process should own, and take, hand over and give up
+cells by compare-and-set.
 
 Taking a cell raises its epoch: the row then refuses the earlier owner's writes, and every worker
 that accepts one of our polls refuses the earlier owner's polls.  Reachable workers therefore go on
--- a/toucanpin/placement/placing.py
+++ b/toucanpin/placement/placing.py
@@ -2,7 +2,7 @@
 Placement of waiting tasks
 ==========================
 
-Assigns waiting tasks to workers in queue order and within quotas, as many per transaction as fit.
+Assign waiting tasks to workers in queue order and within quotas, as many per transaction as fit.
 Tasks for which a cell has no capacity move to another cell's queue.
 """
 
--- a/toucanpin/placement/polling.py
+++ b/toucanpin/placement/polling.py
@@ -2,7 +2,7 @@
 Polls of workers
 ================
 
-Chooses the orders and the lease for each worker's next poll, and handles the reports.  Every order
+Choose the orders and the lease for each worker's next poll, and handle the reports.  Every order
 may be repeated, since a worker identifies attempts by their numbers.
 """
 
--- a/toucanpin/placement/queue.py
+++ b/toucanpin/placement/queue.py
@@ -2,7 +2,7 @@
 Queue of a cell
 ===============
 
-Orders waiting tasks, enforces the quotas of teams and chooses the cell of a new task.
+Order waiting tasks, enforce the quotas of teams and choose the cell of a new task.
 """
 
 from __future__ import annotations
--- a/toucanpin/placement/reports.py
+++ b/toucanpin/placement/reports.py
@@ -2,7 +2,7 @@
 Processing of worker reports
 ============================
 
-Turns the reports of workers, and the absence of reports, into changes of the cell's row: attempts
+Turn the reports of workers, and the absence of reports, into changes of the cell's row: attempts
 that have finished, failed, stopped or been lost.
 """
 
--- a/toucanpin/placement/standing.py
+++ b/toucanpin/placement/standing.py
@@ -2,7 +2,7 @@
 Standing tasks
 ==============
 
-Reconciles the records of standing tasks with the bundle.  Each task has one record, which is
+Reconcile the records of standing tasks with the bundle.  Each task has one record, which is
 inserted once, removed when a newer bundle no longer names the task, and replaced when its
 description changes.
 """
--- a/toucanpin/placement/submission.py
+++ b/toucanpin/placement/submission.py
@@ -2,7 +2,7 @@
 Submission of jobs
 ==================
 
-Accepts jobs in one transaction, so that an accepted job is durable.  The job's id is derived from
+Accept jobs in one transaction, so that an accepted job is durable.  The job's id is derived from
 the idempotency key, so a repeated submission finds the first one.
 """
 
--- a/toucanpin/placement/writing.py
+++ b/toucanpin/placement/writing.py
@@ -2,7 +2,7 @@
 Commits of cell changes
 =======================
 
-Commits the changes of a cell's tasks in as few transactions as the row limit allows, and handles
+Commit the changes of a cell's tasks in as few transactions as the row limit allows, and handle
 conflicts and lost answers.
 """
 
--- a/toucanpin/platform/advice.py
+++ b/toucanpin/platform/advice.py
@@ -33,7 +33,7 @@
 
 
 class AdviceClient:
-    """Call the advice service, directly or through a peer."""
+    """Client of the advice service, direct or through a peer."""
 
     __slots__ = ("_transport",)
 
--- a/toucanpin/platform/exchange.py
+++ b/toucanpin/platform/exchange.py
@@ -39,7 +39,7 @@
 
 class Exchange:
     """
-    Send requests to hosts of the platform; thread-safe.
+    Client of the platform's hosts; thread-safe.
 
     Parameters
     ----------
--- a/toucanpin/platform/machines.py
+++ b/toucanpin/platform/machines.py
@@ -100,7 +100,7 @@
 
 class MachineClient:
     """
-    Call the platform's machines service.
+    Client of the platform's machines service.
 
     Orders carry the name of their sender as the lease holder, and its fencing token.
     """
--- a/toucanpin/platform/nodefile.py
+++ b/toucanpin/platform/nodefile.py
@@ -80,7 +80,7 @@
 
 
 class _Reader:
-    """Reads values by name and collects the faults found."""
+    """Reader of values by name, which collects the faults found."""
 
     def __init__(self, text: str) -> None:
         lines = (line.strip() for line in text.splitlines())
--- a/toucanpin/platform/workers.py
+++ b/toucanpin/platform/workers.py
@@ -131,7 +131,7 @@
 
 
 class WorkerClient:
-    """Call one incarnation of a worker."""
+    """Client of one incarnation of a worker."""
 
     __slots__ = ("_client", "_header")
 
--- a/toucanpin/requests/attempt_timing.py
+++ b/toucanpin/requests/attempt_timing.py
@@ -22,7 +22,7 @@
 
 class AttemptTiming:
     """
-    Learn from answer times how long an attempt may take.
+    Estimator of how long an attempt may take, from answer times.
 
     A frozen or unreachable instance does not answer; without a timeout of its own, the first
     attempt would use up all the time until the caller's deadline.
--- a/toucanpin/requests/ejection.py
+++ b/toucanpin/requests/ejection.py
@@ -43,7 +43,7 @@
 
 
 class Ejector:
-    """Eject failing instances of a service, at most ``MAX_EJECTED_SHARE`` of them."""
+    """Ejector of failing instances of a service, at most ``MAX_EJECTED_SHARE`` of them."""
 
     __slots__ = ("_rng",)
 
--- a/toucanpin/requests/path.py
+++ b/toucanpin/requests/path.py
@@ -95,7 +95,7 @@
 
 
 class _Attempts:
-    """Try instances until one answers or no further attempt is allowed."""
+    """Attempts of a request, until an instance answers or no other attempt is allowed."""
 
     __slots__ = ("_request", "_service", "_now", "_tried", "_may_have_run")
 
--- a/toucanpin/requests/quantile.py
+++ b/toucanpin/requests/quantile.py
@@ -2,7 +2,7 @@
 Streaming quantile
 ==================
 
-Estimates one quantile of a service's answer times in constant memory.
+Estimate one quantile of a service's answer times in constant memory.
 """
 
 from __future__ import annotations
--- a/toucanpin/requests/retry_budget.py
+++ b/toucanpin/requests/retry_budget.py
@@ -2,7 +2,7 @@
 Retry budget
 ============
 
-Limits retries to a share of the traffic, so that they add little load to a service whose instances
+Limit retries to a share of the traffic, so that they add little load to a service whose instances
 all fail.
 """
 
--- a/toucanpin/requests/routing.py
+++ b/toucanpin/requests/routing.py
@@ -69,7 +69,7 @@
 
 
 class Router:
-    """Choose instances of one service by load and health."""
+    """Router that chooses instances of one service by load and health."""
 
     __slots__ = (
         "_site",
--- a/toucanpin/requests/shares.py
+++ b/toucanpin/requests/shares.py
@@ -52,7 +52,7 @@
 
 class SlotShares:
     """
-    Compute shares as the smallest that any of the recent views of membership allows.
+    Shares of slots, each the smallest that any of the recent views of membership allows.
 
     ``hold`` is the time in seconds for which an ended view still limits the shares; a query may
     pass its own.  It must cover the time in which members learn of a change plus the longest time
--- a/toucanpin/requests/sweeps.py
+++ b/toucanpin/requests/sweeps.py
@@ -45,7 +45,7 @@
 
 
 class VersionAges:
-    """Record when versions of the table were first seen, in seconds of the monotonic clock."""
+    """Instants of the monotonic clock, in seconds, at which table versions were first seen."""
 
     __slots__ = ("_readings", "_expired_version")
 
