--- a/toucanpin/daemon/access.py
+++ b/toucanpin/daemon/access.py
@@ -18,7 +18,7 @@
 
 import msgspec
 
-from toucanpin.daemon.parts import EventSink, WsgiApp
+from toucanpin.daemon.interfaces import EventSink, WsgiApp
 from toucanpin.daemon.web import StartResponse, answer_refusal
 from toucanpin.exception import SettingsError
 from toucanpin.verdict import Reason, Refusal, Verdict
--- a/toucanpin/daemon/bundle_apps.py
+++ b/toucanpin/daemon/bundle_apps.py
@@ -36,7 +36,7 @@
 from toucanpin.bundles.signature import KeyRing, SignedBundle
 from toucanpin.daemon.bundles import BundleReplicator
 from toucanpin.daemon.gossip import Gossip
-from toucanpin.daemon.parts import EventSink, WsgiApp
+from toucanpin.daemon.interfaces import EventSink, WsgiApp
 from toucanpin.daemon.web import StartResponse, answer_json, answer_refusal
 from toucanpin.membership.member import Standing
 from toucanpin.platform.ports import Row, Table
--- a/toucanpin/daemon/bundles.py
+++ b/toucanpin/daemon/bundles.py
@@ -33,7 +33,7 @@
 from toucanpin.bundles.schema import Bundle
 from toucanpin.bundles.signature import KeyRing
 from toucanpin.daemon.gossip import Gossip
-from toucanpin.daemon.parts import EventSink
+from toucanpin.daemon.interfaces import EventSink
 from toucanpin.membership.incarnation import get_process_incarnation
 from toucanpin.membership.member import Member, Standing
 from toucanpin.platform.ports import Table
--- a/toucanpin/daemon/control.py
+++ b/toucanpin/daemon/control.py
@@ -17,7 +17,7 @@
 from logbook import Logger
 
 from toucanpin.daemon.decisions import perform_table_action
-from toucanpin.daemon.parts import BundleView, EventSink, MembershipView
+from toucanpin.daemon.interfaces import BundleView, EventSink, MembershipView
 from toucanpin.placement.actions import (
     Action,
     Answer,
@@ -88,7 +88,7 @@
 
 class Control:
     """
-    Part of the daemon that runs one control process.
+    Component of the daemon that runs one control process.
 
     ``ask_peers`` asks other control processes for a standstill promise over the inner protocol,
     whose handler calls `answer_standstill` at the other end.
--- a/toucanpin/daemon/drains.py
+++ b/toucanpin/daemon/drains.py
@@ -18,7 +18,7 @@
 
 from toucanpin.daemon.decisions import perform_table_action, run_decision
 from toucanpin.daemon.hosts import HostListCache
-from toucanpin.daemon.parts import EventSink, WsgiApp
+from toucanpin.daemon.interfaces import EventSink, WsgiApp
 from toucanpin.daemon.web import StartResponse, answer_json, answer_refusal
 from toucanpin.placement.drains import (
     DRAIN_PREFIX,
--- a/toucanpin/daemon/front.py
+++ b/toucanpin/daemon/front.py
@@ -30,7 +30,7 @@
 from toucanpin.daemon.caller_server import CallerServer
 from toucanpin.daemon.claimer import Claimer
 from toucanpin.daemon.forwarder import CallerFaultError
-from toucanpin.daemon.parts import BundleView, EventSink, MembershipView, WsgiApp
+from toucanpin.daemon.interfaces import BundleView, EventSink, MembershipView, WsgiApp
 from toucanpin.daemon.sweeper import Sweeper
 from toucanpin.daemon.upstreams import ServiceEntry, Upstreams
 from toucanpin.daemon.web import mount_apps
--- a/toucanpin/daemon/gossip.py
+++ b/toucanpin/daemon/gossip.py
@@ -13,7 +13,7 @@
 
 import logbook
 
-from toucanpin.daemon.parts import EventSink
+from toucanpin.daemon.interfaces import EventSink
 from toucanpin.exception import WireError
 from toucanpin.membership.beat import Beat, Change, Record, Timing
 from toucanpin.membership.member import Member, Standing
--- a/toucanpin/daemon/parts.py
+++ b/toucanpin/daemon/interfaces.py
@@ -1,8 +1,8 @@
 """
-Interfaces between the parts of the daemon
-==========================================
+Interfaces between the components of the daemon
+===============================================
 
-Protocols through which the parts of one process use each other.
+Protocols through which the components of one process use each other.
 """
 
 from __future__ import annotations
@@ -14,13 +14,13 @@
 from toucanpin.membership.member import Member
 from toucanpin.timeline.event import Cause, Event
 
-__all__ = ["BundleView", "EventSink", "MembershipView", "Part", "WsgiApp"]
+__all__ = ["BundleView", "Component", "EventSink", "MembershipView", "WsgiApp"]
 
 WsgiApp = Callable[[dict[str, Any], Callable[..., Any]], Iterable[bytes]]
 
 
-class Part(Protocol):
-    """Part of a process that owns threads or sockets."""
+class Component(Protocol):
+    """Component of a process that owns threads or sockets."""
 
     def start(self) -> None:
         """Start and return at once."""
--- a/toucanpin/daemon/jobs_app.py
+++ b/toucanpin/daemon/jobs_app.py
@@ -18,7 +18,7 @@
 from expression import Result
 
 from toucanpin.daemon.decisions import perform_table_action, run_decision
-from toucanpin.daemon.parts import BundleView
+from toucanpin.daemon.interfaces import BundleView
 from toucanpin.daemon.web import answer_refusal
 from toucanpin.placement.actions import Decision
 from toucanpin.placement.jobs import (
--- a/toucanpin/daemon/operators.py
+++ b/toucanpin/daemon/operators.py
@@ -15,8 +15,8 @@
 
 from toucanpin import __version__
 from toucanpin.daemon.endpoint import Endpoint
+from toucanpin.daemon.interfaces import WsgiApp
 from toucanpin.daemon.operators_server import DeferredHandshakeAdapter, OperatorsServer
-from toucanpin.daemon.parts import WsgiApp
 from toucanpin.daemon.settings import Tls
 from toucanpin.daemon.web import StartResponse, answer_json, answer_text, mount_apps
 from toucanpin.exception import SettingsError
--- a/toucanpin/daemon/page.py
+++ b/toucanpin/daemon/page.py
@@ -15,8 +15,8 @@
 
 import msgspec
 
+from toucanpin.daemon.interfaces import WsgiApp
 from toucanpin.daemon.operators import ProcessState
-from toucanpin.daemon.parts import WsgiApp
 from toucanpin.daemon.web import StartResponse, answer_refusal
 from toucanpin.membership.member import Member
 from toucanpin.placement.cells import Cell
--- a/toucanpin/daemon/root.py
+++ b/toucanpin/daemon/root.py
@@ -2,7 +2,7 @@
 Composition root
 ================
 
-Build and connect all parts of one process.
+Build and connect all components of one process.
 """
 
 from __future__ import annotations
@@ -24,11 +24,11 @@
 from toucanpin.daemon.front import Front, FrontSettings
 from toucanpin.daemon.gossip import Gossip
 from toucanpin.daemon.hosts import HostListCache
+from toucanpin.daemon.interfaces import Component, WsgiApp
 from toucanpin.daemon.jobs_app import JobsApp
 from toucanpin.daemon.metrics import Metrics
 from toucanpin.daemon.operators import OperatorsInterface, ProcessState, make_probe_apps
 from toucanpin.daemon.page import Page, make_page_app, summarize_cells
-from toucanpin.daemon.parts import Part, WsgiApp
 from toucanpin.daemon.settings import Settings, Tls
 from toucanpin.daemon.standstill import StandstillCalls
 from toucanpin.daemon.timeline import TimelineStreamer, make_timeline_app
@@ -57,29 +57,29 @@
 class Daemon:
     """Parts of one process, started in order and stopped in reverse order."""
 
-    __slots__ = ("_metrics", "_parts")
+    __slots__ = ("_components", "_metrics")
 
-    def __init__(self, parts: tuple[Part, ...], metrics: Metrics) -> None:
-        """Initialize with the parts in the order in which they start."""
-        self._parts = parts
+    def __init__(self, components: tuple[Component, ...], metrics: Metrics) -> None:
+        """Initialize with the components in the order in which they start."""
+        self._components = components
         self._metrics = metrics
 
     def start(self) -> None:
-        """Start every part."""
-        for part in self._parts:
-            part.start()
+        """Start every component."""
+        for component in self._components:
+            component.start()
 
     def stop(self, grace: float) -> None:
-        """Stop all parts in reverse order within ``grace`` seconds in total."""
+        """Stop all components in reverse order within ``grace`` seconds in total."""
         deadline = time.monotonic() + grace
-        for part in reversed(self._parts):
-            part.stop(max(0.1, deadline - time.monotonic()))
+        for component in reversed(self._components):
+            component.stop(max(0.1, deadline - time.monotonic()))
         self._metrics.stop()
 
 
 def compose(settings: Settings, folder: Path) -> Daemon:
     """
-    Build the parts of one process.
+    Build the components of one process.
 
     Relative file names in the settings are resolved against ``folder``.
 
@@ -92,10 +92,10 @@
 
 
 class _Composition:
-    """Builder of the parts of one process."""
+    """Builder of the components of one process."""
 
     def __init__(self, settings: Settings, folder: Path) -> None:
-        """Build the parts that every role needs."""
+        """Build the components that every role needs."""
         self.settings = settings
         self.folder = folder
         process = settings.process
@@ -116,7 +116,7 @@
         )
         term = settings.control.authority_ms / MS_PER_S
         self.standstill = StandstillCalls(self.gossip, client, term)
-        self.roles: list[Part] = []
+        self.roles: list[Component] = []
         self.handlers: dict[type, Handler] = dict(self.bundles.handlers())
 
     def _build_platform(self) -> None:
@@ -162,7 +162,7 @@
         self.recorder.observe(Cause(envelope.sender, envelope.event, incarnation))
 
     def build(self) -> Daemon:
-        """Build the role's parts and return the daemon."""
+        """Build the role's components and return the daemon."""
         match self.settings.process.role:
             case "request":
                 self._build_front()
@@ -179,7 +179,7 @@
             self._resolve_tls(),
         )
         self._register_gauges()
-        parts: tuple[Part, ...] = (
+        components: tuple[Component, ...] = (
             streamer,
             operators,
             self.hosts,
@@ -188,7 +188,7 @@
             self.bundles,
             *self.roles,
         )
-        return Daemon(parts, self.metrics)
+        return Daemon(components, self.metrics)
 
     def _build_front(self) -> None:
         """Build the front of the request role."""
@@ -300,7 +300,7 @@
         return Page(self._get_state(), self.gossip.members(), self.hosts.all(), cells)
 
     def _register_gauges(self) -> None:
-        """Register the instruments that read the parts at each collection."""
+        """Register the instruments that read the components at each collection."""
         meter = self.metrics.meter
         meter.create_observable_gauge(
             "toucanpin.bundle.version",
--- a/toucanpin/daemon/sweeper.py
+++ b/toucanpin/daemon/sweeper.py
@@ -15,7 +15,7 @@
 
 import logbook
 
-from toucanpin.daemon.parts import MembershipView
+from toucanpin.daemon.interfaces import MembershipView
 from toucanpin.membership.member import Standing
 from toucanpin.platform.ports import Table
 from toucanpin.requests.claims import Commit
--- a/toucanpin/daemon/tests/bundle_nodes.py
+++ b/toucanpin/daemon/tests/bundle_nodes.py
@@ -49,7 +49,7 @@
 
 
 class Node:
-    """Parts of one process that replicate bundles."""
+    """Components of one process that replicate bundles."""
 
     def __init__(self, platform: Platform, index: int, incarnation: int = 1_000) -> None:
         host = f"h{index}"
@@ -74,14 +74,14 @@
         self.apps = make_bundle_apps(self.bundles, self.gossip, table, ROOT)
 
     def start(self) -> Node:
-        """Start all parts."""
+        """Start all components."""
         self.server.start()
         self.gossip.start()
         self.bundles.start()
         return self
 
     def stop(self) -> None:
-        """Stop all parts and announce that this process is leaving."""
+        """Stop all components and announce that this process is leaving."""
         self.bundles.stop(TEST_TIMEOUT_S)
         self.gossip.stop(TEST_TIMEOUT_S)
         self.server.stop(TEST_TIMEOUT_S)
--- a/toucanpin/daemon/tests/test_control.py
+++ b/toucanpin/daemon/tests/test_control.py
@@ -26,7 +26,7 @@
 
 
 class Platform:
-    """Platform services in memory, and stand-ins for the other parts of the process."""
+    """Platform services in memory, and stand-ins for the other components of the process."""
 
     def __init__(self) -> None:
         line = FaultyLink(time.monotonic)
@@ -63,7 +63,7 @@
         return self.recorded.setdefault(kind, threading.Event()).wait(TEST_TIMEOUT_S)
 
     def control(self) -> Control:
-        """Return the part under test."""
+        """Return the component under test."""
         return Control(
             "e0/control",
             1,
--- a/toucanpin/daemon/timeline.py
+++ b/toucanpin/daemon/timeline.py
@@ -17,7 +17,7 @@
 import logbook
 import msgspec
 
-from toucanpin.daemon.parts import WsgiApp
+from toucanpin.daemon.interfaces import WsgiApp
 from toucanpin.platform.ports import ObjectStore
 from toucanpin.timeline.codec import encode_lines
 from toucanpin.timeline.recorder import Recorder
--- a/toucanpin/daemon/upstreams.py
+++ b/toucanpin/daemon/upstreams.py
@@ -14,7 +14,7 @@
 
 from toucanpin.bundles.schema import Bundle, Service
 from toucanpin.daemon.forwarder import Forwarder
-from toucanpin.daemon.parts import BundleView, MembershipView
+from toucanpin.daemon.interfaces import BundleView, MembershipView
 from toucanpin.membership.member import Standing
 from toucanpin.platform.ports import HostRole, ListedHost
 from toucanpin.requests.admission import Ticket
--- a/toucanpin/daemon/views.py
+++ b/toucanpin/daemon/views.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from toucanpin.daemon.hosts import HostListCache
-from toucanpin.daemon.parts import MembershipView, WsgiApp
+from toucanpin.daemon.interfaces import MembershipView, WsgiApp
 from toucanpin.daemon.web import StartResponse, answer_json
 
 __all__ = ["make_view_apps"]
--- a/toucanpin/daemon/web.py
+++ b/toucanpin/daemon/web.py
@@ -15,7 +15,7 @@
 
 import msgspec
 
-from toucanpin.daemon.parts import WsgiApp
+from toucanpin.daemon.interfaces import WsgiApp
 from toucanpin.verdict import Reason, Refusal, Verdict
 
 __all__ = ["STATUS_OF_REASON", "answer_json", "answer_refusal", "answer_text", "mount_apps"]
--- a/toucanpin/requests/tests/test_claims.py
+++ b/toucanpin/requests/tests/test_claims.py
@@ -180,9 +180,9 @@
 
     def test_each_partition_is_swept_by_one_process(self):
         members = ("a", "b", "c")
-        parts = [set(list_partitions(members, me)) for me in members]
-        self.assertEqual(len(set.union(*parts)), sum(len(part) for part in parts))
-        self.assertEqual(set.union(*parts), set(list_partitions(("a",), "a")))
+        partitions = [set(list_partitions(members, me)) for me in members]
+        self.assertEqual(len(set.union(*partitions)), sum(len(each) for each in partitions))
+        self.assertEqual(set.union(*partitions), set(list_partitions(("a",), "a")))
 
     @staticmethod
     def sweep(table, prefix, ages, now):
