--- a/tools/soak/weakened.py
+++ b/tools/soak/weakened.py
@@ -19,40 +19,40 @@
 __all__ = ["WEAKENINGS", "main"]
 
 
-def _forget_leases() -> None:
+def _ignore_leases() -> None:
     """Treat the runs of a silent worker as ended while its lease is still valid."""
-    lapse = owner.expire_leases
+    original = owner.expire_leases
 
     def weakened(cell, now):  # type: ignore[no-untyped-def]
         for worker in cell.workers.values():
             worker.lease_expires_at = 0.0
-        return lapse(cell, now)
+        return original(cell, now)
 
     owner.expire_leases = weakened
 
 
-def _refuse_unsure() -> None:
+def _refuse_uncertain_writes() -> None:
     """Answer that a job was not accepted when the outcome of its write is unknown."""
-    write = RequestHandler._write
+    original = RequestHandler._write
 
     async def weakened(self, part, put, deadline):  # type: ignore[no-untyped-def]
-        return bool(await write(self, part, put, deadline))
+        return bool(await original(self, part, put, deadline))
 
     RequestHandler._write = weakened  # type: ignore[method-assign]
 
 
 def _acknowledge_early() -> None:
     """Acknowledge ended runs to workers before the ends are stored."""
-    plan = cell_workers.plan_poll
+    original = cell_workers.plan_poll
 
     def weakened(cell, worker, now):  # type: ignore[no-untyped-def]
         worker.acknowledged_sequence = worker.listed_sequence
-        return plan(cell, worker, now)
+        return original(cell, worker, now)
 
     cell_workers.plan_poll = weakened
 
 
-def _end_at_once() -> None:
+def _exit_immediately() -> None:
     """Exit on SIGTERM without answering requests that were already read."""
 
     async def weakened(self):  # type: ignore[no-untyped-def]
@@ -61,24 +61,24 @@
     EntryProcess.shut_down = weakened  # type: ignore[method-assign]
 
 
-def _forget_crashes() -> None:
+def _ignore_crashes() -> None:
     """Restart a task regardless of how many workers crashed while running it."""
     placing.is_start_blocked = lambda cell, live, task: False
     owner.fail_crashing_jobs = lambda cell, now: []
 
 
-def _forget_evacuations() -> None:
+def _ignore_evacuations() -> None:
     """Ignore evacuations: start tasks in evacuated data centres."""
     owner.apply_evacuations = lambda cell, evacuated, bound: False
 
 
 WEAKENINGS: dict[str, Callable[[], None]] = {
-    "leases": _forget_leases,
-    "unsure-writes": _refuse_unsure,
+    "leases": _ignore_leases,
+    "unsure-writes": _refuse_uncertain_writes,
     "written-ends": _acknowledge_early,
-    "drain": _end_at_once,
-    "crashes": _forget_crashes,
-    "evacuations": _forget_evacuations,
+    "drain": _exit_immediately,
+    "crashes": _ignore_crashes,
+    "evacuations": _ignore_evacuations,
 }
 
 
