--- a/toucanpin/daemon/forwarder.py
+++ b/toucanpin/daemon/forwarder.py
@@ -163,8 +163,8 @@
 
     def forward(self, outgoing: OutgoingRequest, deadline: float, fresh: bool) -> ForwardOutcome:
         """Make one attempt; ``fresh`` forbids connections that were idle for long."""
-        begun = self.begin(outgoing, deadline, fresh)
-        return self.finish(begun) if isinstance(begun, Exchange) else begun
+        exchange = self.begin(outgoing, deadline, fresh)
+        return self.finish(exchange) if isinstance(exchange, Exchange) else exchange
 
     def begin(
         self, outgoing: OutgoingRequest, deadline: float, fresh: bool
--- a/toucanpin/daemon/upstreams.py
+++ b/toucanpin/daemon/upstreams.py
@@ -125,13 +125,13 @@
 
     def take_ejected(self) -> list[tuple[str, str]]:
         """Return service and instance of each ejection since the previous call."""
-        taken: list[tuple[str, str]] = []
+        ejections: list[tuple[str, str]] = []
         for name, entry in list(self._entries.items()):
             with entry.lock:
                 ejected = entry.state.router.ejected
-                taken += [(name, instance) for instance in ejected]
+                ejections += [(name, instance) for instance in ejected]
                 ejected.clear()
-        return taken
+        return ejections
 
     def refresh(self, now: float) -> None:
         """Apply the current bundle, host list and membership."""
--- a/toucanpin/placement/tests/world.py
+++ b/toucanpin/placement/tests/world.py
@@ -132,7 +132,7 @@
         self.now = 100.0
         self.table = TableCore()
         self.plan = FaultPlan()
-        self.line = FaultyLink(lambda: self.now, self.plan)
+        self.link = FaultyLink(lambda: self.now, self.plan)
         self.objects = ObjectsCore()
         self.bundle = Bundle("test", 1)
         self.cores: dict[str, SkewedCore] = {}
@@ -143,9 +143,9 @@
         self.ended: dict[str, JobRow] = {}
         self.processes: dict[str, Process] = {}
         self.retired: list[tuple[SkewedCore, float]] = []
-        store = MemoryObjects(self.objects, self.line, "worker")
+        store = MemoryObjects(self.objects, self.link, "worker")
         self.workers = MemoryWorkers(
-            cast(dict[str, WorkerCore], self.cores), store, self.line, "control"
+            cast(dict[str, WorkerCore], self.cores), store, self.link, "control"
         )
         for rack in range(racks):
             for number in range(workers):
@@ -164,7 +164,7 @@
         process = self.processes[name] = Process(self, ControllerId(name, incarnation))
         return process
 
-    def view(self, asker: Process) -> ClusterView:
+    def view(self, process: Process) -> ClusterView:
         """Return the inputs of a process's turn; the loss of another is noticed with a delay."""
         members = tuple(
             Member(
@@ -179,12 +179,12 @@
             for name, it in self.processes.items()
             if it.silent_since is None or self.now - it.silent_since < NOTICE_DELAY_S
         )
-        return ClusterView(asker.now, tuple(self.hosts), members, self.bundle)
+        return ClusterView(process.now, tuple(self.hosts), members, self.bundle)
 
     def perform(self, process: Process, action: Any) -> Any:
         """Perform one action with the ports of a process."""
         client = process.controller_id.process
-        table = MemoryTable(self.table, self.line, client)
+        table = MemoryTable(self.table, self.link, client)
         match action:
             case Commit(transaction):
                 return table.commit(transaction)
@@ -200,14 +200,14 @@
                 self.events.append((client, action))
                 return None
 
-    def poll(self, client: str, asked):
+    def poll(self, client: str, worker_poll):
         """Poll a worker, unless it is cut off from the process."""
         if any(
-            rule.client == f"{client}>{asked.host.name}" and rule.operation == "cut"
+            rule.client == f"{client}>{worker_poll.host.name}" and rule.operation == "cut"
             for rule in self.plan.rules
         ):
             return Error(WorkerFault("cut off", False))
-        return self.workers.poll(asked.host, asked.poll)
+        return self.workers.poll(worker_poll.host, worker_poll.poll)
 
     def _ask(self, process: Process, holder: ControllerId, peer: ControllerId) -> bool:
         other = self.processes.get(peer.process)
@@ -279,7 +279,7 @@
 
     def drive(self, decision):
         """Run a decision of a request process to its end."""
-        table = MemoryTable(self.table, self.line, "front")
+        table = MemoryTable(self.table, self.link, "front")
         answer: Answer | None = None
         value: Any = None
         while True:
@@ -331,16 +331,16 @@
         """Return the runs of each task (start, end, worker, attempt) from the workers' logs."""
         found: dict[str, list[tuple[float, float, str, int]]] = {}
         cores = [(core, self.dead_workers.get(name)) for name, core in self.cores.items()]
-        for core, died in [*cores, *self.retired]:
-            last = self.now if died is None else died
+        for core, dead_at in [*cores, *self.retired]:
+            last = self.now if dead_at is None else dead_at
             lease = core.clock.invert(core._lease_until / 1000)
             for it in core.log:
-                began = core.clock.invert(it.started_at / 1000)
+                started_at = core.clock.invert(it.started_at / 1000)
                 # A frozen core runs nothing after its lease has ended.
                 end = min(last, lease)
                 if it.stopped_at is not None:
                     end = core.clock.invert(it.stopped_at / 1000)
-                run = (int(began * 1000), int(end * 1000), core.name, it.attempt)
+                run = (int(started_at * 1000), int(end * 1000), core.name, it.attempt)
                 found.setdefault(it.task, []).append(run)
         return found
 
@@ -367,31 +367,35 @@
             runs.sort()
             attempts = [attempt for *_, attempt in runs]
             assert len(set(attempts)) == len(attempts), f"an attempt of {task} ran twice: {runs}"
-            for (_, end, here, one), (start, _, there, two) in zip(runs, runs[1:], strict=False):
+            for (_, end, old_worker, old), (start, _, new_worker, new) in zip(
+                runs, runs[1:], strict=False
+            ):
                 assert (
                     start >= end - ROUNDING_MS
-                ), f"{task}/{one} on {here} and {two} on {there} at {start}"
-        places: dict[str, str] = {}
+                ), f"{task}/{old} on {old_worker} and {new} on {new_worker} at {start}"
+        locations: dict[str, str] = {}
         for name, cell in self.cells().items():
             for worker, used in used_by_worker(cell.tasks.values()).items():
                 assert fits(
                     used, cell.workers[worker].size
                 ), f"worker {worker} is overcommitted with {used}"
             for task in cell.tasks:
-                assert task not in places, f"{task} is in {name} and in {places[task]}"
-                places[task] = name
+                assert task not in locations, f"{task} is in {name} and in {locations[task]}"
+                locations[task] = name
         for row in self.table.scan("queue/"):
             kind, _, task = row.key.removeprefix("queue/").partition("/")[2].partition("/")
             if kind == "task":
-                assert task not in places, f"{task} waits at {row.key} and is in {places[task]}"
-                places[task] = row.key
+                assert (
+                    task not in locations
+                ), f"{task} waits at {row.key} and is in {locations[task]}"
+                locations[task] = row.key
         for name, job in self.jobs().items():
             if name in self.ended:
                 assert self.ended[name] == job, f"job {name} ended twice"
             elif job.state is not JobState.ACCEPTED:
                 self.ended[name] = job
             else:
-                assert name in places, f"job {name} is accepted but has no record"
+                assert name in locations, f"job {name} is accepted but has no record"
 
     def count_ended(self) -> int:
         """Return the number of jobs that have ended."""
--- a/toucanpin/requests/messages.py
+++ b/toucanpin/requests/messages.py
@@ -62,8 +62,8 @@
     An instance's answer.
 
     ``remaining_body`` streams what follows ``body``, None if ``body`` is complete.  ``not_run`` is
-    True if the instance itself says that it did not run the request, ``draining`` if it says that
-    it accepts no new requests.
+    True if the instance itself states that it did not run the request, ``draining`` if it states
+    that it accepts no new requests.
     """
 
     status: int
--- a/toucanpin/requests/routing.py
+++ b/toucanpin/requests/routing.py
@@ -138,7 +138,7 @@
     def has_free_slot(self, now: float) -> bool:
         """Return whether any slot may be taken now."""
         none_tried: frozenset[str] = frozenset()
-        return any(self._is_takeable(i, none_tried, now) for i in self._instances.values())
+        return any(self._is_available(i, none_tried, now) for i in self._instances.values())
 
     def take_slot(self, tried: frozenset[str], now: float) -> str | None:
         """Take a slot of an untried instance and return its name, None if no slot is free."""
@@ -186,7 +186,7 @@
 
     def avoid(self, name: str, draining: bool, now: float) -> None:
         """
-        Send no new requests for a while to an instance that says it is full or draining.
+        Send no new requests for a while to an instance that reports that it is full or draining.
 
         The time doubles with each consecutive answer of this kind: an instance that refuses
         everything at once looks idle, and each request sent to it costs a retry.
@@ -210,7 +210,7 @@
         first: Instance | None = None
         for _ in range(SAMPLE_DRAWS if local else 0):
             drawn = local[int(self._rng.random() * len(local))]
-            if drawn is first or not self._is_takeable(drawn, tried, now):
+            if drawn is first or not self._is_available(drawn, tried, now):
                 continue
             if self._skips_draw(drawn, now):
                 continue
@@ -229,15 +229,15 @@
 
     def _search(self, tried: frozenset[str], now: float) -> Instance | None:
         """Return the less loaded of two of all available instances, local ones first."""
-        takeable = [i for i in self._instances.values() if self._is_takeable(i, tried, now)]
-        local = [instance for instance in takeable if instance.site == self._site]
-        candidates = local or takeable
+        available = [i for i in self._instances.values() if self._is_available(i, tried, now)]
+        local = [instance for instance in available if instance.site == self._site]
+        candidates = local or available
         if len(candidates) < 2:
             return candidates[0] if candidates else None
         first, second = self._rng.sample(candidates, 2)
         return first if first.load() <= second.load() else second
 
-    def _is_takeable(self, instance: Instance, tried: frozenset[str], now: float) -> bool:
+    def _is_available(self, instance: Instance, tried: frozenset[str], now: float) -> bool:
         return (
             instance.name not in tried
             and self._accepts(instance, now)
