--- a/toucanpin/entry/cell_jobs.py
+++ b/toucanpin/entry/cell_jobs.py
@@ -31,7 +31,7 @@
 # old as the last answer, and may be at most 2 s old.  A connection may stop answering without being
 # closed; a watch on it has to time out before a cancel must be in force, which is after 3 s.
 FEED_WAIT_S = 0.5  # long-poll time of the watch on jobs
-FEED_MARGIN_S = 1.0  # time-out beyond the long-poll time; a slow store takes 0.6 s to answer
+FEED_MARGIN_S = 1.0  # timeout beyond the long-poll time; a slow store takes 0.6 s to answer
 LATE_MARGIN_S = 0.5  # answers later than this, beyond the long-poll time, are logged
 RETRY_DELAY_S = 0.1  # before a failed read is repeated
 
--- a/toucanpin/entry/configuration.py
+++ b/toucanpin/entry/configuration.py
@@ -81,7 +81,7 @@
         oldest = steady_time() - max_age
         while self.confirmed < oldest:
             # Concurrent callers share one read.  If each of them had its own, one after another,
-            # the last would wait for many time-outs.
+            # the last would wait for many timeouts.
             if self._fetching is None or self._fetching.done():
                 self._fetching = asyncio.ensure_future(self._fetch())
             if not await asyncio.shield(self._fetching):
--- a/toucanpin/entry/frames.py
+++ b/toucanpin/entry/frames.py
@@ -49,7 +49,7 @@
 
 
 async def read_payload(reader: asyncio.StreamReader, size: int, idle_timeout: float) -> bytes:
-    """Read a frame of ``size`` bytes, with a time-out for the whole and one for each pause."""
+    """Read a frame of ``size`` bytes, with a timeout for the whole and one for each pause."""
     parts: list[bytes] = []
     async with asyncio.timeout(MAX_TRANSFER_TIME_S):
         while size:
--- a/toucanpin/entry/owner.py
+++ b/toucanpin/entry/owner.py
@@ -182,7 +182,7 @@
         try:
             while not (await asyncio.wait((reading,), timeout=OWNER_WRITE_INTERVAL_S))[0]:
                 # A process that shuts down has no time to finish reading.  Resigning now saves the
-                # next owner the wait for this one's time-out.
+                # next owner the wait for this one's timeout.
                 await self._rows.renew(self._resigning)
                 self._raise_if_resigned()
                 if self._failure is not None and self._failure.done():
--- a/toucanpin/entry/relayed_store.py
+++ b/toucanpin/entry/relayed_store.py
@@ -29,14 +29,14 @@
 
 _log = logbook.Logger("relay")
 DIRECT_TIMEOUT_S = 1.0  # of a direct call before a peer is tried; a slow store takes 0.6 s
-MAX_SHORT_TIMEOUT_S = 2.5  # a time-out of a call shorter than this is a sign of an outage
+MAX_SHORT_TIMEOUT_S = 2.5  # a timeout of a call shorter than this is a sign of an outage
 PROBE_PERIOD_S = 0.5  # between direct calls while peers are used
 PROBE_TIMEOUT_S = 0.4
 PEER_BACKOFF_S = 1.0  # after a peer couldn't reach the store either
 MAX_PEERS = 3  # tried per call; in an outage for all hosts more of them would only add load
 RELAY_BACKOFF_S = 0.4  # without relayed calls after no peer reached the store
 # The probe reads a row that stays small.  On a slow link the operators' document can't be
-# transferred within the time-out.
+# transferred within the timeout.
 _PROBE_PATH = f"/rows-get?table={KEYS_TABLE}&part=&limit=1&from={SHARED_KEY}&target={SHARED_KEY}%00"
 _WATCH_PATH = "/rows-feed"
 _NO_WAIT = "&waitMs=0"
@@ -83,7 +83,7 @@
         refusal: Answer | None = None
         failure: CallError | None = None
         if self.direct_works or not self._may_relay():
-            # A watch may rightly stay unanswered, so its time-out is no sign of an outage.
+            # A watch may rightly stay unanswered, so its timeout is no sign of an outage.
             is_short = timeout <= MAX_SHORT_TIMEOUT_S and not _is_watch(path)
             direct_timeout = (
                 min(timeout, DIRECT_TIMEOUT_S) if is_short and self._may_relay() else timeout
--- a/toucanpin/entry/tests/test_configuration.py
+++ b/toucanpin/entry/tests/test_configuration.py
@@ -119,7 +119,7 @@
     async def test_concurrent_callers_share_one_read(self) -> None:
         """
         The store doesn't answer a host while callers request counts.  Guards against callers that
-        wait for the reads of all earlier ones, a time-out each: the last was answered after 38 s,
+        wait for the reads of all earlier ones, a timeout each: the last was answered after 38 s,
         though its caller had closed the connection after 3 s.
         """
         refreshing = [asyncio.ensure_future(self.watch.refresh(0.25)) for _ in range(5)]
--- a/toucanpin/entry/tests/test_job_watch.py
+++ b/toucanpin/entry/tests/test_job_watch.py
@@ -1,4 +1,4 @@
-"""The owner's watch on jobs: time-outs, outdated views and full pages."""
+"""The owner's watch on jobs: timeouts, outdated views and full pages."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class _SilentStore:
-    """Store that never answers, and records the time-outs of calls."""
+    """Store that never answers, and records the timeouts of calls."""
 
     def __init__(self) -> None:
         self.timeouts: list[float] = []
@@ -38,7 +38,7 @@
 class SilentWatchTest(unittest.IsolatedAsyncioTestCase):
     async def test_a_silent_watch_times_out_before_a_cancel_must_be_in_force(self) -> None:
         """
-        The connection of the watch stops answering without a reset.  Guards against a time-out of
+        The connection of the watch stops answering without a reset.  Guards against a timeout of
         5 s: no task of a cancelled job may start after 3 s.
         """
         silent = _SilentStore()
--- a/toucanpin/entry/tests/test_relay.py
+++ b/toucanpin/entry/tests/test_relay.py
@@ -91,7 +91,7 @@
     async def test_a_slow_answer_from_a_peer_is_read_to_its_end(self) -> None:
         """
         The store refuses a host whose link takes over two seconds for the operators' document.
-        Guards against a time-out while the document is arriving: the host avoided the peer for a
+        Guards against a timeout while the document is arriving: the host avoided the peer for a
         second, requested the same from the next one, and kept its old configuration.
         """
         self.core.put("op", "config", b"x" * 1_000)
@@ -124,7 +124,7 @@
             await self._put()
         self.assertTrue(caught.exception.certain)
 
-    async def test_a_refusal_after_a_time_out_is_not_certain(self) -> None:
+    async def test_a_refusal_after_a_timeout_is_not_certain(self) -> None:
         """
         The store doesn't answer this host and refuses its peer.  The first attempt may still be
         applied, so the refusal of the second proves nothing.
@@ -166,7 +166,7 @@
 
     async def test_direct_calls_resume_on_a_slow_link_with_a_large_document(self) -> None:
         """
-        The store refuses a host for a moment, and the host probes it every 0.5 s with a time-out of
+        The store refuses a host for a moment, and the host probes it every 0.5 s with a timeout of
         0.4 s.  Guards against probes that read the operators' document: 1.4 MB take 1.1 s on a link
         of 10 Mbit/s, so every probe failed and the host called through peers for good.
         """
@@ -214,7 +214,7 @@
 
 
 PIECES = 6  # of a body
-PIECE_INTERVAL_S = 0.3  # s between pieces; together they exceed the time-out of an answer
+PIECE_INTERVAL_S = 0.3  # s between pieces; together they exceed the timeout of an answer
 
 
 async def _serve_slowly(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
--- a/toucanpin/entry/waves.py
+++ b/toucanpin/entry/waves.py
@@ -247,8 +247,8 @@
 
     async def _drain_workers(self, wave: Wave, record: WaveRecord, version: int) -> list[Worker]:
         now = self._clocks.now()
-        upkeep = self._bounds.upkeep
-        chosen = list_next_workers(self._cell, wave, record, self._machines, upkeep, now)
+        upkeep_time = self._bounds.upkeep
+        chosen = list_next_workers(self._cell, wave, record, self._machines, upkeep_time, now)
         ready = [worker for worker in chosen if drain_worker(self._cell, worker, now)]
         if not ready:
             return chosen
--- a/toucanpin/platform/tests/test_store_and_workers.py
+++ b/toucanpin/platform/tests/test_store_and_workers.py
@@ -207,7 +207,7 @@
         )
         entry = decode_worker("i-1", value)
         self.assertFalse(entry.ready)
-        self.assertEqual((16_000, 32_768, 1.5), (entry.cpu, entry.memory, entry.left))
+        self.assertEqual((16_000, 32_768, 1.5), (entry.cpu, entry.memory, entry.time_left))
         with self.assertRaises(PlatformError):
             decode_worker("i-1", b"{}")
 
--- a/toucanpin/platform/workers.py
+++ b/toucanpin/platform/workers.py
@@ -233,9 +233,9 @@
         memory=entry.capacity.mem_mb,
         accelerators=entry.capacity.gpu,
         labels=entry.labels,
-        cold=entry.cold_left_ms / 1_000,
+        cold_time_left=entry.cold_left_ms / 1_000,
         machine=entry.machine,
-        left=entry.remaining_ms / 1_000,
+        time_left=entry.remaining_ms / 1_000,
     )
 
 
--- a/toucanpin/scheduling/advising.py
+++ b/toucanpin/scheduling/advising.py
@@ -2,7 +2,7 @@
 Placement advice
 ================
 
-Request and keep the tickets with which an advice service allows workers to run a step.
+Request and store the tickets with which an advice service allows workers to run a step.
 """
 
 from __future__ import annotations
--- a/toucanpin/scheduling/answer_timeout.py
+++ b/toucanpin/scheduling/answer_timeout.py
@@ -30,7 +30,7 @@
         self._recorded_at = 0.0
 
     def record(self, late: float, now: float) -> None:
-        """Record an answer that came ``late`` seconds after it could have."""
+        """Record an answer that arrived ``late`` seconds after it could have."""
         self._peak = max(late, self._decay(now))
         self._recorded_at = now
 
--- a/toucanpin/scheduling/gangs.py
+++ b/toucanpin/scheduling/gangs.py
@@ -43,7 +43,7 @@
     if any(is_start_blocked(cell, live, member) for member in members):
         record_wait(cell, group, WaitReason.CRASHING, round_.now)
         return
-    # Members share the failures of their gang, so the most suspected one stands for all.
+    # Members share the failures of their gang, so the most suspected one represents them.
     suspected = max(members, key=lambda member: find_suspicion(live, member))
     safe = list_retry_workers(live, suspected, eligible, round_.now)
     candidates = CandidateWorkers(round_, live, group, step, safe, find_suspicion(live, suspected))
--- a/toucanpin/scheduling/intake.py
+++ b/toucanpin/scheduling/intake.py
@@ -78,9 +78,9 @@
             _begin_due_occurrences(cell, live, now)
 
 
-def forget_ended(cell: Cell, now: Now, keep: float) -> None:
-    """Forget jobs that ended more than ``keep`` seconds ago, and queue their rows for deletion."""
-    limit = now.table - int(keep * 1_000)
+def forget_ended(cell: Cell, now: Now, retention: float) -> None:
+    """Forget jobs that ended over ``retention`` seconds ago, and queue their rows for deletion."""
+    limit = now.table - int(retention * 1_000)
     old = [
         identifier
         for identifier, live in cell.jobs.items()
--- a/toucanpin/scheduling/load_shedding.py
+++ b/toucanpin/scheduling/load_shedding.py
@@ -106,7 +106,7 @@
     """
     Track how late answers are because of this host: its link is saturated, or it is slow.
 
-    Some slow workers don't show that; if even the fastest of the recent answers was late, all are.
+    Some slow workers don't prove that; if even the fastest of the recent answers was late, all are.
     """
 
     __slots__ = ("_times",)
--- a/toucanpin/scheduling/moving.py
+++ b/toucanpin/scheduling/moving.py
@@ -75,7 +75,7 @@
 
 
 def _queue_copy(cell: Cell, run: Run) -> None:
-    """Queue another copy of a task while this run goes on."""
+    """Queue another copy of a task while this run continues."""
     live = cell.jobs.get(run.task.job)
     record = find_record(live, run.task) if live else None
     if live is None or record is None or JobState(live.progress.state).ended:
@@ -119,7 +119,7 @@
     if run.step.long_running:
         return True
     elapsed = now.steady - run.started_at
-    left = worker.entry.left - (now.steady - worker.listed_at)
+    left = worker.entry.time_left - (now.steady - worker.listed_at)
     if run.percent < 1:
         return run.step.estimate / 1_000 > left
     return elapsed * (100 - run.percent) / run.percent > left
--- a/toucanpin/scheduling/orders.py
+++ b/toucanpin/scheduling/orders.py
@@ -52,7 +52,12 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkerEntry:
-    """A worker's own entry; sizes as in a step, ``cold`` and ``left`` in seconds."""
+    """
+    A worker's entry in the table.
+
+    Sizes have the units of a step's.  ``cold_time_left`` is the time in s for which the worker is
+    still cold, ``time_left`` that until it shuts down.
+    """
 
     id: str
     service: str
@@ -63,9 +68,9 @@
     memory: int
     accelerators: int
     labels: tuple[str, ...] = ()
-    cold: float = 0.0
+    cold_time_left: float = 0.0
     machine: str = ""
-    left: float = 0.0
+    time_left: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -81,7 +86,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndedRun:
-    """An end that the worker keeps until it is acknowledged."""
+    """End of a run, which its worker lists until it is acknowledged."""
 
     sequence: int
     task: TaskKey
--- a/toucanpin/scheduling/ownership.py
+++ b/toucanpin/scheduling/ownership.py
@@ -41,10 +41,10 @@
     """
     The owner of a cell.
 
-    ``life`` differs between starts of one host; ``token`` grows with each owner and fences earlier
-    ones; ``sequence`` grows with each write, so that no earlier write can apply after a later one.
-    An empty ``host`` means that the last owner has resigned. ``backlog`` has by priority how many
-    ms new tasks will wait for an overloaded owner; it is empty for one that keeps up.
+    ``life`` names the incarnation of the host's process; ``token`` grows with each owner and fences
+    earlier ones; ``sequence`` grows with each write, so that no earlier write can apply after a
+    later one. An empty ``host`` means that the last owner has resigned. ``backlog`` is the waiting
+    time in ms of new tasks by priority; it is empty unless the owner is overloaded.
     """
 
     host: str
--- a/toucanpin/scheduling/pacing.py
+++ b/toucanpin/scheduling/pacing.py
@@ -64,8 +64,8 @@
         return
     violation = _find_longest_violation(worker, now)
     if violation > EVICT_HARMFUL_AFTER_S:
-        # The estimates are wrong for this worker: neighbours that they take for harmless could make
-        # a task miss its target for seconds.
+        # The estimates are wrong for this worker: neighbours that seem harmless could make a task
+        # miss its target for seconds.
         _evict(cell, best_effort, violation > EVICT_ALL_AFTER_S, model, worker, now)
         return
     most_loaded = _find_most_loaded(model, worker)
--- a/toucanpin/scheduling/upkeep.py
+++ b/toucanpin/scheduling/upkeep.py
@@ -70,7 +70,7 @@
 
 @dataclass(slots=True)
 class UpkeepOrder:
-    """An order sent by this owner; ``acknowledged_at`` is a local time, 0 until acknowledged."""
+    """Order sent by this owner; ``acknowledged_at`` is a local time, 0 until it is acknowledged."""
 
     acknowledged_at: float = 0.0
 
@@ -100,7 +100,7 @@
     machines: dict[str, Machine],
     orders: dict[str, UpkeepOrder],
     listed: float,
-    upkeep: float,
+    upkeep_time: float,
 ) -> tuple[list[str], list[str]]:
     """
     Return the machines that completed their upkeep, and those to drain again.
@@ -109,8 +109,8 @@
     crashed before its order was carried out, so only an acknowledged order shows that its upkeep
     took place. A machine that an earlier owner may have ordered is drained again first: this owner
     may have placed tasks there. A list may omit an existing machine, so an unlisted machine counts
-    as completed only if its order was acknowledged and an upkeep of ``upkeep`` seconds has passed
-    since.
+    as completed only if its order was acknowledged and an upkeep of ``upkeep_time`` seconds
+    has passed since.
     """
     completed: list[str] = []
     repeated: list[str] = []
@@ -119,7 +119,7 @@
         order = orders.get(name)
         if machine is None:
             begun = order.acknowledged_at if order is not None else 0.0
-            if begun and listed > begun + upkeep + OVERHEAD_S:
+            if begun and listed > begun + upkeep_time + OVERHEAD_S:
                 completed.append(name)
         elif machine.state is not MachineState.UP or not machine.worker:
             continue
@@ -165,18 +165,18 @@
     wave: Wave,
     record: WaveRecord,
     machines: dict[str, Machine],
-    upkeep: float,
+    upkeep_time: float,
     now: Now,
 ) -> list[Worker]:
     """
-    Return the workers to be drained now; an upkeep takes ``upkeep`` seconds.
+    Return the workers to be drained now; an upkeep takes ``upkeep_time`` seconds.
 
     As few machines as the wave's time allows are in upkeep at once, since their tasks move to the
     others. Workers that lose the least work go first.
     """
     waiting = [name for name in wave.machines if name not in record.done]
     left = wave.seconds * PLANNED_TIME_SHARE - (now.table - record.begun) / 1_000
-    rounds = max(1.0, left / (upkeep + OVERHEAD_S))
+    rounds = max(1.0, left / (upkeep_time + OVERHEAD_S))
     free = min(wave.cap, math.ceil(len(waiting) / rounds)) - len(record.down)
     draining = {worker.entry.id for worker in cell.workers.values() if worker.draining_since}
     candidates: list[Worker] = []
@@ -206,9 +206,9 @@
 
 def end_drains(workers: Iterable[Worker], chosen: Iterable[Worker]) -> None:
     """End the draining of the workers that aren't among ``chosen``."""
-    kept = {worker.entry.id for worker in chosen}
+    chosen_ids = {worker.entry.id for worker in chosen}
     for worker in workers:
-        if worker.entry.id not in kept:
+        if worker.entry.id not in chosen_ids:
             worker.draining_since = 0.0
 
 
