--- a/toucanpin/entry/decision_log.py
+++ b/toucanpin/entry/decision_log.py
@@ -80,7 +80,7 @@
     for task in tasks:
         record = find_record(cell.jobs[task.job], task)
         _log.warning(
-            "task failed for good: it crashed too many workers",
+            "task failed: it crashed too many workers",
             event="task.given_up",
             job=task.job,
             task=format_task(task),
--- a/toucanpin/entry/peers.py
+++ b/toucanpin/entry/peers.py
@@ -31,7 +31,7 @@
 ANNOUNCE_PERIOD_S = 4.0  # between announcements of a host
 READ_PERIOD_S = 2.0  # between reads of the registry
 PEER_TIMEOUT_S = 15.0  # without an announcement, after which a host is no longer called
-# Hosts are replaced under new names all day long.  If their rows were kept, reading them would use
+# Hosts are replaced under new names all the time.  If their rows were kept, reading them would use
 # up the bandwidth of all hosts.
 ROW_RETENTION_S = 300.0  # without an announcement, after which a host's row is deleted
 MAX_DROPPED_ROWS = 10  # per transaction, each with its expected version
--- a/toucanpin/entry/tests/test_cell_loading.py
+++ b/toucanpin/entry/tests/test_cell_loading.py
@@ -60,7 +60,7 @@
 
     async def test_an_owner_that_shuts_down_during_the_load_resigns(self) -> None:
         """
-        A new owner is told to shut down, or a stronger host starts, while it reads the rows of its
+        A new owner shuts down, or a stronger host starts, while it reads the rows of its
         cell.  Guards against renewing the ownership until all rows are read or the process is
         killed, with no host scheduling meanwhile.
         """
--- a/toucanpin/entry/tests/test_peers.py
+++ b/toucanpin/entry/tests/test_peers.py
@@ -32,7 +32,7 @@
 
     async def test_rows_of_expired_hosts_are_deleted(self) -> None:
         """
-        Hosts are replaced all day, each under a new name.  Without deletion every host read the
+        Hosts are often replaced, each under a new name.  Without deletion every host read the
         rows of all hosts that ever existed every two seconds, and once they exceeded one answer
         some live hosts weren't known.
         """
--- a/toucanpin/entry/tests/test_relay.py
+++ b/toucanpin/entry/tests/test_relay.py
@@ -168,7 +168,7 @@
         """
         The store refuses a host for a moment, and the host probes it every 0.5 s with a timeout of
         0.4 s.  Guards against probes that read the operators' document: 1.4 MB take 1.1 s on a link
-        of 10 Mbit/s, so every probe failed and the host called through peers for good.
+        of 10 Mbit/s, so every probe failed and the host called through peers permanently.
         """
         refusing = True
 
--- a/toucanpin/entry/tests/test_row_cache.py
+++ b/toucanpin/entry/tests/test_row_cache.py
@@ -130,7 +130,7 @@
         """
         A document of 1.4 MB is written three times between two updates, and an answer with all
         three versions exceeds the limit.  Guards against a host that takes this for an outage,
-        requests the same changes again and again, and keeps its old configuration.
+        requests the same changes repeatedly, and keeps its old configuration.
         """
         relayed = RelayedStore(self.client, "h0")
         cache = RowCache(Store(relayed), "op")
--- a/toucanpin/entry/tests/test_shutdown.py
+++ b/toucanpin/entry/tests/test_shutdown.py
@@ -1,4 +1,4 @@
-"""A host that is told to stop answers every request that it has read."""
+"""A host that shuts down answers every request that it has read."""
 
 from __future__ import annotations
 
--- a/toucanpin/entry/tests/test_site.py
+++ b/toucanpin/entry/tests/test_site.py
@@ -183,7 +183,7 @@
 
     async def test_a_resignation_during_a_write_is_written(self) -> None:
         """
-        The owner is told to stop during one of its writes.  Guards against stopping after that
+        The owner is stopped during one of its writes.  Guards against stopping after that
         write: its row would still name it, and the cell stay idle until its timeout.
         """
         standby = await self._add_two_hosts()
--- a/toucanpin/scheduling/cell.py
+++ b/toucanpin/scheduling/cell.py
@@ -344,7 +344,7 @@
 
 
 def drop_run(cell: Cell, worker: Worker, run: Run) -> None:
-    """Remove a run for good and release its resources."""
+    """Remove a run and release its resources."""
     release_run(worker, run)
     left = [other for other in cell.runs.get(run.task.job, ()) if other is not run]
     if left:
--- a/toucanpin/scheduling/crashing.py
+++ b/toucanpin/scheduling/crashing.py
@@ -180,7 +180,7 @@
     if run.step.long_running and run.last_listed_at > run.started_at + SURVIVAL_PERIOD_S:
         return False
     # A worker without an address is known from a row only. It may have crashed before this owner
-    # listed it, so its readiness says nothing.
+    # listed it, so its readiness is unknown.
     announced = bool(worker.entry.address) and not worker.entry.ready
     return not announced and not worker.draining_since
 
--- a/toucanpin/scheduling/interference_model.py
+++ b/toucanpin/scheduling/interference_model.py
@@ -73,7 +73,7 @@
     """
     Utilization of a job without neighbours, and when it was measured.
 
-    ``undisturbed`` says that it was measured on tasks with harmless neighbours; ``trend`` is its
+    ``undisturbed`` is true if it was measured on tasks with harmless neighbours; ``trend`` is its
     change per second.
     """
 
--- a/toucanpin/scheduling/placing.py
+++ b/toucanpin/scheduling/placing.py
@@ -241,8 +241,8 @@
     """
     Set the rack of a step to the one on which most of its tasks run, if any do.
 
-    The rack chosen first isn't used for ever: all its workers may be lost, and a new owner doesn't
-    know it.  In either case four tasks would be spread over two racks, which makes all of them slow.
+    The rack chosen first isn't final: all its workers may be lost, and a new owner doesn't know it.
+    In either case four tasks would be spread over two racks, which makes all of them slow.
     """
     racks = Counter(
         worker.rack
--- a/toucanpin/scheduling/tests/test_crashing.py
+++ b/toucanpin/scheduling/tests/test_crashing.py
@@ -138,7 +138,7 @@
             with self.subTest(seed=seed):
                 random = Random(seed)
                 fleet = Fleet(workers=8, cpu=8_000)
-                fleet.submit(make_job("lasting", (Step(count=4, cpu=1_000, long_running=True),)))
+                fleet.submit(make_job("long", (Step(count=4, cpu=1_000, long_running=True),)))
                 names = [f"j{number}" for number in range(40)]
                 for name in names:
                     fleet.submit(make_job(name, (Step(count=2, cpu=1_000),)))
@@ -147,7 +147,7 @@
                         fleet.crash(random.choice(sorted(fleet.workers)))
                 fleet.run(20.0)
                 self.assertEqual({JobState.COMPLETED}, {fleet.state(name) for name in names})
-                self.assertEqual(JobState.ACTIVE, fleet.state("lasting"))
+                self.assertEqual(JobState.ACTIVE, fleet.state("long"))
 
     def test_repeatedly_crashing_workers_fail_no_job(self) -> None:
         """
--- a/toucanpin/scheduling/tests/test_long_running.py
+++ b/toucanpin/scheduling/tests/test_long_running.py
@@ -17,7 +17,7 @@
         for worker in self.fleet.workers.values():
             worker.duration = 60.0
 
-    _task = TaskKey("lasts", 0, 0, 0)
+    _task = TaskKey("long", 0, 0, 0)
 
     def _is_running(self, job: str) -> bool:
         return any(t.job == job for w in self.fleet.workers.values() for t in w.runs)
@@ -35,15 +35,15 @@
         Guards against a failed long-running task that runs nowhere, for 11 s, because the only
         worker with room for it is reserved for short tasks, of which none come.
         """
-        self.fleet.submit(make_job("lasts", (LONG_RUNNING,), priority=0))
+        self.fleet.submit(make_job("long", (LONG_RUNNING,), priority=0))
         self.fleet.run(1.0)
         self._fill_up(Step(count=6, cpu=1_000))
         self._fail_task()
         self.fleet.submit(make_job("late", (Step(cpu=1_000),), priority=0))
         self.fleet.run(0.2)
-        self.assertFalse(self._is_running("lasts"))
+        self.assertFalse(self._is_running("long"))
         self.fleet.run(1.5)
-        self.assertTrue(self._is_running("lasts"))
+        self.assertTrue(self._is_running("long"))
 
     def test_task_that_ran_precedes_new_siblings(self) -> None:
         """
@@ -54,11 +54,11 @@
         fleet.workers["w0"].duration = 60.0
         step = Step(count=3, cpu=1_000, long_running=True)
         fleet.submit(make_job("full", (Step(cpu=1_000),), priority=0))
-        fleet.submit(make_job("lasts", (step,), priority=0))
-        fleet.cell.jobs["lasts"].progress.tasks[0][2].attempt = 1
+        fleet.submit(make_job("long", (step,), priority=0))
+        fleet.cell.jobs["long"].progress.tasks[0][2].attempt = 1
         fleet.run(2.0)
-        placed = {task for task in fleet.workers["w0"].runs if task.job == "lasts"}
-        self.assertEqual({TaskKey("lasts", 0, 0, 2)}, placed)
+        placed = {task for task in fleet.workers["w0"].runs if task.job == "long"}
+        self.assertEqual({TaskKey("long", 0, 0, 2)}, placed)
 
     def test_failed_task_precedes_new_jobs(self) -> None:
         """
@@ -69,7 +69,7 @@
         worker = fleet.workers["w0"]
         worker.duration = 60.0
         step = Step(cpu=900, long_running=True)
-        fleet.submit(make_job("lasts", (step,), accepted=90_000))
+        fleet.submit(make_job("long", (step,), accepted=90_000))
         fleet.submit(make_job("other", (step,), accepted=90_000))
         fleet.run(3.0)
         for number in range(4):
@@ -78,13 +78,13 @@
         fleet.run(1.0)
         worker.end(TaskKey("other", 0, 0, 0), RunEnd.FAILED)
         fleet.run(3.0)
-        self.assertEqual({"lasts", "other"}, {task.job for task in worker.runs})
+        self.assertEqual({"long", "other"}, {task.job for task in worker.runs})
 
     def test_new_task_leaves_reserve_free(self) -> None:
         self._fill_up(Step(count=7, cpu=1_000))
-        self.fleet.submit(make_job("lasts", (LONG_RUNNING,), priority=0))
+        self.fleet.submit(make_job("long", (LONG_RUNNING,), priority=0))
         self.fleet.run(3.0)
-        self.assertFalse(self._is_running("lasts"))
+        self.assertFalse(self._is_running("long"))
 
     def test_best_effort_memory_is_freed_without_spare_cores(self) -> None:
         """
@@ -93,13 +93,13 @@
         had.
         """
         self._fill_up(Step(count=2, cpu=3_000))
-        self.fleet.submit(make_job("lasts", (LONG_RUNNING,), priority=0))
+        self.fleet.submit(make_job("long", (LONG_RUNNING,), priority=0))
         self.fleet.run(1.0)
         self._fail_task()
         best_effort = Step(count=2, cpu=1_000, memory=8_000, best_effort=True, checkpoints=True)
-        self.fleet.submit(make_job("fill", (best_effort,), priority=2))
+        self.fleet.submit(make_job("batch", (best_effort,), priority=2))
         self.fleet.run(3.0)
-        self.assertTrue(self._is_running("lasts"))
+        self.assertTrue(self._is_running("long"))
 
     def test_worker_reserved_for_large_task_takes_long_running_one(self) -> None:
         """
@@ -113,10 +113,10 @@
         fleet.run(1.0)
         fleet.submit(make_job("large", (Step(count=3, cpu=3_900),), priority=0))
         fleet.run(0.5)
-        fleet.submit(make_job("lasts", (LONG_RUNNING,), priority=0))
+        fleet.submit(make_job("long", (LONG_RUNNING,), priority=0))
         fleet.run(2.0)
         placed = {task for worker in fleet.workers.values() for task in worker.runs}
-        self.assertIn(TaskKey("lasts", 0, 0, 0), placed)
+        self.assertIn(TaskKey("long", 0, 0, 0), placed)
 
 
 if __name__ == "__main__":
--- a/toucanpin/scheduling/tests/test_preempting.py
+++ b/toucanpin/scheduling/tests/test_preempting.py
@@ -31,7 +31,7 @@
         steps = (Step(count=4, cpu=2_000),)
         self.fleet.submit(make_job("slow", steps, priority=2))
         self.fleet.run(5.0)
-        self.fleet.submit(make_job("saves", (Step(cpu=100, checkpoints=True),), priority=2))
+        self.fleet.submit(make_job("resumable", (Step(cpu=100, checkpoints=True),), priority=2))
         self.fleet.run(0.5)
         self.fleet.submit(make_job("urgent", (Step(cpu=2_000),), priority=0))
         self.fleet.run(1.0)
@@ -57,7 +57,7 @@
         self.assertGreater(reserved[0].reserved_until, self.fleet.time)
 
     def test_stop_is_not_repeated_while_task_may_be_stopping(self) -> None:
-        """Guards against stop orders that are sent again and again where stops are slow."""
+        """Guards against stop orders that are sent repeatedly where stops are slow."""
         self.fleet.cell.stop_time = STOP_TIME_S
         self.fleet.submit(make_job("slow", (Step(count=4, cpu=2_000),), priority=2))
         self.fleet.run(1.0)
@@ -69,7 +69,7 @@
     def test_resumable_tasks_are_preempted_first(self) -> None:
         self.fleet.submit(make_job("plain", (Step(count=2, cpu=2_000),), priority=2))
         self.fleet.submit(
-            make_job("saves", (Step(count=2, cpu=2_000, checkpoints=True),), priority=2)
+            make_job("resumable", (Step(count=2, cpu=2_000, checkpoints=True),), priority=2)
         )
         self.fleet.run(5.0)
         self.fleet.submit(make_job("urgent", (Step(cpu=2_000),), priority=0))
@@ -79,17 +79,17 @@
 
     def test_equal_and_long_running_tasks_are_not_preempted(self) -> None:
         self.fleet.submit(make_job("equal", (Step(count=2, cpu=3_000),), priority=0))
-        self.fleet.submit(make_job("lasting", (Step(cpu=900, long_running=True),), priority=2))
+        self.fleet.submit(make_job("long", (Step(cpu=900, long_running=True),), priority=2))
         self.fleet.run(1.0)
         self.fleet.submit(make_job("urgent", (Step(cpu=2_000),), priority=0))
         self.fleet.run(1.0)
         self.assertFalse(self._is_running("urgent"))
-        self.assertTrue(self._is_running("lasting"))
+        self.assertTrue(self._is_running("long"))
         self.assertEqual(JobState.PENDING, self.fleet.state("urgent"))
 
     def test_best_effort_memory_is_freed(self) -> None:
         best_effort = Step(count=2, cpu=1_000, memory=8_000, best_effort=True, checkpoints=True)
-        self.fleet.submit(make_job("fill", (best_effort,), priority=2))
+        self.fleet.submit(make_job("batch", (best_effort,), priority=2))
         self.fleet.run(1.0)
         self.fleet.submit(make_job("urgent", (Step(cpu=1_000, memory=4_000),), priority=0))
         self.fleet.run(0.5)
--- a/toucanpin/scheduling/tests/test_reserving.py
+++ b/toucanpin/scheduling/tests/test_reserving.py
@@ -33,9 +33,9 @@
         full, because long-running tasks leave only a tenth of each worker free.
         """
         self._fill_up()
-        self.fleet.submit(make_job("brief", (Step(count=9, cpu=21_000),)))
+        self.fleet.submit(make_job("short", (Step(count=9, cpu=21_000),)))
         self.fleet.run(0.3)
-        self.assertEqual(9, len(self._running("brief")))
+        self.assertEqual(9, len(self._running("short")))
 
     def test_short_task_of_a_whole_worker_starts_at_once(self) -> None:
         """
@@ -43,9 +43,9 @@
         long-running task.
         """
         self._fill_up()
-        self.fleet.submit(make_job("brief", (Step(count=1, cpu=CORES),)))
+        self.fleet.submit(make_job("short", (Step(count=1, cpu=CORES),)))
         self.fleet.run(0.3)
-        self.assertEqual(1, len(self._running("brief")))
+        self.assertEqual(1, len(self._running("short")))
 
     def test_other_workers_are_packed(self) -> None:
         """Guards against a reserve that costs more cores than its share."""
--- a/toucanpin/scheduling/tests/test_turn_cost.py
+++ b/toucanpin/scheduling/tests/test_turn_cost.py
@@ -28,13 +28,13 @@
         for worker in self.fleet.workers.values():
             worker.duration = 600.0
         long_running_step = Step(count=WORKERS - RESERVED, cpu=3_000, long_running=True)
-        self.fleet.submit(make_job("lasts", (long_running_step,)))
+        self.fleet.submit(make_job("long", (long_running_step,)))
         self.fleet.run(1.0)
-        self.fleet.submit(make_job("brief", (Step(count=RESERVED, cpu=3_000),)))
+        self.fleet.submit(make_job("short", (Step(count=RESERVED, cpu=3_000),)))
         self.fleet.run(1.0)
         self.assertEqual({3_000}, {worker.cpu for worker in self.fleet.cell.workers.values()})
         best_effort = Step(count=WORKERS, cpu=500, best_effort=True, image="f", checkpoints=True)
-        self.fleet.submit(make_job("fills", (best_effort,), priority=2))
+        self.fleet.submit(make_job("batch", (best_effort,), priority=2))
         self.fleet.run(1.0)
 
     def _count(self, name: str) -> int:
--- a/toucanpin/scheduling/tests/test_upkeep.py
+++ b/toucanpin/scheduling/tests/test_upkeep.py
@@ -62,14 +62,14 @@
         self.assertEqual(idle, self._list_next(Wave(1, ("m0", "m1", "m2", "m3"), 60.0, 1)))
 
     def test_tasks_without_checkpoints_get_a_grace_period(self) -> None:
-        self.fleet.submit(make_job("saves", (Step(cpu=4_000, checkpoints=True),)))
+        self.fleet.submit(make_job("resumable", (Step(cpu=4_000, checkpoints=True),)))
         self.fleet.submit(make_job("plain", (Step(cpu=4_000),)))
         self.fleet.run(0.5)
         worker_names = {t.job: n for n, w in self.fleet.workers.items() for t in w.runs}
         for name in worker_names.values():
             self.assertFalse(self._drain(name))
         self.fleet.run(0.5)
-        self.assertTrue(self._drain(worker_names["saves"]))
+        self.assertTrue(self._drain(worker_names["resumable"]))
         self.assertFalse(self._drain(worker_names["plain"]))
         self.fleet.run(2.5)
         self._drain(worker_names["plain"])
--- a/toucanpin/scheduling/trust.py
+++ b/toucanpin/scheduling/trust.py
@@ -24,7 +24,7 @@
     """Record that a task failed or made no progress on a worker."""
     until = now.steady + avoidance
     worker.suspect_until = max(worker.suspect_until, until)
-    # A long-running task may fail at any time; only an early failure says something about its
+    # A long-running task may fail at any time; only an early failure is evidence against its
     # worker.
     if run.step.long_running and now.steady > run.ordered_at + EARLY_FAILURE_S:
         return
