--- a/scenarios/peer.py
+++ b/scenarios/peer.py
@@ -41,7 +41,7 @@
 __all__ = ["PeerProcess", "SimulationContext"]
 
 REPLICATION_PERIOD_S = 0.1
-MAX_UNPAUSED_GAP_S = 1.0
+PAUSE_THRESHOLD_S = 1.0
 HOST_LIST_PERIOD_S = 1.0
 TIMING = Timing(interval=0.2)
 PRESENT = (Standing.ALIVE, Standing.SUSPECT)
@@ -190,14 +190,14 @@
         """Perform one replication action."""
         match action:
             case ReadTable(after):
-                take = partial(self._take_rows, self.read_clock())
+                take = partial(self._handle_rows, self.read_clock())
                 self.context.platform.scan(self, CURRENT_KEY, after, take)
             case PullFrom(peer, above):
-                self.call(peer, partial(self._pull_from, peer, above), self._take_pulled)
+                self.call(peer, partial(self._pull_from, peer, above), self._handle_pulled)
             case PushTo(peer, record):
                 self.call(peer, partial(self._push_to, peer, record), lambda outcome: None)
 
-    def _take_rows(self, requested_at: float, found: Result) -> None:
+    def _handle_rows(self, requested_at: float, found: Result) -> None:
         """Handle the rows read from the table."""
         if found.is_ok():
             self.replica.receive_rows(found.ok, requested_at, self.read_clock())
@@ -210,7 +210,7 @@
         record = self.context.peers[peer].replica.record
         return record if record is not None and record.version > above else None
 
-    def _take_pulled(self, outcome: object) -> None:
+    def _handle_pulled(self, outcome: object) -> None:
         """Handle the answer to a pull."""
         match outcome:
             case BundleRecord():
@@ -230,7 +230,7 @@
         self.view.set_bundle(self.replica.version)
         bundle = self.current()
         version = 0 if bundle is None else bundle.version
-        if self.kernel.now - self._updated_at > MAX_UNPAUSED_GAP_S:
+        if self.kernel.now - self._updated_at > PAUSE_THRESHOLD_S:
             # A paused process uses no bundle; what counts is the version in force after the pause.
             self._record_bundle_in_force(0, self._updated_at)
             self._version_in_force = 0
--- a/scenarios/processes.py
+++ b/scenarios/processes.py
@@ -79,7 +79,7 @@
             self._topology.entries, self._observations, self._script, self._read_time
         )
         self._pool = ThreadPoolExecutor(CALLER_THREADS)
-        self._pending_lifts: list[tuple[float, Callable[[], None]]] = []
+        self._pending_removals: list[tuple[float, Callable[[], None]]] = []
         self._rules: list[Rule] = []
         self._runs: dict[tuple[str, str, int], TaskRun] = {}
         self._leaving: set[str] = set()
@@ -101,10 +101,10 @@
 
     def advance(self, time_: float) -> None:
         """Wait until a time, and remove the faults that end before it."""
-        while self._pending_lifts and self._pending_lifts[0][0] <= time_:
-            due, lift = self._pending_lifts.pop(0)
+        while self._pending_removals and self._pending_removals[0][0] <= time_:
+            due, remove_fault = self._pending_removals.pop(0)
             time.sleep(max(0.0, self._started_at + due - time.monotonic()))
-            lift()
+            remove_fault()
         time.sleep(max(0.0, self._started_at + time_ - time.monotonic()))
 
     def apply(self, action: Action) -> None:
@@ -125,7 +125,7 @@
                 self._host_launcher.start(target)
             case model.Pause(target, duration):
                 self._signal(target, signal.SIGSTOP)
-                self._schedule_lift(duration, lambda: self._signal(target, signal.SIGCONT))
+                self._schedule_removal(duration, lambda: self._signal(target, signal.SIGCONT))
             case model.Leave(target):
                 self._leaving.add(target)
                 self._publish_host_list()
@@ -226,11 +226,11 @@
         for name in self._host_launcher.name_processes(target):
             self._launcher.send_signal(name, number)
 
-    def _schedule_lift(self, delay: float, lift: Callable[[], None]) -> None:
+    def _schedule_removal(self, delay: float, remove_fault: Callable[[], None]) -> None:
         """Schedule the removal of a fault."""
         due = self._read_time() + delay
-        self._pending_lifts.append((due, lift))
-        self._pending_lifts.sort(key=lambda entry: entry[0])
+        self._pending_removals.append((due, remove_fault))
+        self._pending_removals.sort(key=lambda entry: entry[0])
 
     def _inject_fault(self, effect: Effect, target: str, client: str, duration: float) -> None:
         """Inject a fault of the platform for a while."""
@@ -238,13 +238,13 @@
         self._put_rules([*self._rules, *rules])
         self._rules += rules
 
-        def lift() -> None:
+        def remove_fault() -> None:
             """Remove these rules."""
             self._rules = [rule for rule in self._rules if rule not in rules]
             self._put_rules(self._rules)
 
         if duration != model.FOREVER:
-            self._schedule_lift(duration, lift)
+            self._schedule_removal(duration, remove_fault)
 
     def _put_rules(self, rules: list[Rule]) -> None:
         """Replace the active fault rules."""
@@ -271,9 +271,9 @@
             except HTTPError:
                 continue
             for entry in msgspec.json.decode(answer.data):
-                self._note_run(worker.name, entry)
+                self._record_run(worker.name, entry)
 
-    def _note_run(self, worker: str, entry: dict[str, Any]) -> None:
+    def _record_run(self, worker: str, entry: dict[str, Any]) -> None:
         """Record when an attempt ran."""
         key = (worker, entry["task"], entry["started_at"])
         started = entry["started_at"] / MILLISECONDS - self._started_at
--- a/scenarios/request_process.py
+++ b/scenarios/request_process.py
@@ -39,7 +39,7 @@
 GRANT_PERIOD_S = 0.05
 SHARES_SETTLE_S = 2.0
 NOT_READY = Refusal(Verdict.NOT_RUN, Reason.NOT_READY, "not ready yet", 1.0)
-STORE_TIMEOUT = Refusal(Verdict.NOT_RUN, Reason.STORE_UNCERTAIN, "the store is late", 2.0)
+STORE_TIMED_OUT = Refusal(Verdict.NOT_RUN, Reason.STORE_UNCERTAIN, "the store is late", 2.0)
 
 
 @dataclass(frozen=True, slots=True)
@@ -216,7 +216,7 @@
             """Reply that the store did not answer in time."""
             if not given_up[0]:
                 given_up[0] = True
-                reply(messages.NotClaimed(self.read_clock(), STORE_TIMEOUT))
+                reply(messages.NotClaimed(self.read_clock(), STORE_TIMED_OUT))
 
         def settle(outcomes: dict[bytes, Any]) -> None:
             """Reply with the outcome, or release a claim that came too late."""
--- a/standins/site/machines.py
+++ b/standins/site/machines.py
@@ -33,9 +33,7 @@
         self.lose_answers = 0
         self.refuse_orders = 0  # number of orders to refuse with 503
         self.refused: list[str] = []
-        self.unknown_orders: dict[str, int] = (
-            {}
-        )  # orders to refuse as not of their wave, by machine
+        self.unknown_orders: dict[str, int] = {}  # refusals left by machine, as not of its wave
         self.omissions: dict[str, int] = {}  # number of lists that omit a machine
         self.states: dict[str, str] = {}  # states shown instead of the actual ones
 
