--- a/toucanpin/bundles/tests/cluster.py
+++ b/toucanpin/bundles/tests/cluster.py
@@ -28,7 +28,7 @@
 
 __all__ = ["Cluster", "Process"]
 
-TICK = 0.1
+TICK_S = 0.1
 
 
 @dataclass
@@ -85,7 +85,7 @@
         table = MemoryTable(self.core, self.line, name)
         process = Process(name, BundleReplica(name, ROOT, self.timing, self.now), table)
         self.processes[name] = process
-        self._schedule(self.random.random() * TICK, process, lambda: self._tick(process))
+        self._schedule(self.random.random() * TICK_S, process, lambda: self._tick(process))
         self._schedule(
             self.random.random() * self.interval, process, lambda: self._heartbeat_round(process)
         )
@@ -161,7 +161,7 @@
                 case PushTo(peer, record) if self.push:
                     self._push(process.name, peer, record)
         self._record_version(process)
-        self._schedule(TICK, process, lambda: self._tick(process))
+        self._schedule(TICK_S, process, lambda: self._tick(process))
 
     def _list_peers(self, process: Process) -> tuple[Peer, ...]:
         if self.heartbeats:
--- a/toucanpin/daemon/tests/front_harness.py
+++ b/toucanpin/daemon/tests/front_harness.py
@@ -107,7 +107,7 @@
 
 
 class FakeTable:
-    """Table in memory; ``faults`` lists the faults of the next commits, ``down`` one that lasts."""
+    """Table in memory; ``faults`` lists those of the next commits; ``down`` is permanent."""
 
     def __init__(self) -> None:
         self.rows: dict[str, Row] = {}
--- a/toucanpin/http/client.py
+++ b/toucanpin/http/client.py
@@ -24,7 +24,7 @@
 CONNECT_TIMEOUT_S = 0.6
 MAX_ANSWER_BYTES = 4_194_304  # four times the platform's largest page
 MAX_IDLE_CONNECTIONS = 8  # per address
-LATENESS_THRESHOLD_S = 0.05  # a time-out that fires this late means a busy or suspended process
+LATENESS_THRESHOLD_S = 0.05  # a timeout that fires this late means a busy or suspended process
 T = TypeVar("T")
 
 
@@ -252,8 +252,8 @@
     """
     Return the result of ``waiter`` if it is done by ``deadline``, in the loop's time.
 
-    A process that was busy or suspended finds an expired time-out and the data that arrived in the
-    meantime at the same moment.  If the time-out fires late, the deadline is therefore extended by
+    A process that was busy or suspended finds an expired timeout and the data that arrived in the
+    meantime at the same moment.  If the timeout fires late, the deadline is therefore extended by
     that lateness, at most by ``max_extension``.  Otherwise answers that have arrived would be
     dropped, and with them the task outcomes that they report.
     """
--- a/toucanpin/http/tests/test_busy_process.py
+++ b/toucanpin/http/tests/test_busy_process.py
@@ -1,4 +1,4 @@
-"""Tests of calls whose own process is busy past their time-out."""
+"""Tests of calls whose own process is busy past their timeout."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from toucanpin.http import Client, Request, Response, Server
 
 CALL_TIMEOUT_S = 0.2
-BUSY_S = 0.5  # longer than a call's time-out; blocks the event loop
+BUSY_S = 0.5  # longer than a call's timeout; blocks the event loop
 
 
 class BusyProcessTest(unittest.IsolatedAsyncioTestCase):
@@ -32,7 +32,7 @@
         return asyncio.ensure_future(self.client.call("POST", "/", body, timeout=CALL_TIMEOUT_S))
 
     async def test_answer_received_while_busy_is_returned(self) -> None:
-        """An answer that arrived before the process handled the expired time-out is not dropped."""
+        """An answer that arrived before the process handled the expired timeout is not dropped."""
         await self._call(b"first")
         call = self._call(b"second")
         while self.handled < 2:
--- a/toucanpin/http/tests/test_http.py
+++ b/toucanpin/http/tests/test_http.py
@@ -91,7 +91,7 @@
         answer = await self.client.call("GET", "/later")
         self.assertEqual("2", answer.headers["retry-after"])
 
-    async def test_aborted_connection_and_time_out_may_have_run(self) -> None:
+    async def test_aborted_connection_and_timeout_may_have_run(self) -> None:
         with self.assertRaises(CallError) as caught:
             await self.client.call("POST", "/broken")
         self.assertIs(Verdict.MAY_HAVE_RUN, caught.exception.verdict)
--- a/toucanpin/placement/reports.py
+++ b/toucanpin/placement/reports.py
@@ -61,7 +61,7 @@
     lost: set[str],
     now: float,
 ) -> Decision[None]:
-    """Commit the changes in groups, workers and epoch with the first group."""
+    """Commit the changes in groups; the first one also raises the epoch if workers were lost."""
     # A start that was sent to a lost worker may still be in flight.  If it arrived after the
     # worker has a lease again, the task would run there and elsewhere.  With the higher epoch the
     # worker refuses it from our next poll on, and before that poll it has no lease.
@@ -261,10 +261,10 @@
     cell: Cell, record: TaskRecord, worker: WorkerRow, workers: dict[str, WorkerRow]
 ) -> None:
     """
-    Count a task's first failure against its worker; take it back if the task fails elsewhere too.
+    Count a task's first failure against its worker; undo that if the task fails elsewhere too.
 
     At most a third of a cell's workers is quarantined, so that jobs that fail on every worker
-    cannot take the whole cell out of service.
+    cannot take all of a cell out of service.
     """
     if not record.failed_on:
         current = workers.get(worker.name, worker)
--- a/toucanpin/placement/tests/helpers.py
+++ b/toucanpin/placement/tests/helpers.py
@@ -7,9 +7,15 @@
 
 from toucanpin.placement.tests.world import Effect, Process, World
 
-__all__ = ["TABLE", "make_table_unavailable", "find_gaps", "find_owner", "start_standing"]
+__all__ = [
+    "TABLE_OPERATIONS",
+    "find_gaps",
+    "find_owner",
+    "make_table_unavailable",
+    "start_standing",
+]
 
-TABLE = ("commit", "read", "scan")
+TABLE_OPERATIONS = ("commit", "read", "scan")
 
 
 def find_gaps(world: World, task: str) -> list[float]:
@@ -41,5 +47,5 @@
 
 def make_table_unavailable(world: World) -> None:
     """Make the table unavailable to all clients."""
-    for operation in TABLE:
+    for operation in TABLE_OPERATIONS:
         world.fault(Effect.DOWN, operation)
--- a/toucanpin/placement/tests/skewed_clocks.py
+++ b/toucanpin/placement/tests/skewed_clocks.py
@@ -51,7 +51,7 @@
 
     def advance(self, now):
         """Advance to an instant of the world, or of the own clock within another call."""
-        if self._inside:
+        if self._uses_own_clock:
             super().advance(now)
             return
         with self._own_clock():
@@ -67,10 +67,10 @@
         with self._own_clock():
             super().finish_get(self.read_clock(now), get, body, answered)
 
-    _inside = False
+    _uses_own_clock = False
 
     @contextmanager
     def _own_clock(self):
-        self._inside = True
+        self._uses_own_clock = True
         yield
-        self._inside = False
+        self._uses_own_clock = False
--- a/toucanpin/placement/tests/test_interference_aware.py
+++ b/toucanpin/placement/tests/test_interference_aware.py
@@ -48,15 +48,15 @@
 def watch(world: World, seconds: float) -> list[tuple[float, str, str]]:
     """Run; return the time, kind and detail of each action of the policy."""
     seen = len(world.events)
-    acts = []
+    actions = []
     until = world.now + seconds
     while world.now < until:
         world.run(0.125)
         for _, event in world.events[seen:]:
             if event.kind in ("task.throttle", "task.evict", "task.outgrown", "policy.fail"):
-                acts.append((world.now, event.kind, event.detail))
+                actions.append((world.now, event.kind, event.detail))
         seen = len(world.events)
-    return acts
+    return actions
 
 
 class NoisyJobTest(unittest.TestCase):
@@ -81,8 +81,8 @@
         slowdown persists, evicted with a checkpoint.  It resumes once, on the other host, from that
         checkpoint and yields one result.
         """
-        acts = watch(self.world, 90)
-        kinds = [kind for _, kind, _ in acts]
+        actions = watch(self.world, 90)
+        kinds = [kind for _, kind, _ in actions]
         self.assertEqual(kinds[0], "task.throttle")
         self.assertEqual(kinds.count("task.evict"), 1)
         self.world.settle(120)
@@ -178,11 +178,11 @@
         world.set_standing(2, "enc")
         world.run(2)
         world.submit("a", work=3_000)
-        acts = watch(world, 20)
+        actions = watch(world, 20)
         self.assertEqual(find_gaps(world, "enc"), [])
         self.assertEqual(len(world.running("enc")), 1)
         self.assertEqual(world.count_ended(), 1)
-        self.assertIn("policy.fail", [kind for _, kind, _ in acts])
+        self.assertIn("policy.fail", [kind for _, kind, _ in actions])
 
 
 class FaultyPolicy:
@@ -216,8 +216,8 @@
         world = make_world(workers=1)
         world.run(2)
         world.submit("a", processors=2, work=6_000, use=3.0)
-        acts = watch(world, 30)
-        self.assertEqual([kind for _, kind, _ in acts][:2], ["task.outgrown", "task.throttle"])
+        actions = watch(world, 30)
+        self.assertEqual([kind for _, kind, _ in actions][:2], ["task.outgrown", "task.throttle"])
         self.assertEqual(world.count_ended(), 1)
 
 
--- a/toucanpin/placement/tests/test_outages.py
+++ b/toucanpin/placement/tests/test_outages.py
@@ -3,7 +3,7 @@
 import unittest
 
 from toucanpin.placement.tests.helpers import (
-    TABLE,
+    TABLE_OPERATIONS,
     find_gaps,
     find_owner,
     make_table_unavailable,
@@ -55,7 +55,7 @@
         owner = find_owner(world, "enc")
         other = next(it for it in world.processes.values() if it is not owner)
         worker = world.running("enc")[0]
-        for operation in TABLE:
+        for operation in TABLE_OPERATIONS:
             world.fault(Effect.DOWN, operation, owner.controller_id.process)
         owner.cut_peers.add(other.controller_id.process)
         world.cut(other.controller_id.process, worker)
--- a/toucanpin/placement/tests/test_owners.py
+++ b/toucanpin/placement/tests/test_owners.py
@@ -7,7 +7,7 @@
 from toucanpin.placement.queue import rendezvous_weight
 from toucanpin.placement.records import JobState
 from toucanpin.placement.tests.helpers import (
-    TABLE,
+    TABLE_OPERATIONS,
     find_gaps,
     find_owner,
     make_table_unavailable,
@@ -105,7 +105,7 @@
         owner = find_owner(world, "enc")
         other = next(it for it in world.processes.values() if it is not owner)
         worker = world.running("enc")[0]
-        for operation in TABLE:
+        for operation in TABLE_OPERATIONS:
             world.fault(Effect.DOWN, operation, owner.controller_id.process)
         world.cut(other.controller_id.process, worker)
         world.run(40)
@@ -186,7 +186,7 @@
             second.finish_turn()
         world.fault(Effect.LOSE_AFTER, "commit", first.controller_id.process, 1)
         first.step()
-        for operation in TABLE:
+        for operation in TABLE_OPERATIONS:
             world.fault(Effect.DOWN, operation, first.controller_id.process)
         world.run(40)
         self.assertEqual(len(world.running("enc")), 1)
--- a/toucanpin/platform/tests/test_http.py
+++ b/toucanpin/platform/tests/test_http.py
@@ -100,7 +100,7 @@
         """
         self.assertTrue(is_unknown(self.commit(Reply(b"", "reset", unread=True))))
 
-    def test_time_out_is_unknown(self):
+    def test_timeout_is_unknown(self):
         self.assertTrue(is_unknown(self.commit(Reply(b"", "hang"), timeout=0.05)))
 
     def test_late_answer_does_not_reach_the_next_commit(self):
--- a/toucanpin/requests/tests/virtual_front.py
+++ b/toucanpin/requests/tests/virtual_front.py
@@ -73,7 +73,7 @@
 
 
 class Clock:
-    """Run callbacks in the order of their virtual instants."""
+    """Virtual clock that runs callbacks in the order of their instants."""
 
     def __init__(self) -> None:
         self.now = 0.0
@@ -106,7 +106,7 @@
 
 
 class VirtualFront:
-    """The front of one entry host for one service."""
+    """Simulated front of one entry host for one service."""
 
     def __init__(
         self, clock: Clock, service: Service, behave: Behave, load: Load, seed: int = 1
--- a/toucanpin/wire/tests/test_exchange.py
+++ b/toucanpin/wire/tests/test_exchange.py
@@ -28,7 +28,7 @@
 LOOPBACK = "127.0.0.1"
 KEYS = PeerKeys("k1", {"k1": bytes(32)})
 OTHER_KEYS = PeerKeys("k1", {"k1": bytes(range(32))})
-TIMEOUT = 10.0
+TEST_TIMEOUT_S = 10.0
 
 
 def identify(name):
@@ -47,7 +47,7 @@
             LOOPBACK, 0, identify("b/control"), KEYS, {Standstill: self.promise}
         )
         self.server.start()
-        self.addCleanup(self.server.stop, TIMEOUT)
+        self.addCleanup(self.server.stop, TEST_TIMEOUT_S)
         self.member = locate("b/control", self.server.port)
 
     def promise(self, envelope, request):
@@ -56,10 +56,10 @@
 
     def call(self, request, member=None, keys=KEYS):
         client = InnerClient(identify("a/control"), keys)
-        return client.call(member or self.member, request, TIMEOUT)
+        return client.call(member or self.member, request, TEST_TIMEOUT_S)
 
     def send(self, data):
-        with socket.create_connection((LOOPBACK, self.server.port), TIMEOUT) as connection:
+        with socket.create_connection((LOOPBACK, self.server.port), TEST_TIMEOUT_S) as connection:
             try:
                 connection.sendall(data)
                 connection.shutdown(socket.SHUT_WR)
@@ -134,7 +134,7 @@
         with contextlib.ExitStack() as held:
             for _ in range(MAX_CONNECTIONS):
                 source = ("127.0.0.9", 0)
-                held.enter_context(socket.create_connection(endpoint, TIMEOUT, source))
+                held.enter_context(socket.create_connection(endpoint, TEST_TIMEOUT_S, source))
             self.assertTrue(self.call(Standstill("a/control", 6.0)).is_ok())
 
     def test_unknown_major_version_is_reported(self):
@@ -159,7 +159,7 @@
             replayer.start()
             member = locate("b/control", listener.getsockname()[1])
             client = InnerClient(identify("a/control"), KEYS)
-            result = client.call(member, Standstill("a/control", 6.0), TIMEOUT)
+            result = client.call(member, Standstill("a/control", 6.0), TEST_TIMEOUT_S)
             replayer.join()
         self.assertTrue(result.is_error())
 
@@ -179,9 +179,9 @@
         heartbeat = Heartbeat(LOOPBACK, first.port, False, 1, -1)
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger:
             stranger.sendto(b"garbage", (LOOPBACK, second.port))
-            self.assertIsNone(second.receive(TIMEOUT))
+            self.assertIsNone(second.receive(TEST_TIMEOUT_S))
         first.send(heartbeat, ((LOOPBACK, second.port),))
-        received = second.receive(TIMEOUT)
+        received = second.receive(TEST_TIMEOUT_S)
         assert received is not None
         self.assertEqual((received.envelope.sender, received.message), ("a/control", heartbeat))
 
