--- a/toucanpin/entry/owner.py
+++ b/toucanpin/entry/owner.py
@@ -113,8 +113,8 @@
         self._evacuated = evacuated
         earlier_leases_end = steady_time() + (0.0 if first else PREVIOUS_LEASE_TIME_S)
         self._cell = Cell(name, record.token, earlier_leases_end, confirmed)
-        self._cell.stop_time = settings.bounds.stop
-        self._cell.restore_time = settings.bounds.restore
+        self._cell.stop_time = settings.bounds.stop_time
+        self._cell.restore_time = settings.bounds.restore_time
         self._interference = InterferenceModel()
         self._reader = RowReader()
         self._rows = CellRows(
@@ -280,7 +280,7 @@
         return now.table - self._rows.view.clock <= MAX_VIEW_AGE_MS
 
     def _update_evacuated(self) -> None:
-        if apply_evacuations(self._cell, self._evacuated(), self._bounds.evacuate):
+        if apply_evacuations(self._cell, self._evacuated(), self._bounds.evacuation_time):
             log_evacuations(self._cell)
 
     async def _follow_workers(self) -> None:
--- a/toucanpin/entry/root.py
+++ b/toucanpin/entry/root.py
@@ -141,7 +141,7 @@
         for candidate in self._candidates.values():
             await candidate.resign()
         await asyncio.sleep(LINGER_TIME_S)
-        left = self._settings.bounds.shutdown - EXIT_MARGIN_S - (time.monotonic() - begun)
+        left = self._settings.bounds.shutdown_time - EXIT_MARGIN_S - (time.monotonic() - begun)
         # Callers may wait for longer than this process has left, above all in an outage of the
         # store.  Their requests may have taken effect, so 504 is the only correct answer to all of
         # them.
--- a/toucanpin/entry/waves.py
+++ b/toucanpin/entry/waves.py
@@ -175,7 +175,7 @@
         record, version = self._records.get(wave.number) or await self._read_record(wave)
         orders = self._orders.setdefault(wave.number, {})
         finished, repeated = find_returned(
-            self._cell, record, self._machines, orders, self._listed_at, self._bounds.upkeep
+            self._cell, record, self._machines, orders, self._listed_at, self._bounds.upkeep_time
         )
         repeated += [
             name for name in record.down if name not in (*wave.machines, *finished, *repeated)
@@ -247,7 +247,7 @@
 
     async def _drain_workers(self, wave: Wave, record: WaveRecord, version: int) -> list[Worker]:
         now = self._clocks.now()
-        upkeep_time = self._bounds.upkeep
+        upkeep_time = self._bounds.upkeep_time
         chosen = list_next_workers(self._cell, wave, record, self._machines, upkeep_time, now)
         ready = [worker for worker in chosen if drain_worker(self._cell, worker, now)]
         if not ready:
--- a/toucanpin/platform/nodefile.py
+++ b/toucanpin/platform/nodefile.py
@@ -45,18 +45,18 @@
     # Units differ: names that end in S or _s are in seconds, those in Ms or _ms in milliseconds.
     bounds = Bounds(
         max_lease=reader.number("bounds.maxHoldMs", 10_000) / 1_000,
-        stop=reader.number("bounds.stopTimeoutMs", 200) / 1_000,
-        shutdown=reader.number("bounds.graceS", 6),
+        stop_time=reader.number("bounds.stopTimeoutMs", 200) / 1_000,
+        shutdown_time=reader.number("bounds.graceS", 6),
         job_retention=reader.number("bounds.status_s", 120),
         early=reader.number("bounds.early_ms", 250) / 1_000,
-        gang_wait=reader.number("bounds.gangTimeoutMs", 3_000) / 1_000,
+        gang_timeout=reader.number("bounds.gangTimeoutMs", 3_000) / 1_000,
         spread_factor=reader.number("bounds.spreadFactor", 3),
-        restore=reader.number("bounds.restoreMs", 250) / 1_000,
+        restore_time=reader.number("bounds.restoreMs", 250) / 1_000,
         checkpoint_period=reader.number("bounds.checkpointS", 1),
-        contact=reader.number("bounds.contactMs", 3_000) / 1_000,
-        upkeep=reader.number("bounds.maintenanceS", 2),
+        contact_timeout=reader.number("bounds.contactMs", 3_000) / 1_000,
+        upkeep_time=reader.number("bounds.maintenanceS", 2),
         machine_lease=reader.number("bounds.leaseMs", 3_000) / 1_000,
-        evacuate=reader.number("bounds.evacuateMs", 5_000) / 1_000,
+        evacuation_time=reader.number("bounds.evacuateMs", 5_000) / 1_000,
     )
     settings = HostSettings(
         name=reader.text("nodeName"),
--- a/toucanpin/scheduling/intake.py
+++ b/toucanpin/scheduling/intake.py
@@ -93,7 +93,7 @@
     forget_crashes(cell)
 
 
-DUE_CHECK_INTERVAL_S = 0.02
+DUE_CHECK_INTERVAL_S = 0.02  # between checks for occurrences that are due
 
 
 def _make_live_job(cell: Cell, job: Job, progress: Progress) -> LiveJob:
--- a/toucanpin/scheduling/settings.py
+++ b/toucanpin/scheduling/settings.py
@@ -17,18 +17,18 @@
     """Time bounds that the deployment guarantees or requires."""
 
     max_lease: float = 10.0
-    stop: float = 0.2
-    shutdown: float = 6.0
-    job_retention: float = 120.0
+    stop_time: float = 0.2  # of a task on its worker
+    shutdown_time: float = 6.0  # after which the platform kills a process
+    job_retention: float = 120.0  # for which the state of an ended job is shown
     early: float = 0.25
-    gang_wait: float = 3.0
+    gang_timeout: float = 3.0
     spread_factor: float = 3.0
-    restore: float = 0.25
+    restore_time: float = 0.25  # of a task from its checkpoint
     checkpoint_period: float = 1.0
-    contact: float = 3.0
-    upkeep: float = 2.0
-    machine_lease: float = 3.0
-    evacuate: float = 5.0
+    contact_timeout: float = 3.0
+    upkeep_time: float = 2.0  # of a machine
+    machine_lease: float = 3.0  # after which another owner may order upkeep
+    evacuation_time: float = 5.0  # until an evacuation has to be in force
 
 
 @dataclass(frozen=True, slots=True)
