--- a/toucanpin/daemon/upstreams.py
+++ b/toucanpin/daemon/upstreams.py
@@ -112,7 +112,9 @@
             # every request.
             return False
         services = (service,) if service else bundle.services
-        return all(self._slot_shares.owns_any_after(self._compute_hold(each)) for each in services)
+        return all(
+            self._slot_shares.owns_any_with_hold(self._compute_hold(each)) for each in services
+        )
 
     def tick(self, now: float) -> None:
         """Grant slots that have become available, and refresh once per period."""
--- a/toucanpin/interference/policy.py
+++ b/toucanpin/interference/policy.py
@@ -101,7 +101,7 @@
     newest_sample_at: float = float("-inf")
     last_sampled: dict[str, float] = field(default_factory=dict)
     acted_at: float = float("-inf")
-    low_since: dict[str, float] = field(default_factory=dict)
+    low_share_since: dict[str, float] = field(default_factory=dict)
 
 
 class InterferencePolicy:
@@ -126,8 +126,8 @@
         state = self._hosts.setdefault(view.host, HostState())
         state.history.record(now, view.residents)
         low = {it.task for it in view.residents if it.share <= self._tuning.evict_share}
-        kept = {task: since for task, since in state.low_since.items() if task in low}
-        state.low_since = {task: kept.get(task, now) for task in low}
+        kept = {task: since for task, since in state.low_share_since.items() if task in low}
+        state.low_share_since = {task: kept.get(task, now) for task in low}
 
     def measure(self, now: float, view: HostView, samples: Iterable[Sample]) -> None:
         """Learn from samples of a host, except duplicates and those older than its history."""
@@ -215,7 +215,7 @@
         best = None
         best_gain = 0.0
         for index, it in enumerate(view.residents):
-            since = state.low_since.get(it.task, now)
+            since = state.low_share_since.get(it.task, now)
             if not it.batch or now - since < self._tuning.eviction_delay:
                 continue
             gain = self._move_gain(cost, view, index)
--- a/toucanpin/placement/interference_aware.py
+++ b/toucanpin/placement/interference_aware.py
@@ -92,17 +92,17 @@
         self._learner.measure(now, view, samples)
         self._summaries.pop(report.worker, None)
 
-    def act(self, now: float, cell: CellRow) -> tuple[PolicyAction, ...]:
+    def decide(self, now: float, cell: CellRow) -> tuple[PolicyAction, ...]:
         """Return the actions that follow from the reports since the last call."""
         actions: list[PolicyAction] = []
         for name in cell.workers:
             tracker = self._hosts.get(name)
             if tracker is not None and tracker.changed:
                 tracker.changed = False
-                actions.extend(self._act_on(now, tracker))
+                actions.extend(self._decide_host(now, tracker))
         return tuple(actions)
 
-    def _act_on(self, now: float, tracker: HostTracker) -> Iterator[PolicyAction]:
+    def _decide_host(self, now: float, tracker: HostTracker) -> Iterator[PolicyAction]:
         """Yield the actions for one host."""
         yield from (Limit(task, 1.0) for task in tracker.to_unthrottle)
         yield from tracker.pending_events
--- a/toucanpin/placement/placing.py
+++ b/toucanpin/placement/placing.py
@@ -68,7 +68,7 @@
     owned = {name for cell in state.cells.values() for name in cell.row.workers}
     state.policy.prepare(view.now, view.bundle, owned)
     for cell in state.cells.values():
-        for action in state.policy.act(view.now, cell.row):
+        for action in state.policy.decide(view.now, cell.row):
             record = cell.row.tasks.get(action.task)
             match action:
                 case Evict(task) if record is not None and not record.standing:
--- a/toucanpin/placement/policy.py
+++ b/toucanpin/placement/policy.py
@@ -71,7 +71,7 @@
         """Observe a report of a worker and the tasks committed to it."""
         ...
 
-    def act(self, now: float, cell: CellRow) -> tuple[PolicyAction, ...]:
+    def decide(self, now: float, cell: CellRow) -> tuple[PolicyAction, ...]:
         """Return the actions to take now on running tasks of a cell."""
         ...
 
@@ -91,7 +91,7 @@
     def observe(self, now: float, report: Report, tasks: Sequence[TaskRecord]) -> None:
         """Ignore the report."""
 
-    def act(self, now: float, cell: CellRow) -> tuple[PolicyAction, ...]:
+    def decide(self, now: float, cell: CellRow) -> tuple[PolicyAction, ...]:
         """Return no actions."""
         return ()
 
@@ -135,11 +135,11 @@
         except Exception as error:
             self._record_failure(error)
 
-    def act(self, now: float, cell: CellRow) -> tuple[PolicyAction, ...]:
+    def decide(self, now: float, cell: CellRow) -> tuple[PolicyAction, ...]:
         """Return the policy's actions, with an event if the policy has failed."""
         actions: tuple[PolicyAction, ...] = ()
         try:
-            actions = self.policy.act(now, cell)
+            actions = self.policy.decide(now, cell)
         except Exception as error:
             self._record_failure(error)
         if self._failure:
--- a/toucanpin/placement/tests/test_authority.py
+++ b/toucanpin/placement/tests/test_authority.py
@@ -82,8 +82,8 @@
         self.lose_table(3.0, frozenset({PEER}), Unknown("lost"), roster=(OWNER, PEER, THIRD))
         self.assertEqual(self.authority.until, 9.0)
         actions = self.lose_table(5.0, frozenset({PEER, THIRD}))
-        asked = next(it for it in actions if isinstance(it, AskStandstill))
-        self.assertEqual(asked.peers, (PEER, THIRD))
+        request = next(it for it in actions if isinstance(it, AskStandstill))
+        self.assertEqual(request.peers, (PEER, THIRD))
         self.assertEqual(self.authority.until, 14.0)
 
     def test_promises_end_with_the_maximum_authority(self):
--- a/toucanpin/placement/tests/test_interference_aware.py
+++ b/toucanpin/placement/tests/test_interference_aware.py
@@ -200,9 +200,9 @@
         """Fail."""
         raise ValueError("observe")
 
-    def act(self, now, cell):
+    def decide(self, now, cell):
         """Fail."""
-        raise ValueError("act")
+        raise ValueError("decide")
 
 
 class OveruseTest(unittest.TestCase):
@@ -277,9 +277,9 @@
             {"epoch": 1, "owner": None, "workers": {}, "tasks": {}}, type=CellRow
         )
         cell = msgspec.structs.replace(cell, workers={"w": None}, tasks={"a": record})
-        (act,) = policy.act(1.0, cell)
-        self.assertEqual(act, Limit("a", 1.0))
-        self.assertEqual(policy.act(2.0, cell), ())
+        (action,) = policy.decide(1.0, cell)
+        self.assertEqual(action, Limit("a", 1.0))
+        self.assertEqual(policy.decide(2.0, cell), ())
 
     def test_standing_and_urgent_tasks_never_wait(self):
         """They take the best host at once where a batch task of the same kind waits."""
--- a/toucanpin/requests/shares.py
+++ b/toucanpin/requests/shares.py
@@ -22,11 +22,11 @@
 MAX_HOLD_S = 120.0
 
 
-def compute_share(instance: str, total: int, members: tuple[str, ...], me: str) -> int:
-    """Return this member's share of an instance's ``total``, by rendezvous hashing."""
-    if me not in members:
+def compute_share(instance: str, total: int, members: tuple[str, ...], member: str) -> int:
+    """Return a member's share of an instance's ``total``, by rendezvous hashing."""
+    if member not in members:
         return 0
-    own_weight = _compute_weight(instance, me)
+    own_weight = _compute_weight(instance, member)
     rank = sum(1 for name in members if _compute_weight(instance, name) > own_weight)
     base, remainder = divmod(total, len(members))
     return base + (1 if rank < remainder else 0)
@@ -42,11 +42,13 @@
     ended_at: float | None = None
     shares: dict[tuple[str, int], int] = field(default_factory=dict)
 
-    def share(self, instance: str, total: int, me: str) -> int:
+    def share(self, instance: str, total: int, member: str) -> int:
         """Return a member's share, computed once for each view."""
         known = self.shares.get((instance, total))
         if known is None:
-            known = self.shares[instance, total] = compute_share(instance, total, self.members, me)
+            known = self.shares[instance, total] = compute_share(
+                instance, total, self.members, member
+            )
         return known
 
 
@@ -60,10 +62,10 @@
     just before.
     """
 
-    __slots__ = ("_me", "_hold", "_views", "_updated")
+    __slots__ = ("_own_name", "_hold", "_views", "_updated")
 
-    def __init__(self, me: str, hold: float) -> None:
-        self._me = me
+    def __init__(self, own_name: str, hold: float) -> None:
+        self._own_name = own_name
         self._hold = hold
         self._views: list[_RecentView] = []
         self._updated = -math.inf
@@ -86,17 +88,17 @@
     def share(self, instance: str, total: int, hold: float | None = None) -> int:
         """Return how many of an instance's ``total`` slots this process may use now."""
         binding = (view for view in self._views if self._is_binding(view, hold))
-        return min((view.share(instance, total, self._me) for view in binding), default=0)
+        return min((view.share(instance, total, self._own_name) for view in binding), default=0)
 
     @property
     def owns_any(self) -> bool:
         """Return whether this process owns slots, with the default hold time."""
-        return self.owns_any_after(self._hold)
+        return self.owns_any_with_hold(self._hold)
 
-    def owns_any_after(self, hold: float) -> bool:
+    def owns_any_with_hold(self, hold: float) -> bool:
         """Return whether every view within the hold time has this process among its members."""
         binding = [view for view in self._views if self._is_binding(view, hold)]
-        return bool(binding) and all(self._me in view.members for view in binding)
+        return bool(binding) and all(self._own_name in view.members for view in binding)
 
     def _is_binding(self, view: _RecentView, hold: float | None) -> bool:
         bound = self._hold if hold is None else hold
--- a/toucanpin/requests/sweeps.py
+++ b/toucanpin/requests/sweeps.py
@@ -65,10 +65,10 @@
         return self._expired_version
 
 
-def list_partitions(members: tuple[str, ...], me: str) -> tuple[str, ...]:
+def list_partitions(members: tuple[str, ...], own_name: str) -> tuple[str, ...]:
     """Return the prefixes of the partitions that this process sweeps."""
     prefixes = (f"{CLAIM_PREFIX}{number:0{PARTITION_DIGITS}x}/" for number in range(PARTITIONS))
-    return tuple(prefix for prefix in prefixes if _choose_owner(prefix, members) == me)
+    return tuple(prefix for prefix in prefixes if _choose_owner(prefix, members) == own_name)
 
 
 def compute_sweep_interval(partitions: int) -> float:
--- a/toucanpin/requests/tests/test_shares.py
+++ b/toucanpin/requests/tests/test_shares.py
@@ -31,14 +31,14 @@
         """
         members = make_names(7)
         changes = [(2.0, members[:6]), (6.0, members), (10.0, members[1:]), (14.0, members[1:5])]
-        books = {name: SlotShares(name, 2.0) for name in members}
+        shares_by_member = {name: SlotShares(name, 2.0) for name in members}
         for step in range(200):
             now = step * 0.1
             for number, name in enumerate(members):
                 seen = [view for at, view in changes if now >= at + number * 0.15]
-                books[name].update(seen[-1] if seen else members, now)
+                shares_by_member[name].update(seen[-1] if seen else members, now)
             for instance in INSTANCES[:10]:
-                total = sum(book.share(instance, 8) for book in books.values())
+                total = sum(each.share(instance, 8) for each in shares_by_member.values())
                 self.assertLessEqual(total, 8, f"at {now}")
 
     def test_slots_are_not_used_before_earlier_requests_on_them_end(self):
@@ -67,16 +67,16 @@
 
         The others may be using these slots by now, and need time to learn of its return.
         """
-        book = SlotShares("e0/request", 2.0)
+        slot_shares = SlotShares("e0/request", 2.0)
         for step in range(40):
-            book.update(make_names(2), step * 0.1)
-        self.assertEqual(book.share("i0", 8), 4)
-        book.update(make_names(2), 60.0)
-        self.assertEqual(book.share("i0", 8), 0)
-        self.assertFalse(book.owns_any)
+            slot_shares.update(make_names(2), step * 0.1)
+        self.assertEqual(slot_shares.share("i0", 8), 4)
+        slot_shares.update(make_names(2), 60.0)
+        self.assertEqual(slot_shares.share("i0", 8), 0)
+        self.assertFalse(slot_shares.owns_any)
         for step in range(1, 25):
-            book.update(make_names(2), 60.0 + step * 0.1)
-        self.assertEqual(book.share("i0", 8), 4)
+            slot_shares.update(make_names(2), 60.0 + step * 0.1)
+        self.assertEqual(slot_shares.share("i0", 8), 4)
 
 
 if __name__ == "__main__":
