--- a/toucanpin/bundles/tests/cluster.py
+++ b/toucanpin/bundles/tests/cluster.py
@@ -95,8 +95,8 @@
         """Run the events of the next seconds."""
         end = self.now + seconds
         while self._events and self._events[0][0] <= end:
-            self.now, _, act = heapq.heappop(self._events)
-            act()
+            self.now, _, callback = heapq.heappop(self._events)
+            callback()
         self.now = end
 
     def freeze(self, name: str) -> None:
@@ -108,8 +108,8 @@
         process = self.processes[name]
         process.frozen = False
         waiting, process.waiting = process.waiting, []
-        for act in waiting:
-            act()
+        for callback in waiting:
+            callback()
 
     def accept(self, record: BundleRecord, through: str | None = None) -> None:
         """Write a record to the table, and offer it to the process that accepted it, if given."""
@@ -142,18 +142,18 @@
         """Return the version that a process would serve a request with, 0 for none."""
         return self.version(name) if self.is_ready(name) else 0
 
-    def _schedule(self, delay: float, process: Process, act: Callable[[], None]) -> None:
+    def _schedule(self, delay: float, process: Process, callback: Callable[[], None]) -> None:
         def run_event() -> None:
             if process.frozen:
                 process.waiting.append(run_event)
             elif not process.dead:
-                act()
+                callback()
 
         heapq.heappush(self._events, (self.now + delay, next(self._order), run_event))
 
     def _tick(self, process: Process) -> None:
-        for ask in process.replica.plan_actions(self._list_peers(process), self.now):
-            match ask:
+        for action in process.replica.plan_actions(self._list_peers(process), self.now):
+            match action:
                 case ReadTable(after):
                     self._read(process, after)
                 case PullFrom(peer, above):
@@ -201,8 +201,8 @@
         return receive
 
     def _wake(self, process: Process) -> None:
-        for ask in process.replica.plan_actions(self._list_peers(process), self.now):
-            match ask:
+        for action in process.replica.plan_actions(self._list_peers(process), self.now):
+            match action:
                 case ReadTable(after):
                     self._read(process, after)
                 case PullFrom(peer, above):
--- a/toucanpin/placement/jobs.py
+++ b/toucanpin/placement/jobs.py
@@ -169,7 +169,7 @@
 
 
 def list_standing() -> Decision[Result[tuple[StandingStatus, ...], Refusal]]:
-    """List the standing tasks that the bundle asks for."""
+    """List the standing tasks that the bundle contains."""
     rows: list[tuple[Row, ...]] = []
     for prefix in (STANDING_PREFIX, CELL_PREFIX):
         answer = yield Scan(prefix)
--- a/toucanpin/placement/records.py
+++ b/toucanpin/placement/records.py
@@ -92,8 +92,8 @@
     ``attempt`` is the number of the newest commitment.  ``order`` and ``job_version`` are row
     versions, zero until the task is first committed; then both are the version of its queue row.
     ``checkpoint`` is the newest accepted one, and ``lost`` counts the workers lost since then.
-    ``bundle`` is the bundle version that asked for a standing task.  A higher ``priority`` is more
-    important.
+    ``bundle`` is the version of the bundle that describes a standing task.  A task with a
+    higher ``priority`` is more important.
     """
 
     task: str
--- a/toucanpin/placement/tests/test_queue.py
+++ b/toucanpin/placement/tests/test_queue.py
@@ -156,11 +156,11 @@
         for number in range(4):
             world.submit(str(number), processors=2, work=8_000)
         world.run(4)
-        asked = world.now
+        submitted_at = world.now
         job = world.submit("u", processors=2, work=1_000, urgent=True).ok.job
         world.run(3)
         started = world.intervals()[job][0][0] / 1000
-        self.assertLess(started - asked, 1.2)
+        self.assertLess(started - submitted_at, 1.2)
         world.settle(60)
         self.assertEqual({it.state for it in world.jobs().values()}, {JobState.FINISHED})
         evicted = [it.record.evictions for it in world.jobs().values()]
