--- a/toucanpin/daemon/attempts.py
+++ b/toucanpin/daemon/attempts.py
@@ -42,10 +42,10 @@
         # A streamed body can't be sent a second time, so such a request is never hedged.
         if action.pending_at is None or self._outgoing.remaining_body is not None:
             return forwarder.forward(self._outgoing, action.deadline, action.fresh_connection)
-        begun = forwarder.begin(self._outgoing, action.deadline, action.fresh_connection)
-        if not isinstance(begun, Exchange):
-            return begun
-        self._running[action.instance] = begun
+        exchange = forwarder.begin(self._outgoing, action.deadline, action.fresh_connection)
+        if not isinstance(exchange, Exchange):
+            return exchange
+        self._running[action.instance] = exchange
         if self._wait(action.pending_at) is None:
             return AttemptPending(time.monotonic())
         return self._finish(action.instance)
@@ -53,10 +53,10 @@
     def hedge(self, action: Hedge) -> AttemptEnded:
         """Begin a second attempt; return the end of whichever attempt ends first."""
         forwarder = self._find(action.instance)
-        begun = forwarder.begin(self._outgoing, action.deadline, False)
-        if not isinstance(begun, Exchange):
-            return AttemptEnded(action.instance, begun)
-        self._running[action.instance] = begun
+        exchange = forwarder.begin(self._outgoing, action.deadline, False)
+        if not isinstance(exchange, Exchange):
+            return AttemptEnded(action.instance, exchange)
+        self._running[action.instance] = exchange
         return self.wait()
 
     def wait(self) -> AttemptEnded:
--- a/toucanpin/daemon/caller_request.py
+++ b/toucanpin/daemon/caller_request.py
@@ -109,8 +109,8 @@
 
 
 def _identify_caller(req: Any, headers: dict[bytes, bytes]) -> str:
-    named = headers.get(b"Toucanpin-Caller") or headers.get(b"X-Forwarded-For")
-    return named.decode("latin-1") if named else str(req.conn.remote_addr)
+    caller = headers.get(b"Toucanpin-Caller") or headers.get(b"X-Forwarded-For")
+    return caller.decode("latin-1") if caller else str(req.conn.remote_addr)
 
 
 def _read_request_id(headers: dict[bytes, bytes]) -> str:
--- a/toucanpin/platform/store.py
+++ b/toucanpin/platform/store.py
@@ -101,7 +101,7 @@
 
 
 class Transport(Protocol):
-    """Carries requests to a service of the platform, directly or through a peer."""
+    """Transport of requests to a service of the platform, directly or through a peer."""
 
     async def call(
         self, method: str, path: str, body: bytes = b"", *, timeout: float = 1.0
